--- a/bench/plan-decision.ts
+++ b/bench/plan-decision.ts
@@ -44,13 +44,13 @@
   const fleet = new FleetView({ ratio: 0.2, slack: 50 });
   const servers = Array.from({ length: ENGINES }, (_, place) => serverAt(place));
   fleet.directory.replaceAll(servers);
-  fleet.speedOf(SERVICE).suppose(7_000, TARGET_MS);
+  fleet.speedOf(SERVICE).setInitialEstimate(7_000, TARGET_MS);
   if (paces.length > 0) fleet.paces.takeKnown([pacesOf(servers, paces)], 0);
   const head = { relay: 'r', incarnation: 1, sequence: 1, isWhole: true };
   const told = { work: servers.map(workAt), reads: [], demand: [], reach: [] };
   fleet.peerLoads.takeSums({ ...head, ...told }, [], 0);
   for (let part = 0; part < PARTS; part += 1) {
-    fleet.knowledge.confirm(idAt((part * 2) % ENGINES), `part-${part}`, PROMPT.sharedTokens);
+    fleet.prefixIndex.confirm(idAt((part * 2) % ENGINES), `part-${part}`, PROMPT.sharedTokens);
   }
   let input = inputAt(0, fleet, servers, unseen);
   const between = (turn: number) => {
@@ -79,13 +79,13 @@
     description: { ...described, promptParts, promptTokens: sharedTokens + ownTokens },
     zone: `zone-${turn % ZONES}`,
     nowMs: 50,
-    knowledge: fleet.knowledge,
+    prefixIndex: fleet.prefixIndex,
     peerLoads: fleet.peerLoads,
     speed: fleet.speedOf(SERVICE),
     paceOf: fleet.paces.pacesOf(SERVICE),
-    homePaceOf: fleet.paces.homePacesOf(SERVICE),
+    quantizedPaceOf: fleet.paces.homePacesOf(SERVICE),
     waitFactor: () => 1,
-    inTimeMs: TARGET_MS,
+    latencyBudgetMs: TARGET_MS,
     shortReadsPerMs: 0,
     kvTokenBytes: 163_840,
     linkMbps: 1_600_000,
--- a/bench/waiting-room.ts
+++ b/bench/waiting-room.ts
@@ -42,9 +42,9 @@
   }
   const times = timeOperations(OPERATIONS, (turn) => {
     const rank = turn % RANKS;
-    slacks.note(rank, TARGET_MS - READ_MS, turn);
+    slacks.recordRequest(rank, TARGET_MS - READ_MS, turn);
     const waitMs = queueMs * shares.waitFactor(rank);
-    const urgentSlackMs = slacks.leastMs(rank, turn);
+    const urgentSlackMs = slacks.minSlackMs(rank, turn);
     const placement = placeRequest(input(waitMs, urgentSlackMs));
     carryOut(placement, turn, room, retries, shares);
   });
@@ -66,7 +66,7 @@
   const hasCapacity = placement.kind === 'go';
   room.enter(place(turn, 1e9 + turn), { now: turn, hasCapacity });
   room.next(turn, () => true);
-  shares.note(turn % RANKS, READ_MS, turn);
+  shares.recordRequest(turn % RANKS, READ_MS, turn);
 }
 
 function input(queueMs: number, urgentSlackMs: number): PlaceInput {
@@ -75,8 +75,8 @@
   return {
     plan: { expectedMs, read: { urgency, readMs: READ_MS, waitMs: queueMs } },
     remainingMs: 5_000,
-    inTimeMs: TARGET_MS,
-    inTimeLeftMs: TARGET_MS,
+    latencyBudgetMs: TARGET_MS,
+    latencyBudgetLeftMs: TARGET_MS,
     urgentSlackMs,
     isContended: true,
     isLearnt: true,
--- a/src/core/gateway/choose-engine.ts
+++ b/src/core/gateway/choose-engine.ts
@@ -5,7 +5,7 @@
 import { sharedPart } from './description.js';
 import type { EngineChoiceInput } from './engine-choice-input.js';
 import {
-  fullnessMs,
+  occupancyCostMs,
   healthCostMs,
   OTHER_ZONE_COST_MS,
   paceAt,
@@ -16,8 +16,8 @@
   zoneCostMs,
 } from './engine-costs.js';
 import type { ExpectedRead, Urgency } from './engine-load.js';
-import { homeOf } from './home.js';
-import { bestDonors, type Donor, donorFor, moveMs } from './prompt-donors.js';
+import { preferredEngineOf } from './home.js';
+import { bestKvSources, type KvSource, kvSourceFor, kvTransferMs } from './prompt-donors.js';
 import type { ReadSpeed } from './read-speed.js';
 import type { EngineStage, ServerRecord } from './server-directory.js';
 import { drawSpread, type Spread, type SpreadWork, usefulSpread } from './spread-choice.js';
@@ -73,7 +73,7 @@
   /** What else speaks against it: others that it holds up, another zone. */
   readonly otherCostMs: number;
   /** What speaks for the home of a part that it does not keep yet. */
-  readonly homeBonusMs: number;
+  readonly preferenceBonusMs: number;
 }
 
 /** The engines that may read the prompt, worked out once for both urgencies. */
@@ -90,7 +90,7 @@
   readonly costMs: number;
   /** When a prompt that begins with nothing kept would be read there, as all daemons see it. */
   readonly loadMs: number;
-  readonly homeBonusMs: number;
+  readonly preferenceBonusMs: number;
 }
 
 /** The shared part of the prompt, and where it is read first. */
@@ -106,7 +106,7 @@
 export function planModelRequest(input: EngineChoiceInput): EnginePlan | undefined {
   const readers = readersOf(input);
   const plan = planAs('in-time', readers, input);
-  if (plan === undefined || plan.expectedMs <= input.inTimeMs) return plan;
+  if (plan === undefined || plan.expectedMs <= input.latencyBudgetMs) return plan;
   return planAs('late', readers, input);
 }
 
@@ -154,12 +154,12 @@
     const runs = runsAt(server, input);
     const waitsMs = waitMs(server, 'in-time', input) + slotWaitMs(server, runs, pace, input);
     const longerMs = input.speed.handOverMs * (1 / pace - 1);
-    const loadMs = waitsMs + fullnessMs(server, runs, input) + healthCostMs(server, input);
+    const loadMs = waitsMs + occupancyCostMs(server, runs, input) + healthCostMs(server, input);
     return {
       server,
       loadMs,
       costMs: moveCost + longerMs + loadMs + zoneCostMs(server, input),
-      homeBonusMs: 0,
+      preferenceBonusMs: 0,
     };
   });
   const best = lowest(estimates, ({ costMs }) => costMs);
@@ -178,7 +178,7 @@
   const spread = usefulSpread(input.spread);
   if (spread === undefined) return best;
   const { urgency, readMs } = best.read;
-  const mostMs = input.inTimeMs - handOverMs;
+  const mostMs = input.latencyBudgetMs - handOverMs;
   const isInTime = ({ read }: ReadEstimate) => read.waitMs + read.readMs <= mostMs;
   const estimates = readers.map((reader) => estimateOf(reader, urgency, input));
   const equals = isInTime(best) ? estimates.filter(isInTime) : estimates;
@@ -201,14 +201,14 @@
 
 function estimateOf(reader: Reader, urgency: Urgency, input: EngineChoiceInput): ReadEstimate {
   const waitsMs = waitMs(reader.server, urgency, input) + reader.slotMs;
-  const { readMs, standingMs, otherCostMs, homeBonusMs } = reader;
+  const { readMs, standingMs, otherCostMs, preferenceBonusMs } = reader;
   const loadMs = waitsMs + standingMs;
   return {
     reader,
     read: { urgency, readMs, waitMs: waitsMs },
-    costMs: loadMs + readMs + otherCostMs - homeBonusMs,
+    costMs: loadMs + readMs + otherCostMs - preferenceBonusMs,
     loadMs: loadMs + reader.wholeReadMs,
-    homeBonusMs,
+    preferenceBonusMs,
   };
 }
 
@@ -226,7 +226,7 @@
 }
 
 function readersOf(input: EngineChoiceInput): Readers {
-  const donors = bestDonors(input);
+  const donors = bestKvSources(input);
   const decode = readersOfStage('decode', donors, input);
   const slotsMs = decode.map(({ slotMs }) => slotMs);
   const leastSlotMs = slotsMs.length === 0 ? 0 : Math.min(...slotsMs);
@@ -239,7 +239,7 @@
 
 function readersOfStage(
   stage: EngineStage,
-  donors: readonly Donor[],
+  donors: readonly KvSource[],
   input: EngineChoiceInput,
 ): readonly Reader[] {
   const servers = enginesOf(input, stage);
@@ -253,26 +253,27 @@
 function homeNow(
   partId: string,
   servers: readonly ServerRecord[],
-  { spread, homePaceOf }: EngineChoiceInput,
+  { spread, quantizedPaceOf }: EngineChoiceInput,
 ): ServerRecord | undefined {
-  if (spread?.unseen.kind !== 'by-daemons') return homeOf(partId, servers, homePaceOf);
+  if (spread?.unseen.kind !== 'by-daemons')
+    return preferredEngineOf(partId, servers, quantizedPaceOf);
   const place = Math.floor(spread.entropy * HOMES_AT_START);
-  return homeOf(`${place} ${partId}`, servers, homePaceOf);
+  return preferredEngineOf(`${place} ${partId}`, servers, quantizedPaceOf);
 }
 
 function readerAt(
   server: ServerRecord,
   stage: EngineStage,
-  donors: readonly Donor[],
+  donors: readonly KvSource[],
   homePart: HomePart,
   input: EngineChoiceInput,
 ): Reader {
-  const { description, knowledge, nowMs, speed } = input;
-  const kept = knowledge.keptTokens(server.id, description.promptParts, nowMs);
-  const donor = donorFor(server, kept, donors);
-  const fetched = donor === undefined ? 0 : donor.keptTokens - kept;
+  const { description, prefixIndex, nowMs, speed } = input;
+  const kept = prefixIndex.cachedTokens(server.id, description.promptParts, nowMs);
+  const donor = kvSourceFor(server, kept, donors);
+  const fetched = donor === undefined ? 0 : donor.cachedTokens - kept;
   const missingTokens = Math.max(1, description.promptTokens - kept - fetched);
-  const fetchMs = donor === undefined ? 0 : moveMs(fetched, input);
+  const fetchMs = donor === undefined ? 0 : kvTransferMs(fetched, input);
   const pace = paceAt(server, input);
   const runs = runsAt(server, input);
   const aloneMs = readAloneMs(stage, missingTokens, pace, speed);
@@ -286,9 +287,9 @@
     readMs: aloneMs + fetchMs,
     wholeReadMs: readAloneMs(stage, description.promptTokens, pace, speed),
     slotMs: stage === 'decode' ? slotWaitMs(server, runs, pace, input) : 0,
-    standingMs: fullnessMs(server, runs, input) + healthCostMs(server, input),
+    standingMs: occupancyCostMs(server, runs, input) + healthCostMs(server, input),
     otherCostMs: delayMs + zoneCostMs(server, input),
-    homeBonusMs: bonusMs,
+    preferenceBonusMs: bonusMs,
   };
 }
 
--- a/src/core/gateway/description.ts
+++ b/src/core/gateway/description.ts
@@ -19,14 +19,14 @@
   readonly maxOutputTokens: number;
 }
 
-/** Tokens of the leading parts that `keptTokens` says are kept, in order until the first that is not. */
-export function keptPrefixTokens(
+/** Tokens of the leading parts that `cachedTokens` says are kept, in order until the first that is not. */
+export function cachedPrefixTokens(
   parts: readonly PromptPart[],
-  keptTokens: (partId: string) => number,
+  cachedTokens: (partId: string) => number,
 ): number {
   let total = 0;
   for (const part of parts) {
-    const kept = Math.min(part.tokens, keptTokens(part.id));
+    const kept = Math.min(part.tokens, cachedTokens(part.id));
     total += kept;
     if (kept < part.tokens) break;
   }
--- a/src/core/gateway/engine-choice-input.ts
+++ b/src/core/gateway/engine-choice-input.ts
@@ -2,7 +2,7 @@
 import type { RequestDescription } from './description.js';
 import type { EngineLoad, Urgency } from './engine-load.js';
 import type { PeerLoads } from './peer-load.js';
-import type { PrefixKnowledge } from './prefix-knowledge.js';
+import type { PrefixCacheIndex } from './prefix-knowledge.js';
 import type { ReadSpeed } from './read-speed.js';
 import type { ServerRecord } from './server-directory.js';
 import type { ServerHealth } from './server-health.js';
@@ -15,12 +15,12 @@
   readonly description: RequestDescription;
   readonly zone: string;
   readonly nowMs: number;
-  readonly knowledge: PrefixKnowledge;
+  readonly prefixIndex: PrefixCacheIndex;
   readonly speed: ReadSpeed;
   /** An engine's pace against the usual one; left out where all have one pace. */
   paceOf?(id: string): number;
   /** The pace by which an engine counts as the home of a shared part. */
-  homePaceOf?(id: string): number;
+  quantizedPaceOf?(id: string): number;
   readonly kvTokenBytes: number;
   readonly linkMbps: number;
   /** Short prompts that a decode engine of the usual pace gets in a millisecond, from all daemons. */
@@ -30,7 +30,7 @@
   /** How long prompts of an urgency wait, against what the work that is known says. */
   waitFactor(urgency: Urgency): number;
   /** What is left of the time in which an answer is in time. */
-  readonly inTimeMs: number;
+  readonly latencyBudgetMs: number;
   loadOf(id: string): EngineLoad;
   /** Absent where daemons hear of each other's work at once, and where spreading is switched off. */
   readonly spread?: Spread | undefined;
--- a/src/core/gateway/engine-costs.ts
+++ b/src/core/gateway/engine-costs.ts
@@ -51,7 +51,11 @@
  * What the runs at an engine cost one more there.
  * @param runs those at the engine (`runsAt`)
  */
-export function fullnessMs(server: ServerRecord, runs: number, input: EngineChoiceInput): number {
+export function occupancyCostMs(
+  server: ServerRecord,
+  runs: number,
+  input: EngineChoiceInput,
+): number {
   return runs * runCostMs(server, input);
 }
 
--- a/src/core/gateway/engine-paces.ts
+++ b/src/core/gateway/engine-paces.ts
@@ -96,8 +96,8 @@
   }
 
   /** The pace by which an engine counts as the home of shared parts. */
-  homePaceOf(engineId: string): number {
-    return this.#byEngine.get(engineId)?.homePace ?? 1;
+  quantizedPaceOf(engineId: string): number {
+    return this.#byEngine.get(engineId)?.quantizedPace ?? 1;
   }
 
   /** A prefill engine read so many tokens, next to nobody known waiting before them. */
@@ -142,7 +142,7 @@
   /** Takes what the zone's relay knows, which has heard of more than this daemon. */
   takeKnown({ line, engines }: ServicePaceSums, nowMs: number): void {
     if (line !== undefined && isMore(line.weight, this.#speed.line.weight)) {
-      this.#speed.takeLine(line);
+      this.#speed.replaceLine(line);
     }
     for (const known of engines) {
       this.#change(known.engineId, (samples) => {
--- a/src/core/gateway/fleet-paces.ts
+++ b/src/core/gateway/fleet-paces.ts
@@ -81,7 +81,7 @@
   /** The paces by which engines of a service count as homes of shared parts. */
   homePacesOf(service: string): (engineId: string) => number {
     const paces = this.isUsedFor(service) ? this.#byService.get(service) : undefined;
-    return paces === undefined ? () => 1 : (engineId) => paces.homePaceOf(engineId);
+    return paces === undefined ? () => 1 : (engineId) => paces.quantizedPaceOf(engineId);
   }
 
   /** A prefill engine read so many tokens, next to nobody known waiting before them. */
@@ -199,7 +199,7 @@
   /** Decisions go by the line that belongs to the paces. */
   #useLine(service: string): void {
     const line = this.#byService.get(service)?.line;
-    if (this.#hasOwnLine && line !== undefined) this.#options.speedOf(service).takeLine(line);
+    if (this.#hasOwnLine && line !== undefined) this.#options.speedOf(service).replaceLine(line);
   }
 
   /** Passes on what can be true and is of listed engines; counts the rest. */
--- a/src/core/gateway/home.ts
+++ b/src/core/gateway/home.ts
@@ -21,16 +21,16 @@
 }
 
 /** The home of a part, the same for all daemons that list the same engines and count them by the same paces. */
-export function homeOf(
+export function preferredEngineOf(
   partId: string,
   servers: readonly ServerRecord[],
-  homePaceOf: (id: string) => number = () => 1,
+  quantizedPaceOf: (id: string) => number = () => 1,
 ): ServerRecord | undefined {
   const weightOf = rendezvousWeights(partId);
   const leaders = new Map<number, Leader>();
   for (const server of servers) {
     const weight = weightOf(server.id);
-    const pace = homePaceOf(server.id);
+    const pace = quantizedPaceOf(server.id);
     const leader = leaders.get(pace);
     if (leader === undefined || weight > leader.weight) leaders.set(pace, { server, weight });
   }
@@ -55,7 +55,7 @@
  * no part.
  * @param current by which it counts until now; it stays while the pace is not well nearer to another
  */
-export function homePace(pace: number, current: number): number {
+export function quantizedPace(pace: number, current: number): number {
   const doubles = Math.log2(pace);
   const isNear = Math.abs(doubles - Math.log2(current)) <= STAYING_DOUBLES;
   return isNear ? current : 2 ** Math.round(doubles);
--- a/src/core/gateway/index.ts
+++ b/src/core/gateway/index.ts
@@ -26,7 +26,7 @@
   RECORD_KEPT_MS,
 } from './crash-records.js';
 export {
-  keptPrefixTokens,
+  cachedPrefixTokens,
   type PromptPart,
   type RequestDescription,
   sharedPart,
@@ -50,7 +50,7 @@
 export { FleetSize } from './fleet-size.js';
 export { type EraOfAnswer, FollowedRevisions } from './followed-revisions.js';
 export { ForecastScale } from './forecast-scale.js';
-export { homeOf } from './home.js';
+export { preferredEngineOf } from './home.js';
 export {
   LEDGER_SPAN_MS,
   LimitLedger,
@@ -83,29 +83,29 @@
 } from './peer-load.js';
 export { type OwnPlace, type PeerDaemon, PeerRoster } from './peer-roster.js';
 export {
-  type DoorInput,
-  type DoorRefusal,
-  HELD_SHARE,
+  type ArrivalInput,
+  type ArrivalRefusal,
+  MAX_HOLD_SHARE,
   type PlaceInput,
   type Placement,
   placeRequest,
-  refusalAtDoor,
+  refusalOnArrival,
 } from './place-request.js';
 export { placeWebRequest, type WebPlaceInput } from './place-web-request.js';
 export {
-  enginesWithRoom,
-  planRescue,
+  requiredEngines,
+  planDecodeRecovery,
   planStageChanges,
-  type RescueInput,
+  type DecodeRecoveryInput,
   type StageChange,
   type StageNeed,
   type StagePlanInput,
 } from './plan-stages.js';
-export { PrefixKnowledge, type ReadNotice } from './prefix-knowledge.js';
-export { moveMs } from './prompt-donors.js';
+export { PrefixCacheIndex, type ReadNotice } from './prefix-knowledge.js';
+export { kvTransferMs } from './prompt-donors.js';
 export { planAtRank, RankShares } from './rank-shares.js';
 export { type ReachNotice, ReachNoticeFilter } from './reach-notices.js';
-export { type ReadPriorityInput, readPriority } from './read-priority.js';
+export { type PromptPriorityInput, promptPriority } from './read-priority.js';
 export { ReadSpeed } from './read-speed.js';
 export { RecentSends } from './recent-sends.js';
 export { type Recheck, RecheckSchedule } from './recheck-schedule.js';
@@ -150,7 +150,7 @@
 export { type StageNotice, StageNotices, type StagePhase } from './stage-notices.js';
 export { SumsToTell, type ToldSums } from './sums-to-tell.js';
 export { type Admission, TenantTable } from './tenants.js';
-export { TOLD_AFTER_MS, unseenWork } from './unseen-work.js';
+export { ADVERTISE_DELAY_MS, unseenWork } from './unseen-work.js';
 export { UrgentSlack } from './urgent-slack.js';
 export {
   type LoadFigures,
--- a/src/core/gateway/pace-samples.ts
+++ b/src/core/gateway/pace-samples.ts
@@ -1,7 +1,7 @@
 /**
  * What was seen of one engine's pace: a mean of logarithms whose evidence fades, and the pace that is believed by it.
  */
-import { homePace } from './home.js';
+import { quantizedPace } from './home.js';
 
 /** What is left of a sample's weight with each newer one: machines are shared, and what they give changes. */
 const SAMPLE_DECAY = 0.95;
@@ -56,7 +56,7 @@
   #atMs = 0;
   /** As they are used, worked out when something is learnt. */
   pace = 1;
-  homePace = 1;
+  quantizedPace = 1;
 
   get logPace(): number {
     return this.#weight > 0 ? this.#logSum / this.#weight : 0;
@@ -95,7 +95,7 @@
     const share = this.#weight / (this.#weight + PRIOR_WEIGHT);
     const chance = CHANCE_LOG_PACE + CHANCE_LOG_OF_SAMPLE / (this.#weight + PRIOR_WEIGHT);
     this.pace = Math.exp(bounded(withoutChance(share * (this.logPace - meanLog), chance)));
-    this.homePace = homePace(this.pace, this.homePace);
+    this.quantizedPace = quantizedPace(this.pace, this.quantizedPace);
   }
 
   get sums(): SeenPace {
--- a/src/core/gateway/place-request.ts
+++ b/src/core/gateway/place-request.ts
@@ -16,15 +16,15 @@
  * Of the same time, the part that it may be held at the daemon: a refusal is worth the more to its caller the sooner it
  * comes. What both shares leave is for errors of the forecast.
  */
-export const HELD_SHARE = 0.25;
+export const MAX_HOLD_SHARE = 0.25;
 
 /** What a forecast is judged by. */
-export interface DoorInput {
+export interface ArrivalInput {
   readonly plan: Pick<EnginePlan, 'expectedMs' | 'read'>;
   /** Until the caller, or the route, gives up. */
   readonly remainingMs: number;
   /** Within this an answer is in time. */
-  readonly inTimeMs: number;
+  readonly latencyBudgetMs: number;
   /** Whether the paces that the forecast is made from were seen, not supposed. */
   readonly isLearnt: boolean;
   /** Whether a server may have run it. */
@@ -32,9 +32,9 @@
 }
 
 /** What a place is decided from. */
-export interface PlaceInput extends DoorInput {
+export interface PlaceInput extends ArrivalInput {
   /** What is left of the time in which an answer is in time. */
-  readonly inTimeLeftMs: number;
+  readonly latencyBudgetLeftMs: number;
   /** The least that a more urgent kind of request could wait and be in time; infinite where there is none. */
   readonly urgentSlackMs: number;
   /** Whether others wait at this daemon for the same servers. */
@@ -42,7 +42,7 @@
 }
 
 /** A request that is not sent at all. */
-export interface DoorRefusal {
+export interface ArrivalRefusal {
   /** When one like it could be answered in time, if nothing else came. */
   readonly retryAfterMs: number;
 }
@@ -62,15 +62,15 @@
 
 /** The place of a request, by the best plan there is for it now. */
 export function placeRequest(input: PlaceInput): Placement {
-  const { plan, inTimeLeftMs, urgentSlackMs } = input;
+  const { plan, latencyBudgetLeftMs, urgentSlackMs } = input;
   if (!input.isLearnt || input.mayHaveRun) return { kind: 'go', slackMs: undefined };
   const { urgency, waitMs } = plan.read;
-  const wholeSlackMs = input.inTimeMs - (plan.expectedMs - waitMs);
-  const heldMs = input.inTimeMs - inTimeLeftMs;
-  const heldShare = Math.min(HELD_SHARE, heldMs / Math.max(1, wholeSlackMs));
+  const wholeSlackMs = input.latencyBudgetMs - (plan.expectedMs - waitMs);
+  const heldMs = input.latencyBudgetMs - latencyBudgetLeftMs;
+  const heldShare = Math.min(MAX_HOLD_SHARE, heldMs / Math.max(1, wholeSlackMs));
   // Who came first goes first over all daemons: the longer it was held, the longer a queue it may join.
   const mostMs = (QUEUED_SHARE + heldShare) * Math.min(urgentSlackMs, wholeSlackMs);
-  const slackMs = HELD_SHARE * wholeSlackMs - heldMs;
+  const slackMs = MAX_HOLD_SHARE * wholeSlackMs - heldMs;
   switch (urgency) {
     case 'in-time':
       // What can't be held any more and has room goes past those that can.
@@ -82,21 +82,22 @@
 }
 
 function placeLate(input: PlaceInput, mostMs: number): Placement {
-  const { plan, inTimeMs, isContended } = input;
-  const roomInMs = Math.max(0, plan.expectedMs - inTimeMs);
-  const hopeless = refusalAtDoor(input);
+  const { plan, latencyBudgetMs, isContended } = input;
+  const roomInMs = Math.max(0, plan.expectedMs - latencyBudgetMs);
+  const hopeless = refusalOnArrival(input);
   if (hopeless !== undefined) return { kind: 'refuse', reason: 'hopeless', roomInMs };
   // Late by itself, or as it was tried before, and not for want of room: it runs where it delays nobody.
-  const joinsMs = mostMs > 0 ? mostMs : QUEUED_SHARE * Math.min(input.urgentSlackMs, inTimeMs);
+  const joinsMs =
+    mostMs > 0 ? mostMs : QUEUED_SHARE * Math.min(input.urgentSlackMs, latencyBudgetMs);
   const hasRoom = plan.read.waitMs <= joinsMs;
   if (hasRoom && !isContended) return { kind: 'go', slackMs: undefined };
   return { kind: 'refuse', reason: 'overloaded', roomInMs };
 }
 
 /** The refusal of what ends only after its caller has left; undefined where the request is to be sent. */
-export function refusalAtDoor(input: DoorInput): DoorRefusal | undefined {
-  const { plan, remainingMs, inTimeMs } = input;
+export function refusalOnArrival(input: ArrivalInput): ArrivalRefusal | undefined {
+  const { plan, remainingMs, latencyBudgetMs } = input;
   const isForecast = input.isLearnt && plan.read.urgency === 'late';
   if (!isForecast || input.mayHaveRun || plan.expectedMs <= remainingMs) return undefined;
-  return { retryAfterMs: Math.max(0, plan.expectedMs - inTimeMs) };
+  return { retryAfterMs: Math.max(0, plan.expectedMs - latencyBudgetMs) };
 }
--- a/src/core/gateway/place-web-request.ts
+++ b/src/core/gateway/place-web-request.ts
@@ -4,7 +4,7 @@
  * is expected to have room. What was held as long as it may be goes all the same: whether there is a place after
  * all is known best by the servers, and one that turns it away has not run it.
  */
-import { HELD_SHARE, type Placement } from './place-request.js';
+import { MAX_HOLD_SHARE, type Placement } from './place-request.js';
 import type { ServerRecord } from './server-directory.js';
 import type { ServerHealth } from './server-health.js';
 
@@ -14,7 +14,7 @@
   readonly excludedIds: ReadonlySet<string>;
   readonly nowMs: number;
   /** Within this an answer is in time. */
-  readonly inTimeMs: number;
+  readonly latencyBudgetMs: number;
   readonly elapsedMs: number;
   /** Whether a server may have run it. */
   readonly mayHaveRun: boolean;
@@ -26,7 +26,7 @@
 /** The place of a request to a web service. */
 export function placeWebRequest(input: WebPlaceInput): Placement {
   const open = input.candidates.filter(({ id }) => !input.excludedIds.has(id));
-  const holdMs = HELD_SHARE * (input.inTimeMs - runMs(open, input)) - input.elapsedMs;
+  const holdMs = MAX_HOLD_SHARE * (input.latencyBudgetMs - runMs(open, input)) - input.elapsedMs;
   if (open.length === 0 || input.mayHaveRun || holdMs <= 0)
     return { kind: 'go', slackMs: undefined };
   const roomInMs = Math.min(...open.map((server) => roomIn(server, input)));
--- a/src/core/gateway/plan-stages.ts
+++ b/src/core/gateway/plan-stages.ts
@@ -44,7 +44,7 @@
   readonly engines: readonly ServerRecord[];
   readonly need: StageNeed;
   /** Engines under order or booting. */
-  readonly comingEngines: number;
+  readonly startingEngines: number;
   /** What an engine has under way; the one with least is moved. */
   busyOf(engineId: string): number;
   /** An engine's pace against the usual one; left out where all have one pace. */
@@ -61,10 +61,10 @@
 
 /** The next changes; none when the split is good enough. */
 export function planStageChanges(input: StagePlanInput): readonly StageChange[] {
-  const { engines, need, comingEngines } = input;
+  const { engines, need, startingEngines } = input;
   const total = engines.length;
   if (need.requests < LEAST_REQUESTS || total < 3) return [];
-  if (comingEngines >= MANY_COMING_SHARE * total) return [];
+  if (startingEngines >= MANY_COMING_SHARE * total) return [];
   const currentPrefill = engines.filter((engine) => engine.stage === 'prefill').length;
   const fullestWith = fullnessOf(input);
   const wantedPrefill = bestPrefillCount(total, fullestWith);
@@ -85,7 +85,7 @@
 }
 
 /** What a rescue is decided from. */
-export interface RescueInput extends Omit<StagePlanInput, 'need' | 'comingEngines'> {
+export interface DecodeRecoveryInput extends Omit<StagePlanInput, 'need' | 'startingEngines'> {
   /** Whether calls to an engine come through. */
   isReachable(engineId: string): boolean;
 }
@@ -94,7 +94,7 @@
  * The changes that bring back a stage that generates when none of its engines can be reached: nothing is
  * answered without it. As many as may be lost and one, but never more than half of those that read.
  */
-export function planRescue(input: RescueInput): readonly StageChange[] {
+export function planDecodeRecovery(input: DecodeRecoveryInput): readonly StageChange[] {
   const { engines } = input;
   const reachable = engines.filter(({ id }) => input.isReachable(id));
   const readers = reachable.filter(({ stage }) => stage === 'prefill');
@@ -138,7 +138,7 @@
 }
 
 /** Engines with which work that comes unevenly still finds one free in either stage. */
-export function enginesWithRoom({ prefillEngines, decodeEngines }: StageNeed): number {
+export function requiredEngines({ prefillEngines, decodeEngines }: StageNeed): number {
   return Math.ceil(prefillEngines / FULL_SHARE.prefill + decodeEngines / FULL_SHARE.decode);
 }
 
--- a/src/core/gateway/prefix-knowledge.ts
+++ b/src/core/gateway/prefix-knowledge.ts
@@ -2,7 +2,7 @@
  * What each engine is believed to keep of prompts: from its own cache news, and from what this
  * daemon has seen read there. A belief without news behind it is dropped after a time.
  */
-import { keptPrefixTokens, type PromptPart } from './description.js';
+import { cachedPrefixTokens, type PromptPart } from './description.js';
 
 /** A belief from this daemon's own sends; an engine's news replaces it. */
 const UNCONFIRMED_TTL_MS = 20_000;
@@ -31,7 +31,7 @@
 }
 
 /** Beliefs on all engines' caches. */
-export class PrefixKnowledge {
+export class PrefixCacheIndex {
   readonly #byEngine = new Map<string, Map<string, KeptPart>>();
 
   /** The engine itself says how much of a part it keeps now; 0 when it gave the part up. */
@@ -72,7 +72,7 @@
   }
 
   /** An engine begins to read a part: the next request for it need not read it again. */
-  expect({ engineId, part, readyInMs }: ReadNotice, nowMs: number): void {
+  expectRead({ engineId, part, readyInMs }: ReadNotice, nowMs: number): void {
     const known = this.#byEngine.get(engineId)?.get(part.id);
     const isKnown = known !== undefined && known.expiresAtMs >= nowMs;
     if (isKnown && known.tokens >= part.tokens) return;
@@ -87,12 +87,12 @@
   }
 
   /** Tokens of the prompt's beginning that the engine need not read. */
-  keptTokens(engineId: string, parts: readonly PromptPart[], nowMs: number): number {
+  cachedTokens(engineId: string, parts: readonly PromptPart[], nowMs: number): number {
     return this.#tokens(engineId, parts, (part) => part.expiresAtMs >= nowMs);
   }
 
   /** Tokens of the prompt's beginning that another engine can take from there now. */
-  movableTokens(engineId: string, parts: readonly PromptPart[], nowMs: number): number {
+  transferableTokens(engineId: string, parts: readonly PromptPart[], nowMs: number): number {
     const isThere = (part: KeptPart) => part.expiresAtMs >= nowMs && part.readyAtMs <= nowMs;
     return this.#tokens(engineId, parts, isThere);
   }
@@ -104,7 +104,7 @@
   ): number {
     const known = this.#byEngine.get(engineId);
     if (known === undefined) return 0;
-    return keptPrefixTokens(parts, (partId) => {
+    return cachedPrefixTokens(parts, (partId) => {
       const part = known.get(partId);
       return part === undefined || !counts(part) ? 0 : part.tokens;
     });
--- a/src/core/gateway/prompt-donors.ts
+++ b/src/core/gateway/prompt-donors.ts
@@ -9,42 +9,43 @@
 const BITS_PER_MEGABIT_MS = 1_000;
 
 /** An engine that keeps tokens of the prompt which others can take. */
-export interface Donor {
+export interface KvSource {
   readonly server: ServerRecord;
-  readonly keptTokens: number;
+  readonly cachedTokens: number;
 }
 
 /** The two engines that keep most of the prompt: one for all others, and one for the first of them. */
-export function bestDonors(input: EngineChoiceInput): readonly Donor[] {
-  const { knowledge, description, nowMs } = input;
-  let first: Donor | undefined;
-  let second: Donor | undefined;
+export function bestKvSources(input: EngineChoiceInput): readonly KvSource[] {
+  const { prefixIndex, description, nowMs } = input;
+  let first: KvSource | undefined;
+  let second: KvSource | undefined;
   for (const server of input.candidates) {
-    const keptTokens = knowledge.movableTokens(server.id, description.promptParts, nowMs);
-    if (keptTokens < LEAST_FETCHED_TOKENS || input.healthOf(server.id).isEjected(nowMs)) continue;
-    if (first === undefined || keptTokens > first.keptTokens) {
+    const cachedTokens = prefixIndex.transferableTokens(server.id, description.promptParts, nowMs);
+    if (cachedTokens < LEAST_FETCHED_TOKENS || input.healthOf(server.id).isEjected(nowMs)) continue;
+    if (first === undefined || cachedTokens > first.cachedTokens) {
       second = first;
-      first = { server, keptTokens };
-    } else if (second === undefined || keptTokens > second.keptTokens) {
-      second = { server, keptTokens };
+      first = { server, cachedTokens };
+    } else if (second === undefined || cachedTokens > second.cachedTokens) {
+      second = { server, cachedTokens };
     }
   }
   return [first, second].filter((donor) => donor !== undefined);
 }
 
 /** Another engine that keeps enough more of the prompt to be worth a move. */
-export function donorFor(
+export function kvSourceFor(
   server: ServerRecord,
-  keptTokens: number,
-  donors: readonly Donor[],
-): Donor | undefined {
+  cachedTokens: number,
+  donors: readonly KvSource[],
+): KvSource | undefined {
   const donor = donors.find((candidate) => candidate.server.id !== server.id);
-  if (donor === undefined || donor.keptTokens - keptTokens < LEAST_FETCHED_TOKENS) return undefined;
+  if (donor === undefined || donor.cachedTokens - cachedTokens < LEAST_FETCHED_TOKENS)
+    return undefined;
   return donor;
 }
 
 /** How long the memory of so many tokens takes on an engine's link. */
-export function moveMs(
+export function kvTransferMs(
   tokens: number,
   link: Pick<EngineTraits, 'kvTokenBytes' | 'linkMbps'>,
 ): number {
--- a/src/core/gateway/rank-shares.ts
+++ b/src/core/gateway/rank-shares.ts
@@ -21,7 +21,7 @@
   #atMs = 0;
 
   /** A prompt was sent that takes so long to be read. */
-  note(rank: number, readMs: number, nowMs: number): void {
+  recordRequest(rank: number, readMs: number, nowMs: number): void {
     this.#fade(nowMs);
     this.#workMs.set(rank, (this.#workMs.get(rank) ?? 0) + readMs);
     this.#totalMs += readMs;
@@ -60,11 +60,15 @@
 /**
  * A plan with the wait of a rank. Which engine is best is not asked again: the wait at each is longer or shorter
  * by the same factor.
- * @param inTimeMs what is left of the time in which an answer is in time
+ * @param latencyBudgetMs what is left of the time in which an answer is in time
  */
-export function planAtRank(plan: EnginePlan, waitFactor: number, inTimeMs: number): EnginePlan {
+export function planAtRank(
+  plan: EnginePlan,
+  waitFactor: number,
+  latencyBudgetMs: number,
+): EnginePlan {
   const waitMs = plan.read.waitMs * waitFactor;
   const expectedMs = plan.expectedMs - plan.read.waitMs + waitMs;
-  const urgency = expectedMs <= inTimeMs ? 'in-time' : 'late';
+  const urgency = expectedMs <= latencyBudgetMs ? 'in-time' : 'late';
   return { ...plan, expectedMs, read: { ...plan.read, waitMs, urgency } };
 }
--- a/src/core/gateway/read-priority.ts
+++ b/src/core/gateway/read-priority.ts
@@ -13,7 +13,7 @@
 const SMALL_SHARE = 0.1;
 
 /** What a priority is made from. */
-export interface ReadPriorityInput {
+export interface PromptPriorityInput {
   /** The route's priority, 0 the most urgent. */
   readonly rank: number;
   readonly urgency: Urgency;
@@ -22,7 +22,7 @@
 }
 
 /** 0 is the most urgent. */
-export function readPriority({ rank, urgency, readShareOfTarget }: ReadPriorityInput): number {
+export function promptPriority({ rank, urgency, readShareOfTarget }: PromptPriorityInput): number {
   switch (urgency) {
     case 'late':
       return Math.min(LEAST_URGENT, FIRST_LATE + rank);
--- a/src/core/gateway/read-speed.ts
+++ b/src/core/gateway/read-speed.ts
@@ -58,7 +58,7 @@
    * Before anything is seen: a prompt of a usual size would be read within its target.
    * @param usualTokens what an engine's memory holds for each of its slots
    */
-  suppose(usualTokens: number, targetMs: number): void {
+  setInitialEstimate(usualTokens: number, targetMs: number): void {
     if (this.#msForToken !== undefined || usualTokens <= 0) return;
     this.#msForToken = targetMs / usualTokens;
     this.#supposedHandOverMs = targetMs * SUPPOSED_HAND_OVER_SHARE;
@@ -86,7 +86,7 @@
   }
 
   /** Takes what many daemons know in place of what this one does. */
-  takeLine(known: LineSums): void {
+  replaceLine(known: LineSums): void {
     this.#samples.replace(known);
     this.#fit();
   }
--- a/src/core/gateway/spread-choice.ts
+++ b/src/core/gateway/spread-choice.ts
@@ -42,7 +42,7 @@
   /** What speaks against the engine in all, its load among it. */
   readonly costMs: number;
   /** What is taken off the cost because all daemons send a part there that nobody keeps yet. */
-  readonly homeBonusMs: number;
+  readonly preferenceBonusMs: number;
 }
 
 /** What a choice adds to an engine. */
@@ -107,8 +107,11 @@
 }
 
 /** A home that is above the level has no bonus: all daemons have sent enough there. */
-function costAtLevel({ costMs, loadMs, homeBonusMs }: SpreadCandidate, levelMs: number): number {
-  const lostBonusMs = loadMs > levelMs ? homeBonusMs : 0;
+function costAtLevel(
+  { costMs, loadMs, preferenceBonusMs }: SpreadCandidate,
+  levelMs: number,
+): number {
+  const lostBonusMs = loadMs > levelMs ? preferenceBonusMs : 0;
   return costMs + lostBonusMs + Math.max(0, levelMs - loadMs);
 }
 
--- a/src/core/gateway/stage-demand.ts
+++ b/src/core/gateway/stage-demand.ts
@@ -61,7 +61,7 @@
     this.#spanMs = spanMs;
   }
 
-  note(source: WorkSource, work: RequestWork, nowMs: number): void {
+  recordRequest(source: WorkSource, work: RequestWork, nowMs: number): void {
     this.#entries.push({ ...work, source, atMs: nowMs });
     this.#add(source, work, 1);
   }
--- a/src/core/gateway/unseen-work.ts
+++ b/src/core/gateway/unseen-work.ts
@@ -7,14 +7,14 @@
 import type { DemandSums } from './stage-demand.js';
 
 /** A change is told within this time: a daemon collects its changes, and a relay what its zone tells. */
-export const TOLD_AFTER_MS = 100;
+export const ADVERTISE_DELAY_MS = 100;
 
 /** What is known of a fleet's work. */
 export interface UnseenWorkInput {
   /** Daemons of the last list, this one counted; undefined until one was read. */
   readonly daemons: number | undefined;
   /** Daemons heard of lately by themselves. */
-  readonly heardDaemons: number;
+  readonly reportingDaemons: number;
   /** Age of what is known of all daemons; undefined while nothing is. */
   readonly knownAgeMs: number | undefined;
   readonly own: DemandSums;
@@ -27,14 +27,14 @@
 
 /** The work that does not show yet; undefined in a fleet whose daemons tell each other at once. */
 export function unseenWork(input: UnseenWorkInput): UnseenWork | undefined {
-  const { daemons, heardDaemons, knownAgeMs, own, all, spanMs, busyForMs } = input;
+  const { daemons, reportingDaemons, knownAgeMs, own, all, spanMs, busyForMs } = input;
   if (daemons === undefined || daemons <= MOST_DIRECT_DAEMONS) return undefined;
   if (knownAgeMs === undefined) {
-    return { kind: 'by-daemons', daemons: Math.max(0, daemons - 1 - heardDaemons) };
+    return { kind: 'by-daemons', daemons: Math.max(0, daemons - 1 - reportingDaemons) };
   }
   if (busyForMs === undefined) return { kind: 'by-daemons', daemons: daemons - 1 };
-  const unseenMs = knownAgeMs + TOLD_AFTER_MS;
-  const toldSpanMs = Math.min(spanMs, Math.max(TOLD_AFTER_MS, busyForMs));
+  const unseenMs = knownAgeMs + ADVERTISE_DELAY_MS;
+  const toldSpanMs = Math.min(spanMs, Math.max(ADVERTISE_DELAY_MS, busyForMs));
   const share = unseenMs / toldSpanMs;
   const ofOthers = (total: number, ownPart: number) => Math.max(0, total - ownPart) * share;
   return {
--- a/src/core/gateway/urgent-slack.ts
+++ b/src/core/gateway/urgent-slack.ts
@@ -21,21 +21,21 @@
    * A request of this rank came.
    * @param slackMs how long it could have waited; at most 0 where it can't be in time at all
    */
-  note(rank: number, slackMs: number, nowMs: number): void {
+  recordRequest(rank: number, slackMs: number, nowMs: number): void {
     const known = this.#recent(rank, nowMs);
     const current = known?.slackMs ?? slackMs;
     this.#kinds.set(rank, { slackMs: current + NEWEST_WEIGHT * (slackMs - current), atMs: nowMs });
   }
 
   /** The least that a more urgent kind can wait; infinite for the most urgent. */
-  leastMs(rank: number, nowMs: number): number {
-    let leastMs = Number.POSITIVE_INFINITY;
+  minSlackMs(rank: number, nowMs: number): number {
+    let minSlackMs = Number.POSITIVE_INFINITY;
     for (const [other, { slackMs }] of this.#kinds) {
       // What can't be in time even where nothing waits is not helped by an empty server.
       if (other >= rank || slackMs <= 0 || this.#recent(other, nowMs) === undefined) continue;
-      leastMs = Math.min(leastMs, slackMs);
+      minSlackMs = Math.min(minSlackMs, slackMs);
     }
-    return leastMs;
+    return minSlackMs;
   }
 
   #recent(rank: number, nowMs: number): KindSlack | undefined {
--- a/src/shell/gateway/cache-news-watcher.ts
+++ b/src/shell/gateway/cache-news-watcher.ts
@@ -180,7 +180,7 @@
 
   async #take(news: CacheNews): Promise<void> {
     const { timers, duty } = this.#context;
-    const { knowledge } = this.#context.fleet;
+    const { prefixIndex } = this.#context.fleet;
     this.#noteSuccess();
     const isOtherEpoch = this.#epoch !== undefined && this.#epoch !== news.epoch;
     const isReset = isOtherEpoch || news.hasGap || this.#isNewLife;
@@ -188,12 +188,12 @@
     const engineId = this.#engine.id;
     const events = news.events.filter(
       ({ partId, tokens }) =>
-        Math.max(tokens, knowledge.tokensOf(engineId, partId)) >= LEAST_PASSED_ON_TOKENS,
+        Math.max(tokens, prefixIndex.tokensOf(engineId, partId)) >= LEAST_PASSED_ON_TOKENS,
     );
-    if (isReset) knowledge.forget(engineId);
+    if (isReset) prefixIndex.forget(engineId);
     this.#epoch = news.epoch;
     this.#next = news.nextNumber;
-    for (const event of news.events) knowledge.confirm(engineId, event.partId, event.tokens);
+    for (const event of news.events) prefixIndex.confirm(engineId, event.partId, event.tokens);
     if (isReset || events.length > 0) duty.passOn(this.#engine, { engineId, isReset, events });
     if (news.events.length > 0) await delay(timers, PAUSE_MS, this.#stopped);
   }
--- a/src/shell/gateway/capacity-controller.ts
+++ b/src/shell/gateway/capacity-controller.ts
@@ -14,7 +14,7 @@
   ServerListSettling,
   type ZoneCapacity,
 } from '../../core/capacity/index.js';
-import { enginesWithRoom, type Service } from '../../core/gateway/index.js';
+import { requiredEngines, type Service } from '../../core/gateway/index.js';
 import { GATEWAY_EVENTS } from '../../core/logging/catalogue/gateway.js';
 import { DutyRecordRow, type SentOutcome } from './duty-record.js';
 import type { FleetView } from './fleet-view.js';
@@ -191,7 +191,7 @@
     });
     const need = fleet.demand.needOf(name, nowMs);
     const neededInAll = Math.ceil(need.prefillEngines + need.decodeEngines);
-    const neededWithRoom = enginesWithRoom(need);
+    const neededWithRoom = requiredEngines(need);
     return [{ service: name, limits: scaling, zones, neededInAll, neededWithRoom }];
   }
 
--- a/src/shell/gateway/fleet-demand.ts
+++ b/src/shell/gateway/fleet-demand.ts
@@ -51,7 +51,7 @@
   unseenOf(service: string, nowMs: number): UnseenWork | undefined {
     return unseenWork({
       daemons: this.#sources.size.listed,
-      heardDaemons: this.#sources.peerLoads.count(nowMs),
+      reportingDaemons: this.#sources.peerLoads.count(nowMs),
       knownAgeMs: this.#sources.peerLoads.sumsAgeMs(nowMs),
       own: this.of(service).sums(nowMs),
       all: this.#ofAll(service, nowMs),
--- a/src/shell/gateway/fleet-view.ts
+++ b/src/shell/gateway/fleet-view.ts
@@ -14,7 +14,7 @@
   type LoadReport,
   NamedLimits,
   PeerLoads,
-  PrefixKnowledge,
+  PrefixCacheIndex,
   RankShares,
   type ReachNotice,
   ReadSpeed,
@@ -63,7 +63,7 @@
   readonly permits = new LimitPermits();
   readonly recentSends = new RecentSends();
   readonly splitter = new TrafficSplitter();
-  readonly knowledge = new PrefixKnowledge();
+  readonly prefixIndex = new PrefixCacheIndex();
   readonly peerLoads = new PeerLoads();
   readonly stageNotices = new StageNotices();
   readonly paces: FleetPaces;
@@ -135,7 +135,7 @@
       this.#health.delete(server.id);
       this.#loads.delete(server.id);
       this.stageNotices.forget(server.id);
-      this.knowledge.forget(server.id);
+      this.prefixIndex.forget(server.id);
       this.peerLoads.forget(server.id);
       this.paces.forget(server);
       this.webLoads.forget(server.id);
@@ -341,9 +341,9 @@
   takeNews(news: EngineNews, nowMs: number): void {
     const { engineId, isReset, events } = news;
     if (this.directory.get(engineId) === undefined) return;
-    if (isReset) this.knowledge.forget(engineId);
+    if (isReset) this.prefixIndex.forget(engineId);
     for (const { partId, tokens } of events) {
-      this.knowledge.confirmFromPeer(engineId, partId, tokens, nowMs);
+      this.prefixIndex.confirmFromPeer(engineId, partId, tokens, nowMs);
     }
   }
 
--- a/src/shell/gateway/limit-coordinator.ts
+++ b/src/shell/gateway/limit-coordinator.ts
@@ -3,7 +3,7 @@
  * asks for and uses, those that it grants to others, and the requests that wait for one.
  */
 import {
-  HELD_SHARE,
+  MAX_HOLD_SHARE,
   type LimitChange,
   type PeerDaemon,
   type PeerRoster,
@@ -285,7 +285,7 @@
   const { service, rank, arrivedAtMs, description, route } = exchange.options;
   const mostWaitMs = exchange.mayHaveRun
     ? Math.min(exchange.remainingMs(), LONGEST_RESUME_WAIT_MS)
-    : HELD_SHARE * route.targetLatencyMs - exchange.elapsedMs();
+    : MAX_HOLD_SHARE * route.targetLatencyMs - exchange.elapsedMs();
   const { attemptId } = description;
   return { service, rank, attemptId, arrivedAtMs, mostWaitMs, signal: exchange.signal };
 }
--- a/src/shell/gateway/model-exchange.ts
+++ b/src/shell/gateway/model-exchange.ts
@@ -264,7 +264,11 @@
       return 'again';
     }
     const { description } = exchange.options;
-    this.#context.fleet.knowledge.assume(attempt.server.id, description.promptParts, this.#nowMs());
+    this.#context.fleet.prefixIndex.assume(
+      attempt.server.id,
+      description.promptParts,
+      this.#nowMs(),
+    );
     const relayed = await this.#relay.relay(attempt);
     switch (relayed) {
       case 'complete':
--- a/src/shell/gateway/model-planner.ts
+++ b/src/shell/gateway/model-planner.ts
@@ -4,14 +4,14 @@
  */
 import {
   chooseDecodeEngine,
-  type DoorRefusal,
+  type ArrivalRefusal,
   type EngineChoiceInput,
   type EnginePlan,
-  moveMs,
+  kvTransferMs,
   planModelRequest,
   type ReadSpeed,
-  readPriority,
-  refusalAtDoor,
+  promptPriority,
+  refusalOnArrival,
   type ServerRecord,
   type Spread,
   sharedPart,
@@ -65,7 +65,7 @@
     this.#noteDemand(first);
     return new ModelRoomAsk(this.#exchange, this.#context, {
       first,
-      inTimeMs: IN_TIME_SHARE * this.#exchange.options.route.targetLatencyMs,
+      latencyBudgetMs: IN_TIME_SHARE * this.#exchange.options.route.targetLatencyMs,
       replan: () => this.#bestPlan(limits),
       logPlan: (plan) => this.#logPlan(plan),
     });
@@ -128,12 +128,12 @@
   }
 
   /** Whether the request is refused before it is sent anywhere. */
-  refusalOf(plan: EnginePlan): DoorRefusal | undefined {
+  refusalOf(plan: EnginePlan): ArrivalRefusal | undefined {
     const exchange = this.#exchange;
-    return refusalAtDoor({
+    return refusalOnArrival({
       plan,
       remainingMs: exchange.remainingMs(),
-      inTimeMs: IN_TIME_SHARE * exchange.options.route.targetLatencyMs,
+      latencyBudgetMs: IN_TIME_SHARE * exchange.options.route.targetLatencyMs,
       isLearnt: this.#speed.isLearnt,
       mayHaveRun: exchange.mayHaveRun,
     });
@@ -143,14 +143,14 @@
   priorityOf(plan: EnginePlan): number {
     const { route, rank } = this.#exchange.options;
     const readShareOfTarget = plan.read.readMs / route.targetLatencyMs;
-    return readPriority({ rank, urgency: plan.read.urgency, readShareOfTarget });
+    return promptPriority({ rank, urgency: plan.read.urgency, readShareOfTarget });
   }
 
   /** A prompt that was read is nearly done: it goes on before those that are not. */
   runPriorityOf(plan: EnginePlan): number {
     if (plan.kind === 'direct') return this.priorityOf(plan);
     const { rank } = this.#exchange.options;
-    return readPriority({ rank, urgency: 'in-time', readShareOfTarget: 0 });
+    return promptPriority({ rank, urgency: 'in-time', readShareOfTarget: 0 });
   }
 
   /** The head of an answer came, and with it the first token. */
@@ -183,20 +183,21 @@
     const { service, description, route } = this.#exchange.options;
     const traits = engineTraits(this.#exchange);
     const speed = this.#speed;
-    if (traits !== undefined) speed.suppose(traits.kvTokens / traits.slots, route.targetLatencyMs);
+    if (traits !== undefined)
+      speed.setInitialEstimate(traits.kvTokens / traits.slots, route.targetLatencyMs);
     return {
       candidates: fleet.candidates(service, this.#nowMs()),
       excludedIds: this.#exchange.triedServerIds,
       description,
       zone,
       nowMs: this.#nowMs(),
-      knowledge: fleet.knowledge,
+      prefixIndex: fleet.prefixIndex,
       peerLoads: fleet.peerLoads,
       speed,
       paceOf: fleet.paces.pacesOf(service),
-      homePaceOf: fleet.paces.homePacesOf(service),
+      quantizedPaceOf: fleet.paces.homePacesOf(service),
       waitFactor: (urgency) => fleet.waitScaleOf(service, urgency).factor(this.#nowMs()),
-      inTimeMs: IN_TIME_SHARE * route.targetLatencyMs - this.#exchange.elapsedMs(),
+      latencyBudgetMs: IN_TIME_SHARE * route.targetLatencyMs - this.#exchange.elapsedMs(),
       shortReadsPerMs: fleet.demand.shortReadsPerMs(service, this.#nowMs()),
       kvTokenBytes: traits?.kvTokenBytes ?? 0,
       linkMbps: traits?.linkMbps ?? 1,
@@ -243,13 +244,15 @@
     const speed = this.#speed;
     const isLong = missing >= LONG_PROMPT_TOKENS;
     const traits = engineTraits(this.#exchange);
-    const handedOverMs = traits === undefined ? 0 : moveMs(description.promptTokens, traits);
+    const handedOverMs = traits === undefined ? 0 : kvTransferMs(description.promptTokens, traits);
     const slots = traits?.slots ?? 1;
     const generateMs = (description.maxOutputTokens * speed.tokenMs) / slots;
     const work = isLong
       ? { prefillMs: speed.prefillBusyMs(missing), decodeMs: handedOverMs + generateMs }
       : { prefillMs: 0, decodeMs: speed.decodeBusyMs(missing) + generateMs };
-    fleet.demand.of(service).note(isLong ? 'long-prompt' : 'short-prompt', work, this.#nowMs());
+    fleet.demand
+      .of(service)
+      .recordRequest(isLong ? 'long-prompt' : 'short-prompt', work, this.#nowMs());
   }
 
   #nowMs(): number {
--- a/src/shell/gateway/model-room-ask.ts
+++ b/src/shell/gateway/model-room-ask.ts
@@ -15,7 +15,7 @@
   /** The plan that was made just now. */
   readonly first: EnginePlan;
   /** Within this an answer is in time. */
-  readonly inTimeMs: number;
+  readonly latencyBudgetMs: number;
   /** Undefined where no engine is left. */
   replan(): EnginePlan | undefined;
   logPlan(plan: EnginePlan): void;
@@ -58,13 +58,13 @@
     const exchange = this.#exchange;
     const { rank, service } = exchange.options;
     const { fleet, room } = this.#context;
-    const { inTimeMs } = this.#options;
+    const { latencyBudgetMs } = this.#options;
     return placeRequest({
       plan: this.#latest,
       remainingMs: exchange.remainingMs(),
-      inTimeMs,
-      inTimeLeftMs: inTimeMs - exchange.elapsedMs(),
-      urgentSlackMs: fleet.slackOf(service).leastMs(rank, this.#nowMs()),
+      latencyBudgetMs,
+      latencyBudgetLeftMs: latencyBudgetMs - exchange.elapsedMs(),
+      urgentSlackMs: fleet.slackOf(service).minSlackMs(rank, this.#nowMs()),
       // Asked again it is its turn: those that wait are behind it.
       isContended: isFirst && room.waitingIn(this.lane) > 0,
       isLearnt: fleet.speedOf(service).isLearnt,
@@ -77,7 +77,7 @@
     const { fleet } = this.#context;
     const { service, rank } = this.#exchange.options;
     const { expectedMs, read } = this.#latest;
-    const urgentSlackMs = fleet.slackOf(service).leastMs(rank, nowMs);
+    const urgentSlackMs = fleet.slackOf(service).minSlackMs(rank, nowMs);
     const sumsAgeMs = fleet.peerLoads.newestAgeMs(nowMs);
     return {
       urgency: read.urgency,
@@ -102,7 +102,7 @@
     const { service, rank } = this.#exchange.options;
     this.#options.logPlan(this.#latest);
     const { readMs } = this.#latest.read;
-    this.#context.fleet.rankSharesOf(service).note(rank, readMs, this.#nowMs());
+    this.#context.fleet.rankSharesOf(service).recordRequest(rank, readMs, this.#nowMs());
     return this.#latest;
   }
 
@@ -110,14 +110,14 @@
   #atRank(plan: EnginePlan): EnginePlan {
     const { service, rank } = this.#exchange.options;
     const factor = this.#context.fleet.rankSharesOf(service).waitFactor(rank);
-    return planAtRank(plan, factor, this.#options.inTimeMs - this.#exchange.elapsedMs());
+    return planAtRank(plan, factor, this.#options.latencyBudgetMs - this.#exchange.elapsedMs());
   }
 
   /** How long a request of this kind could wait and be in time, for less urgent ones to leave it. */
   #noteSlack({ read, expectedMs }: EnginePlan): void {
     const { service, rank } = this.#exchange.options;
-    const slackMs = this.#options.inTimeMs - (expectedMs - read.waitMs);
-    this.#context.fleet.slackOf(service).note(rank, slackMs, this.#nowMs());
+    const slackMs = this.#options.latencyBudgetMs - (expectedMs - read.waitMs);
+    this.#context.fleet.slackOf(service).recordRequest(rank, slackMs, this.#nowMs());
   }
 
   /** Requests refused by all daemons come back to the same engines. */
--- a/src/shell/gateway/prompt-reading.ts
+++ b/src/shell/gateway/prompt-reading.ts
@@ -77,7 +77,7 @@
     const { waitMs } = plan.read;
     fleet.paces.learnPrefill(server, missingTokens, { elapsedMs, waitMs }, nowMs);
   } else noteWait(exchange, context, plan, elapsedMs);
-  fleet.knowledge.assume(server.id, description.promptParts, nowMs);
+  fleet.prefixIndex.assume(server.id, description.promptParts, nowMs);
   return memory;
 }
 
@@ -110,7 +110,7 @@
   const ownTokens = description.promptTokens - part.tokens;
   if (missingTokens <= ownTokens && plan.prefill.fetchFrom === undefined) return;
   const read = { engineId: server.id, part, readyInMs: plan.expectedMs };
-  context.fleet.knowledge.expect(read, timers.nowMs());
+  context.fleet.prefixIndex.expectRead(read, timers.nowMs());
   context.noteRead(read);
 }
 
--- a/src/shell/gateway/stage-controller.ts
+++ b/src/shell/gateway/stage-controller.ts
@@ -6,7 +6,7 @@
 import {
   type EngineStage,
   type EngineTraits,
-  planRescue,
+  planDecodeRecovery,
   planStageChanges,
   type StageChange,
 } from '../../core/gateway/index.js';
@@ -64,7 +64,7 @@
   /** Whether this daemon may order engines at all. */
   readonly mayOrder: () => boolean;
   /** Engines of a service under order or booting, as far as is known. */
-  readonly comingEngines: (service: string) => number;
+  readonly startingEngines: (service: string) => number;
 }
 
 /** A daemon's part in ordering engines. */
@@ -143,7 +143,7 @@
       );
       if (generates) this.#onceGenerated.add(service.name);
       if (!this.#onceGenerated.has(service.name)) continue;
-      const rescue = planRescue({
+      const rescue = planDecodeRecovery({
         engines,
         busyOf: (id) => fleet.busyOf(id, nowMs),
         isReachable: (id) => fleet.isReachable(id, nowMs),
@@ -189,7 +189,7 @@
       const changes = planStageChanges({
         engines: fleet.expectedServers(service.name, nowMs),
         need: fleet.demand.needOf(service.name, nowMs),
-        comingEngines: this.#options.comingEngines(service.name),
+        startingEngines: this.#options.startingEngines(service.name),
         busyOf: (id) => fleet.busyOf(id, nowMs),
         paceOf: (id) => paceOf(id) * limitShareOf(id),
       });
--- a/src/shell/gateway/web-room-ask.ts
+++ b/src/shell/gateway/web-room-ask.ts
@@ -21,7 +21,7 @@
         candidates: fleet.candidates(service, timers.nowMs()),
         excludedIds: exchange.triedServerIds,
         nowMs: timers.nowMs(),
-        inTimeMs: route.targetLatencyMs,
+        latencyBudgetMs: route.targetLatencyMs,
         elapsedMs: exchange.elapsedMs(),
         mayHaveRun: exchange.mayHaveRun,
         healthOf: (id) => fleet.healthOf(id),
--- a/src/shell/gateway/whole-exchange.ts
+++ b/src/shell/gateway/whole-exchange.ts
@@ -4,7 +4,7 @@
  */
 import {
   chooseWebServer,
-  HELD_SHARE,
+  MAX_HOLD_SHARE,
   isRepeatable,
   type ServerRecord,
 } from '../../core/gateway/index.js';
@@ -94,7 +94,7 @@
   }
 
   get #mayBeHeld(): boolean {
-    const heldMs = HELD_SHARE * this.#exchange.options.route.targetLatencyMs;
+    const heldMs = MAX_HOLD_SHARE * this.#exchange.options.route.targetLatencyMs;
     return this.#context.room.isOn && this.#exchange.elapsedMs() < heldMs;
   }
 
--- a/test/gateway/choices.test.ts
+++ b/test/gateway/choices.test.ts
@@ -5,10 +5,10 @@
   chooseWebServer,
   type EngineChoiceInput,
   EngineLoad,
-  homeOf,
-  keptPrefixTokens,
+  preferredEngineOf,
+  cachedPrefixTokens,
   PeerLoads,
-  PrefixKnowledge,
+  PrefixCacheIndex,
   planModelRequest,
   ReadSpeed,
   type Route,
@@ -141,7 +141,7 @@
   const loads = new Map<string, EngineLoad>();
   const healthOf = healths();
   const speed = new ReadSpeed();
-  speed.suppose(17_000, 500);
+  speed.setInitialEstimate(17_000, 500);
   return {
     candidates: [
       server('p1', { stage: 'prefill' }),
@@ -158,11 +158,11 @@
     },
     zone: 'a',
     nowMs: 1_000,
-    knowledge: new PrefixKnowledge(),
+    prefixIndex: new PrefixCacheIndex(),
     speed,
     shortReadsPerMs: 0,
     waitFactor: () => 1,
-    inTimeMs: 5_000,
+    latencyBudgetMs: 5_000,
     kvTokenBytes: 163_840,
     linkMbps: 1_900_000,
     healthOf,
@@ -183,7 +183,7 @@
   assert.equal(plan?.kind, 'prefill');
   assert.equal(
     plan?.kind === 'prefill' ? plan.prefill.server.id : '',
-    homeOf('shared', prefillEngines)?.id,
+    preferredEngineOf('shared', prefillEngines)?.id,
   );
 });
 
@@ -191,8 +191,8 @@
   const engines = ['a', 'b', 'c', 'd'].map((id) => server(id));
   const homes = new Set<string | undefined>();
   for (let part = 0; part < 64; part += 1) {
-    const home = homeOf(`part-${part}`, engines)?.id;
-    assert.equal(homeOf(`part-${part}`, [...engines].reverse())?.id, home);
+    const home = preferredEngineOf(`part-${part}`, engines)?.id;
+    assert.equal(preferredEngineOf(`part-${part}`, [...engines].reverse())?.id, home);
     homes.add(home);
   }
   assert.equal(homes.size, 4);
@@ -200,7 +200,7 @@
 
 test('an engine that is free takes a kept part from one that is busy', () => {
   const input = engineInput();
-  input.knowledge.confirm('p1', 'shared', 13_000);
+  input.prefixIndex.confirm('p1', 'shared', 13_000);
   input.loadOf('p1').begin({ urgency: 'in-time', readMs: 2_000, waitMs: 0 }, 1_000);
   const plan = planModelRequest(input);
   assert.equal(plan?.kind, 'prefill');
@@ -238,18 +238,18 @@
   ]);
   const parts = ['a', 'b', 'c'].map((id) => ({ id, tokens: 10 }));
   assert.equal(
-    keptPrefixTokens(parts, (id) => kept.get(id) ?? 0),
+    cachedPrefixTokens(parts, (id) => kept.get(id) ?? 0),
     15,
   );
 });
 
 test('a belief of our own fades, the word of the engine itself does not', () => {
-  const knowledge = new PrefixKnowledge();
-  knowledge.assume('e', [{ id: 'a', tokens: 10 }], 0);
-  knowledge.confirm('e', 'b', 10);
-  const kept = (id: string) => knowledge.keptTokens('e', [{ id, tokens: 10 }], 60_000);
+  const prefixIndex = new PrefixCacheIndex();
+  prefixIndex.assume('e', [{ id: 'a', tokens: 10 }], 0);
+  prefixIndex.confirm('e', 'b', 10);
+  const kept = (id: string) => prefixIndex.cachedTokens('e', [{ id, tokens: 10 }], 60_000);
   assert.deepEqual([kept('a'), kept('b')], [0, 10]);
-  knowledge.confirm('e', 'b', 0);
+  prefixIndex.confirm('e', 'b', 0);
   assert.equal(kept('b'), 0);
 });
 
--- a/test/gateway/engine-paces.test.ts
+++ b/test/gateway/engine-paces.test.ts
@@ -2,14 +2,14 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import fc from 'fast-check';
-import { homePace } from '../../src/core/gateway/home.js';
+import { quantizedPace } from '../../src/core/gateway/home.js';
 import {
   EngineLoad,
   EnginePaces,
   FleetPaces,
-  homeOf,
+  preferredEngineOf,
   PeerLoads,
-  PrefixKnowledge,
+  PrefixCacheIndex,
   planModelRequest,
   planStageChanges,
   ReadSpeed,
@@ -98,7 +98,7 @@
   const speed = new ReadSpeed(true);
   const alone = new ReadSpeed(true);
   const paces = new EnginePaces(speed);
-  const knowledge = new PrefixKnowledge();
+  const prefixIndex = new PrefixCacheIndex();
   const load = new EngineLoad();
   for (let sample = 0; sample < 2_000; sample += 1) {
     const tokens = 500 + Math.floor(random() * 12_000);
@@ -122,12 +122,12 @@
         },
         zone: 'a',
         nowMs: sample,
-        knowledge,
+        prefixIndex,
         speed,
         ...(paceOf === undefined ? {} : { paceOf }),
         shortReadsPerMs: 0.01,
         waitFactor: () => 1,
-        inTimeMs: 300,
+        latencyBudgetMs: 300,
         kvTokenBytes: 1_000,
         linkMbps: 100_000,
         healthOf: () => new ServerHealth(),
@@ -240,8 +240,8 @@
   const ids = ENGINES.map(({ id }) => id);
   for (let part = 0; part < 300; part += 1) {
     const first = rankByRendezvous(`part-${part}`, ids)[0];
-    assert.equal(homeOf(`part-${part}`, ENGINES)?.id, first);
-    assert.equal(homeOf(`part-${part}`, ENGINES, () => 1.7)?.id, first);
+    assert.equal(preferredEngineOf(`part-${part}`, ENGINES)?.id, first);
+    assert.equal(preferredEngineOf(`part-${part}`, ENGINES, () => 1.7)?.id, first);
   }
 });
 
@@ -249,9 +249,9 @@
   const paceOf = (id: string) => (id === 'e0' ? 0.5 : 1);
   const counts = new Map<string, number>();
   for (let part = 0; part < 6_000; part += 1) {
-    const home = homeOf(`part-${part}`, ENGINES, paceOf)?.id ?? '';
+    const home = preferredEngineOf(`part-${part}`, ENGINES, paceOf)?.id ?? '';
     counts.set(home, (counts.get(home) ?? 0) + 1);
-    const even = homeOf(`part-${part}`, ENGINES)?.id;
+    const even = preferredEngineOf(`part-${part}`, ENGINES)?.id;
     if (even !== 'e0') assert.equal(home, even);
   }
   const others = [...counts].filter(([id]) => id !== 'e0').map(([, count]) => count);
@@ -262,13 +262,13 @@
 test('small changes of an engine’s pace move no part', () => {
   let current = 1;
   for (const pace of [0.8, 1.2, 0.65, 1.5, 1]) {
-    current = homePace(pace, current);
+    current = quantizedPace(pace, current);
     assert.equal(current, 1);
   }
-  current = homePace(0.55, current);
+  current = quantizedPace(0.55, current);
   assert.equal(current, 0.5);
-  assert.equal(homePace(0.75, current), 0.5);
-  assert.equal(homePace(0.9, current), 1);
+  assert.equal(quantizedPace(0.75, current), 0.5);
+  assert.equal(quantizedPace(0.9, current), 1);
 });
 
 test('a split is judged by the pace of its engines: fast ones that read need no more beside them', () => {
@@ -280,7 +280,7 @@
     planStageChanges({
       engines,
       need,
-      comingEngines: 0,
+      startingEngines: 0,
       busyOf: () => 0,
       ...(paceOf === undefined ? {} : { paceOf }),
     });
--- a/test/gateway/fleet-demand.test.ts
+++ b/test/gateway/fleet-demand.test.ts
@@ -49,7 +49,7 @@
   const fleet = new FleetView({ ratio: 0.2, slack: 50 });
   fleet.setDaemonCount(8);
   for (let request = 0; request < 6; request += 1) {
-    fleet.demand.of('m').note('long-prompt', { prefillMs: 100, decodeMs: 1 }, 0);
+    fleet.demand.of('m').recordRequest('long-prompt', { prefillMs: 100, decodeMs: 1 }, 0);
   }
   const alone = fleet.demand.needOf('m', 0);
   assert.equal(alone.requests, 6, 'what nobody told is not counted as seen');
@@ -90,7 +90,7 @@
       for (const { gapMs, workMs } of steps) {
         nowMs += gapMs;
         noted.push({ atMs: nowMs, workMs });
-        kept.note('short-prompt', { prefillMs: workMs, decodeMs: 0 }, nowMs);
+        kept.recordRequest('short-prompt', { prefillMs: workMs, decodeMs: 0 }, nowMs);
         const inSpan = noted.filter(({ atMs }) => atMs > nowMs - DEMAND_SPAN_MS);
         const expected = inSpan.reduce((sum, entry) => sum + entry.workMs, 0);
         const { prefillMs, requests, shortRequests } = kept.sums(nowMs);
--- a/test/gateway/overload-replay.test.ts
+++ b/test/gateway/overload-replay.test.ts
@@ -13,8 +13,8 @@
   type PlaceInput,
   placeRequest,
   RankShares,
-  readPriority,
-  refusalAtDoor,
+  promptPriority,
+  refusalOnArrival,
   UrgentSlack,
 } from '../../src/core/gateway/index.js';
 import { VirtualClock } from '../../src/lab/simulation/virtual-clock.js';
@@ -147,9 +147,9 @@
     const input: PlaceInput = {
       plan: { expectedMs, read: { urgency, readMs, waitMs } },
       remainingMs: job.arrivedAtMs + PATIENCE_MS - clock.now,
-      inTimeMs: 0.9 * targetMs,
-      inTimeLeftMs: leftMs,
-      urgentSlackMs: daemon.slacks.leastMs(rank, clock.now),
+      latencyBudgetMs: 0.9 * targetMs,
+      latencyBudgetLeftMs: leftMs,
+      urgentSlackMs: daemon.slacks.minSlackMs(rank, clock.now),
       isContended: daemon.room.waitingIn(String(rank)) > 0,
       isLearnt: true,
       mayHaveRun: false,
@@ -161,9 +161,9 @@
     const own = daemon.loads[engine];
     const read = own?.begin(expected, clock.now);
     const { rank, readMs, targetMs } = job.kind;
-    daemon.shares.note(rank, readMs, clock.now);
+    daemon.shares.recordRequest(rank, readMs, clock.now);
     const readShareOfTarget = readMs / targetMs;
-    const priority = readPriority({ rank, urgency: expected.urgency, readShareOfTarget });
+    const priority = promptPriority({ rank, urgency: expected.urgency, readShareOfTarget });
     const ended = () => {
       if (read !== undefined) own?.finish(read, clock.now);
       if (clock.now - job.arrivedAtMs <= targetMs) credit(job);
@@ -222,13 +222,13 @@
     if (daemon === undefined) return;
     const { engine, input } = bestRead(daemon, job);
     if (!hasRoom) {
-      const refusal = refusalAtDoor(input);
+      const refusal = refusalOnArrival(input);
       if (refusal === undefined) send(daemon, job, engine, input.plan.read);
       else refuse(daemon, job, refusal.retryAfterMs);
       return;
     }
     const { rank, readMs, targetMs } = job.kind;
-    daemon.slacks.note(rank, 0.9 * targetMs - readMs, clock.now);
+    daemon.slacks.recordRequest(rank, 0.9 * targetMs - readMs, clock.now);
     const placement = placeRequest(input);
     if (placement.kind === 'refuse') return refuse(daemon, job, placement.roomInMs);
     if (placement.slackMs === undefined) return send(daemon, job, engine, input.plan.read);
--- a/test/gateway/place-request.test.ts
+++ b/test/gateway/place-request.test.ts
@@ -9,7 +9,7 @@
   placeRequest,
   planAtRank,
   RankShares,
-  refusalAtDoor,
+  refusalOnArrival,
   UrgentSlack,
 } from '../../src/core/gateway/index.js';
 import { RECORDED_FORECASTS } from './support/recorded-forecasts.js';
@@ -23,8 +23,8 @@
   return {
     plan: { expectedMs, read: { urgency, readMs: READ_MS, waitMs: queueMs } },
     remainingMs: 5_000,
-    inTimeMs: 450,
-    inTimeLeftMs: 450,
+    latencyBudgetMs: 450,
+    latencyBudgetLeftMs: 450,
     urgentSlackMs: Number.POSITIVE_INFINITY,
     isContended: false,
     isLearnt: true,
@@ -48,7 +48,7 @@
 });
 
 test('the time at the door counts: who was held may join a longer queue, and is held no longer than it may be', () => {
-  const placement = placeRequest(input(200, { inTimeLeftMs: 414 }));
+  const placement = placeRequest(input(200, { latencyBudgetLeftMs: 414 }));
   assert.ok(placement.kind === 'wait');
   assert.equal(placement.slackMs, 54);
   assert.ok(Math.abs(placement.roomInMs - 56) < 0.01);
@@ -69,7 +69,7 @@
 });
 
 test('what is late as it was tried before goes where there is room, and not into a long queue', () => {
-  const tried = { inTimeLeftMs: -100 };
+  const tried = { latencyBudgetLeftMs: -100 };
   const plan = (waitMs: number) =>
     ({ expectedMs: 90 + waitMs, read: { urgency: 'late', readMs: 90, waitMs } }) as const;
   assert.equal(placeRequest(input(0, { ...tried, plan: plan(0) })).kind, 'go');
@@ -77,7 +77,7 @@
 });
 
 test('what has room and can not be held any more goes past those that wait', () => {
-  const placement = placeRequest(input(100, { inTimeLeftMs: 300, isContended: true }));
+  const placement = placeRequest(input(100, { latencyBudgetLeftMs: 300, isContended: true }));
   assert.deepEqual(placement, { kind: 'go', slackMs: undefined });
 });
 
@@ -90,13 +90,13 @@
 test('with room for all kinds each request goes as it did without a room, whatever its forecast', () => {
   const urgent = 300;
   const slacks = new UrgentSlack();
-  slacks.note(0, urgent, 0);
+  slacks.recordRequest(0, urgent, 0);
   const ranks = fc.nat(5);
   fc.assert(
     fc.property(ranks, fc.nat(0.3 * urgent), (rank, queueMs) => {
-      const placed = input(queueMs, { urgentSlackMs: slacks.leastMs(rank, 1) });
+      const placed = input(queueMs, { urgentSlackMs: slacks.minSlackMs(rank, 1) });
       assert.equal(placeRequest(placed).kind, 'go');
-      assert.equal(refusalAtDoor(placed), undefined);
+      assert.equal(refusalOnArrival(placed), undefined);
     }),
     { seed: 6, numRuns: 200 },
   );
@@ -106,41 +106,41 @@
   const slacks = new UrgentSlack();
   for (const [index, recorded] of RECORDED_FORECASTS.entries()) {
     const { rank, targetMs, queueMs, expectedMs } = recorded;
-    const inTimeMs = 0.9 * targetMs;
+    const latencyBudgetMs = 0.9 * targetMs;
     const nowMs = 50 * index;
-    slacks.note(rank, inTimeMs - (expectedMs - queueMs), nowMs);
-    const urgency = expectedMs <= inTimeMs ? 'in-time' : 'late';
+    slacks.recordRequest(rank, latencyBudgetMs - (expectedMs - queueMs), nowMs);
+    const urgency = expectedMs <= latencyBudgetMs ? 'in-time' : 'late';
     const placed = input(queueMs, {
       plan: { expectedMs, read: { urgency, readMs: expectedMs - queueMs, waitMs: queueMs } },
-      inTimeMs,
-      inTimeLeftMs: inTimeMs,
-      urgentSlackMs: slacks.leastMs(rank, nowMs),
+      latencyBudgetMs,
+      latencyBudgetLeftMs: latencyBudgetMs,
+      urgentSlackMs: slacks.minSlackMs(rank, nowMs),
     });
     assert.equal(placeRequest(placed).kind, 'go', JSON.stringify(recorded));
-    assert.equal(refusalAtDoor(placed), undefined);
+    assert.equal(refusalOnArrival(placed), undefined);
   }
 });
 
 test('what urgent kinds can wait binds the less urgent ones while they come', () => {
   const slacks = new UrgentSlack();
-  slacks.note(1, 400, 0);
-  assert.equal(slacks.leastMs(2, 5_000), 400);
-  assert.equal(slacks.leastMs(1, 5_000), Number.POSITIVE_INFINITY);
-  assert.equal(slacks.leastMs(2, 11_000), Number.POSITIVE_INFINITY);
+  slacks.recordRequest(1, 400, 0);
+  assert.equal(slacks.minSlackMs(2, 5_000), 400);
+  assert.equal(slacks.minSlackMs(1, 5_000), Number.POSITIVE_INFINITY);
+  assert.equal(slacks.minSlackMs(2, 11_000), Number.POSITIVE_INFINITY);
 });
 
 test('an urgent kind that can not be in time at all holds nobody back', () => {
   const slacks = new UrgentSlack();
-  slacks.note(0, -50, 0);
-  assert.equal(slacks.leastMs(2, 1), Number.POSITIVE_INFINITY);
+  slacks.recordRequest(0, -50, 0);
+  assert.equal(slacks.minSlackMs(2, 1), Number.POSITIVE_INFINITY);
 });
 
 test('the wait of a rank counts what is read before it, and what comes meanwhile', () => {
   const shares = new RankShares();
   assert.equal(shares.waitFactor(0), 1);
   for (let count = 0; count < 100; count += 1) {
-    shares.note(0, 100, 0);
-    shares.note(1, 100, 0);
+    shares.recordRequest(0, 100, 0);
+    shares.recordRequest(1, 100, 0);
   }
   assert.ok(Math.abs(shares.waitFactor(0) - 0.5) < 0.02);
   assert.ok(Math.abs(shares.waitFactor(1) - 2) < 0.05);
--- a/test/gateway/place-web-request.test.ts
+++ b/test/gateway/place-web-request.test.ts
@@ -23,7 +23,7 @@
     candidates: [server('i-1'), server('i-2')],
     excludedIds: new Set(),
     nowMs: NOW_MS,
-    inTimeMs: 500,
+    latencyBudgetMs: 500,
     elapsedMs: 0,
     mayHaveRun: false,
     healthOf: (id) => healths.get(id) ?? new ServerHealth(),
--- a/test/gateway/plan-stages.test.ts
+++ b/test/gateway/plan-stages.test.ts
@@ -4,7 +4,7 @@
 import fc from 'fast-check';
 import {
   type EngineStage,
-  planRescue,
+  planDecodeRecovery,
   planStageChanges,
   type ServerRecord,
   type StageNeed,
@@ -33,7 +33,12 @@
 function settle(total: number, prefill: number, wanted: StageNeed): number {
   let fleet = engines(total, prefill);
   for (let moves = 0; moves <= total; moves += 1) {
-    const change = planStageChanges({ engines: fleet, need: wanted, comingEngines: 0, busyOf })[0];
+    const change = planStageChanges({
+      engines: fleet,
+      need: wanted,
+      startingEngines: 0,
+      busyOf,
+    })[0];
     if (change === undefined) return fleet.filter(({ stage }) => stage === 'prefill').length;
     const stage: EngineStage = change.stage;
     fleet = fleet.map((engine) => (engine.id === change.engine.id ? { ...engine, stage } : engine));
@@ -45,7 +50,7 @@
   const change = planStageChanges({
     engines: engines(8, 2),
     need: need(2, 0.2),
-    comingEngines: 0,
+    startingEngines: 0,
     busyOf,
   })[0];
   assert.deepEqual([change?.engine.id, change?.stage, change?.wantedPrefill], ['e5', 'prefill', 5]);
@@ -67,7 +72,7 @@
     planStageChanges({
       engines: engines(total, prefill),
       need: wanted,
-      comingEngines: 0,
+      startingEngines: 0,
       busyOf,
     })[0];
   assert.equal(plan(8, 2, need(6, 0.2, 5)), undefined);
@@ -99,7 +104,7 @@
         const change = planStageChanges({
           engines: fleet,
           need: wanted,
-          comingEngines: 0,
+          startingEngines: 0,
           busyOf,
         })[0];
         if (change === undefined) continue;
@@ -113,7 +118,7 @@
   );
 });
 
-const allIdle = { comingEngines: 0, busyOf: () => 0 };
+const allIdle = { startingEngines: 0, busyOf: () => 0 };
 
 test('whatever two engines are lost, one that generates is left, where the split has settled', () => {
   for (const total of [8, 13, 40, 55]) {
@@ -124,8 +129,8 @@
 
 test('after a loss no engine is ordered over while those that replace the lost ones are coming', () => {
   const left = engines(14, 5);
-  const plan = (comingEngines: number) =>
-    planStageChanges({ engines: left, need: need(4.6, 2), comingEngines, busyOf: () => 0 });
+  const plan = (startingEngines: number) =>
+    planStageChanges({ engines: left, need: need(4.6, 2), startingEngines, busyOf: () => 0 });
   assert.deepEqual(plan(28), []);
   assert.deepEqual(plan(2), []);
   assert.ok(plan(1).length > 0, 'one does not make the split');
@@ -155,7 +160,7 @@
   const fleet = engines(8, 6);
   const lost = new Set(['e6', 'e7']);
   const rescue = (isReachable: (id: string) => boolean) =>
-    planRescue({ engines: fleet, isReachable, ...allIdle });
+    planDecodeRecovery({ engines: fleet, isReachable, ...allIdle });
   const changes = rescue((id) => !lost.has(id));
   assert.equal(changes.length, 3);
   assert.equal(new Set(changes.map(({ engine }) => engine.id)).size, 3);
@@ -174,7 +179,10 @@
     'what cannot be reached cannot be ordered',
   );
   const crashed = fleet.filter(({ id }) => !lost.has(id));
-  assert.equal(planRescue({ engines: crashed, isReachable: () => true, ...allIdle }).length, 3);
+  assert.equal(
+    planDecodeRecovery({ engines: crashed, isReachable: () => true, ...allIdle }).length,
+    3,
+  );
 });
 
 test('of many engines a few are moved at once, and one at a time near the end', () => {
@@ -185,7 +193,7 @@
   const few = planStageChanges({
     engines: engines(8, 2),
     need: need(2, 0.2),
-    comingEngines: 0,
+    startingEngines: 0,
     busyOf,
   });
   assert.equal(few.length, 1);
--- a/test/gateway/read-speed.test.ts
+++ b/test/gateway/read-speed.test.ts
@@ -6,8 +6,8 @@
 
 test('before anything is seen a prompt is supposed to be read within its target', () => {
   const speed = new ReadSpeed();
-  speed.suppose(9_000, 200);
-  speed.suppose(9_000, 999);
+  speed.setInitialEstimate(9_000, 200);
+  speed.setInitialEstimate(9_000, 999);
   assert.equal(speed.prefillMs(9_000), 200);
   assert.equal(speed.isLearnt, false);
   assert.equal(speed.handOverMs, 20);
@@ -23,7 +23,7 @@
   fc.assert(
     fc.property(pace, overhead, prompts, (tokensPerMs, overheadMs, lengths) => {
       const speed = new ReadSpeed();
-      speed.suppose(9_000, 200);
+      speed.setInitialEstimate(9_000, 200);
       lengths.forEach((tokens, index) => {
         const waitMs = index > 20 && index % 4 === 0 ? 400 : 0;
         speed.learnPrefill(tokens, overheadMs + tokens / tokensPerMs + waitMs);
--- a/test/gateway/server-lives.test.ts
+++ b/test/gateway/server-lives.test.ts
@@ -299,7 +299,7 @@
   const parts = [{ id: 'p', tokens: 500 }];
   const work = (engineId: string) => ({ engineId, pendingMs: 900, lateMs: 0, running: 3 });
   for (const id of ['i-1', 'i-2']) {
-    fleet.knowledge.confirm(id, 'p', 500);
+    fleet.prefixIndex.confirm(id, 'p', 500);
     fleet.healthOf(id).recordBroken(nowMs);
     fleet.healthOf(id).open(nowMs);
     fleet.loadOf(id).running += 2;
@@ -319,7 +319,7 @@
   );
   await list.change([rowOf('i-1', { ...ENTRY, born: BORN_MS + 5_000 })]);
   const laterMs = timers.nowMs();
-  assert.equal(fleet.knowledge.keptTokens('i-1', parts, laterMs), 0);
+  assert.equal(fleet.prefixIndex.cachedTokens('i-1', parts, laterMs), 0);
   assert.equal(fleet.healthOf('i-1').openCalls, 0);
   assert.equal(fleet.healthOf('i-1').failureRate, 0);
   assert.equal(fleet.loadOf('i-1').running, 0);
@@ -329,7 +329,7 @@
     ['i-1 decode', 'i-2 prefill'],
   );
   assert.deepEqual(list.renewedWatches, ['i-1']);
-  assert.equal(fleet.knowledge.keptTokens('i-2', parts, laterMs), 500, 'the others hold');
+  assert.equal(fleet.prefixIndex.cachedTokens('i-2', parts, laterMs), 500, 'the others hold');
   assert.equal(fleet.peerLoads.running('i-2', laterMs), 3, 'the others hold');
   list.stop();
 });
--- a/test/gateway/spread.test.ts
+++ b/test/gateway/spread.test.ts
@@ -8,7 +8,7 @@
   EngineLoad,
   type EnginePlan,
   PeerLoads,
-  PrefixKnowledge,
+  PrefixCacheIndex,
   planModelRequest,
   ReadSpeed,
   ServerHealth,
@@ -104,8 +104,8 @@
 
 const BY_RATE: UnseenWork = { kind: 'by-rate', prefillMs: 400, prompts: 8, shortPrompts: 0 };
 
-function candidate(id: string, loadMs: number, costMs = loadMs, homeBonusMs = 0) {
-  return { id, loadMs, costMs, homeBonusMs };
+function candidate(id: string, loadMs: number, costMs = loadMs, preferenceBonusMs = 0) {
+  return { id, loadMs, costMs, preferenceBonusMs };
 }
 
 function drawn(candidates: ReturnType<typeof candidate>[], entropy: number, unseen = BY_RATE) {
@@ -144,7 +144,7 @@
 const DEMAND = { prefillMs: 600, decodeMs: 0, requests: 60, shortRequests: 6 };
 const KNOWN = {
   daemons: 83,
-  heardDaemons: 0,
+  reportingDaemons: 0,
   knownAgeMs: 20,
   own: { ...DEMAND, requests: 0, prefillMs: 0, shortRequests: 0 },
   all: DEMAND,
@@ -166,7 +166,7 @@
     kind: 'by-daemons',
     daemons: 82,
   });
-  const withoutRelay = { ...KNOWN, knownAgeMs: undefined, heardDaemons: 30 };
+  const withoutRelay = { ...KNOWN, knownAgeMs: undefined, reportingDaemons: 30 };
   assert.deepEqual(unseenWork(withoutRelay), { kind: 'by-daemons', daemons: 52 });
 });
 
@@ -219,9 +219,9 @@
   ];
   const promptTokens = moment.sharedTokens + moment.ownTokens;
   const speed = new ReadSpeed();
-  speed.suppose(7_000, 600);
-  const knowledge = new PrefixKnowledge();
-  knowledge.confirm(`e-${moment.keeper}`, 'shared', moment.sharedTokens);
+  speed.setInitialEstimate(7_000, 600);
+  const prefixIndex = new PrefixCacheIndex();
+  prefixIndex.confirm(`e-${moment.keeper}`, 'shared', moment.sharedTokens);
   const health = new ServerHealth();
   const described = { attemptId: 'x', deadlineMs: 5_000, maxOutputTokens: 100 };
   return {
@@ -230,11 +230,11 @@
     description: { ...described, promptParts, promptTokens },
     zone: 'zone-0',
     nowMs: 0,
-    knowledge,
+    prefixIndex,
     peerLoads: new PeerLoads(),
     speed,
     waitFactor: () => 1,
-    inTimeMs: 540,
+    latencyBudgetMs: 540,
     shortReadsPerMs: 0,
     kvTokenBytes: 163_840,
     linkMbps: 1_600_000,
--- a/test/gateway/stage-controller.test.ts
+++ b/test/gateway/stage-controller.test.ts
@@ -122,7 +122,7 @@
     leaseMs: LEASE_MS,
     leaseTimers: suspensionAwareTimers(timers, () => timers.nowMs() + setup.suspendedMs),
     mayOrder,
-    comingEngines: () => 0,
+    startingEngines: () => 0,
     fleet,
     table,
     calls: new ServerCalls({
@@ -148,7 +148,9 @@
 async function pass(setup: Setup, spanMs: number): Promise<void> {
   for (let passedMs = 0; passedMs < spanMs; passedMs += 50) {
     const nowMs = setup.timers.nowMs();
-    setup.fleet.demand.of('reader').note('long-prompt', { prefillMs: 100, decodeMs: 1 }, nowMs);
+    setup.fleet.demand
+      .of('reader')
+      .recordRequest('long-prompt', { prefillMs: 100, decodeMs: 1 }, nowMs);
     setup.timers.advance(50);
     await new Promise((resolve) => setImmediate(resolve));
   }
--- a/test/gateway/support/spread-replay.ts
+++ b/test/gateway/support/spread-replay.ts
@@ -160,7 +160,7 @@
     const fleet = new FleetView({ ratio: 0.2, slack: 50 });
     fleet.directory.replaceAll(this.#servers);
     fleet.setDaemonCount(this.#scenario.daemons);
-    fleet.speedOf(SERVICE).suppose(USUAL_TOKENS, TARGET_MS);
+    fleet.speedOf(SERVICE).setInitialEstimate(USUAL_TOKENS, TARGET_MS);
     const told = { reads: [], isTelling: false, sequence: 0 };
     return { name: `daemon-${place}`, zone: place % ZONES, fleet, ...told };
   }
@@ -193,7 +193,7 @@
     const runMs = 100 * speed.tokenMs;
     fleet.demand
       .of(SERVICE)
-      .note(
+      .recordRequest(
         'long-prompt',
         { prefillMs: speed.prefillBusyMs(missingTokens), decodeMs: runMs / server.slots },
         this.#clock.now,
@@ -208,7 +208,7 @@
       const doneMs = this.#read(server, promptParts, fetchFrom) + LINK_MS;
       this.#clock.at(doneMs, () => {
         const nowMs = this.#clock.now;
-        fleet.knowledge.assume(server.id, promptParts, nowMs);
+        fleet.prefixIndex.assume(server.id, promptParts, nowMs);
         if (read === undefined) {
           speed.learnDecode(missingTokens, nowMs - sentMs);
           this.#run(daemon, server, sentMs);
@@ -295,11 +295,11 @@
       description: { ...head, promptParts, promptTokens },
       zone: `zone-${zone}`,
       nowMs,
-      knowledge: fleet.knowledge,
+      prefixIndex: fleet.prefixIndex,
       peerLoads: fleet.peerLoads,
       speed: fleet.speedOf(SERVICE),
       waitFactor: (urgency) => fleet.waitScaleOf(SERVICE, urgency).factor(nowMs),
-      inTimeMs: 0.9 * TARGET_MS,
+      latencyBudgetMs: 0.9 * TARGET_MS,
       shortReadsPerMs: fleet.demand.shortReadsPerMs(SERVICE, nowMs),
       kvTokenBytes: 163_840,
       linkMbps: 1_600_000,
@@ -316,7 +316,7 @@
     const promptTokens = parts.reduce((sum, { tokens }) => sum + tokens, 0);
     if (missingTokens <= promptTokens - part.tokens && fetchFrom === undefined) return;
     const notice = { engineId: server.id, part, readyInMs: plan.expectedMs };
-    daemon.fleet.knowledge.expect(notice, this.#clock.now);
+    daemon.fleet.prefixIndex.expectRead(notice, this.#clock.now);
     daemon.reads.push(notice);
   }
 
@@ -383,7 +383,7 @@
   }
 
   #takeReads(daemon: Daemon, reads: readonly ReadNotice[]): void {
-    for (const read of reads) daemon.fleet.knowledge.expect(read, this.#clock.now);
+    for (const read of reads) daemon.fleet.prefixIndex.expectRead(read, this.#clock.now);
   }
 }
 
--- a/test/gateway/support/unlike-engines.ts
+++ b/test/gateway/support/unlike-engines.ts
@@ -6,7 +6,7 @@
   EngineLoad,
   EnginePaces,
   PeerLoads,
-  PrefixKnowledge,
+  PrefixCacheIndex,
   planModelRequest,
   ReadSpeed,
   ServerHealth,
@@ -53,14 +53,14 @@
   const random = randomOf(options.seed);
   const engines = speeds.map((_, place) => engineAt(place));
   const speed = new ReadSpeed(hasPaces);
-  speed.suppose(9_000, 500);
+  speed.setInitialEstimate(9_000, 500);
   const paces = new EnginePaces(speed);
   const loads = new Map(engines.map(({ id }) => [id, new EngineLoad()]));
   const taken = new EngineLoad();
   // The engine that generates is full, so that every prompt is read apart.
   taken.begin({ urgency: 'in-time', readMs: 1e9, waitMs: 0 }, 0);
   const healths = new Map(engines.map(({ id }) => [id, new ServerHealth()]));
-  const knowledge = new PrefixKnowledge();
+  const prefixIndex = new PrefixCacheIndex();
   const peerLoads = new PeerLoads();
   const freeAtMs = speeds.map(() => 0);
   const isSlow = momentsOf(options);
@@ -86,12 +86,12 @@
       },
       zone: 'a',
       nowMs,
-      knowledge,
+      prefixIndex,
       speed,
       ...(hasPaces ? { paceOf: (id: string) => paces.paceOf(id) } : {}),
       shortReadsPerMs: 0,
       waitFactor: () => 1,
-      inTimeMs: 60_000,
+      latencyBudgetMs: 60_000,
       kvTokenBytes: 1,
       linkMbps: 1_000_000,
       healthOf: (id) => healths.get(id) ?? new ServerHealth(),
--- a/test/gateway/urgency.test.ts
+++ b/test/gateway/urgency.test.ts
@@ -5,14 +5,14 @@
   EngineLoad,
   ForecastScale,
   PeerLoads,
-  readPriority,
+  promptPriority,
   type Urgency,
 } from '../../src/core/gateway/index.js';
 
 const read = (urgency: Urgency, readMs: number, waitMs = 0) => ({ urgency, readMs, waitMs });
 
 function priority(rank: number, urgency: Urgency, readShareOfTarget: number): number {
-  return readPriority({ rank, urgency, readShareOfTarget });
+  return promptPriority({ rank, urgency, readShareOfTarget });
 }
 
 test('in time goes before late whatever the rank, and by rank within each', () => {
