--- a/bench/plan-decision.ts
+++ b/bench/plan-decision.ts
@@ -45,10 +45,10 @@
   const servers = Array.from({ length: ENGINES }, (_, place) => serverAt(place));
   fleet.directory.replaceAll(servers);
   fleet.speedOf(SERVICE).setInitialEstimate(7_000, TARGET_MS);
-  if (paces.length > 0) fleet.paces.takeKnown([pacesOf(servers, paces)], 0);
-  const head = { relay: 'r', incarnation: 1, sequence: 1, isWhole: true };
+  if (paces.length > 0) fleet.paces.applyKnown([pacesOf(servers, paces)], 0);
+  const head = { relay: 'r', incarnation: 1, sequence: 1, isComplete: true };
   const told = { work: servers.map(workAt), reads: [], demand: [], reach: [] };
-  fleet.peerLoads.takeSums({ ...head, ...told }, [], 0);
+  fleet.peerLoads.applySums({ ...head, ...told }, [], 0);
   for (let part = 0; part < PARTS; part += 1) {
     fleet.prefixIndex.confirm(idAt((part * 2) % ENGINES), `part-${part}`, PROMPT.sharedTokens);
   }
@@ -83,7 +83,7 @@
     peerLoads: fleet.peerLoads,
     speed: fleet.speedOf(SERVICE),
     paceOf: fleet.paces.pacesOf(SERVICE),
-    quantizedPaceOf: fleet.paces.homePacesOf(SERVICE),
+    quantizedPaceOf: fleet.paces.quantizedPacesOf(SERVICE),
     waitFactor: () => 1,
     latencyBudgetMs: TARGET_MS,
     shortReadsPerMs: 0,
--- a/src/core/gateway/choose-web-server.ts
+++ b/src/core/gateway/choose-web-server.ts
@@ -35,7 +35,7 @@
   readonly server: ServerRecord;
   readonly cost: number;
   /** By how much the cost is likely to be wrong. */
-  readonly spread: number;
+  readonly stdDev: number;
 }
 
 /** The chosen server, or undefined when every one has been tried. */
@@ -43,8 +43,8 @@
   const open = input.candidates.filter((server) => !input.excludedIds.has(server.id));
   const fastestMs = fastestResponseMs(open, input);
   const options = open.map((server) => optionOf(server, input, fastestMs));
-  const spread = options.reduce((sum, option) => sum + option.spread, 0) / options.length;
-  return spread > 0 ? drawn(options, spread, input.entropy) : cheapest(options, input.entropy);
+  const stdDev = options.reduce((sum, option) => sum + option.stdDev, 0) / options.length;
+  return stdDev > 0 ? drawn(options, stdDev, input.entropy) : cheapest(options, input.entropy);
 }
 
 /** The cheapest; of those that are as cheap, one by chance. */
@@ -62,12 +62,12 @@
 /** One by chance, the likelier the more cheaply it comes out against what may be wrong. */
 function drawn(
   options: readonly Option[],
-  spread: number,
+  stdDev: number,
   entropy: number,
 ): ServerRecord | undefined {
   const lowest = Math.min(...options.map(({ cost }) => cost));
   // What is compared is a difference of two costs, each of which may be wrong by itself.
-  const differenceSpread = Math.SQRT2 * spread;
+  const differenceSpread = Math.SQRT2 * stdDev;
   const weights = options.map(({ cost }) => Math.exp((lowest - cost) / differenceSpread));
   let left = entropy * weights.reduce((sum, weight) => sum + weight, 0);
   for (const [index, option] of options.entries()) {
@@ -87,7 +87,7 @@
 
 function optionOf(server: ServerRecord, input: WebChoiceInput, fastestMs: number): Option {
   const health = input.healthOf(server.id);
-  const own = { calls: health.openCalls, spread: 0, slowness: 1 };
+  const own = { calls: health.openCalls, stdDev: 0, slowness: 1 };
   const load = input.loadOf?.(server.id) ?? own;
   const slots = Math.max(1, server.slots);
   const isTimed = health.responseMs !== undefined && Number.isFinite(fastestMs);
@@ -97,12 +97,12 @@
   if (server.zone !== input.zone) cost += OTHER_ZONE_COST;
   cost += FAILURE_COST * health.failureRate;
   if (health.isSuspect(input.nowMs)) cost += SUSPECT_COST;
-  return { server, cost, spread: (FULL_COST * load.spread) / slots };
+  return { server, cost, stdDev: (FULL_COST * load.stdDev) / slots };
 }
 
 /** Calls to the slots; who waits for a slot waits for the answers of those before, so longer at a slower server. */
-function fillCost({ calls, spread }: WebServerLoad, slots: number, times: number): number {
+function fillCost({ calls, stdDev }: WebServerLoad, slots: number, times: number): number {
   const fill = calls / slots;
-  if (spread === 0 || fill <= 1) return fill;
+  if (stdDev === 0 || fill <= 1) return fill;
   return 1 + (fill - 1) * Math.max(1, times);
 }
--- a/src/core/gateway/engine-paces.ts
+++ b/src/core/gateway/engine-paces.ts
@@ -10,7 +10,7 @@
  * all engines that were seen, whatever they are: without that, both could drift away together.
  */
 import { isPossibleLine, LineSamples, type LineSums } from './line-samples.js';
-import { bounded, PaceSamples, type SeenPace, WeightedMean } from './pace-samples.js';
+import { clampLogPace, PaceSamples, type ObservedPace, WeightedMean } from './pace-samples.js';
 import type { ReadSpeed } from './read-speed.js';
 
 /**
@@ -51,7 +51,7 @@
 }
 
 /** What was seen of one engine's pace. */
-export interface PaceSums extends SeenPace {
+export interface PaceSums extends ObservedPace {
   readonly engineId: string;
 }
 
@@ -81,7 +81,7 @@
   }
 
   /** Whether the engines' paces differ by more than chance and waits make of equal ones; as of the last `refresh`. */
-  get isUnlike(): boolean {
+  get isHeterogeneous(): boolean {
     return this.#isUnlike;
   }
 
@@ -128,19 +128,19 @@
 
   /**
    * Adds what other daemons have seen.
-   * @param isPassedOn whether it is told on with what this daemon sees itself
+   * @param isRelayed whether it is told on with what this daemon sees itself
    */
-  addSeen({ line, engines }: ServicePaceSums, isPassedOn: boolean, nowMs: number): void {
+  addObserved({ line, engines }: ServicePaceSums, isRelayed: boolean, nowMs: number): void {
     if (line !== undefined) this.#speed.addLine(line);
-    if (line !== undefined && isPassedOn) this.#untoldLine.merge(line);
+    if (line !== undefined && isRelayed) this.#untoldLine.merge(line);
     for (const seen of engines) {
       this.#change(seen.engineId, (samples) => samples.add(seen, nowMs));
-      if (isPassedOn) this.#note(seen.engineId, seen, nowMs);
+      if (isRelayed) this.#note(seen.engineId, seen, nowMs);
     }
   }
 
   /** Takes what the zone's relay knows, which has heard of more than this daemon. */
-  takeKnown({ line, engines }: ServicePaceSums, nowMs: number): void {
+  applyKnown({ line, engines }: ServicePaceSums, nowMs: number): void {
     if (line !== undefined && isMore(line.weight, this.#speed.line.weight)) {
       this.#speed.replaceLine(line);
     }
@@ -153,17 +153,17 @@
   }
 
   /** What has not been told yet; undefined for nothing. */
-  untold(service: string, mostEngines: number): ServicePaceSums | undefined {
+  unadvertised(service: string, maxEngines: number): ServicePaceSums | undefined {
     const line = this.#untoldLine.weight > 0 ? this.#untoldLine.sums : undefined;
     const engines = [...this.#untold]
-      .slice(0, mostEngines)
+      .slice(0, maxEngines)
       .map(([id, seen]) => ({ engineId: id, ...seen.sums }));
     if (line === undefined && engines.length === 0) return undefined;
     return { service, line, engines };
   }
 
   /** What was untold has been told. */
-  noteTold({ engines }: ServicePaceSums): void {
+  markAdvertised({ engines }: ServicePaceSums): void {
     this.#untoldLine.clear();
     for (const { engineId } of engines) this.#untold.delete(engineId);
   }
@@ -198,7 +198,7 @@
     this.#refreshedMs = nowMs;
     this.#mean.clear();
     for (const samples of this.#byEngine.values()) {
-      samples.fadeTo(nowMs);
+      samples.decayTo(nowMs);
       this.#mean.add(samples);
     }
     this.#settleAll();
@@ -218,7 +218,7 @@
     const logRatio = Math.log(this.#speed.decodeMs(tokens) / elapsedMs);
     if (!this.#speed.isTrusted || !Number.isFinite(logRatio)) return;
     const bias = this.#decodeBias;
-    bias.add({ logPace: bounded(logRatio), weight: 1 }, nowMs);
+    bias.add({ logPace: clampLogPace(logRatio), weight: 1 }, nowMs);
     if (bias.weightAt(nowMs) < TRUSTED_WEIGHT) return;
     this.#learn(engineId, logRatio - bias.logPace, DECODE_WEIGHT, nowMs);
   }
@@ -227,7 +227,7 @@
     // What the line says before it is learnt is no measure of an engine.
     if (!this.#speed.isTrusted || !Number.isFinite(logRatio)) return;
     const samples = this.#samplesOf(engineId);
-    const logPace = bounded(logRatio);
+    const logPace = clampLogPace(logRatio);
     const isLonger = samples.weight > 0 && logPace < samples.logPace - LONGER_LOG;
     const seen = { logPace, weight: isLonger ? weight * LONGER_WEIGHT : weight };
     this.#note(engineId, seen, nowMs);
@@ -239,18 +239,18 @@
     this.#mean.remove(samples);
     change(samples);
     this.#mean.add(samples);
-    samples.settle(this.#mean.value);
+    samples.updatePace(this.#mean.value);
   }
 
   /** Keeps what was seen until it is told. */
-  #note(engineId: string, seen: SeenPace, nowMs: number): void {
-    const untold = this.#untold.get(engineId) ?? new PaceSamples();
-    this.#untold.set(engineId, untold);
-    untold.add(seen, nowMs);
+  #note(engineId: string, seen: ObservedPace, nowMs: number): void {
+    const unadvertised = this.#untold.get(engineId) ?? new PaceSamples();
+    this.#untold.set(engineId, unadvertised);
+    unadvertised.add(seen, nowMs);
   }
 
   #settleAll(): void {
-    for (const samples of this.#byEngine.values()) samples.settle(this.#mean.value);
+    for (const samples of this.#byEngine.values()) samples.updatePace(this.#mean.value);
   }
 
   #samplesOf(engineId: string): PaceSamples {
@@ -270,7 +270,7 @@
 /** Whether what was told of an engine can be true. */
 export function isUsablePace({ logPace, weight }: PaceSums): boolean {
   const isWeight = weight > 0 && weight <= MOST_WEIGHT;
-  return isWeight && bounded(logPace) === logPace;
+  return isWeight && clampLogPace(logPace) === logPace;
 }
 
 /** The read itself: the engines that have most to do are those whose reads wait, and are not slower for it. */
--- a/src/core/gateway/fleet-paces.ts
+++ b/src/core/gateway/fleet-paces.ts
@@ -60,7 +60,7 @@
       case 'never':
         return false;
       case 'where-unlike':
-        return this.#byService.get(service)?.isUnlike === true;
+        return this.#byService.get(service)?.isHeterogeneous === true;
       case 'always':
         return true;
     }
@@ -79,7 +79,7 @@
   }
 
   /** The paces by which engines of a service count as homes of shared parts. */
-  homePacesOf(service: string): (engineId: string) => number {
+  quantizedPacesOf(service: string): (engineId: string) => number {
     const paces = this.isUsedFor(service) ? this.#byService.get(service) : undefined;
     return paces === undefined ? () => 1 : (engineId) => paces.quantizedPaceOf(engineId);
   }
@@ -115,27 +115,29 @@
 
   /**
    * Adds what other daemons have seen.
-   * @param isPassedOn whether it is told on with what this daemon sees itself
+   * @param isRelayed whether it is told on with what this daemon sees itself
    * @returns how many items were no use
    */
-  addSeen(told: readonly ServicePaceSums[], isPassedOn: boolean, nowMs: number): number {
-    return this.#takeUsable(told, (paces, usable) => paces.addSeen(usable, isPassedOn, nowMs));
+  addObserved(told: readonly ServicePaceSums[], isRelayed: boolean, nowMs: number): number {
+    return this.#takeUsable(told, (paces, usable) => paces.addObserved(usable, isRelayed, nowMs));
   }
 
   /** Takes what another daemon knows; gives how many items were no use. */
-  takeKnown(told: readonly ServicePaceSums[], nowMs: number): number {
-    return this.#takeUsable(told, (paces, usable) => paces.takeKnown(usable, nowMs));
+  applyKnown(told: readonly ServicePaceSums[], nowMs: number): number {
+    return this.#takeUsable(told, (paces, usable) => paces.applyKnown(usable, nowMs));
   }
 
   /** What has not been told yet. */
-  untold(mostEngines: number): readonly ServicePaceSums[] {
-    const all = [...this.#byService].map(([service, paces]) => paces.untold(service, mostEngines));
+  unadvertised(maxEngines: number): readonly ServicePaceSums[] {
+    const all = [...this.#byService].map(([service, paces]) =>
+      paces.unadvertised(service, maxEngines),
+    );
     return all.filter((sums) => sums !== undefined);
   }
 
   /** What was untold has been told. */
-  noteTold(told: readonly ServicePaceSums[]): void {
-    for (const sums of told) this.#byService.get(sums.service)?.noteTold(sums);
+  markAdvertised(told: readonly ServicePaceSums[]): void {
+    for (const sums of told) this.#byService.get(sums.service)?.markAdvertised(sums);
   }
 
   /** All that is known. */
@@ -168,7 +170,7 @@
   }
 
   /** The engines whose pace differs most from the usual one, and by how much. */
-  mostUnlike(most: number): ReadonlyMap<string, number> {
+  largestDeviations(most: number): ReadonlyMap<string, number> {
     const unlike = [...this.all()].filter(({ pace }) => pace !== 1);
     const size = (pace: number) => Math.abs(Math.log(pace));
     unlike.sort((left, right) => size(right.pace) - size(left.pace));
--- a/src/core/gateway/index.ts
+++ b/src/core/gateway/index.ts
@@ -54,7 +54,7 @@
 export {
   LEDGER_SPAN_MS,
   LimitLedger,
-  type PermitAsk,
+  type PermitRequest,
   type PermitGrant,
   type TimedCount,
 } from './limit-ledger.js';
@@ -67,14 +67,14 @@
 export type { LineSums } from './line-samples.js';
 export {
   type AnswerTimes,
-  type HeardLimit,
+  type ReportedLimit,
   type LimitChange,
   type NamedLimit,
   NamedLimits,
-  type SaidLimit,
-  type ToldLimit,
+  type LimitReading,
+  type AdvertisedLimit,
 } from './named-limits.js';
-export { PacesToTell } from './paces-to-tell.js';
+export { PaceAdvertiser } from './paces-to-tell.js';
 export {
   type EngineWork,
   type LoadReport,
@@ -123,7 +123,7 @@
   type Availability,
   type SendAvailability,
   ServerAvailability,
-  type ToldAvailability,
+  type ReportedAvailability,
   type Unavailable,
 } from './server-availability.js';
 export {
@@ -148,7 +148,7 @@
   type WorkSource,
 } from './stage-demand.js';
 export { type StageNotice, StageNotices, type StagePhase } from './stage-notices.js';
-export { SumsToTell, type ToldSums } from './sums-to-tell.js';
+export { SumsAdvertiser, type AdvertisedSums } from './sums-to-tell.js';
 export { type Admission, TenantTable } from './tenants.js';
 export { ADVERTISE_DELAY_MS, unseenWork } from './unseen-work.js';
 export { UrgentSlack } from './urgent-slack.js';
--- a/src/core/gateway/limit-ledger.ts
+++ b/src/core/gateway/limit-ledger.ts
@@ -39,7 +39,7 @@
 }
 
 /** What a daemon asks for. */
-export interface PermitAsk {
+export interface PermitRequest {
   readonly daemon: string;
   /** Requests that it would send now; 0 where it only tells. */
   readonly wanted: number;
@@ -57,7 +57,7 @@
   /** Until there is room for another request; 0 where there is. */
   readonly roomInMs: number;
   /** Daemons that ask for requests to this server. */
-  readonly askers: number;
+  readonly requesters: number;
 }
 
 /** The books of one server. */
@@ -69,7 +69,7 @@
   #opensAtMs: number | undefined;
 
   /** When it was asked last; it may be dropped once that is over `LEDGER_SPAN_MS` ago. */
-  askedAtMs = Number.NEGATIVE_INFINITY;
+  lastRequestAtMs = Number.NEGATIVE_INFINITY;
 
   /** Takes the limit that is in force. */
   setLimit(perSecond: number): void {
@@ -77,20 +77,20 @@
   }
 
   /** Takes what an ask tells, and grants what there is room for. */
-  ask(ask: PermitAsk, nowMs: number): PermitGrant {
+  ask(ask: PermitRequest, nowMs: number): PermitGrant {
     const { daemon, wanted, unmetered } = ask;
     this.#opensAtMs ??= ask.knownForMs > TAKE_OVER_AFTER_MS ? nowMs + LEDGER_SPAN_MS : nowMs;
-    this.askedAtMs = nowMs;
+    this.lastRequestAtMs = nowMs;
     this.#dropOld(nowMs);
     this.#takeBack(daemon, ask.returned);
     if (unmetered.length === 0) this.#unmetered.delete(daemon);
     else this.#unmetered.set(daemon, unmetered);
     if (wanted > 0) this.#askedAtMs.set(daemon, nowMs);
-    const askers = this.#askedAtMs.size;
+    const requesters = this.#askedAtMs.size;
     const room = this.#room(nowMs);
-    const granted = Math.min(wanted, Math.ceil(room / Math.max(1, askers)));
+    const granted = Math.min(wanted, Math.ceil(room / Math.max(1, requesters)));
     if (granted > 0) this.#grants.push({ daemon, atMs: nowMs, count: granted });
-    return { granted, roomInMs: this.#roomInMs(nowMs), askers };
+    return { granted, roomInMs: this.#roomInMs(nowMs), requesters };
   }
 
   /** Requests that may be granted now. */
--- a/src/core/gateway/named-limits.ts
+++ b/src/core/gateway/named-limits.ts
@@ -17,7 +17,7 @@
 const UNSAID_VALID_MS = 120_000;
 
 /** What an answer says of the limit of its server. */
-export type SaidLimit =
+export type LimitReading =
   | { readonly kind: 'named'; readonly perSecond: number }
   /** It names none; the attempt that it answers. */
   | { readonly kind: 'none'; readonly attemptId: string | undefined }
@@ -27,7 +27,7 @@
   | { readonly kind: 'unknown' };
 
 /** What was said of a limit by an answer that is sure to be the server's own. */
-export type HeardLimit = Extract<SaidLimit, { kind: 'named' | 'none' }>;
+export type ReportedLimit = Extract<LimitReading, { kind: 'named' | 'none' }>;
 
 /** When the request of an answer was sent, and when its answer came. */
 export interface AnswerTimes {
@@ -36,11 +36,11 @@
 }
 
 /** Another daemon's word on a server's limit. */
-export interface ToldLimit {
+export interface AdvertisedLimit {
   /** Undefined where the server names none any more. */
   readonly perSecond: number | undefined;
   /** How long ago the server said so; of an end, how long ago the request was sent whose answer showed it. */
-  readonly saidAgoMs: number;
+  readonly reportedAgoMs: number;
 }
 
 /** What changed in what is known. */
@@ -55,7 +55,7 @@
   /** What was told as news last. */
   readonly noted: number;
   /** When the server said it last, to whichever daemon. */
-  readonly saidAtMs: number;
+  readonly reportedAtMs: number;
   /** When it became known here. */
   readonly knownSinceMs: number;
   /** Whether an answer to this daemon named it, and not only others told of it. */
@@ -69,48 +69,53 @@
   readonly #ends = new Map<string, number>();
 
   /** Takes an answer's word; undefined where it changes nothing. The first one of its own is a change. */
-  hear({ id }: ServerRecord, said: HeardLimit, times: AnswerTimes): LimitChange | undefined {
+  recordReport(
+    { id }: ServerRecord,
+    said: ReportedLimit,
+    times: AnswerTimes,
+  ): LimitChange | undefined {
     this.#dropOld(times.nowMs);
     const known = this.#limits.get(id);
     switch (said.kind) {
       case 'none':
-        if (known === undefined || times.sentAtMs <= known.saidAtMs) return undefined;
+        if (known === undefined || times.sentAtMs <= known.reportedAtMs) return undefined;
         return this.#end(id, known, times.sentAtMs);
       case 'named': {
         const { nowMs } = times;
-        const limit = { perSecond: said.perSecond, saidAtMs: nowMs, isHeard: true };
+        const limit = { perSecond: said.perSecond, reportedAtMs: nowMs, isHeard: true };
         return this.#keep(id, limit, known?.isHeard !== true, nowMs);
       }
     }
   }
 
   /** Takes another daemon's word; undefined where it changes nothing. */
-  takeTold(
+  applyAdvertised(
     id: string,
-    { perSecond, saidAgoMs }: ToldLimit,
+    { perSecond, reportedAgoMs }: AdvertisedLimit,
     nowMs: number,
   ): LimitChange | undefined {
     this.#dropOld(nowMs);
     const known = this.#limits.get(id);
-    const saidAtMs = nowMs - Math.max(0, saidAgoMs);
-    const isOld = saidAtMs <= (known?.saidAtMs ?? this.#ends.get(id) ?? Number.NEGATIVE_INFINITY);
+    const reportedAtMs = nowMs - Math.max(0, reportedAgoMs);
+    const isOld =
+      reportedAtMs <= (known?.reportedAtMs ?? this.#ends.get(id) ?? Number.NEGATIVE_INFINITY);
     if (isOld) return undefined;
     if (perSecond === undefined) {
-      return known === undefined ? undefined : this.#end(id, known, saidAtMs);
+      return known === undefined ? undefined : this.#end(id, known, reportedAtMs);
     }
-    const limit = { perSecond, saidAtMs, isHeard: known?.isHeard ?? false };
+    const limit = { perSecond, reportedAtMs, isHeard: known?.isHeard ?? false };
     return this.#keep(id, limit, known === undefined, nowMs);
   }
 
   /** What this daemon can tell of a server's limit; undefined where it knows of none, in force or ended. */
-  toldOf(id: string, nowMs: number): ToldLimit | undefined {
+  advertisementOf(id: string, nowMs: number): AdvertisedLimit | undefined {
     const known = this.#limits.get(id);
     if (known !== undefined) {
-      return { perSecond: known.perSecond, saidAgoMs: nowMs - known.saidAtMs };
+      return { perSecond: known.perSecond, reportedAgoMs: nowMs - known.reportedAtMs };
     }
     const endedAtMs = this.#ends.get(id);
     if (endedAtMs === undefined) return undefined;
-    return { perSecond: undefined, saidAgoMs: nowMs - endedAtMs };
+    return { perSecond: undefined, reportedAgoMs: nowMs - endedAtMs };
   }
 
   /** The limit of a server; undefined where none is in force. */
@@ -132,7 +137,7 @@
   /** @param isFirst whether it is news whatever was known before */
   #keep(
     id: string,
-    limit: Pick<NamedLimit, 'perSecond' | 'saidAtMs' | 'isHeard'>,
+    limit: Pick<NamedLimit, 'perSecond' | 'reportedAtMs' | 'isHeard'>,
     isFirst: boolean,
     nowMs: number,
   ): LimitChange | undefined {
@@ -157,8 +162,8 @@
 
   /** There are never more entries than servers that said something lately. */
   #dropOld(nowMs: number): void {
-    for (const [id, { saidAtMs }] of this.#limits) {
-      if (nowMs - saidAtMs > UNSAID_VALID_MS) this.#limits.delete(id);
+    for (const [id, { reportedAtMs }] of this.#limits) {
+      if (nowMs - reportedAtMs > UNSAID_VALID_MS) this.#limits.delete(id);
     }
     for (const [id, atMs] of this.#ends) {
       if (nowMs - atMs > END_KEPT_MS) this.#ends.delete(id);
--- a/src/core/gateway/pace-samples.ts
+++ b/src/core/gateway/pace-samples.ts
@@ -17,7 +17,7 @@
 const CHANCE_LOG_OF_SAMPLE = 0.3;
 
 /** What was seen of a pace. */
-export interface SeenPace {
+export interface ObservedPace {
   /** Mean logarithm of the pace. */
   readonly logPace: number;
   readonly weight: number;
@@ -33,12 +33,12 @@
     return this.#weight > 0 ? this.#logSum / this.#weight : 0;
   }
 
-  add({ weight, logPace }: SeenPace): void {
+  add({ weight, logPace }: ObservedPace): void {
     this.#weight += weight;
     this.#logSum += weight * logPace;
   }
 
-  remove({ weight, logPace }: SeenPace): void {
+  remove({ weight, logPace }: ObservedPace): void {
     this.#weight -= weight;
     this.#logSum -= weight * logPace;
   }
@@ -50,7 +50,7 @@
 }
 
 /** Samples of one engine, older ones fading. */
-export class PaceSamples implements SeenPace {
+export class PaceSamples implements ObservedPace {
   #weight = 0;
   #logSum = 0;
   #atMs = 0;
@@ -70,20 +70,20 @@
     return this.#weight * 0.5 ** (Math.max(0, nowMs - this.#atMs) / HALF_LIFE_MS);
   }
 
-  add({ logPace, weight }: SeenPace, nowMs: number): void {
-    this.fadeTo(nowMs);
+  add({ logPace, weight }: ObservedPace, nowMs: number): void {
+    this.decayTo(nowMs);
     const left = SAMPLE_DECAY ** weight;
     this.#logSum = this.#logSum * left + weight * logPace;
     this.#weight = this.#weight * left + weight;
   }
 
-  replace({ logPace, weight }: SeenPace, nowMs: number): void {
+  replace({ logPace, weight }: ObservedPace, nowMs: number): void {
     this.#weight = weight;
     this.#logSum = logPace * weight;
     this.#atMs = nowMs;
   }
 
-  fadeTo(nowMs: number): void {
+  decayTo(nowMs: number): void {
     const weight = this.weightAt(nowMs);
     if (this.#weight > 0) this.#logSum *= weight / this.#weight;
     this.#weight = weight;
@@ -91,14 +91,14 @@
   }
 
   /** Works the pace out against the mean of all engines. */
-  settle(meanLog: number): void {
+  updatePace(meanLog: number): void {
     const share = this.#weight / (this.#weight + PRIOR_WEIGHT);
     const chance = CHANCE_LOG_PACE + CHANCE_LOG_OF_SAMPLE / (this.#weight + PRIOR_WEIGHT);
-    this.pace = Math.exp(bounded(withoutChance(share * (this.logPace - meanLog), chance)));
+    this.pace = Math.exp(clampLogPace(withoutChance(share * (this.logPace - meanLog), chance)));
     this.quantizedPace = quantizedPace(this.pace, this.quantizedPace);
   }
 
-  get sums(): SeenPace {
+  get sums(): ObservedPace {
     return { logPace: this.logPace, weight: this.#weight };
   }
 }
@@ -111,6 +111,6 @@
 }
 
 /** Within what can be a pace. */
-export function bounded(logPace: number): number {
+export function clampLogPace(logPace: number): number {
   return Math.min(MOST_LOG_PACE, Math.max(-MOST_LOG_PACE, logPace));
 }
--- a/src/core/gateway/paces-to-tell.ts
+++ b/src/core/gateway/paces-to-tell.ts
@@ -25,17 +25,17 @@
 }
 
 /** A relay's memory of what it has told. */
-export class PacesToTell {
+export class PaceAdvertiser {
   readonly #told = new Map<string, Told>();
   readonly #lines = new Map<string, ToldLine>();
 
-  /** What is to be told now, at most so many engines; it counts as told when `noteTold` is called. */
+  /** What is to be told now, at most so many engines; it counts as told when `markAdvertised` is called. */
   next(
     known: readonly ServicePaceSums[],
-    mostEngines: number,
+    maxEngines: number,
     nowMs: number,
   ): readonly ServicePaceSums[] {
-    let room = mostEngines;
+    let room = maxEngines;
     return known.flatMap(({ service, line, engines }) => {
       const due = this.#due(engines, nowMs).slice(0, room);
       room -= due.length;
@@ -45,7 +45,7 @@
     });
   }
 
-  noteTold(told: readonly ServicePaceSums[], nowMs: number): void {
+  markAdvertised(told: readonly ServicePaceSums[], nowMs: number): void {
     for (const { service, line, engines } of told) {
       if (line !== undefined) this.#lines.set(service, { line, atMs: nowMs });
       for (const { engineId, logPace, weight } of engines) {
--- a/src/core/gateway/peer-load.ts
+++ b/src/core/gateway/peer-load.ts
@@ -50,7 +50,7 @@
   readonly incarnation: number;
   readonly sequence: number;
   /** Whether engines that are left out have no work; otherwise they are as told before. */
-  readonly isWhole: boolean;
+  readonly isComplete: boolean;
   readonly work: readonly EngineWork[];
   /** Reads that daemons told of since the last sums. */
   readonly reads: readonly ReadNotice[];
@@ -106,14 +106,14 @@
    * Takes a relay's sums, which hold this daemon's own work as well.
    * @param ownWork this daemon's work, to be taken off
    */
-  takeSums(sums: LoadSums, ownWork: readonly EngineWork[], nowMs: number): void {
+  applySums(sums: LoadSums, ownWork: readonly EngineWork[], nowMs: number): void {
     this.#sums = merged(this.#sums, sums, ownWork, nowMs);
     if (sums.demand.length === 0) this.#busySinceMs = undefined;
     this.#noteDemand(sums.demand, nowMs);
   }
 
   /** Takes the sums of another zone, as this daemon is the relay of its own. */
-  takeZoneSums(zone: string, sums: LoadSums, nowMs: number): void {
+  applyZoneSums(zone: string, sums: LoadSums, nowMs: number): void {
     this.#zoneSums.set(zone, merged(this.#zoneSums.get(zone), sums, [], nowMs));
     this.#noteDemand(sums.demand, nowMs);
     this.#reportIndex = undefined;
@@ -180,7 +180,7 @@
   }
 
   /** Whether anything is known of the work of others. */
-  hasHeard(nowMs: number): boolean {
+  hasReceived(nowMs: number): boolean {
     const sums = this.#sums;
     const hasSums = sums !== undefined && nowMs - sums.atMs <= SUMS_VALID_MS;
     return hasSums || this.#recent(nowMs).length > 0;
@@ -276,7 +276,7 @@
   const isSameLife =
     known?.sums.relay === sums.relay && known.sums.incarnation === sums.incarnation;
   if (known !== undefined && isSameLife && known.sums.sequence >= sums.sequence) return known;
-  const keepsOthers = isSameLife && !sums.isWhole && known !== undefined;
+  const keepsOthers = isSameLife && !sums.isComplete && known !== undefined;
   const byEngine = keepsOthers ? known.byEngine : new Map<string, ReceivedWork>();
   const own = new Map(ownWork.map((work) => [work.engineId, work]));
   for (const total of sums.work) {
--- a/src/core/gateway/place-web-request.ts
+++ b/src/core/gateway/place-web-request.ts
@@ -45,8 +45,8 @@
 /** Until a server has a slot, as far as is known. */
 function roomIn({ id, slots }: ServerRecord, input: WebPlaceInput): number {
   const health = input.healthOf(id);
-  const passedOverMs = health.passedOverMs(input.nowMs);
+  const skippedForMs = health.skippedForMs(input.nowMs);
   const running = health.openCalls + input.othersRunning(id);
   const beyond = Math.max(0, running + 1 - Math.max(1, slots));
-  return Math.max(passedOverMs, (beyond * (health.responseMs ?? 0)) / Math.max(1, slots));
+  return Math.max(skippedForMs, (beyond * (health.responseMs ?? 0)) / Math.max(1, slots));
 }
--- a/src/core/gateway/recent-sends.ts
+++ b/src/core/gateway/recent-sends.ts
@@ -17,7 +17,7 @@
   readonly #buckets = new Map<string, Bucket[]>();
   #droppedAtMs = 0;
 
-  note(serverId: string, nowMs: number): void {
+  record(serverId: string, nowMs: number): void {
     const endMs = (Math.floor(nowMs / BUCKET_MS) + 1) * BUCKET_MS;
     const buckets = this.#buckets.get(serverId) ?? [];
     const last = buckets.at(-1);
--- a/src/core/gateway/server-availability.ts
+++ b/src/core/gateway/server-availability.ts
@@ -27,11 +27,11 @@
 const CLOCK_MARGIN_MS = 1_000;
 
 /** A server's word on whether it takes work, as an answer of it tells. */
-export interface ToldAvailability {
+export interface ReportedAvailability {
   /** It takes no new work from anyone. */
   readonly isLeaving: boolean;
   /** It wants nothing from this daemon for so long; undefined where it asks for no rest. */
-  readonly restMs: number | undefined;
+  readonly backOffMs: number | undefined;
 }
 
 /** A server wants rest; after it, a server is so too while one request tries it. */
@@ -95,7 +95,7 @@
   /** Takes an answer's word. @returns what it tells that was not known */
   take(
     server: ServerRecord,
-    { isLeaving, restMs }: ToldAvailability,
+    { isLeaving, backOffMs }: ReportedAvailability,
     { nowMs, unixMs, entropy }: ToldAt,
   ): readonly Unavailable[] {
     this.#dropOld(nowMs);
@@ -104,7 +104,7 @@
       if (this.#leaveOf(server, nowMs) === undefined) news.push({ kind: 'leaving', toldAgoMs: 0 });
       this.#leaves.set(server.id, { server, toldAtMs: nowMs, toldUnixMs: unixMs });
     }
-    const askedMs = Math.min(LONGEST_REST_MS, restMs ?? 0);
+    const askedMs = Math.min(LONGEST_REST_MS, backOffMs ?? 0);
     if (askedMs > 0) {
       const lengthenedMs = askedMs * (1 + REST_SPREAD * entropy);
       // A shorter rest that is asked for meanwhile takes nothing off the one before.
@@ -118,14 +118,14 @@
   }
 
   /** A caller's request is sent to a server; the first one after a rest tries it for the others. */
-  noteSent(server: ServerRecord, nowMs: number): void {
+  recordSent(server: ServerRecord, nowMs: number): void {
     const rest = this.#rests.get(server.address);
     if (rest === undefined || rest.triedAtMs !== undefined) return;
     this.#rests.set(server.address, { ...rest, triedAtMs: nowMs });
   }
 
   /** A caller's request that was sent at some time was answered without a word on rest. */
-  noteTaken(server: ServerRecord, sentAtMs: number): void {
+  recordAccepted(server: ServerRecord, sentAtMs: number): void {
     const rest = this.#rests.get(server.address);
     if (rest !== undefined && sentAtMs >= rest.untilMs) this.#rests.delete(server.address);
   }
@@ -134,11 +134,11 @@
   of(server: ServerRecord, nowMs: number): Availability {
     const leave = this.#leaveOf(server, nowMs);
     if (leave !== undefined) return { kind: 'leaving', toldAgoMs: nowMs - leave.toldAtMs };
-    return this.restOf(server, nowMs) ?? OPEN;
+    return this.backOffOf(server, nowMs) ?? OPEN;
   }
 
   /** The rest that a server wants now, also where it leaves; undefined where it wants none. */
-  restOf({ address }: ServerRecord, nowMs: number): Resting | undefined {
+  backOffOf({ address }: ServerRecord, nowMs: number): Resting | undefined {
     const rest = this.#rests.get(address);
     if (rest === undefined) return undefined;
     const forMs = endOf(rest) - nowMs;
--- a/src/core/gateway/server-health.ts
+++ b/src/core/gateway/server-health.ts
@@ -91,7 +91,7 @@
   }
 
   /** Another daemon found the server silent, or reached it again. */
-  takeTold({ isReachable, by }: ReachNotice, nowMs: number): void {
+  applyReachNotice({ isReachable, by }: ReachNotice, nowMs: number): void {
     if (isReachable) {
       if (this.recordReached()) this.#ejectedUntilMs = 0;
       return;
@@ -105,13 +105,13 @@
   }
 
   /** Whether it answers no connection, as far as is known; it is tried by one call at a time. */
-  isDark(nowMs: number): boolean {
+  isUnreachable(nowMs: number): boolean {
     if (nowMs < this.#toldSilentUntilMs) return true;
     return this.#isSilent && (this.isEjected(nowMs) || this.#trial !== undefined);
   }
 
   /** How much longer it is passed over, as far as is known. */
-  passedOverMs(nowMs: number): number {
+  skippedForMs(nowMs: number): number {
     const untilMs = Math.max(this.#ejectedUntilMs, this.#restsUntilMs, this.#toldSilentUntilMs);
     return Math.max(0, untilMs - nowMs);
   }
@@ -131,7 +131,7 @@
   }
 
   /** The server did not run a call, and said so. Calls sent before it first did say no more than one. */
-  recordTurnedAway(nowMs: number): void {
+  recordRefusal(nowMs: number): void {
     this.recordServerError();
     if (nowMs < this.#restsUntilMs) return;
     const restMs = FIRST_REST_MS * 2 ** this.#turnedAwayInARow;
--- a/src/core/gateway/sums-to-tell.ts
+++ b/src/core/gateway/sums-to-tell.ts
@@ -13,9 +13,9 @@
 const SAME_END_MS = 8;
 
 /** Sums to be told. */
-export interface ToldSums {
+export interface AdvertisedSums {
   /** Whether engines that are left out have no work; otherwise they are as told before. */
-  readonly isWhole: boolean;
+  readonly isComplete: boolean;
   readonly work: readonly EngineWork[];
 }
 
@@ -27,30 +27,30 @@
 }
 
 /** A relay's memory of what it has told. */
-export class SumsToTell {
+export class SumsAdvertiser {
   readonly #told = new Map<string, ToldWork>();
   #lastWholeMs = Number.NEGATIVE_INFINITY;
 
   /**
    * What is to be told now; it counts as told from here on.
-   * @param mostEntries how many engines there are bytes for
+   * @param maxEntries how many engines there are bytes for
    */
   next(
     totals: readonly EngineWork[],
     nowMs: number,
-    mostEntries = Number.POSITIVE_INFINITY,
-  ): ToldSums {
+    maxEntries = Number.POSITIVE_INFINITY,
+  ): AdvertisedSums {
     const isDue = nowMs - this.#lastWholeMs >= RELAY_REFRESH_MS;
-    if (isDue && totals.length <= mostEntries) return this.#tellWhole(totals, nowMs);
+    if (isDue && totals.length <= maxEntries) return this.#tellWhole(totals, nowMs);
     const changed = this.#changedSince(totals, isDue, nowMs);
-    const work = changed.length <= mostEntries ? changed : this.#furthestOff(changed, nowMs);
-    return { isWhole: false, work: this.#noteTold(work.slice(0, mostEntries), nowMs) };
+    const work = changed.length <= maxEntries ? changed : this.#furthestOff(changed, nowMs);
+    return { isComplete: false, work: this.#noteTold(work.slice(0, maxEntries), nowMs) };
   }
 
-  #tellWhole(totals: readonly EngineWork[], nowMs: number): ToldSums {
+  #tellWhole(totals: readonly EngineWork[], nowMs: number): AdvertisedSums {
     this.#lastWholeMs = nowMs;
     this.#told.clear();
-    return { isWhole: true, work: this.#noteTold(totals, nowMs) };
+    return { isComplete: true, work: this.#noteTold(totals, nowMs) };
   }
 
   #noteTold(work: readonly EngineWork[], nowMs: number): readonly EngineWork[] {
--- a/src/core/gateway/web-server-load.ts
+++ b/src/core/gateway/web-server-load.ts
@@ -27,7 +27,7 @@
   /** Calls under way there, this daemon's own among them. */
   readonly calls: number;
   /** By how many calls that is likely to be wrong; 0 where this daemon knows of its own calls only. */
-  readonly spread: number;
+  readonly stdDev: number;
   /** How long work takes there now, 1 is usual. */
   readonly slowness: number;
 }
@@ -36,7 +36,7 @@
 export interface WebServerView {
   readonly ownCalls: number;
   /** Calls of other daemons, as they told; undefined where they tell nothing of them. */
-  readonly toldCalls: number | undefined;
+  readonly advertisedCalls: number | undefined;
   /** Smoothed time of its answers; undefined before the first. */
   readonly responseMs: number | undefined;
   /** Whether there are more daemons than slots, so that this one's own calls show little. */
@@ -71,26 +71,26 @@
    * A server reported its load.
    * @param ownCalls calls of this daemon that were under way there
    */
-  takeReport(serverId: string, figures: LoadFigures, ownCalls: number, nowMs: number): void {
+  recordReport(serverId: string, figures: LoadFigures, ownCalls: number, nowMs: number): void {
     const calls = Math.max(0, figures.running + figures.waiting - ownCalls);
     const belief = this.#see(serverId, calls, nowMs);
     belief.report = { calls, atMs: nowMs, slowness: figures.slowness ?? 1 };
   }
 
   /** What is to be expected of a server now. */
-  expect(serverId: string, view: WebServerView, nowMs: number): WebServerLoad {
-    const { ownCalls, toldCalls, responseMs, isCrowded } = view;
+  estimate(serverId: string, view: WebServerView, nowMs: number): WebServerLoad {
+    const { ownCalls, advertisedCalls, responseMs, isCrowded } = view;
     const report = this.#freshReport(serverId, nowMs);
-    if (!isCrowded) return { calls: ownCalls, spread: 0, slowness: report?.slowness ?? 1 };
+    if (!isCrowded) return { calls: ownCalls, stdDev: 0, slowness: report?.slowness ?? 1 };
     if (report !== undefined) {
       const others = this.#othersAfter(serverId, report.calls, nowMs - report.atMs, responseMs);
       return { ...others, calls: ownCalls + others.calls, slowness: report.slowness };
     }
-    if (toldCalls !== undefined) this.#see(serverId, toldCalls, nowMs);
+    if (advertisedCalls !== undefined) this.#see(serverId, advertisedCalls, nowMs);
     const usual = this.#usualOf(serverId, nowMs);
-    if (usual === undefined) return { calls: ownCalls, spread: 0, slowness: 1 };
-    const isTold = toldCalls !== undefined;
-    const seen = toldCalls ?? usual;
+    if (usual === undefined) return { calls: ownCalls, stdDev: 0, slowness: 1 };
+    const isTold = advertisedCalls !== undefined;
+    const seen = advertisedCalls ?? usual;
     const ageMs = isTold ? TOLD_AGE_MS : Number.POSITIVE_INFINITY;
     const others = this.#othersAfter(serverId, seen, ageMs, responseMs);
     return { ...others, calls: ownCalls + others.calls, slowness: 1 };
@@ -130,11 +130,11 @@
     seenCalls: number,
     ageMs: number,
     responseMs: number | undefined,
-  ): { readonly calls: number; readonly spread: number } {
+  ): { readonly calls: number; readonly stdDev: number } {
     const usual = this.#byServer.get(serverId)?.usual.calls ?? seenCalls;
     const leftShare = responseMs === undefined ? 0 : Math.exp(-ageMs / Math.max(1, responseMs));
     const calls = usual + (seenCalls - usual) * leftShare;
     // The count of calls that come and go by chance varies by as much as their number.
-    return { calls, spread: Math.sqrt(Math.max(0, calls) * (1 - leftShare * leftShare)) };
+    return { calls, stdDev: Math.sqrt(Math.max(0, calls) * (1 - leftShare * leftShare)) };
   }
 }
--- a/src/shell/gateway/attempt.ts
+++ b/src/shell/gateway/attempt.ts
@@ -290,7 +290,7 @@
   { failure, health, elapsedMs }: NotedFailure,
 ): void {
   const { log, metrics, description, timers } = exchange.options;
-  if (failure.kind === 'not-executed') health.recordTurnedAway(timers.nowMs());
+  if (failure.kind === 'not-executed') health.recordRefusal(timers.nowMs());
   else if (failure.kind === 'not-sent' && failure.wasSilent) {
     health.recordSilent(timers.nowMs());
     if (!context.fleet.directory.isOver(options.server)) {
--- a/src/shell/gateway/fleet-demand.ts
+++ b/src/shell/gateway/fleet-demand.ts
@@ -93,7 +93,7 @@
   /** The demand that all daemons see; while none is heard, as if all saw as much as this one. */
   #ofAll(service: string, nowMs: number): DemandSums {
     const own = this.of(service).sums(nowMs);
-    if (!this.#sources.peerLoads.hasHeard(nowMs))
+    if (!this.#sources.peerLoads.hasReceived(nowMs))
       return scaled(own, this.#sources.size.listed ?? 1);
     const total = this.#sources.peerLoads
       .totalDemand(this.own(nowMs), nowMs)
--- a/src/shell/gateway/fleet-view.ts
+++ b/src/shell/gateway/fleet-view.ts
@@ -162,7 +162,7 @@
     const open = this.directory
       .readyOf(service)
       .filter((server) => kinds.includes(this.availabilityOf(server, nowMs).kind))
-      .filter(({ id }) => !this.isDark(id, nowMs));
+      .filter(({ id }) => !this.isUnreachable(id, nowMs));
     return this.stageNotices.usable(open, nowMs);
   }
 
@@ -173,7 +173,7 @@
     if (availability.kind !== 'open' || limit === undefined) return availability;
     if (this.permits.countFor(server.id, nowMs) > 0) return availability;
     const forMs = this.permits.expectedInMs(server.id, nowMs);
-    return { kind: 'at-limit', toldAgoMs: nowMs - limit.saidAtMs, forMs };
+    return { kind: 'at-limit', toldAgoMs: nowMs - limit.reportedAtMs, forMs };
   }
 
   /** Servers of a service that nothing but their limit keeps from being sent work. */
@@ -207,14 +207,14 @@
   }
 
   /** Whether a server answers no connection, as far as is known. */
-  isDark(serverId: string, nowMs: number): boolean {
-    return this.#health.get(serverId)?.isDark(nowMs) === true;
+  isUnreachable(serverId: string, nowMs: number): boolean {
+    return this.#health.get(serverId)?.isUnreachable(nowMs) === true;
   }
 
   /** Whether calls to a server are expected to come through. */
   isReachable(serverId: string, nowMs: number): boolean {
     const health = this.#health.get(serverId);
-    return health === undefined || !(health.isDark(nowMs) || health.isEjected(nowMs));
+    return health === undefined || !(health.isUnreachable(nowMs) || health.isEjected(nowMs));
   }
 
   /**
@@ -241,13 +241,13 @@
   #passedOverMs(server: ServerRecord, nowMs: number): number {
     const availability = this.availabilityOf(server, nowMs);
     const waitMs = 'forMs' in availability ? availability.forMs : 0;
-    return Math.max(waitMs, this.#health.get(server.id)?.passedOverMs(nowMs) ?? 0);
+    return Math.max(waitMs, this.#health.get(server.id)?.skippedForMs(nowMs) ?? 0);
   }
 
   /** A server that another daemon found silent, or back. */
   takeReach(notice: ReachNotice, nowMs: number): void {
     if (this.directory.get(notice.serverId) === undefined) return;
-    this.healthOf(notice.serverId).takeTold(notice, nowMs);
+    this.healthOf(notice.serverId).applyReachNotice(notice, nowMs);
   }
 
   /** Servers of a service, those that are changing their stage as they will be. */
@@ -301,11 +301,15 @@
    */
   webLoadsOf(service: string, isTold: boolean, nowMs: number): (serverId: string) => WebServerLoad {
     const isCrowded = this.isCrowded(service);
-    const hearsOthers = isCrowded && isTold && this.peerLoads.hasHeard(nowMs);
+    const hearsOthers = isCrowded && isTold && this.peerLoads.hasReceived(nowMs);
     return (id) => {
       const { openCalls: ownCalls, responseMs } = this.healthOf(id);
-      const toldCalls = hearsOthers ? this.peerLoads.running(id, nowMs) : undefined;
-      return this.webLoads.expect(id, { ownCalls, toldCalls, responseMs, isCrowded }, nowMs);
+      const advertisedCalls = hearsOthers ? this.peerLoads.running(id, nowMs) : undefined;
+      return this.webLoads.estimate(
+        id,
+        { ownCalls, advertisedCalls, responseMs, isCrowded },
+        nowMs,
+      );
     };
   }
 
--- a/src/shell/gateway/gateway-gauges.ts
+++ b/src/shell/gateway/gateway-gauges.ts
@@ -56,7 +56,7 @@
     'threadfork_gateway_engine_pace',
     'Pace of an engine against the usual one of its service, of those that differ most',
     'server',
-    () => sources.fleet.paces.mostUnlike(MOST_ENGINES),
+    () => sources.fleet.paces.largestDeviations(MOST_ENGINES),
   );
 }
 
--- a/src/shell/gateway/gateway.ts
+++ b/src/shell/gateway/gateway.ts
@@ -402,11 +402,14 @@
     const { timers, log } = this.#options;
     const nowMs = timers.nowMs();
     const { serverId: server, by } = reach;
-    const wasDark = this.#fleet.isDark(server, nowMs);
+    const wasDark = this.#fleet.isUnreachable(server, nowMs);
     this.#fleet.takeReach(reach, nowMs);
-    const isDark = this.#fleet.isDark(server, nowMs);
-    if (isDark === wasDark) return;
-    log.write(isDark ? GATEWAY_EVENTS.serverDark : GATEWAY_EVENTS.serverReached, { server, by });
+    const isUnreachable = this.#fleet.isUnreachable(server, nowMs);
+    if (isUnreachable === wasDark) return;
+    log.write(isUnreachable ? GATEWAY_EVENTS.serverDark : GATEWAY_EVENTS.serverReached, {
+      server,
+      by,
+    });
   }
 
   /** What this daemon keeps in the store may be lost. */
--- a/src/shell/gateway/limit-asks.ts
+++ b/src/shell/gateway/limit-asks.ts
@@ -122,7 +122,8 @@
     const nowMs = timers.nowMs();
     this.#misses.delete(granter);
     const { limit } = grant;
-    const change = limit === undefined ? undefined : fleet.limits.takeTold(serverId, limit, nowMs);
+    const change =
+      limit === undefined ? undefined : fleet.limits.applyAdvertised(serverId, limit, nowMs);
     if (change !== undefined) noteTold(serverId, change, granter);
     const state = this.#stateOf(serverId);
     const { open } = state;
@@ -163,13 +164,13 @@
   /** Who found no room asks again when there may be some; with many daemons that ask, each asks the more seldom. */
   #planNext(state: AskState, grant: LimitGrantMessage, nowMs: number): void {
     const { fleet, timers, random, noteMayAsk } = this.#options;
-    const { serverId, granted, roomInMs, askers, limit } = grant;
-    const gapMs = ASK_GAP_MS * askers * (0.5 + random());
+    const { serverId, granted, roomInMs, requesters, limit } = grant;
+    const gapMs = ASK_GAP_MS * requesters * (0.5 + random());
     const untilMs = gapMs + (granted > 0 ? 0 : roomInMs);
     state.againAtMs = nowMs + untilMs;
     state.cancelAgain();
     state.cancelAgain = timers.after(untilMs, () => noteMayAsk(serverId));
-    const turnMs = (MILLISECONDS_PER_SECOND * askers) / Math.max(1e-3, limit?.perSecond ?? 1);
+    const turnMs = (MILLISECONDS_PER_SECOND * requesters) / Math.max(1e-3, limit?.perSecond ?? 1);
     const expectedMs = granted > 0 ? 0 : Math.max(roomInMs, turnMs / 2);
     fleet.permits.expectAt(serverId, nowMs + Math.min(LONGEST_EXPECTED_MS, expectedMs));
   }
@@ -190,7 +191,7 @@
       log.write(GATEWAY_EVENTS.limitGrantsSilent, { server: serverId, silent: granter });
     }
     const known = fleet.limits.of(serverId);
-    const isUnconfirmed = known !== undefined && nowMs - known.saidAtMs > UNCONFIRMED_MS;
+    const isUnconfirmed = known !== undefined && nowMs - known.reportedAtMs > UNCONFIRMED_MS;
     if (isUnconfirmed && !known.isHeard) this.#lapse(serverId, known.perSecond);
     else noteMayAsk(serverId);
   }
@@ -234,7 +235,7 @@
     const { daemon, fleet, timers } = this.#options;
     const nowMs = timers.nowMs();
     // Undefined where nothing is known: that is no word that the limit has ended.
-    const limit = fleet.limits.toldOf(serverId, nowMs);
+    const limit = fleet.limits.advertisementOf(serverId, nowMs);
     const knownSinceMs = fleet.limits.of(serverId)?.knownSinceMs ?? nowMs;
     const sent = fleet.recentSends.of(serverId, nowMs);
     const unmetered = sent.map(({ atMs, count }) => ({ ageMs: nowMs - atMs, count }));
--- a/src/shell/gateway/limit-coordinator.ts
+++ b/src/shell/gateway/limit-coordinator.ts
@@ -156,7 +156,7 @@
         return;
       case 'limit-told': {
         const { serverId, limit, daemon } = message;
-        const change = fleet.limits.takeTold(serverId, limit, timers.nowMs());
+        const change = fleet.limits.applyAdvertised(serverId, limit, timers.nowMs());
         if (change !== undefined) this.#noteTold(serverId, change, daemon);
         return;
       }
@@ -210,7 +210,7 @@
     const { fleet, timers } = this.#options;
     const nowMs = timers.nowMs();
     const isOpen = fleet.availability.of(server, nowMs).kind === 'open';
-    return nowMs < untilMs && isOpen && !fleet.isDark(server.id, nowMs);
+    return nowMs < untilMs && isOpen && !fleet.isUnreachable(server.id, nowMs);
   }
 
   /** Gives back a place that no run came to, where one was held. */
--- a/src/shell/gateway/limit-grants.ts
+++ b/src/shell/gateway/limit-grants.ts
@@ -64,7 +64,7 @@
     const nowMs = timers.nowMs();
     const ledger = this.#ledgerOf(ask, nowMs);
     this.#takeTold(ask, nowMs);
-    const limit = limits.toldOf(serverId, nowMs);
+    const limit = limits.advertisementOf(serverId, nowMs);
     if (limit?.perSecond !== undefined) ledger.setLimit(limit.perSecond);
     const wanted = limit?.perSecond === undefined ? 0 : ask.wanted;
     const unmetered = ask.unmetered.map(({ ageMs, count }) => ({ atMs: nowMs - ageMs, count }));
@@ -75,7 +75,7 @@
   /** Tells all daemons what this one, which grants, knows of a limit. */
   tellAll(serverId: string): void {
     const { daemon, limits, timers, everyone, send } = this.#options;
-    const limit = limits.toldOf(serverId, timers.nowMs());
+    const limit = limits.advertisementOf(serverId, timers.nowMs());
     if (limit === undefined) return;
     const peers = everyone();
     const message: LimitToldMessage = { kind: 'limit-told', daemon, serverId, limit };
@@ -85,7 +85,7 @@
 
   #takeTold({ serverId, limit, daemon: by }: LimitAskMessage, nowMs: number): void {
     const { limits, noteTold } = this.#options;
-    const change = limit === undefined ? undefined : limits.takeTold(serverId, limit, nowMs);
+    const change = limit === undefined ? undefined : limits.applyAdvertised(serverId, limit, nowMs);
     if (change === undefined) return;
     noteTold(serverId, change, by);
     // Who knows of a limit need not know how high it is: that is for the one that grants.
@@ -104,8 +104,8 @@
   }
 
   #dropOld(nowMs: number): void {
-    for (const [serverId, { askedAtMs }] of this.#ledgers) {
-      if (nowMs - askedAtMs <= LEDGER_KEPT_MS) continue;
+    for (const [serverId, { lastRequestAtMs }] of this.#ledgers) {
+      if (nowMs - lastRequestAtMs <= LEDGER_KEPT_MS) continue;
       this.#ledgers.delete(serverId);
     }
   }
--- a/src/shell/gateway/limit-message-fields.ts
+++ b/src/shell/gateway/limit-message-fields.ts
@@ -1,6 +1,6 @@
 /** What daemons tell each other of servers that name a limit of requests a second, as it goes on the wire. */
 import * as z from 'zod/mini';
-import type { ToldLimit } from '../../core/gateway/index.js';
+import type { AdvertisedLimit } from '../../core/gateway/index.js';
 import { KINDS } from './peer-message-fields.js';
 
 /** Requests that were sent so long ago, in milliseconds. */
@@ -17,7 +17,7 @@
   readonly number: number;
   readonly serverId: string;
   /** Undefined where it knows nothing of it. */
-  readonly limit: ToldLimit | undefined;
+  readonly limit: AdvertisedLimit | undefined;
   /** For how long it has known of the limit. */
   readonly knownForMs: number;
   readonly wanted: number;
@@ -32,10 +32,10 @@
   readonly number: number;
   readonly serverId: string;
   /** Undefined where it knows nothing of it. */
-  readonly limit: ToldLimit | undefined;
+  readonly limit: AdvertisedLimit | undefined;
   readonly granted: number;
   readonly roomInMs: number;
-  readonly askers: number;
+  readonly requesters: number;
 }
 
 /** The daemon that grants tells all others that a limit began, changed or ended. */
@@ -43,7 +43,7 @@
   readonly kind: 'limit-told';
   readonly daemon: string;
   readonly serverId: string;
-  readonly limit: ToldLimit;
+  readonly limit: AdvertisedLimit;
 }
 
 /** A message on limits. */
@@ -100,9 +100,9 @@
       return [...head, wanted, returned, sent];
     }
     case 'limit-grant': {
-      const { number, granted, roomInMs, askers } = message;
+      const { number, granted, roomInMs, requesters } = message;
       const head = [KINDS.limitGrant, daemon, number, serverId, limit];
-      return [...head, granted, Math.ceil(roomInMs), askers];
+      return [...head, granted, Math.ceil(roomInMs), requesters];
     }
     case 'limit-told':
       return [KINDS.limitTold, daemon, serverId, limit];
@@ -117,9 +117,9 @@
 }
 
 export function decodeLimitGrant(fields: z.infer<typeof limitGrantSchema>): LimitGrantMessage {
-  const [, daemon, number, serverId, limit, granted, roomInMs, askers] = fields;
+  const [, daemon, number, serverId, limit, granted, roomInMs, requesters] = fields;
   const told = { daemon, number, serverId, limit: decodeKnownLimit(limit) };
-  return { kind: 'limit-grant', ...told, granted, roomInMs, askers };
+  return { kind: 'limit-grant', ...told, granted, roomInMs, requesters };
 }
 
 export function decodeLimitTold(fields: z.infer<typeof limitToldSchema>): LimitToldMessage {
@@ -127,14 +127,14 @@
   return { kind: 'limit-told', daemon, serverId, limit: decodeLimit(limit) };
 }
 
-function encodeLimit({ perSecond, saidAgoMs }: ToldLimit): unknown[] {
-  return [perSecond ?? null, Math.round(saidAgoMs)];
+function encodeLimit({ perSecond, reportedAgoMs }: AdvertisedLimit): unknown[] {
+  return [perSecond ?? null, Math.round(reportedAgoMs)];
 }
 
-function decodeKnownLimit(limit: z.infer<typeof knownLimitSchema>): ToldLimit | undefined {
+function decodeKnownLimit(limit: z.infer<typeof knownLimitSchema>): AdvertisedLimit | undefined {
   return limit === null ? undefined : decodeLimit(limit);
 }
 
-function decodeLimit([perSecond, saidAgoMs]: z.infer<typeof limitSchema>): ToldLimit {
-  return { perSecond: perSecond ?? undefined, saidAgoMs };
+function decodeLimit([perSecond, reportedAgoMs]: z.infer<typeof limitSchema>): AdvertisedLimit {
+  return { perSecond: perSecond ?? undefined, reportedAgoMs };
 }
--- a/src/shell/gateway/model-planner.ts
+++ b/src/shell/gateway/model-planner.ts
@@ -195,7 +195,7 @@
       peerLoads: fleet.peerLoads,
       speed,
       paceOf: fleet.paces.pacesOf(service),
-      quantizedPaceOf: fleet.paces.homePacesOf(service),
+      quantizedPaceOf: fleet.paces.quantizedPacesOf(service),
       waitFactor: (urgency) => fleet.waitScaleOf(service, urgency).factor(this.#nowMs()),
       latencyBudgetMs: IN_TIME_SHARE * route.targetLatencyMs - this.#exchange.elapsedMs(),
       shortReadsPerMs: fleet.demand.shortReadsPerMs(service, this.#nowMs()),
--- a/src/shell/gateway/pace-teller.ts
+++ b/src/shell/gateway/pace-teller.ts
@@ -8,7 +8,7 @@
  */
 import {
   type FleetPaces,
-  PacesToTell,
+  PaceAdvertiser,
   type PeerDaemon,
   type PeerRoster,
   type ServicePaceSums,
@@ -60,7 +60,7 @@
   readonly #seenBudget: ByteBudget;
   readonly #knownBudget: ByteBudget;
   readonly #answerBudget: ByteBudget;
-  readonly #toTell = new PacesToTell();
+  readonly #toTell = new PaceAdvertiser();
   #questions = 0;
   #looks = 0;
   #isAnswered = false;
@@ -95,13 +95,13 @@
     const nowMs = timers.nowMs();
     switch (message.purpose) {
       case 'seen': {
-        const isPassedOn = isRelay() && message.zone === zone;
-        this.#noteIgnored(paces.addSeen(message.services, isPassedOn, nowMs), message.daemon);
+        const isRelayed = isRelay() && message.zone === zone;
+        this.#noteIgnored(paces.addObserved(message.services, isRelayed, nowMs), message.daemon);
         return;
       }
       case 'known':
       case 'answered':
-        this.#noteIgnored(paces.takeKnown(message.services, nowMs), message.daemon);
+        this.#noteIgnored(paces.applyKnown(message.services, nowMs), message.daemon);
         if (message.purpose === 'answered') this.#noteAnswer(message);
         return;
       case 'asked':
@@ -135,13 +135,13 @@
   #tellSeen(nowMs: number): void {
     const { paces, roster, isRelay } = this.#options;
     const peers = isRelay() ? roster.otherRelays(nowMs) : roster.toldOfChanges(nowMs);
-    const seen = paces.untold(MOST_ENTRIES);
+    const seen = paces.unadvertised(MOST_ENTRIES);
     if (seen.length === 0) return;
     const bytes = this.#encode('seen', seen);
     // A relay has a budget for each other relay, as these hear of each zone from one daemon only.
     const copies = isRelay() ? 1 : peers.length;
     if (peers.length > 0 && !this.#seenBudget.tryTake(sizeOnLink(bytes) * copies)) return;
-    paces.noteTold(seen);
+    paces.markAdvertised(seen);
     this.#options.send(peers, bytes);
   }
 
@@ -153,7 +153,7 @@
     if (told.length === 0) return;
     const bytes = this.#encode('known', told);
     if (!this.#knownBudget.tryTake(sizeOnLink(bytes))) return;
-    this.#toTell.noteTold(told, nowMs);
+    this.#toTell.markAdvertised(told, nowMs);
     this.#options.send(roster.zonePeers(), bytes);
   }
 
--- a/src/shell/gateway/peer-exchange.ts
+++ b/src/shell/gateway/peer-exchange.ts
@@ -72,7 +72,7 @@
   readonly listen: PeerAddress;
   readonly table: TableService;
   readonly roster: PeerRoster;
-  readonly loads: Pick<PeerLoads, 'take' | 'takeSums'> & RelayDutyOptions['loads'];
+  readonly loads: Pick<PeerLoads, 'take' | 'applySums'> & RelayDutyOptions['loads'];
   readonly timers: TimerService;
   readonly log: Pick<GatewayLog, 'write'>;
   /** What is known of engines' paces. */
@@ -314,11 +314,11 @@
     const { loads, timers, ownWork, noteSums } = this.#options;
     this.#takeNewsOf(sums);
     if (zone !== this.#options.zone) {
-      this.#relay.takeSums(zone, sums);
+      this.#relay.applySums(zone, sums);
       return;
     }
     if (this.#relay.isRelay) return;
-    loads.takeSums(sums, ownWork(), timers.nowMs());
+    loads.applySums(sums, ownWork(), timers.nowMs());
     noteSums();
   }
 
--- a/src/shell/gateway/peer-messages.ts
+++ b/src/shell/gateway/peer-messages.ts
@@ -161,8 +161,8 @@
       return pack([...head, encodeWork(work), ...news, message.configurationVersion]);
     }
     case 'sums': {
-      const { relay, incarnation, sequence, isWhole, work, reads, reach, demand } = message.sums;
-      const head = [KINDS.sums, message.zone, relay, incarnation, sequence, isWhole];
+      const { relay, incarnation, sequence, isComplete, work, reads, reach, demand } = message.sums;
+      const head = [KINDS.sums, message.zone, relay, incarnation, sequence, isComplete];
       const news = [encodeReads(reads), reach.map(encodeReach), demand.map(encodeDemand)];
       return pack([...head, encodeWork(work), ...news]);
     }
@@ -229,14 +229,14 @@
       return { kind: 'report', report, configurationVersion: version ?? 0 };
     }
     case KINDS.sums: {
-      const [, zone, relay, incarnation, sequence, isWhole, work, reads, reach, demand] = fields;
+      const [, zone, relay, incarnation, sequence, isComplete, work, reads, reach, demand] = fields;
       const told = {
         work: decodeWork(work),
         reads: decodeReads(reads),
         reach: reach.map(decodeReach),
         demand: demand.map(decodeDemand),
       };
-      return { kind: 'sums', zone, sums: { relay, incarnation, sequence, isWhole, ...told } };
+      return { kind: 'sums', zone, sums: { relay, incarnation, sequence, isComplete, ...told } };
     }
     case KINDS.servers: {
       const [, zone, after, revision, servers, goneKeys, era = FIRST_ERA] = fields;
--- a/src/shell/gateway/ports.ts
+++ b/src/shell/gateway/ports.ts
@@ -9,9 +9,9 @@
   GatewayConfiguration,
   LoadFigures,
   RequestDescription,
-  SaidLimit,
+  LimitReading,
   ServerRecord,
-  ToldAvailability,
+  ReportedAvailability,
 } from '../../core/gateway/index.js';
 import type { StorePosition } from '../../core/platform/store-position.js';
 import type { TableCall, TableResult } from '../../core/platform/table.js';
@@ -62,7 +62,7 @@
   | { readonly kind: 'unreadable'; readonly text: string };
 
 /** A server's word on whether it takes work, as an answer has it. */
-export interface SaidAvailability extends ToldAvailability {
+export interface SaidAvailability extends ReportedAvailability {
   /** What the answer says of it that is not as servers write it; empty where there is nothing such. */
   readonly unreadable: string;
 }
@@ -131,7 +131,7 @@
   /** What any answer of a server says of whether it takes work; undefined where it says nothing. */
   readAvailability(status: number, headers: IncomingHttpHeaders): SaidAvailability | undefined;
   /** What any answer of a server says of the requests a second that it takes from all daemons together. */
-  readLimit(status: number, headers: IncomingHttpHeaders): SaidLimit;
+  readLimit(status: number, headers: IncomingHttpHeaders): LimitReading;
   /** The answer to a prompt that was only read; undefined when it is none. */
   readPrefillAnswer(body: Buffer): PrefillAnswer | undefined;
   freeHandle(handle: string, serverId: string): EngineCall;
--- a/src/shell/gateway/relay-duty.ts
+++ b/src/shell/gateway/relay-duty.ts
@@ -16,9 +16,9 @@
   ReachNoticeFilter,
   type ReadNotice,
   type ServiceDemand,
-  SumsToTell,
+  SumsAdvertiser,
   type TableDigest,
-  type ToldSums,
+  type AdvertisedSums,
 } from '../../core/gateway/index.js';
 import { GATEWAY_EVENTS } from '../../core/logging/catalogue/gateway.js';
 import { type ByteBudget, sizeOnLink } from './byte-budget.js';
@@ -50,7 +50,7 @@
 }
 
 /** Sums with what is told beside them. */
-type SumsMessage = ToldSums & OwnNews & Pick<LoadSums, 'demand'>;
+type SumsMessage = AdvertisedSums & OwnNews & Pick<LoadSums, 'demand'>;
 
 export const NO_NEWS: OwnNews = { reads: [], reach: [] };
 
@@ -64,7 +64,7 @@
 interface SumsAudience {
   readonly peers: readonly PeerDaemon[];
   readonly budget: ByteBudget;
-  readonly sums: SumsToTell;
+  readonly sums: SumsAdvertiser;
   readonly totals: () => readonly EngineWork[];
   readonly news: PendingNews;
   readonly demand: () => readonly ServiceDemand[];
@@ -78,7 +78,7 @@
   readonly roster: PeerRoster;
   readonly loads: Pick<
     PeerLoads,
-    'takeZoneSums' | 'totals' | 'zoneTotals' | 'totalDemand' | 'zoneDemand'
+    'applyZoneSums' | 'totals' | 'zoneTotals' | 'totalDemand' | 'zoneDemand'
   >;
   readonly timers: TimerService;
   readonly log: Pick<GatewayLog, 'write'>;
@@ -101,8 +101,8 @@
 /** The daemon's part as a relay; it looks by itself whether it is one. */
 export class RelayDuty {
   readonly #options: RelayDutyOptions;
-  readonly #sums = new SumsToTell();
-  readonly #zoneSums = new SumsToTell();
+  readonly #sums = new SumsAdvertiser();
+  readonly #zoneSums = new SumsAdvertiser();
   readonly #digestSchedule = new DigestSchedule();
   readonly #zoneReach = new ReachNoticeFilter();
   readonly #otherReach = new ReachNoticeFilter();
@@ -146,12 +146,12 @@
   }
 
   /** The sums of another zone, from its relay. */
-  takeSums(zone: string, sums: LoadSums): void {
+  applySums(zone: string, sums: LoadSums): void {
     if (!this.#isRelay) return;
     const nowMs = this.#options.timers.nowMs();
     const reach = this.#otherReach.take(sums.reach, nowMs);
     addNews(this.#newsForZone, { reads: sums.reads, reach });
-    this.#options.loads.takeZoneSums(zone, sums, nowMs);
+    this.#options.loads.applyZoneSums(zone, sums, nowMs);
   }
 
   #noteRole(isRelay: boolean): void {
@@ -202,19 +202,19 @@
   /** Tells an audience what there are bytes for; what there are none for is told later, as it is then. */
   #tell({ peers, budget, sums, totals, news, demand }: SumsAudience): void {
     const newsBytes = news.reads.length * BYTES_OF_READ + news.reach.length * BYTES_OF_REACH;
-    const mostEntries = Math.floor((budget.bytesLeft - BYTES_OF_HEAD - newsBytes) / BYTES_OF_ENTRY);
-    if (mostEntries < LEAST_ENTRIES) return;
-    const told = sums.next(totals(), this.#options.timers.nowMs(), mostEntries);
+    const maxEntries = Math.floor((budget.bytesLeft - BYTES_OF_HEAD - newsBytes) / BYTES_OF_ENTRY);
+    if (maxEntries < LEAST_ENTRIES) return;
+    const told = sums.next(totals(), this.#options.timers.nowMs(), maxEntries);
     this.#sendSums(peers, budget, { ...told, ...news, demand: demand() });
     clearNews(news);
   }
 
   #sendSums(peers: readonly PeerDaemon[], budget: ByteBudget, told: SumsMessage): void {
-    const { work, reads, reach, isWhole } = told;
-    if (!isWhole && work.length === 0 && reads.length === 0 && reach.length === 0) return;
+    const { work, reads, reach, isComplete } = told;
+    if (!isComplete && work.length === 0 && reads.length === 0 && reach.length === 0) return;
     for (let first = 0; first === 0 || first < work.length; first += MOST_ENTRIES) {
       const part = work.slice(first, first + MOST_ENTRIES);
-      const message = first === 0 ? told : { ...told, ...NO_NEWS, isWhole: false };
+      const message = first === 0 ? told : { ...told, ...NO_NEWS, isComplete: false };
       const bytes = this.#encodeSums({ ...message, work: part });
       budget.take(sizeOnLink(bytes));
       this.#options.send(peers, bytes);
--- a/src/shell/gateway/server-calls.ts
+++ b/src/shell/gateway/server-calls.ts
@@ -3,9 +3,9 @@
  * an answer says of its server is heard here, and nothing is sent to one that has said that it wants nothing.
  */
 import type {
-  HeardLimit,
+  ReportedLimit,
   LimitChange,
-  SaidLimit,
+  LimitReading,
   SendAvailability,
   ServerRecord,
 } from '../../core/gateway/index.js';
@@ -100,7 +100,7 @@
     // A leaving server still does for this daemon what is no new work; one that rests wants none of its calls.
     const found = isForCaller(purpose)
       ? this.#availabilityOf(server, hasPermit, nowMs)
-      : availability.restOf(server, nowMs);
+      : availability.backOffOf(server, nowMs);
     if (found === undefined || found.kind === 'open') return undefined;
     const { kind: why, toldAgoMs } = found;
     metrics.recordHeldBack(why);
@@ -116,9 +116,9 @@
 
   #noteSent(server: ServerRecord, hasPermit: boolean, sentAtMs: number): void {
     const { fleet, metrics } = this.#options;
-    fleet.availability.noteSent(server, sentAtMs);
+    fleet.availability.recordSent(server, sentAtMs);
     if (fleet.limits.of(server.id) === undefined) {
-      fleet.recentSends.note(server.id, sentAtMs);
+      fleet.recentSends.record(server.id, sentAtMs);
       return;
     }
     // Whether there is one was looked at just before.
@@ -132,8 +132,8 @@
     const { codec, fleet, timers, log, metrics, wallClock } = this.#options;
     this.#hearLimit(call, sentAtMs, answer);
     const said = codec.readAvailability(status, message.headers);
-    if (said?.restMs === undefined && isForCaller(purpose)) {
-      fleet.availability.noteTaken(server, sentAtMs);
+    if (said?.backOffMs === undefined && isForCaller(purpose)) {
+      fleet.availability.recordAccepted(server, sentAtMs);
     }
     if (said === undefined) return;
     if (said.unreadable !== '') this.#noteUnreadable(server.id, said.unreadable);
@@ -162,7 +162,7 @@
     if (said.kind === 'unreadable') this.#noteUnreadable(server.id, `limit: ${said.text}`);
     if (!isSureOf(said, call)) return;
     const times = { sentAtMs, nowMs: timers.nowMs() };
-    const change = fleet.limits.hear(server, said, times);
+    const change = fleet.limits.recordReport(server, said, times);
     if (change !== undefined) noteLimitChange(server, change, purpose);
   }
 
@@ -182,7 +182,7 @@
  * Any answer of a server may name its limit; that it names none is shown by an answer to this very request alone: on
  * a connection with a fault, another one may come in its place.
  */
-function isSureOf(said: SaidLimit, { purpose, request }: ServerCall): said is HeardLimit {
+function isSureOf(said: LimitReading, { purpose, request }: ServerCall): said is ReportedLimit {
   switch (said.kind) {
     case 'named':
       return true;
--- a/src/shell/gateway/web-work.ts
+++ b/src/shell/gateway/web-work.ts
@@ -70,7 +70,7 @@
         const isListed = fleet.directory.get(server.id) !== undefined;
         if (!isListed || fleet.directory.isOver(server)) return;
         const { openCalls } = fleet.healthOf(server.id);
-        fleet.webLoads.takeReport(server.id, load.figures, openCalls, timers.nowMs());
+        fleet.webLoads.recordReport(server.id, load.figures, openCalls, timers.nowMs());
         return;
       }
       case 'unreadable':
--- a/test/gateway/choices.test.ts
+++ b/test/gateway/choices.test.ts
@@ -110,15 +110,15 @@
 
 test('a server that turned a call away rests, longer each time in a row, and not for calls sent before', () => {
   const health = new ServerHealth();
-  health.recordTurnedAway(0);
-  health.recordTurnedAway(1);
+  health.recordRefusal(0);
+  health.recordRefusal(1);
   assert.equal(health.isSuspect(50), true);
   assert.equal(health.isSuspect(150), false);
   assert.equal(health.isEjected(50), false, 'what it keeps can still be taken from it');
-  health.recordTurnedAway(150);
+  health.recordRefusal(150);
   assert.equal(health.isSuspect(300), true);
   health.recordSuccess(10);
-  health.recordTurnedAway(1_000);
+  health.recordRefusal(1_000);
   assert.equal(health.isSuspect(1_050), true);
   assert.equal(health.isSuspect(1_150), false);
 });
--- a/test/gateway/engine-paces.test.ts
+++ b/test/gateway/engine-paces.test.ts
@@ -325,12 +325,12 @@
     { engineId: 'e1', logPace: Number.POSITIVE_INFINITY, weight: 1 },
     { engineId: 'unknown', logPace: 0.5, weight: 5 },
   ];
-  assert.equal(paces.takeKnown([told(nonsense, { ...LINE, y: -5 })], 0), 7);
-  assert.equal(paces.addSeen([told(nonsense, { ...LINE, weight: Number.NaN })], true, 0), 7);
+  assert.equal(paces.applyKnown([told(nonsense, { ...LINE, y: -5 })], 0), 7);
+  assert.equal(paces.addObserved([told(nonsense, { ...LINE, weight: Number.NaN })], true, 0), 7);
   assert.deepEqual([paces.paceOf('e1'), paces.paceOf('unknown'), speed.isLearnt], [1, 1, false]);
-  assert.deepEqual(paces.untold(40), []);
+  assert.deepEqual(paces.unadvertised(40), []);
   const good = { engineId: 'e2', logPace: Math.log(1.7), weight: 15 };
-  assert.equal(paces.takeKnown([told([...nonsense, ...USUAL, good], LINE)], 0), 6);
+  assert.equal(paces.applyKnown([told([...nonsense, ...USUAL, good], LINE)], 0), 6);
   assert.ok(Math.abs(paces.paceOf('e2') - 1.6) < 0.15, `${paces.paceOf('e2')}`);
   assert.equal(speed.prefillMs(9_000), 180);
 });
@@ -338,10 +338,10 @@
 test('a relay’s word counts for more than what one daemon saw, but not that of one that has just begun', () => {
   const { paces } = fleetPaces();
   const first = { engineId: 'e1', logPace: Math.log(1.7), weight: 16 };
-  paces.takeKnown([told([...USUAL, first], LINE)], 0);
-  paces.takeKnown([told([{ engineId: 'e1', logPace: Math.log(0.5), weight: 1 }])], 0);
+  paces.applyKnown([told([...USUAL, first], LINE)], 0);
+  paces.applyKnown([told([{ engineId: 'e1', logPace: Math.log(0.5), weight: 1 }])], 0);
   assert.ok(paces.paceOf('e1') > 1.4);
-  paces.takeKnown([told([{ engineId: 'e1', logPace: Math.log(0.6), weight: 16 }])], 0);
+  paces.applyKnown([told([{ engineId: 'e1', logPace: Math.log(0.6), weight: 16 }])], 0);
   assert.ok(paces.paceOf('e1') < 0.7);
 });
 
@@ -352,10 +352,10 @@
     const elapsedMs = sample % 2 === 0 ? 90 : 180;
     paces.learnPrefill(server, 9_000, { elapsedMs, waitMs: 0 }, sample);
   }
-  const seen = paces.untold(40);
+  const seen = paces.unadvertised(40);
   assert.deepEqual(seen[0]?.engines.map(({ engineId }) => engineId).sort(), ['e1', 'e2']);
-  paces.noteTold(seen);
-  assert.deepEqual(paces.untold(40), []);
+  paces.markAdvertised(seen);
+  assert.deepEqual(paces.unadvertised(40), []);
   const changes = paces.takeChanges(9);
   assert.ok(changes.length >= 1);
   assert.deepEqual(paces.takeChanges(9), []);
@@ -370,9 +370,9 @@
     logPace,
     weight: 16,
   }));
-  paces.takeKnown([told([...USUAL, ...unlike], LINE)], 0);
-  assert.deepEqual([...paces.mostUnlike(2).keys()], ['e0', 'e1']);
-  assert.deepEqual([...paces.mostUnlike(99).keys()], ['e0', 'e1', 'e2']);
+  paces.applyKnown([told([...USUAL, ...unlike], LINE)], 0);
+  assert.deepEqual([...paces.largestDeviations(2).keys()], ['e0', 'e1']);
+  assert.deepEqual([...paces.largestDeviations(99).keys()], ['e0', 'e1', 'e2']);
 });
 
 test('switched off, all engines have one pace, whatever is seen and told', () => {
@@ -386,7 +386,7 @@
     paces.learnDecode(server, sample * 10, elapsedMs, true, sample);
     before.learnDecode(sample * 10, elapsedMs);
   }
-  paces.takeKnown([told([{ engineId: 'e1', logPace: 0.5, weight: 16 }], LINE)], 0);
+  paces.applyKnown([told([{ engineId: 'e1', logPace: 0.5, weight: 16 }], LINE)], 0);
   assert.equal(paces.paceOf('e1'), 1);
   assert.deepEqual(
     [speed.prefillMs(7_000), speed.decodeMs(700)],
@@ -403,7 +403,7 @@
     );
     fleet.directory.replaceAll(servers);
     const fast = { engineId: 'e1', logPace: Math.log(2), weight: 16 };
-    fleet.paces.takeKnown([told([...USUAL, fast], LINE)], 0);
+    fleet.paces.applyKnown([told([...USUAL, fast], LINE)], 0);
     assert.equal(fleet.paceOf('e1') > 1.7, enginePaces === 'always');
     assert.equal(fleet.paceOf('not listed'), 1);
     const change = fleet.directory.replaceAll([]);
--- a/test/gateway/fleet-demand.test.ts
+++ b/test/gateway/fleet-demand.test.ts
@@ -23,7 +23,7 @@
 }
 
 function sums(relay: string, requests: number): LoadSums {
-  const head = { relay, incarnation: 1, sequence: 1, isWhole: true };
+  const head = { relay, incarnation: 1, sequence: 1, isComplete: true };
   return { ...head, work: [], reads: [], reach: [], demand: [demand(requests)] };
 }
 
@@ -33,14 +33,14 @@
   const loads = new PeerLoads();
   loads.take(report('a', 3), 0);
   loads.take(report('b', 4), 0);
-  loads.takeZoneSums('south', sums('r', 10), 0);
+  loads.applyZoneSums('south', sums('r', 10), 0);
   assert.equal(requestsOf(loads.zoneDemand([demand(1)], 0)), 8);
   assert.equal(requestsOf(loads.totalDemand([demand(1)], 0)), 18);
 });
 
 test('a follower takes what its relay says, which holds its own, until the relay falls silent', () => {
   const loads = new PeerLoads();
-  loads.takeSums(sums('r', 50), [], 0);
+  loads.applySums(sums('r', 50), [], 0);
   assert.equal(requestsOf(loads.totalDemand([demand(5)], 100)), 50);
   assert.equal(requestsOf(loads.totalDemand([demand(5)], 3_000)), 5);
 });
@@ -114,8 +114,8 @@
   fleet.peerLoads.take(report('a', 180), 0);
   assert.equal(fleet.demand.limitSharesOf('m', 0)('e2'), 1);
   // 180 requests in 6 s are 10 a second for each of three that generate.
-  fleet.limits.takeTold('e2', { perSecond: 2, saidAgoMs: 0 }, 0);
-  fleet.limits.takeTold('e3', { perSecond: 50, saidAgoMs: 0 }, 0);
+  fleet.limits.applyAdvertised('e2', { perSecond: 2, reportedAgoMs: 0 }, 0);
+  fleet.limits.applyAdvertised('e3', { perSecond: 50, reportedAgoMs: 0 }, 0);
   const shareOf = fleet.demand.limitSharesOf('m', 0);
   assert.deepEqual(['e1', 'e2', 'e3', 'e4'].map(shareOf), [1, 0.2, 1, 1]);
 });
--- a/test/gateway/limit-ledger.test.ts
+++ b/test/gateway/limit-ledger.test.ts
@@ -1,9 +1,9 @@
 /** The books of the daemon that grants the requests to a limited server. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
-import { LEDGER_SPAN_MS, LimitLedger, type PermitAsk } from '../../src/core/gateway/index.js';
+import { LEDGER_SPAN_MS, LimitLedger, type PermitRequest } from '../../src/core/gateway/index.js';
 
-function ask(fields: Partial<PermitAsk> = {}): PermitAsk {
+function ask(fields: Partial<PermitRequest> = {}): PermitRequest {
   return { daemon: 'a', wanted: 1, returned: 0, unmetered: [], knownForMs: 0, ...fields };
 }
 
--- a/test/gateway/limit-messages.test.ts
+++ b/test/gateway/limit-messages.test.ts
@@ -8,7 +8,7 @@
 } from '../../src/shell/gateway/limit-message-fields.js';
 import { decodePeerMessage, encodePeerMessage } from '../../src/shell/gateway/peer-messages.js';
 
-const LIMIT = { perSecond: 1.2, saidAgoMs: 30 };
+const LIMIT = { perSecond: 1.2, reportedAgoMs: 30 };
 const ASK: LimitAskMessage = {
   kind: 'limit-ask',
   daemon: 'front-1',
@@ -35,7 +35,7 @@
     limit: LIMIT,
     granted: 1,
     roomInMs: 800,
-    askers: 9,
+    requesters: 9,
   },
   { kind: 'limit-told', daemon: 'front-2', serverId: 'i-1', limit: LIMIT },
 ];
--- a/test/gateway/named-limits.test.ts
+++ b/test/gateway/named-limits.test.ts
@@ -2,7 +2,11 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import { REQUEST_CODEC } from '../../platform/request-codec.js';
-import { type HeardLimit, NamedLimits, type ServerRecord } from '../../src/core/gateway/index.js';
+import {
+  type ReportedLimit,
+  NamedLimits,
+  type ServerRecord,
+} from '../../src/core/gateway/index.js';
 
 const SERVER: ServerRecord = {
   id: 'i-1',
@@ -14,9 +18,9 @@
   isSpot: false,
   stage: undefined,
 };
-const NONE: HeardLimit = { kind: 'none', attemptId: 'a' };
+const NONE: ReportedLimit = { kind: 'none', attemptId: 'a' };
 
-function named(perSecond: number): HeardLimit {
+function named(perSecond: number): ReportedLimit {
   return { kind: 'named', perSecond };
 }
 
@@ -61,38 +65,59 @@
 
 test('a limit holds until an answer to a later request names none', () => {
   const limits = new NamedLimits();
-  assert.equal(limits.hear(SERVER, named(2), { sentAtMs: 0, nowMs: 100 })?.kind, 'named');
-  assert.equal(limits.hear(SERVER, NONE, { sentAtMs: 90, nowMs: 300 }), undefined);
+  assert.equal(limits.recordReport(SERVER, named(2), { sentAtMs: 0, nowMs: 100 })?.kind, 'named');
+  assert.equal(limits.recordReport(SERVER, NONE, { sentAtMs: 90, nowMs: 300 }), undefined);
   assert.equal(limits.of('i-1')?.perSecond, 2);
-  assert.equal(limits.hear(SERVER, named(3), { sentAtMs: 200, nowMs: 400 })?.kind, 'changed');
-  assert.equal(limits.hear(SERVER, NONE, { sentAtMs: 401, nowMs: 500 })?.kind, 'ended');
+  assert.equal(
+    limits.recordReport(SERVER, named(3), { sentAtMs: 200, nowMs: 400 })?.kind,
+    'changed',
+  );
+  assert.equal(limits.recordReport(SERVER, NONE, { sentAtMs: 401, nowMs: 500 })?.kind, 'ended');
   assert.equal(limits.of('i-1'), undefined);
 });
 
 test('what others tell counts by its age, and the first answer of its own is news', () => {
   const limits = new NamedLimits();
-  assert.equal(limits.takeTold('i-1', { perSecond: 2, saidAgoMs: 10 }, 1_000)?.kind, 'named');
-  assert.equal(limits.takeTold('i-1', { perSecond: 5, saidAgoMs: 50 }, 1_010), undefined);
+  assert.equal(
+    limits.applyAdvertised('i-1', { perSecond: 2, reportedAgoMs: 10 }, 1_000)?.kind,
+    'named',
+  );
+  assert.equal(
+    limits.applyAdvertised('i-1', { perSecond: 5, reportedAgoMs: 50 }, 1_010),
+    undefined,
+  );
   assert.equal(limits.of('i-1')?.isHeard, false);
-  assert.equal(limits.hear(SERVER, named(2), { sentAtMs: 1_000, nowMs: 1_020 })?.kind, 'named');
-  assert.equal(limits.takeTold('i-1', { perSecond: undefined, saidAgoMs: 100 }, 1_050), undefined);
-  const ended = limits.takeTold('i-1', { perSecond: undefined, saidAgoMs: 5 }, 1_050);
+  assert.equal(
+    limits.recordReport(SERVER, named(2), { sentAtMs: 1_000, nowMs: 1_020 })?.kind,
+    'named',
+  );
+  assert.equal(
+    limits.applyAdvertised('i-1', { perSecond: undefined, reportedAgoMs: 100 }, 1_050),
+    undefined,
+  );
+  const ended = limits.applyAdvertised('i-1', { perSecond: undefined, reportedAgoMs: 5 }, 1_050);
   assert.deepEqual(ended, { kind: 'ended', before: 2 });
-  assert.equal(limits.takeTold('i-1', { perSecond: 2, saidAgoMs: 60 }, 1_100), undefined);
-  assert.equal(limits.takeTold('i-1', { perSecond: 2, saidAgoMs: 20 }, 1_100)?.kind, 'named');
+  assert.equal(
+    limits.applyAdvertised('i-1', { perSecond: 2, reportedAgoMs: 60 }, 1_100),
+    undefined,
+  );
+  assert.equal(
+    limits.applyAdvertised('i-1', { perSecond: 2, reportedAgoMs: 20 }, 1_100)?.kind,
+    'named',
+  );
 });
 
 test('a limit that moves a little with each answer is no news, and the newest one is told on', () => {
   const limits = new NamedLimits();
-  limits.hear(SERVER, named(10), { sentAtMs: 0, nowMs: 10 });
+  limits.recordReport(SERVER, named(10), { sentAtMs: 0, nowMs: 10 });
   for (const [nowMs, perSecond] of [
     [20, 10.5],
     [30, 9.6],
     [40, 10.9],
   ] as const) {
-    assert.equal(limits.hear(SERVER, named(perSecond), { sentAtMs: 0, nowMs }), undefined);
+    assert.equal(limits.recordReport(SERVER, named(perSecond), { sentAtMs: 0, nowMs }), undefined);
   }
-  assert.deepEqual(limits.toldOf('i-1', 50), { perSecond: 10.9, saidAgoMs: 10 });
-  const change = limits.hear(SERVER, named(12), { sentAtMs: 0, nowMs: 60 });
+  assert.deepEqual(limits.advertisementOf('i-1', 50), { perSecond: 10.9, reportedAgoMs: 10 });
+  const change = limits.recordReport(SERVER, named(12), { sentAtMs: 0, nowMs: 60 });
   assert.deepEqual(change, { kind: 'changed', perSecond: 12, before: 10 });
 });
--- a/test/gateway/overload-replay.test.ts
+++ b/test/gateway/overload-replay.test.ts
@@ -274,10 +274,10 @@
       lateMs: sum(index, 'lateMs'),
       running: 0,
     }));
-    const sums = { relay: 'd0', incarnation: 1, sequence, isWhole: true, work };
+    const sums = { relay: 'd0', incarnation: 1, sequence, isComplete: true, work };
     const told = { ...sums, reads: [], reach: [], demand: [] };
     for (const [index, daemon] of daemons.entries()) {
-      daemon.peers.takeSums(told, works[index] ?? [], clock.now);
+      daemon.peers.applySums(told, works[index] ?? [], clock.now);
       turn(daemon);
     }
     clock.at(clock.now + SUMS_EVERY_MS, tell);
--- a/test/gateway/peers.test.ts
+++ b/test/gateway/peers.test.ts
@@ -72,7 +72,7 @@
     relay: 'r',
     incarnation: 1,
     sequence: 1,
-    isWhole: true,
+    isComplete: true,
     work,
     reads: [],
     reach: [],
@@ -84,7 +84,7 @@
 test("a relay's sums are taken less the own work, instead of what single daemons told", () => {
   const loads = new PeerLoads();
   loads.take(report(), 0);
-  loads.takeSums(sums(), [{ engineId: 'e', pendingMs: 200, lateMs: 0, running: 1 }], 0);
+  loads.applySums(sums(), [{ engineId: 'e', pendingMs: 200, lateMs: 0, running: 1 }], 0);
   assert.equal(loads.waitMs('e', 'in-time', 0), 300);
   assert.equal(loads.waitMs('e', 'in-time', 100), 200);
   assert.equal(loads.running('e', 0), 4);
@@ -92,20 +92,20 @@
 
 test('sums that name changes only leave the others as they were; a whole one drops them', () => {
   const loads = new PeerLoads();
-  loads.takeSums(sums(), [], 0);
+  loads.applySums(sums(), [], 0);
   const work = [{ engineId: 'f', pendingMs: 100, lateMs: 0, running: 1 }];
-  loads.takeSums(sums({ sequence: 2, isWhole: false, work }), [], 0);
+  loads.applySums(sums({ sequence: 2, isComplete: false, work }), [], 0);
   assert.equal(loads.waitMs('e', 'in-time', 0), 500);
   assert.equal(loads.waitMs('f', 'in-time', 0), 100);
-  loads.takeSums(sums({ sequence: 1, isWhole: true, work: [] }), [], 0);
+  loads.applySums(sums({ sequence: 1, isComplete: true, work: [] }), [], 0);
   assert.equal(loads.waitMs('e', 'in-time', 0), 500);
-  loads.takeSums(sums({ sequence: 3, work }), [], 0);
+  loads.applySums(sums({ sequence: 3, work }), [], 0);
   assert.equal(loads.waitMs('e', 'in-time', 0), 0);
 });
 
 test('when the relay falls silent, what single daemons told counts again', () => {
   const loads = new PeerLoads();
-  loads.takeSums(sums({ work: [] }), [], 0);
+  loads.applySums(sums({ work: [] }), [], 0);
   loads.take(report(), 2_000);
   assert.equal(loads.running('e', 2_000), 0);
   assert.equal(loads.running('e', 3_000), 2);
@@ -119,19 +119,19 @@
     relay: 'r',
     incarnation: 1,
     sequence: 1,
-    isWhole: true,
+    isComplete: true,
     work: work(5),
     reads: [],
     reach: [],
     demand: [],
   };
-  loads.takeZoneSums('south', sums, 0);
-  loads.takeZoneSums('west', { ...sums, relay: 's', work: work(7) }, 0);
+  loads.applyZoneSums('south', sums, 0);
+  loads.applyZoneSums('west', { ...sums, relay: 's', work: work(7) }, 0);
   assert.equal(loads.zoneTotals(work(1), 0)[0]?.running, 3);
   assert.equal(loads.totals(work(1), 0)[0]?.running, 15);
   assert.equal(loads.running('e', 0), 14);
   // A relay that takes over from another is not counted beside it.
-  loads.takeZoneSums('west', { ...sums, relay: 't', work: work(8) }, 10);
+  loads.applyZoneSums('west', { ...sums, relay: 't', work: work(8) }, 10);
   assert.equal(loads.running('e', 10), 15);
   // One that falls silent counts no more.
   assert.equal(loads.running('e', 3_000), 2);
@@ -314,11 +314,11 @@
         loads.take(report, nowMs);
         reported.resolve(report);
       },
-      takeSums: (sums) => {
+      applySums: (sums) => {
         if (sums.work.some(({ running }) => running > LARGEST_OWN)) summed.resolve(sums);
       },
-      takeZoneSums: (zoneOfSums, sums, nowMs) => {
-        loads.takeZoneSums(zoneOfSums, sums, nowMs);
+      applyZoneSums: (zoneOfSums, sums, nowMs) => {
+        loads.applyZoneSums(zoneOfSums, sums, nowMs);
         relayed.resolve(sums);
       },
       totals: (own, nowMs) => loads.totals(own, nowMs),
--- a/test/gateway/place-web-request.test.ts
+++ b/test/gateway/place-web-request.test.ts
@@ -42,9 +42,9 @@
 
 test('servers that turned calls away are waited for, and one that did not is asked', () => {
   const resting = input(0);
-  resting.healthOf('i-1').recordTurnedAway(NOW_MS);
+  resting.healthOf('i-1').recordRefusal(NOW_MS);
   assert.equal(placeWebRequest(resting).kind, 'go');
-  resting.healthOf('i-2').recordTurnedAway(NOW_MS);
+  resting.healthOf('i-2').recordRefusal(NOW_MS);
   assert.deepEqual(placeWebRequest(resting), { kind: 'wait', slackMs: 100, roomInMs: 100 });
 });
 
--- a/test/gateway/reach-notices.test.ts
+++ b/test/gateway/reach-notices.test.ts
@@ -15,43 +15,43 @@
 test('a silent server is passed over, then tried by one call at a time', () => {
   const health = new ServerHealth();
   health.recordSilent(0);
-  assert.equal(health.isDark(100), true);
-  assert.equal(health.isDark(1_000), false, 'it may be tried');
+  assert.equal(health.isUnreachable(100), true);
+  assert.equal(health.isUnreachable(1_000), false, 'it may be tried');
   const trial = health.open(1_000);
-  assert.equal(health.isDark(1_000), true, 'the trial is under way');
+  assert.equal(health.isUnreachable(1_000), true, 'the trial is under way');
   health.close(trial);
   health.recordSilent(1_220);
-  assert.equal(health.isDark(1_300), true);
+  assert.equal(health.isUnreachable(1_300), true);
   health.recordReached();
-  assert.equal(health.isDark(1_300), false);
+  assert.equal(health.isUnreachable(1_300), false);
 });
 
 test('a call that was open before does not keep a silent server from being tried', () => {
   const health = new ServerHealth();
   health.open(0);
   health.recordSilent(10);
-  assert.equal(health.isDark(1_000), false);
+  assert.equal(health.isUnreachable(1_000), false);
 });
 
 test('one daemon alone is not believed, two are, and only for a while', () => {
   const health = new ServerHealth();
-  health.takeTold(silent('a'), 0);
-  health.takeTold(silent('a'), 100);
-  assert.equal(health.isDark(100), false);
-  health.takeTold(silent('b'), 200);
-  assert.equal(health.isDark(200), true);
-  assert.equal(health.isDark(1_300), false);
-  health.takeTold(silent('c'), 5_000);
-  assert.equal(health.isDark(5_000), false, 'the others said so long ago');
+  health.applyReachNotice(silent('a'), 0);
+  health.applyReachNotice(silent('a'), 100);
+  assert.equal(health.isUnreachable(100), false);
+  health.applyReachNotice(silent('b'), 200);
+  assert.equal(health.isUnreachable(200), true);
+  assert.equal(health.isUnreachable(1_300), false);
+  health.applyReachNotice(silent('c'), 5_000);
+  assert.equal(health.isUnreachable(5_000), false, 'the others said so long ago');
 });
 
 test('what was found silent here and there is believed, and a server that is back is used at once', () => {
   const health = new ServerHealth();
   health.recordSilent(0);
-  health.takeTold(silent('a'), 10);
-  assert.equal(health.isDark(900), true);
-  health.takeTold(back('b'), 910);
-  assert.equal(health.isDark(910), false);
+  health.applyReachNotice(silent('a'), 10);
+  assert.equal(health.isUnreachable(900), true);
+  health.applyReachNotice(back('b'), 910);
+  assert.equal(health.isUnreachable(910), false);
   assert.equal(health.isEjected(910), false);
 });
 
--- a/test/gateway/server-availability.test.ts
+++ b/test/gateway/server-availability.test.ts
@@ -5,8 +5,8 @@
 import { ServerAvailability, type ServerRecord } from '../../src/core/gateway/index.js';
 import { FleetView } from '../../src/shell/gateway/fleet-view.js';
 
-const REST = { isLeaving: false, restMs: 3_000 };
-const LEAVING = { isLeaving: true, restMs: undefined };
+const REST = { isLeaving: false, backOffMs: 3_000 };
+const LEAVING = { isLeaving: true, backOffMs: undefined };
 
 function serverOf(fields: Partial<ServerRecord> = {}): ServerRecord {
   return {
@@ -39,9 +39,14 @@
   ['a leave on a failure', 500, { 'server-leaving': '1' }, LEAVING],
   ['a leave said twice', 200, { 'server-leaving': '1, 1' }, LEAVING],
   ['a rest', 503, { 'retry-after': '3' }, REST],
-  ['a rest in parts of a second', 503, { 'retry-after': '0.25' }, { ...REST, restMs: 250 }],
-  ['no rest at all', 503, { 'retry-after': '0' }, { ...REST, restMs: 0 }],
-  ['both', 503, { 'server-leaving': '1', 'retry-after': '3' }, { isLeaving: true, restMs: 3_000 }],
+  ['a rest in parts of a second', 503, { 'retry-after': '0.25' }, { ...REST, backOffMs: 250 }],
+  ['no rest at all', 503, { 'retry-after': '0' }, { ...REST, backOffMs: 0 }],
+  [
+    'both',
+    503,
+    { 'server-leaving': '1', 'retry-after': '3' },
+    { isLeaving: true, backOffMs: 3_000 },
+  ],
 ];
 
 for (const [name, status, headers, expected] of READ) {
@@ -65,7 +70,7 @@
 for (const [name, status, headers] of UNREADABLE) {
   test(`ignored, and said: ${name}`, () => {
     const said = REQUEST_CODEC.readAvailability(status, headers);
-    assert.deepEqual([said?.isLeaving, said?.restMs], [false, undefined]);
+    assert.deepEqual([said?.isLeaving, said?.backOffMs], [false, undefined]);
     assert.notEqual(said?.unreadable, '');
     const told = new ServerAvailability();
     if (said !== undefined) told.take(SERVER, said, at(0));
@@ -82,7 +87,7 @@
 test('a rest holds whole, and a shorter one that is asked for meanwhile takes nothing off it', () => {
   const told = new ServerAvailability();
   told.take(SERVER, REST, at(0));
-  told.take(SERVER, { ...REST, restMs: 1_000 }, at(100));
+  told.take(SERVER, { ...REST, backOffMs: 1_000 }, at(100));
   assert.equal(kindAt(told, 2_999), 'resting');
   assert.equal(kindAt(told, 3_000), 'open');
 });
@@ -108,7 +113,7 @@
 
 test('however long a rest is asked for, the server is tried again within a minute or so', () => {
   const told = new ServerAvailability();
-  told.take(SERVER, { ...REST, restMs: 9_999_999_999_000 }, at(0, 1));
+  told.take(SERVER, { ...REST, backOffMs: 9_999_999_999_000 }, at(0, 1));
   assert.equal(kindAt(told, 59_000), 'resting');
   assert.equal(kindAt(told, 66_000), 'open');
 });
@@ -116,10 +121,10 @@
 test('after a rest one request goes first; the others follow its answer, or when it was taken in', () => {
   const told = new ServerAvailability();
   told.take(SERVER, REST, at(0));
-  told.noteSent(SERVER, 3_010);
+  told.recordSent(SERVER, 3_010);
   assert.equal(kindAt(told, 3_020), 'resting');
   assert.equal(kindAt(told, 3_260), 'open');
-  told.noteTaken(SERVER, 3_010);
+  told.recordAccepted(SERVER, 3_010);
   assert.equal(kindAt(told, 3_021), 'open');
   told.take(SERVER, REST, at(4_000));
   assert.equal(kindAt(told, 6_999), 'resting');
@@ -128,7 +133,7 @@
 test('the answer to what was sent before the rest ended says nothing of it', () => {
   const told = new ServerAvailability();
   told.take(SERVER, REST, at(0));
-  told.noteTaken(SERVER, -50);
+  told.recordAccepted(SERVER, -50);
   assert.equal(kindAt(told, 1_000), 'resting');
 });
 
@@ -136,7 +141,7 @@
   const told = new ServerAvailability();
   told.take(SERVER, REST, at(0));
   assert.equal(kindAt(told, 60_000), 'open');
-  told.noteSent(SERVER, 60_000);
+  told.recordSent(SERVER, 60_000);
   assert.equal(kindAt(told, 60_001), 'resting');
 });
 
@@ -156,8 +161,8 @@
   const told = new ServerAvailability();
   told.take(SERVER, { ...REST, isLeaving: true }, at(0));
   assert.equal(kindAt(told, 1_000), 'leaving');
-  assert.equal(told.restOf(SERVER, 1_000)?.forMs, 2_000);
-  assert.equal(told.restOf(SERVER, 3_000), undefined);
+  assert.equal(told.backOffOf(SERVER, 1_000)?.forMs, 2_000);
+  assert.equal(told.backOffOf(SERVER, 3_000), undefined);
 });
 
 test('only a leave that was not known is news; each rest is', () => {
@@ -199,7 +204,7 @@
   const other = serverOf({ id: 'i-2', address: '10.0.0.2:80' });
   fleet.directory.replaceAll([SERVER, other]);
   fleet.availability.take(SERVER, REST, at(0));
-  fleet.availability.take(other, { ...REST, restMs: 800 }, at(0));
+  fleet.availability.take(other, { ...REST, backOffMs: 800 }, at(0));
   assert.deepEqual(fleet.candidates('s', 100), []);
   assert.equal(fleet.roomExpectedInMs('s', 100), 700);
   assert.deepEqual(fleet.unavailableOf('s', 100), { leaving: 0, resting: 2 });
--- a/test/gateway/spread.test.ts
+++ b/test/gateway/spread.test.ts
@@ -172,17 +172,17 @@
 
 test('a follower knows since when the others are asked, a new one of a busy fleet does not', () => {
   const demand = [{ service: 'm', ...DEMAND }];
-  const sums = { relay: 'r', incarnation: 1, isWhole: true, work: [], reads: [], reach: [] };
+  const sums = { relay: 'r', incarnation: 1, isComplete: true, work: [], reads: [], reach: [] };
   const loads = new PeerLoads();
   assert.equal(loads.sumsAgeMs(0), undefined);
-  loads.takeSums({ ...sums, sequence: 1, demand: [] }, [], 0);
+  loads.applySums({ ...sums, sequence: 1, demand: [] }, [], 0);
   assert.equal(loads.busyForMs(10), undefined);
-  loads.takeSums({ ...sums, sequence: 2, demand }, [], 100);
-  loads.takeSums({ ...sums, sequence: 3, demand }, [], 200);
+  loads.applySums({ ...sums, sequence: 2, demand }, [], 100);
+  loads.applySums({ ...sums, sequence: 3, demand }, [], 200);
   assert.deepEqual([loads.busyForMs(250), loads.sumsAgeMs(250)], [150, 50]);
   assert.equal(loads.sumsAgeMs(9_000), undefined, 'a relay that fell silent');
   const late = new PeerLoads();
-  late.takeSums({ ...sums, sequence: 4, demand }, [], 100);
+  late.applySums({ ...sums, sequence: 4, demand }, [], 100);
   assert.equal(late.busyForMs(200), Number.POSITIVE_INFINITY);
 });
 
--- a/test/gateway/sums-in-bounds.test.ts
+++ b/test/gateway/sums-in-bounds.test.ts
@@ -10,7 +10,7 @@
   PeerLoads,
   ServerDirectory,
   type ServerRecord,
-  SumsToTell,
+  SumsAdvertiser,
   shortIdOf,
 } from '../../src/core/gateway/index.js';
 
@@ -34,7 +34,7 @@
 }
 
 test('of more engines than there are bytes for, none looks idle while it is busy', () => {
-  const sums = new SumsToTell();
+  const sums = new SumsAdvertiser();
   const loads = new PeerLoads();
   const head = { relay: 'r', incarnation: 1, reads: [], reach: [], demand: [] };
   let sequence = 0;
@@ -42,7 +42,7 @@
     const told = sums.next(workAt(nowMs), nowMs, MOST_ENTRIES);
     assert.ok(told.work.length <= MOST_ENTRIES);
     sequence += 1;
-    loads.takeSums({ ...head, ...told, sequence }, [], nowMs);
+    loads.applySums({ ...head, ...told, sequence }, [], nowMs);
     if (nowMs < 500) continue;
     for (const { engineId } of workAt(nowMs)) {
       assert.ok(loads.waitMs(engineId, 'in-time', nowMs) > 0, `${engineId} at ${nowMs} ms`);
@@ -51,7 +51,7 @@
 });
 
 test('what there were no bytes for is not taken as told', () => {
-  const sums = new SumsToTell();
+  const sums = new SumsAdvertiser();
   const [first, second] = workAt(0);
   assert.ok(first !== undefined && second !== undefined);
   const told = sums.next([first, second], 0, 1).work;
@@ -61,7 +61,7 @@
 });
 
 test('the engines of which others are most mistaken come first', () => {
-  const sums = new SumsToTell();
+  const sums = new SumsAdvertiser();
   const work = workAt(0);
   sums.next(work, 0);
   const [first, second, ...others] = work;
@@ -73,7 +73,7 @@
 });
 
 test('what was told long ago is told again where the whole is too much, as it may have been lost', () => {
-  const sums = new SumsToTell();
+  const sums = new SumsAdvertiser();
   const work = workAt(0).slice(0, 3);
   for (const nowMs of [0, 60, 120]) sums.next(work, nowMs, 1);
   const later = work.map((entry) => ({ ...entry, pendingMs: 0 }));
--- a/test/gateway/sums-to-tell.test.ts
+++ b/test/gateway/sums-to-tell.test.ts
@@ -1,21 +1,21 @@
 /** What a relay tells its zone, and what it leaves out. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
-import { SumsToTell } from '../../src/core/gateway/index.js';
+import { SumsAdvertiser } from '../../src/core/gateway/index.js';
 
 const WORK = { engineId: 'e', pendingMs: 500, lateMs: 0, running: 2 };
 
 test('the first sums are whole, then changes alone, and whole again after a time', () => {
-  const sums = new SumsToTell();
-  assert.deepEqual(sums.next([WORK], 0), { isWhole: true, work: [WORK] });
+  const sums = new SumsAdvertiser();
+  assert.deepEqual(sums.next([WORK], 0), { isComplete: true, work: [WORK] });
   const other = { engineId: 'f', pendingMs: 100, lateMs: 0, running: 1 };
   const left = { ...WORK, pendingMs: 400 };
-  assert.deepEqual(sums.next([left, other], 100), { isWhole: false, work: [other] });
-  assert.equal(sums.next([WORK], 1_000).isWhole, true);
+  assert.deepEqual(sums.next([left, other], 100), { isComplete: false, work: [other] });
+  assert.equal(sums.next([WORK], 1_000).isComplete, true);
 });
 
 test('time that passes is no change; more work, or another stream, is', () => {
-  const sums = new SumsToTell();
+  const sums = new SumsAdvertiser();
   sums.next([WORK], 0);
   assert.deepEqual(sums.next([{ ...WORK, pendingMs: 300 }], 200).work, []);
   const more = { ...WORK, pendingMs: 350 };
@@ -25,7 +25,7 @@
 });
 
 test('an engine that has no work any more is told once, with none', () => {
-  const sums = new SumsToTell();
+  const sums = new SumsAdvertiser();
   sums.next([WORK], 0);
   assert.deepEqual(sums.next([], 100).work, [
     { engineId: 'e', pendingMs: 0, lateMs: 0, running: 0 },
--- a/test/gateway/support/spread-replay.ts
+++ b/test/gateway/support/spread-replay.ts
@@ -11,7 +11,7 @@
   planModelRequest,
   type ReadNotice,
   type ServerRecord,
-  SumsToTell,
+  SumsAdvertiser,
   sharedPart,
 } from '../../../src/core/gateway/index.js';
 import { VirtualClock } from '../../../src/lab/simulation/index.js';
@@ -90,8 +90,8 @@
 
 interface Relay {
   readonly daemon: Daemon;
-  readonly zoneSums: SumsToTell;
-  readonly sums: SumsToTell;
+  readonly zoneSums: SumsAdvertiser;
+  readonly sums: SumsAdvertiser;
   zoneReads: ReadNotice[];
   otherReads: ReadNotice[];
 }
@@ -129,8 +129,8 @@
     this.#daemons = Array.from({ length: scenario.daemons }, (_, place) => this.#daemon(place));
     this.#relays = this.#daemons.slice(0, ZONES).map((daemon) => ({
       daemon,
-      zoneSums: new SumsToTell(),
-      sums: new SumsToTell(),
+      zoneSums: new SumsAdvertiser(),
+      sums: new SumsAdvertiser(),
       zoneReads: [],
       otherReads: [],
     }));
@@ -368,13 +368,13 @@
       for (const daemon of this.#daemons) {
         if (daemon.zone !== zone || daemon === relay.daemon) continue;
         const ownWork = daemon.fleet.ownWork(atMs);
-        daemon.fleet.peerLoads.takeSums({ ...head, ...all, reads, demand }, ownWork, atMs);
+        daemon.fleet.peerLoads.applySums({ ...head, ...all, reads, demand }, ownWork, atMs);
         this.#takeReads(daemon, reads);
       }
       for (const other of this.#relays) {
         if (other === relay) continue;
         const sums = { ...head, ...ofZone, reads: zoneReads, demand: zoneDemand };
-        other.daemon.fleet.peerLoads.takeZoneSums(`zone-${zone}`, sums, atMs);
+        other.daemon.fleet.peerLoads.applyZoneSums(`zone-${zone}`, sums, atMs);
         other.otherReads.push(...zoneReads);
         this.#takeReads(other.daemon, zoneReads);
       }
--- a/test/gateway/support/web-fleet.ts
+++ b/test/gateway/support/web-fleet.ts
@@ -176,9 +176,15 @@
     const healthOf = (id: string) => daemon.healths.get(id) ?? new ServerHealth();
     const loadOf = (id: string) => {
       const { openCalls: ownCalls, responseMs } = healthOf(id);
-      const toldCalls = this.#options.isTold ? daemon.peers.running(id, this.#nowMs) : undefined;
+      const advertisedCalls = this.#options.isTold
+        ? daemon.peers.running(id, this.#nowMs)
+        : undefined;
       const isCrowded = this.#options.daemons > this.#options.slots * this.#servers.length;
-      return daemon.loads.expect(id, { ownCalls, toldCalls, responseMs, isCrowded }, this.#nowMs);
+      return daemon.loads.estimate(
+        id,
+        { ownCalls, advertisedCalls, responseMs, isCrowded },
+        this.#nowMs,
+      );
     };
     const record = chooseWebServer({
       candidates: this.#servers.map((server) => server.record),
@@ -208,7 +214,7 @@
       this.#serve(server, {
         shed: () => {
           close();
-          health.recordTurnedAway(this.#nowMs);
+          health.recordRefusal(this.#nowMs);
           this.#send(daemon, triedIds);
         },
         done: () => {
@@ -249,7 +255,7 @@
     if (!this.#options.isReported) return;
     const ownCalls = daemon.healths.get(record.id)?.openCalls ?? 0;
     const figures = { running, waiting: queue.length, slots: record.slots, slowness: undefined };
-    daemon.loads.takeReport(record.id, figures, ownCalls, this.#nowMs);
+    daemon.loads.recordReport(record.id, figures, ownCalls, this.#nowMs);
   }
 
   #ownWork({ healths }: Daemon): readonly EngineWork[] {
@@ -286,10 +292,10 @@
     this.#after(LINK_MS, () => {
       for (const daemon of this.#daemons) {
         if (daemon.zone !== zone) continue;
-        daemon.peers.takeSums(ofAll, this.#ownWork(daemon), this.#nowMs);
+        daemon.peers.applySums(ofAll, this.#ownWork(daemon), this.#nowMs);
       }
       for (const [otherZone, other] of this.#relays) {
-        if (otherZone !== zone) other.takeZoneSums(zone, ofZone, this.#nowMs);
+        if (otherZone !== zone) other.applyZoneSums(zone, ofZone, this.#nowMs);
       }
     });
     this.#after(RELAY_GAP_MS, () => this.#tellSums(zone));
@@ -297,7 +303,7 @@
 
   #sums(zone: string, work: readonly EngineWork[]): LoadSums {
     this.#sequence += 1;
-    const head = { relay: zone, incarnation: 1, sequence: this.#sequence, isWhole: true };
+    const head = { relay: zone, incarnation: 1, sequence: this.#sequence, isComplete: true };
     return { ...head, work, ...NO_NEWS };
   }
 
--- a/test/gateway/unlike-paces.test.ts
+++ b/test/gateway/unlike-paces.test.ts
@@ -31,11 +31,11 @@
 
 test('engines that differ as waits make them differ are decided on as one pace', () => {
   const { speed, paces } = fleetPaces();
-  paces.takeKnown([toldOf([1.25, 0.85, 1, 1.1, 0.9])], 0);
+  paces.applyKnown([toldOf([1.25, 0.85, 1, 1.1, 0.9])], 0);
   paces.refresh(LATER_MS);
   assert.equal(paces.isUsedFor(SERVICE), false);
   assert.equal(paces.pacesOf(SERVICE)('e0'), 1);
-  assert.equal(paces.homePacesOf(SERVICE)('e0'), 1);
+  assert.equal(paces.quantizedPacesOf(SERVICE)('e0'), 1);
   assert.deepEqual(paces.takeChanges(10), []);
   assert.equal(speed.isLearnt, false, "the line of others is not this daemon's");
 });
@@ -43,7 +43,7 @@
 test('while they are alike a read teaches the line as if there were no paces', () => {
   const { speed, paces } = fleetPaces();
   const alone = new ReadSpeed();
-  paces.takeKnown([toldOf([1.25, 0.85, 1, 1.1, 0.9])], 0);
+  paces.applyKnown([toldOf([1.25, 0.85, 1, 1.1, 0.9])], 0);
   for (let turn = 0; turn < 20; turn += 1) {
     const [tokens, elapsedMs] = [2_000 + 400 * turn, 60 + 9 * turn];
     const server = { id: `e${turn % ENGINES}`, service: SERVICE };
@@ -56,9 +56,9 @@
 test('engines of unlike machines are decided on by their paces, and by the line that belongs to these', () => {
   const { speed, paces } = fleetPaces();
   const told = toldOf([0.7, 0.7, 1.7]);
-  paces.takeKnown([told], 0);
+  paces.applyKnown([told], 0);
   paces.refresh(LATER_MS);
-  paces.takeKnown([told], LATER_MS);
+  paces.applyKnown([told], LATER_MS);
   assert.equal(paces.isUsedFor(SERVICE), true);
   assert.ok(paces.pacesOf(SERVICE)('e2') > 1.5);
   assert.ok(paces.pacesOf(SERVICE)('e0') < 0.8);
@@ -67,9 +67,9 @@
 
 test('once they are alike again there is one pace again', () => {
   const { paces } = fleetPaces();
-  paces.takeKnown([toldOf([0.7, 0.7, 1.7])], 0);
+  paces.applyKnown([toldOf([0.7, 0.7, 1.7])], 0);
   paces.refresh(LATER_MS);
-  paces.takeKnown([toldOf([1])], LATER_MS);
+  paces.applyKnown([toldOf([1])], LATER_MS);
   paces.refresh(2 * LATER_MS);
   assert.equal(paces.isUsedFor(SERVICE), false);
 });
@@ -77,7 +77,7 @@
 test('a few engines that were seen say nothing of how unlike they all are', () => {
   const { paces } = fleetPaces();
   const { engines, ...rest } = toldOf([0.7, 0.7, 1.7]);
-  paces.takeKnown([{ ...rest, engines: engines.slice(0, 3) }], 0);
+  paces.applyKnown([{ ...rest, engines: engines.slice(0, 3) }], 0);
   paces.refresh(LATER_MS);
   assert.equal(paces.isUsedFor(SERVICE), false);
 });
--- a/test/gateway/web-server-load.test.ts
+++ b/test/gateway/web-server-load.test.ts
@@ -44,7 +44,7 @@
     for (const health of isIdle ? [] : healths.values()) {
       for (let call = 0; call < random() * 9; call += 1) health.open(0);
       if (random() < 0.5) health.recordSuccess(random() * 300);
-      if (random() < 0.2) health.recordTurnedAway(0);
+      if (random() < 0.2) health.recordRefusal(0);
     }
     const loads = new WebServerLoads();
     const input = {
@@ -58,7 +58,7 @@
     const loadOf = (id: string) => {
       const { openCalls: ownCalls, responseMs } = healthOf(id);
       const view = { ownCalls, responseMs, isCrowded: turn % 2 === 0 };
-      return loads.expect(id, { ...view, toldCalls: turn % 4 === 0 ? 0 : undefined }, 50);
+      return loads.estimate(id, { ...view, advertisedCalls: turn % 4 === 0 ? 0 : undefined }, 50);
     };
     const today = chooseWebServer(input);
     const now = chooseWebServer({ ...input, loadOf });
@@ -66,7 +66,7 @@
   }
 });
 
-const VIEW = { ownCalls: 0, toldCalls: undefined, responseMs: 100, isCrowded: true };
+const VIEW = { ownCalls: 0, advertisedCalls: undefined, responseMs: 100, isCrowded: true };
 
 function figures(running: number, waiting = 0, slowness?: number) {
   return { running, waiting, slots: 6, slowness };
@@ -74,25 +74,25 @@
 
 test('a fresh report counts before what others told, corrected for own calls since', () => {
   const loads = new WebServerLoads();
-  loads.takeReport('w-0', figures(6, 4), 2, 0);
-  const now = loads.expect('w-0', { ...VIEW, ownCalls: 2, toldCalls: 1 }, 0);
+  loads.recordReport('w-0', figures(6, 4), 2, 0);
+  const now = loads.estimate('w-0', { ...VIEW, ownCalls: 2, advertisedCalls: 1 }, 0);
   assert.equal(now.calls, 10);
-  assert.equal(now.spread, 0);
-  assert.equal(loads.expect('w-0', { ...VIEW, ownCalls: 3, toldCalls: 1 }, 0).calls, 11);
-  assert.ok(loads.expect('w-0', { ...VIEW, ownCalls: 2, toldCalls: 1 }, 301).calls < 10);
+  assert.equal(now.stdDev, 0);
+  assert.equal(loads.estimate('w-0', { ...VIEW, ownCalls: 3, advertisedCalls: 1 }, 0).calls, 11);
+  assert.ok(loads.estimate('w-0', { ...VIEW, ownCalls: 2, advertisedCalls: 1 }, 301).calls < 10);
 });
 
 test('a count is expected to come back to the usual one, and is the less certain the older it is', () => {
   const loads = new WebServerLoads();
-  for (let turn = 0; turn < 100; turn += 1) loads.takeReport('w-0', figures(2), 0, turn * 500);
-  loads.takeReport('w-0', figures(6, 14), 0, 50_000);
-  const at = (ageMs: number) => loads.expect('w-0', VIEW, 50_000 + ageMs);
+  for (let turn = 0; turn < 100; turn += 1) loads.recordReport('w-0', figures(2), 0, turn * 500);
+  loads.recordReport('w-0', figures(6, 14), 0, 50_000);
+  const at = (ageMs: number) => loads.estimate('w-0', VIEW, 50_000 + ageMs);
   assert.ok(at(0).calls > at(100).calls && at(100).calls > at(300).calls);
   assert.ok(at(1_000).calls < 10, 'then the usual one is all there is');
   assert.equal(at(20_000).calls, 0, 'in the end only own calls count');
   const steady = new WebServerLoads();
-  for (let turn = 0; turn < 10; turn += 1) steady.takeReport('w-0', figures(6), 0, turn);
-  const spreadAt = (ageMs: number) => steady.expect('w-0', VIEW, 9 + ageMs).spread;
+  for (let turn = 0; turn < 10; turn += 1) steady.recordReport('w-0', figures(6), 0, turn);
+  const spreadAt = (ageMs: number) => steady.estimate('w-0', VIEW, 9 + ageMs).stdDev;
   assert.equal(spreadAt(0), 0);
   assert.ok(spreadAt(300) > spreadAt(50) && spreadAt(50) > 0);
 });
@@ -100,8 +100,8 @@
 test('how long work takes there counts while the report is fresh, in a fleet of any size', () => {
   for (const isCrowded of [true, false]) {
     const loads = new WebServerLoads();
-    loads.takeReport('w-0', figures(1, 0, 2.5), 0, 0);
-    const at = (nowMs: number) => loads.expect('w-0', { ...VIEW, isCrowded }, nowMs).slowness;
+    loads.recordReport('w-0', figures(1, 0, 2.5), 0, 0);
+    const at = (nowMs: number) => loads.estimate('w-0', { ...VIEW, isCrowded }, nowMs).slowness;
     assert.equal(at(100), 2.5);
     assert.equal(at(400), 1);
   }
@@ -109,9 +109,13 @@
 
 test('with more slots than daemons own calls are all that counts', () => {
   const loads = new WebServerLoads();
-  loads.takeReport('w-0', figures(6, 20), 0, 0);
-  const load = loads.expect('w-0', { ...VIEW, ownCalls: 1, toldCalls: 9, isCrowded: false }, 10);
-  assert.deepEqual(load, { calls: 1, spread: 0, slowness: 1 });
+  loads.recordReport('w-0', figures(6, 20), 0, 0);
+  const load = loads.estimate(
+    'w-0',
+    { ...VIEW, ownCalls: 1, advertisedCalls: 9, isCrowded: false },
+    10,
+  );
+  assert.deepEqual(load, { calls: 1, stdDev: 0, slowness: 1 });
 });
 
 function chosen(loadOf: (id: string) => WebServerLoad, entropy: number): string | undefined {
@@ -133,8 +137,8 @@
     ['w-1', 3],
     ['w-2', 4],
   ]);
-  const choices = (spread: number) => {
-    const loadOf = (id: string) => ({ calls: calls.get(id) ?? 0, spread, slowness: 1 });
+  const choices = (stdDev: number) => {
+    const loadOf = (id: string) => ({ calls: calls.get(id) ?? 0, stdDev, slowness: 1 });
     const ids = Array.from({ length: 100 }, (_, turn) => chosen(loadOf, turn / 100));
     return ['w-0', 'w-1', 'w-2'].map((id) => ids.filter((other) => other === id).length);
   };
@@ -146,7 +150,7 @@
 test('a call that would wait counts the more the slower the server is', () => {
   const loadOf = (id: string) => {
     const slowness = id === 'w-0' ? 2.5 : 1;
-    return { calls: id === 'w-0' ? 11 : 12, spread: 0.001, slowness };
+    return { calls: id === 'w-0' ? 11 : 12, stdDev: 0.001, slowness };
   };
   assert.notEqual(chosen(loadOf, 0.5), 'w-0');
 });
