--- a/src/shell/gateway/attempt.ts
+++ b/src/shell/gateway/attempt.ts
@@ -17,7 +17,7 @@
 import type { FleetView } from './fleet-view.js';
 import type { LimitCoordinator } from './limit-coordinator.js';
 import type { MemorySource, RequestCodec } from './ports.js';
-import type { RequestRoom } from './request-room.js';
+import type { AdmissionGate } from './request-room.js';
 import type { HeldBack, ServerCalls } from './server-calls.js';
 import type { WebWork } from './web-work.js';
 
@@ -39,9 +39,9 @@
   /** Whether what other daemons have sent unseen counts in a choice. */
   readonly isSpreading: boolean;
   /** Where requests wait for room at servers. */
-  readonly room: Pick<RequestRoom, 'isOn' | 'pass' | 'waitingIn' | 'wake'>;
+  readonly admission: Pick<AdmissionGate, 'isOn' | 'admit' | 'waitingIn' | 'wake'>;
   /** To be called when work on a long prompt begins or ends. */
-  readonly noteLoadChange: () => void;
+  readonly onLoadChange: () => void;
   /** To be called when a shared part begins to be read, so that no other daemon has it read again. */
   readonly noteRead: (read: ReadNotice) => void;
   /** To be called when a server does not answer a connection, or does so again. */
@@ -52,9 +52,9 @@
     'isQuarantined' | 'isPrepared' | 'noteBroken' | 'noteWhole' | 'refuse' | 'settled'
   >;
   /** To be called when a request began to run at a server, so long ago. */
-  readonly noteBegan: (exchange: Exchange, agoMs: number) => void;
+  readonly recordRunStart: (exchange: Exchange, agoMs: number) => void;
   /** Calls to web servers, and what they say of their load. */
-  readonly webWork: Pick<WebWork, 'noteCall' | 'loadsOf' | 'takeLoad'>;
+  readonly webWork: Pick<WebWork, 'recordCall' | 'loadsOf' | 'applyReportedLoad'>;
   /** Where this daemon stands. */
   readonly zone: string;
 }
@@ -79,7 +79,7 @@
 export type AttemptResult =
   | { readonly kind: 'answered'; readonly attempt: AnsweredAttempt }
   /** The server had no part in it. */
-  | { readonly kind: 'not-sent'; readonly reason: string; readonly wasSilent: boolean }
+  | { readonly kind: 'not-sent'; readonly reason: string; readonly connectTimedOut: boolean }
   /** It would be a repeat, and the budget has no room for one; no server is worth another try. */
   | { readonly kind: 'no-budget'; readonly reason: string }
   /** Its server wants nothing: it was not sent. */
@@ -108,7 +108,7 @@
 }
 
 /** Options that are the same for most attempts. */
-export function plainAttempt(server: ServerRecord, signal: AbortSignal): AttemptOptions {
+export function defaultAttemptOptions(server: ServerRecord, signal: AbortSignal): AttemptOptions {
   return {
     server,
     mayKeepConnection: false,
@@ -152,7 +152,7 @@
   const open = health.open(startedAtMs, options.expectedMs);
   const isWebCall = options.server.stage === undefined;
   const noteWebCall = () => {
-    if (isWebCall) context.webWork.noteCall(options.server.service);
+    if (isWebCall) context.webWork.recordCall(options.server.service);
   };
   const close = () => {
     health.close(open);
@@ -204,7 +204,8 @@
     context.noteReach({ serverId: options.server.id, isReachable: true });
   }
   const marks = context.codec.readMarks(answer.status, answer.message.headers);
-  if (isWebCall && marks.load !== undefined) context.webWork.takeLoad(options.server, marks.load);
+  if (isWebCall && marks.load !== undefined)
+    context.webWork.applyReportedLoad(options.server, marks.load);
   if (marks.isNotExecuted) {
     answer.message.resume();
     return failed({ kind: 'not-executed', status: answer.status });
@@ -257,12 +258,12 @@
   | { readonly kind: 'bad'; readonly reason: string };
 
 /** Statuses that promise a caller that its request has not run; a server that ran it may send them. */
-export function promisesNotRun(status: number): boolean {
+export function statusImpliesNotExecuted(status: number): boolean {
   return status === 408 || status === 421 || status === 429 || status === 503;
 }
 
 /** What a whole answer of this status says of its server. */
-export function wholeOutcome(status: number): AnswerOutcome {
+export function completeAnswerOutcome(status: number): AnswerOutcome {
   return status >= FIRST_SERVER_ERROR ? { kind: 'server-error' } : { kind: 'good' };
 }
 
@@ -291,7 +292,7 @@
 ): void {
   const { log, metrics, description, timers } = exchange.options;
   if (failure.kind === 'not-executed') health.recordRefusal(timers.nowMs());
-  else if (failure.kind === 'not-sent' && failure.wasSilent) {
+  else if (failure.kind === 'not-sent' && failure.connectTimedOut) {
     health.recordSilent(timers.nowMs());
     if (!context.fleet.directory.isOver(options.server)) {
       context.noteReach({ serverId: options.server.id, isReachable: false });
@@ -320,7 +321,11 @@
 }
 
 /** Refuses what no server takes, with what speaks against the servers there are. */
-export function refuseUnserved(exchange: Exchange, context: AttemptContext, reason: string): void {
+export function refuseUnavailable(
+  exchange: Exchange,
+  context: AttemptContext,
+  reason: string,
+): void {
   const { service, timers } = exchange.options;
   const nowMs = timers.nowMs();
   const { leaving, resting } = context.fleet.unavailableOf(service, nowMs);
--- a/src/shell/gateway/backend-connections.ts
+++ b/src/shell/gateway/backend-connections.ts
@@ -35,8 +35,8 @@
 /** How a call went until the head of an answer. */
 export type CallResult =
   | { readonly kind: 'answered'; readonly answer: BackendAnswer }
-  /** No byte of the request can have left; `wasSilent` when connecting was not answered at all. */
-  | { readonly kind: 'not-sent'; readonly reason: string; readonly wasSilent: boolean }
+  /** No byte of the request can have left; `connectTimedOut` when connecting was not answered at all. */
+  | { readonly kind: 'not-sent'; readonly reason: string; readonly connectTimedOut: boolean }
   /** The request may have run. */
   | { readonly kind: 'broken'; readonly reason: string };
 
@@ -66,7 +66,7 @@
   }
 
   /** After the body's end: whether it came whole. */
-  get isWhole(): boolean {
+  get isComplete(): boolean {
     return this.message.complete && !this.#isBroken;
   }
 
@@ -74,7 +74,7 @@
    * Whether only the end of the connection ends it (RFC 9112 section 6.3, rule 8). Nobody can tell
    * such an answer that was cut from a whole one.
    */
-  get isEndedByClose(): boolean {
+  get isCloseDelimited(): boolean {
     const { headers } = this.message;
     return headers['content-length'] === undefined && headers['transfer-encoding'] === undefined;
   }
@@ -94,7 +94,7 @@
         length += chunk.length;
         if (length > maxBytes) this.destroy();
       });
-      this.message.once('end', () => resolve(this.isWhole ? Buffer.concat(chunks) : undefined));
+      this.message.once('end', () => resolve(this.isComplete ? Buffer.concat(chunks) : undefined));
       this.message.once('close', () => resolve(undefined));
     });
   }
@@ -142,8 +142,8 @@
   return { host: address.slice(0, separator), port: Number(address.slice(separator + 1)) };
 }
 
-function notSent(reason: string, wasSilent: boolean): CallResult {
-  return { kind: 'not-sent', reason, wasSilent };
+function notSent(reason: string, connectTimedOut: boolean): CallResult {
+  return { kind: 'not-sent', reason, connectTimedOut };
 }
 
 function destroySocket(this: Socket): void {
@@ -167,7 +167,7 @@
       if (call.signal.aborted) return resolve(notSent('given up', false));
       const request = this.#open(call);
       let mayHaveLeft = false;
-      let wasSilent = false;
+      let connectTimedOut = false;
       let isSettled = false;
       const settle = (result: CallResult) => {
         if (isSettled) return;
@@ -178,8 +178,8 @@
       const abort = () => request.destroy();
       call.signal.addEventListener('abort', abort, { once: true });
       const cancelConnectTimer = this.#timers.after(call.connectTimeoutMs, () => {
-        wasSilent = !mayHaveLeft;
-        if (wasSilent) request.destroy(new Error('connecting took too long'));
+        connectTimedOut = !mayHaveLeft;
+        if (connectTimedOut) request.destroy(new Error('connecting took too long'));
       });
       request.on('socket', (socket) => {
         if (!socket.connecting) {
@@ -195,7 +195,7 @@
         settle({ kind: 'answered', answer: new BackendAnswer(request, message) });
       });
       const fail = (reason: string) =>
-        settle(mayHaveLeft ? { kind: 'broken', reason } : notSent(reason, wasSilent));
+        settle(mayHaveLeft ? { kind: 'broken', reason } : notSent(reason, connectTimedOut));
       request.on('error', (error) => fail(error.message));
       request.on('close', () => {
         call.signal.removeEventListener('abort', abort);
--- a/src/shell/gateway/byte-budget.ts
+++ b/src/shell/gateway/byte-budget.ts
@@ -24,7 +24,7 @@
   }
 
   /** What may be sent at this moment. */
-  get bytesLeft(): number {
+  get availableBytes(): number {
     const nowMs = this.#timers.nowMs();
     const { bytesPerSecond, burstBytes } = this.#limits;
     const earned = ((nowMs - this.#atMs) * bytesPerSecond) / MILLISECONDS_PER_SECOND;
@@ -35,12 +35,12 @@
 
   /** Takes bytes that are sent in any case; what is lacking is made up before more is sent. */
   take(bytes: number): void {
-    this.#bytes = this.bytesLeft - bytes;
+    this.#bytes = this.availableBytes - bytes;
   }
 
   /** Takes bytes from the budget if they are there. */
   tryTake(bytes: number): boolean {
-    if (bytes > this.bytesLeft) return false;
+    if (bytes > this.availableBytes) return false;
     this.#bytes -= bytes;
     return true;
   }
@@ -50,6 +50,6 @@
 const DATAGRAM_OVERHEAD_BYTES = 28;
 
 /** What a datagram takes of a link. */
-export function sizeOnLink(bytes: Buffer): number {
+export function datagramWireBytes(bytes: Buffer): number {
   return bytes.length + DATAGRAM_OVERHEAD_BYTES;
 }
--- a/src/shell/gateway/cache-news-teller.ts
+++ b/src/shell/gateway/cache-news-teller.ts
@@ -3,7 +3,7 @@
  * budget of bytes.
  */
 import type { PeerDaemon, PeerRoster } from '../../core/gateway/index.js';
-import { ByteBudget, sizeOnLink } from './byte-budget.js';
+import { ByteBudget, datagramWireBytes } from './byte-budget.js';
 import { type EngineNews, encodePeerMessage, MOST_ENTRIES } from './peer-messages.js';
 import type { CancelTimer, TimerService } from './timer-service.js';
 
@@ -64,7 +64,7 @@
       if (waiting === undefined) continue;
       for (const news of partNews(waiting)) {
         const bytes = encodePeerMessage({ kind: 'news', daemon, news });
-        const shareOfBudget = sizeOnLink(bytes) / zonePeers.length;
+        const shareOfBudget = datagramWireBytes(bytes) / zonePeers.length;
         if (this.#budget.tryTake(shareOfBudget)) send([peer], bytes);
       }
     }
--- a/src/shell/gateway/cache-news-watcher.ts
+++ b/src/shell/gateway/cache-news-watcher.ts
@@ -11,7 +11,7 @@
 import type { CacheNews, RequestCodec } from './ports.js';
 import type { GatewayLog } from './request-log.js';
 import type { ServerCalls } from './server-calls.js';
-import { type CancelTimer, callWithin, delay, type TimerService } from './timer-service.js';
+import { type CancelTimer, callWithTimeout, delay, type TimerService } from './timer-service.js';
 
 const WAIT_MS = 1_000;
 const ANSWER_SLACK_MS = 700;
@@ -154,8 +154,11 @@
   }
 
   #ask(): Promise<CacheNews | 'failed' | 'turned-away'> {
-    return callWithin(this.#context.timers, WAIT_MS + ANSWER_SLACK_MS, this.#stopped, (signal) =>
-      this.#askWithin(signal),
+    return callWithTimeout(
+      this.#context.timers,
+      WAIT_MS + ANSWER_SLACK_MS,
+      this.#stopped,
+      (signal) => this.#askWithin(signal),
     );
   }
 
--- a/src/shell/gateway/caller-listener.ts
+++ b/src/shell/gateway/caller-listener.ts
@@ -13,7 +13,7 @@
 import { runModelExchange } from './model-exchange.js';
 import type { GatewayLog } from './request-log.js';
 import type { TimerService } from './timer-service.js';
-import { runWholeExchange } from './whole-exchange.js';
+import { runWebExchange } from './whole-exchange.js';
 
 /** The parser's own bound; the configured one is checked on what was read. */
 const MAX_PARSED_HEADER_BYTES = 131_072;
@@ -146,7 +146,7 @@
     const hasEngines = inForce.configuration.services.get(service)?.engine !== undefined;
     const isModelRequest = hasEngines || route.kind === 'streaming';
     if (isModelRequest) await runModelExchange(exchange, context);
-    else await runWholeExchange(exchange, context);
+    else await runWebExchange(exchange, context);
   }
 
   /** The daemon takes no requests yet. */
--- a/src/shell/gateway/capacity-controller.ts
+++ b/src/shell/gateway/capacity-controller.ts
@@ -20,7 +20,7 @@
 import type { FleetView } from './fleet-view.js';
 import type { DutyOutcome, PlatformDuties, TableService } from './ports.js';
 import type { GatewayLog } from './request-log.js';
-import { callWithin, delay, type TimerService } from './timer-service.js';
+import { callWithTimeout, delay, type TimerService } from './timer-service.js';
 
 const RECORD_KEY = 'capacity-duty';
 const LOOK_MS = 500;
@@ -132,7 +132,7 @@
   async #order(order: CapacityOrder, fence: number): Promise<boolean> {
     const { daemon, duties, timers, log, fleet, bearsLoss } = this.#options;
     const authority = { holder: daemon, fence };
-    const outcome = await callWithin(timers, CALL_TIMEOUT_MS, this.#stopped.signal, (signal) =>
+    const outcome = await callWithTimeout(timers, CALL_TIMEOUT_MS, this.#stopped.signal, (signal) =>
       duties.orderCapacity(order, authority, signal),
     );
     const scaling = fleet.inForce?.configuration.services.get(order.service)?.scaling;
--- a/src/shell/gateway/crash-guard.ts
+++ b/src/shell/gateway/crash-guard.ts
@@ -17,12 +17,12 @@
 import { CrashStoreDuty } from './crash-store-duty.js';
 import { CrashStoreRestore } from './crash-store-restore.js';
 import { CrashTable, type CrashTableContent } from './crash-table.js';
-import { OpenBreaks } from './open-breaks.js';
+import { UnresolvedBreaks } from './open-breaks.js';
 import type { PeerExchange } from './peer-exchange.js';
 import type { TableService } from './ports.js';
 import { type GuardedExchange, RequestFingerprints } from './request-fingerprint.js';
 import type { GatewayLog } from './request-log.js';
-import type { ServerEndCheck } from './server-end-check.js';
+import type { ServerExitCheck } from './server-end-check.js';
 import { delay, type TimerService, type WallClock } from './timer-service.js';
 
 const READ_RETRY_MS = 500;
@@ -45,7 +45,7 @@
 /** What a guard is built from. */
 export interface CrashGuardOptions {
   readonly table: TableService;
-  readonly endCheck: Pick<ServerEndCheck, 'hasEnded'>;
+  readonly endCheck: Pick<ServerExitCheck, 'hasEnded'>;
   /** Whether a life of a server took new work when it was last listed; one that is about to end by plan does not. */
   readonly isReady: (server: ServerRecord) => boolean;
   readonly roster: Pick<PeerRoster, 'everyone' | 'placeFor' | 'hasList'>;
@@ -71,7 +71,7 @@
   readonly #stopped = new AbortController();
   readonly #checks = new WeakMap<GuardedExchange, Promise<unknown>>();
   readonly #startedMs: number;
-  readonly #openBreaks: OpenBreaks;
+  readonly #openBreaks: UnresolvedBreaks;
   /** Changes since the last telling, by fingerprint. */
   readonly #news = new Set<string>();
   #hasRead = false;
@@ -79,7 +79,7 @@
   constructor(options: CrashGuardOptions) {
     this.#options = options;
     this.#table = new CrashTable(options);
-    this.#openBreaks = new OpenBreaks(options.timers);
+    this.#openBreaks = new UnresolvedBreaks(options.timers);
     this.#gossip = new CrashGossip({ ...options, records: this.#records });
     this.#duty = new CrashStoreDuty({
       ...options,
@@ -163,7 +163,9 @@
   /** A server is listed with a start: runs that broke a moment ago in a life before were ended by that life's end. */
   noteStarted(server: ServerRecord): void {
     const nowMs = this.#options.timers.nowMs();
-    for (const { server: ended, fingerprint, ranMs, atMs } of this.#openBreaks.takeBefore(server)) {
+    for (const { server: ended, fingerprint, ranMs, atMs } of this.#openBreaks.takeFromEarlierBoots(
+      server,
+    )) {
       const crash = { serverId: lifeOf(ended), ranMs, ageMs: nowMs - atMs };
       const change = this.#records.noteCrash(fingerprint, crash, nowMs);
       this.#noteChange(fingerprint, change, 'own');
--- a/src/shell/gateway/duties.ts
+++ b/src/shell/gateway/duties.ts
@@ -87,8 +87,8 @@
   }
 
   /** A tenant's request began to run, so long ago. */
-  noteBegan(tenant: Tenant | undefined, agoMs: number): void {
-    if (tenant !== undefined) this.#usage?.noteBegan(tenant.name, agoMs);
+  recordRunStart(tenant: Tenant | undefined, agoMs: number): void {
+    if (tenant !== undefined) this.#usage?.recordRunStart(tenant.name, agoMs);
   }
 
   /** What another daemon tells of usage, or asks. */
--- a/src/shell/gateway/event-splitter.ts
+++ b/src/shell/gateway/event-splitter.ts
@@ -28,12 +28,12 @@
   }
 
   /** Drops what is not whole, before another server goes on. */
-  discardRest(): void {
+  discardPartialEvent(): void {
     this.#rest = EMPTY;
   }
 
   /** The bytes after the last whole event, at the end of a whole stream. */
-  takeRest(): Buffer {
+  takeRemainder(): Buffer {
     const rest = this.#rest;
     this.#rest = EMPTY;
     return rest;
--- a/src/shell/gateway/exchange.ts
+++ b/src/shell/gateway/exchange.ts
@@ -23,13 +23,13 @@
 export type Interruption = 'caller-gone' | 'out-of-time';
 
 /** A backend's answer that has been read to its end. */
-export interface WholeAnswer {
+export interface CompleteAnswer {
   readonly status: number;
   readonly headers: RawHeaders;
   readonly body: Buffer;
   readonly serverId: string;
   /** Whether it had no end but that of its connection. */
-  readonly isEndedByClose: boolean;
+  readonly isCloseDelimited: boolean;
 }
 
 /** What an exchange is built from. */
@@ -133,10 +133,10 @@
   }
 
   /** A backend's whole answer. */
-  answer(answer: WholeAnswer): void {
+  answer(answer: CompleteAnswer): void {
     const { status, headers, body, serverId } = answer;
-    const framing = answer.isEndedByClose ? [] : ['Content-Length', String(body.length)];
-    if (answer.isEndedByClose) this.#endByClose();
+    const framing = answer.isCloseDelimited ? [] : ['Content-Length', String(body.length)];
+    if (answer.isCloseDelimited) this.#endByClose();
     if (!this.#begin(status, [...headers, ...framing])) return;
     this.options.response.end(body);
     this.finish('answered', { status, server: serverId });
@@ -144,10 +144,10 @@
 
   /**
    * The head of a stream.
-   * @param isEndedByClose whether the backend's answer has no end but that of its connection
+   * @param isCloseDelimited whether the backend's answer has no end but that of its connection
    */
-  beginStream(status: number, headers: RawHeaders, isEndedByClose: boolean): boolean {
-    if (isEndedByClose) this.#endByClose();
+  beginStream(status: number, headers: RawHeaders, isCloseDelimited: boolean): boolean {
+    if (isCloseDelimited) this.#endByClose();
     return this.#begin(status, headers);
   }
 
@@ -180,7 +180,7 @@
   }
 
   /** Breaks off what has begun, visibly: an answer that ends early must not look whole. */
-  breakOff(reason: string): void {
+  abortResponse(reason: string): void {
     this.options.response.destroy();
     this.#record('broken-off', reason);
     this.options.log.write(GATEWAY_EVENTS.requestFailed, { ...this.#fields(), reason });
@@ -199,7 +199,7 @@
       this.finish('caller-gone', {});
       return;
     }
-    if (this.#isAnswered) this.breakOff('out of time');
+    if (this.#isAnswered) this.abortResponse('out of time');
     else if (this.mayHaveRun) this.fail(504, 'out of time');
     else this.refuse('out of time before it was sent', 0);
   }
--- a/src/shell/gateway/fleet-demand.ts
+++ b/src/shell/gateway/fleet-demand.ts
@@ -15,7 +15,7 @@
   type UnseenWork,
   unseenWork,
 } from '../../core/gateway/index.js';
-import { entryOf } from './entry-of.js';
+import { getOrCreate } from './entry-of.js';
 
 /** The mix of work is judged over this time. */
 export const DEMAND_SPAN_MS = 6_000;
@@ -44,7 +44,7 @@
 
   /** What this daemon is asked for. */
   of(service: string): StageDemand {
-    return entryOf(this.#demands, service, () => new StageDemand(DEMAND_SPAN_MS));
+    return getOrCreate(this.#demands, service, () => new StageDemand(DEMAND_SPAN_MS));
   }
 
   /** What other daemons have sent for a service that does not show yet; undefined where all shows at once. */
--- a/src/shell/gateway/fleet-follower.ts
+++ b/src/shell/gateway/fleet-follower.ts
@@ -20,7 +20,7 @@
 import type { PlatformAdapter, WatchedRow } from './ports.js';
 import type { RelayDigest } from './relay-digest.js';
 import type { GatewayLog } from './request-log.js';
-import { RetryTurns } from './retry-turns.js';
+import { WatchRetryQueue } from './retry-turns.js';
 import { type TableChanges, TableWatcher } from './table-watcher.js';
 import type { CancelTimer, TimerService, WallClock } from './timer-service.js';
 import { UnreadableRows } from './unreadable-rows.js';
@@ -105,7 +105,7 @@
   constructor(options: FleetFollowerOptions) {
     this.#options = options;
     const { adapter, timing, recheckSpans, random, timers, log, digest } = options;
-    const retryTurns = new RetryTurns(timers);
+    const retryTurns = new WatchRetryQueue(timers);
     const noteEra = (era: number) => this.#noteEra(era);
     const shared = { timing, recheckSpans, random, retryTurns, timers, log, noteEra };
     const configurations = new TableWatcher({
--- a/src/shell/gateway/fleet-view.ts
+++ b/src/shell/gateway/fleet-view.ts
@@ -36,7 +36,7 @@
   type WebServerLoad,
   WebServerLoads,
 } from '../../core/gateway/index.js';
-import { entryOf } from './entry-of.js';
+import { getOrCreate } from './entry-of.js';
 import { FleetDemand } from './fleet-demand.js';
 import { type LoadDecisions, USUAL_LOAD_DECISIONS } from './gateway-settings.js';
 import type { EngineNews } from './peer-messages.js';
@@ -257,12 +257,14 @@
 
   healthOf(serverId: string): ServerHealth {
     // A plan asks for all engines: where there is an entry, no function is made to create one.
-    return this.#health.get(serverId) ?? entryOf(this.#health, serverId, () => new ServerHealth());
+    return (
+      this.#health.get(serverId) ?? getOrCreate(this.#health, serverId, () => new ServerHealth())
+    );
   }
 
   loadOf(serverId: string): EngineLoad {
     const known = this.#loads.get(serverId);
-    return known ?? entryOf(this.#loads, serverId, () => new EngineLoad(this.#countsOverdue));
+    return known ?? getOrCreate(this.#loads, serverId, () => new EngineLoad(this.#countsOverdue));
   }
 
   /** What an engine has under way from all daemons; only good to compare engines. */
@@ -321,7 +323,7 @@
       const server = running > 0 ? this.directory.get(engineId) : undefined;
       if (server === undefined || server.stage !== undefined) continue;
       const { service } = server;
-      const isCrowded = entryOf(crowded, service, () => this.isCrowded(service));
+      const isCrowded = getOrCreate(crowded, service, () => this.isCrowded(service));
       if (isCrowded) work.push({ engineId, pendingMs: 0, lateMs: 0, running });
     }
     const byCalls = work.sort((left, right) => right.running - left.running);
@@ -352,7 +354,7 @@
   }
 
   speedOf(service: string): ReadSpeed {
-    return entryOf(this.#speeds, service, () => new ReadSpeed(this.paces.sharesLine));
+    return getOrCreate(this.#speeds, service, () => new ReadSpeed(this.paces.sharesLine));
   }
 
   /** An engine's pace against the usual one of its service, by which its part of the work is counted. */
@@ -362,21 +364,21 @@
 
   /** How long prompts of an urgency wait, against what the work that is known says. */
   waitScaleOf(service: string, urgency: Urgency): ForecastScale {
-    return entryOf(this.#waitScales, `${urgency} ${service}`, () => new ForecastScale());
+    return getOrCreate(this.#waitScales, `${urgency} ${service}`, () => new ForecastScale());
   }
 
   /** What was sent to a service lately, by rank. */
   rankSharesOf(service: string): RankShares {
-    return entryOf(this.#rankShares, service, () => new RankShares());
+    return getOrCreate(this.#rankShares, service, () => new RankShares());
   }
 
   /** How long the more urgent kinds of a service can wait. */
   slackOf(service: string): UrgentSlack {
-    return entryOf(this.#slacks, service, () => new UrgentSlack());
+    return getOrCreate(this.#slacks, service, () => new UrgentSlack());
   }
 
   budgetOf(service: string): RetryBudget {
-    return entryOf(this.#budgets, service, () => {
+    return getOrCreate(this.#budgets, service, () => {
       const budget = new RetryBudget(this.#budgetOptions, this.#size.sharers);
       this.#noteBudgetBegun(service, budget);
       return budget;
--- a/src/shell/gateway/gateway-gauges.ts
+++ b/src/shell/gateway/gateway-gauges.ts
@@ -9,7 +9,7 @@
 import type { GatewayMetrics } from './gateway-metrics.js';
 import type { LimitCoordinator } from './limit-coordinator.js';
 import type { GatewayLog } from './request-log.js';
-import type { RequestRoom } from './request-room.js';
+import type { AdmissionGate } from './request-room.js';
 import type { TimerService } from './timer-service.js';
 import type { WebWork } from './web-work.js';
 
@@ -29,7 +29,7 @@
   >;
   readonly callers: Pick<CallerListener, 'inFlight'>;
   readonly connections: Pick<BackendConnections, 'openedTotal'>;
-  readonly room: Pick<RequestRoom, 'waiting'>;
+  readonly admission: Pick<AdmissionGate, 'waiting'>;
   readonly limits: Pick<LimitCoordinator, 'grantedServers'>;
   readonly crashes: Pick<CrashGuard, 'quarantined' | 'suspected'>;
   readonly duties: () => Pick<Duties, 'capacityBeliefs'>;
@@ -61,7 +61,7 @@
 }
 
 function gaugesOf(sources: GaugeSources): readonly Gauge[] {
-  const { fleet, follower, callers, connections, room, limits, crashes, webWork } = sources;
+  const { fleet, follower, callers, connections, admission, limits, crashes, webWork } = sources;
   const { timers, log } = sources;
   return [
     {
@@ -125,7 +125,11 @@
       help: 'Requests without a final answer',
       read: () => callers.inFlight,
     },
-    { name: 'requests_waiting', help: 'Requests that wait for room', read: () => room.waiting },
+    {
+      name: 'requests_waiting',
+      help: 'Requests that wait for room',
+      read: () => admission.waiting,
+    },
     {
       name: 'connections_opened',
       help: 'Connections opened to backends',
--- a/src/shell/gateway/gateway.ts
+++ b/src/shell/gateway/gateway.ts
@@ -22,11 +22,11 @@
 import type { PlatformAdapter } from './ports.js';
 import { RelayDigest } from './relay-digest.js';
 import type { GatewayLog } from './request-log.js';
-import { RequestRoom } from './request-room.js';
+import { AdmissionGate } from './request-room.js';
 import { RetryBudgetReporter } from './retry-budget-reporter.js';
 import { RosterNewsDuty } from './roster-news-duty.js';
 import { ServerCalls } from './server-calls.js';
-import { ServerEndCheck } from './server-end-check.js';
+import { ServerExitCheck } from './server-end-check.js';
 import { createMetricsServer, createReadinessServer, listen } from './small-listeners.js';
 import { StageController } from './stage-controller.js';
 import {
@@ -82,7 +82,7 @@
   readonly #stages: StageController;
   /** Absent where the settings name no address for it. */
   readonly #peers: PeerExchange | undefined;
-  readonly #room: RequestRoom;
+  readonly #admission: AdmissionGate;
   readonly #digest: RelayDigest;
   readonly #retryBudgets: RetryBudgetReporter;
   readonly #duties: Duties;
@@ -113,7 +113,7 @@
     this.#roster = new PeerRoster({ name: settings.name, zone: settings.zone });
     this.#digest = new RelayDigest(this.#suspensionAware, digestAgeMs(settings.bounds.contactMs));
     this.#connections = new BackendConnections(timers);
-    this.#room = new RequestRoom({
+    this.#admission = new AdmissionGate({
       isOn: settings.decisions.waiting,
       timers,
       log,
@@ -139,22 +139,23 @@
       wallClock: this.#steadyClock,
       metrics: this.#metrics,
       log,
-      noteLimitChange: (server, change, purpose) => this.#limits.noteHeard(server, change, purpose),
+      onLimitChange: (server, change, purpose) => this.#limits.noteHeard(server, change, purpose),
     });
     const context: AttemptContext = {
       fleet: this.#fleet,
       calls,
       limits: this.#limits,
       codec: adapter.requests,
-      room: this.#room,
+      admission: this.#admission,
       zone: settings.zone,
       isSpreading: settings.decisions.spreading,
-      noteLoadChange: () => this.#peers?.noteChange(),
+      onLoadChange: () => this.#peers?.noteChange(),
       noteRead: (read) => this.#peers?.noteRead(read),
       noteReach: (reach) => this.#peers?.noteReach(reach),
       crashes: this.#crashes,
       webWork,
-      noteBegan: ({ options: { tenant } }, agoMs) => this.#duties.noteBegan(tenant, agoMs),
+      recordRunStart: ({ options: { tenant } }, agoMs) =>
+        this.#duties.recordRunStart(tenant, agoMs),
     };
     this.#callers = new CallerListener({
       context,
@@ -189,7 +190,7 @@
       wallClock,
       log,
       applyLimits: (limits) => this.#callers.applyLimits(limits),
-      noteServers: () => this.#room.wake(),
+      noteServers: () => this.#admission.wake(),
     });
     this.#stages = new StageController({
       daemon: settings.name,
@@ -211,7 +212,7 @@
       follower: this.#follower,
       callers: this.#callers,
       connections: this.#connections,
-      room: this.#room,
+      admission: this.#admission,
       limits: this.#limits,
       crashes: this.#crashes,
       duties: () => this.#duties,
@@ -263,7 +264,7 @@
     const endMs = timers.nowMs() + graceMs - STOP_MARGIN_MS;
     log.write(GATEWAY_EVENTS.stopping, { inFlight: this.#callers.inFlight });
     this.#callers.beginStop(endMs);
-    this.#room.beginStop();
+    this.#admission.beginStop();
     this.#stages.stop();
     await delay(timers, Math.min(LOOK_AWAY_MS, graceMs / 2));
     // Where too few daemons are ready, new connections keep coming; they go elsewhere from here on.
@@ -321,7 +322,7 @@
     const { settings, adapter, timers, log } = this.#options;
     return new CrashGuard({
       table: adapter.table,
-      endCheck: new ServerEndCheck({
+      endCheck: new ServerExitCheck({
         connections: this.#connections,
         isOver: (server) => this.#fleet.directory.isOver(server),
         timers,
@@ -386,7 +387,7 @@
       ownWork: () => [...this.#fleet.ownWork(timers.nowMs()), ...this.#webWork.own()],
       ownDemand: () => this.#fleet.demand.own(timers.nowMs()),
       serverIdOf: (shortId) => this.#fleet.directory.idOf(shortId),
-      noteSums: () => this.#room.wake(),
+      noteSums: () => this.#admission.wake(),
       noteDaemonCount: (daemons) => this.#noteDaemonCount(daemons),
     });
   }
--- a/src/shell/gateway/limit-grants.ts
+++ b/src/shell/gateway/limit-grants.ts
@@ -10,7 +10,7 @@
   type PeerDaemon,
 } from '../../core/gateway/index.js';
 import { GATEWAY_EVENTS } from '../../core/logging/catalogue/gateway.js';
-import { ByteBudget, sizeOnLink } from './byte-budget.js';
+import { ByteBudget, datagramWireBytes } from './byte-budget.js';
 import type {
   LimitAskMessage,
   LimitGrantMessage,
@@ -79,7 +79,7 @@
     if (limit === undefined) return;
     const peers = everyone();
     const message: LimitToldMessage = { kind: 'limit-told', daemon, serverId, limit };
-    const bytes = sizeOnLink(encodePeerMessage(message)) * peers.length;
+    const bytes = datagramWireBytes(encodePeerMessage(message)) * peers.length;
     if (this.#toldBudget.tryTake(bytes)) send(peers, message);
   }
 
--- a/src/shell/gateway/model-exchange.ts
+++ b/src/shell/gateway/model-exchange.ts
@@ -11,17 +11,17 @@
   type AttemptOptions,
   type AttemptResult,
   hasNotRun,
-  plainAttempt,
-  promisesNotRun,
-  refuseUnserved,
+  defaultAttemptOptions,
+  statusImpliesNotExecuted,
+  refuseUnavailable,
   sendAttempt,
-  wholeOutcome,
+  completeAnswerOutcome,
 } from './attempt.js';
 import type { Exchange } from './exchange.js';
 import { type HeldPlace, permitSeekerOf } from './limit-coordinator.js';
 import { ModelPlanner, type PlanLimits } from './model-planner.js';
 import type { MemorySource } from './ports.js';
-import { freeMemory, type PrefillPlan, readPrompt } from './prompt-reading.js';
+import { freeKvMemory, type PrefillPlan, runPrefill } from './prompt-reading.js';
 import { StreamRelay } from './stream-relay.js';
 
 const MAX_ERROR_BYTES = 1_048_576;
@@ -106,12 +106,12 @@
 
   async #planInRoom(): Promise<EnginePlan | 'no-room' | undefined> {
     const exchange = this.#exchange;
-    const { room } = this.#context;
+    const { admission } = this.#context;
     const limits = { mayPrefill: !this.#prefillFailed };
-    if (!room.isOn || exchange.isAnswered) return this.#planAtOnce(limits);
-    const ask = this.#planner.roomAsk(limits);
+    if (!admission.isOn || exchange.isAnswered) return this.#planAtOnce(limits);
+    const ask = this.#planner.admissionCheck(limits);
     if (ask === undefined) return undefined;
-    const leave = await room.pass(exchange, ask);
+    const leave = await admission.admit(exchange, ask);
     if (leave === undefined) return 'no-room';
     leave();
     return exchange.signal.aborted ? 'no-room' : ask.plan();
@@ -132,7 +132,7 @@
     const source = plan.prefill.server;
     const priority = this.#planner.priorityOf(plan);
     const place = this.#holdPlace(source);
-    const memory = await readPrompt(this.#exchange, this.#context, plan, priority);
+    const memory = await runPrefill(this.#exchange, this.#context, plan, priority);
     if (memory === undefined || memory === 'held-back') {
       this.#context.limits.giveBack(place);
       // Another engine may read it as well where this one takes no more for now.
@@ -188,7 +188,7 @@
     const read = plan.kind === 'direct' ? load.begin(plan.read, this.#nowMs()) : undefined;
     load.running += 1;
     const options: AttemptOptions = {
-      ...plainAttempt(server, exchange.signal),
+      ...defaultAttemptOptions(server, exchange.signal),
       mayKeepConnection: this.#isRepeatable,
       priority: this.#planner.runPriorityOf(plan),
       memorySource,
@@ -205,13 +205,13 @@
     }
     if (read !== undefined) load.abandon(read);
     exchange.endRun(hasNotRun(result));
-    this.#context.room.wake();
+    this.#context.admission.wake();
     if (result.kind === 'answered') {
       const headAtMs = this.#nowMs();
       const next = await this.#relayAnswer(result.attempt);
       this.#planner.noteRun(this.#nowMs() - headAtMs);
       load.running -= 1;
-      this.#context.room.wake();
+      this.#context.admission.wake();
       return next;
     }
     load.running -= 1;
@@ -248,7 +248,7 @@
   /** Memory that was read for this request and that no engine goes on from. */
   #freeUnused(memory: MemorySource | undefined, plan: EnginePlan): void {
     if (memory === undefined || plan.kind !== 'prefill') return;
-    freeMemory(this.#exchange, this.#context, memory, plan.prefill.server);
+    freeKvMemory(this.#exchange, this.#context, memory, plan.prefill.server);
   }
 
   async #relayAnswer(attempt: AnsweredAttempt): Promise<NextStep> {
@@ -256,7 +256,7 @@
     const { answer } = attempt;
     if (answer.status < 200 || answer.status >= 300) return this.#passFailureOn(attempt);
     // An engine answers with the first token, so the run has just begun.
-    this.#context.noteBegan(exchange, 0);
+    this.#context.recordRunStart(exchange, 0);
     if (!attempt.isStamped) {
       this.#lastReason = 'a success without a stamp';
       attempt.end({ kind: 'bad', reason: this.#lastReason });
@@ -289,18 +289,20 @@
     const body = await answer.collect(MAX_ERROR_BYTES);
     this.#lastReason = `status ${answer.status}`;
     attempt.end(
-      body === undefined ? { kind: 'bad', reason: this.#lastReason } : wholeOutcome(answer.status),
+      body === undefined
+        ? { kind: 'bad', reason: this.#lastReason }
+        : completeAnswerOutcome(answer.status),
     );
     if (this.#exchange.signal.aborted) return this.#endInterrupted();
     const isFinal = !this.#mayRunOnceMore() && !this.#relay.hasBegun;
-    if (body === undefined || !isFinal || promisesNotRun(answer.status)) return 'again';
+    if (body === undefined || !isFinal || statusImpliesNotExecuted(answer.status)) return 'again';
     const headers = withoutConnectionHeaders(answer.message.rawHeaders);
     this.#exchange.answer({
       status: answer.status,
       headers,
       body,
       serverId: attempt.server.id,
-      isEndedByClose: answer.isEndedByClose,
+      isCloseDelimited: answer.isCloseDelimited,
     });
     return 'done';
   }
@@ -317,9 +319,9 @@
   #giveUp(): NextStep {
     const exchange = this.#exchange;
     if (exchange.signal.aborted) return this.#endInterrupted();
-    if (exchange.isAnswered) exchange.breakOff(this.#lastReason);
+    if (exchange.isAnswered) exchange.abortResponse(this.#lastReason);
     else if (!this.#context.crashes.refuse(exchange)) {
-      refuseUnserved(exchange, this.#context, this.#lastReason);
+      refuseUnavailable(exchange, this.#context, this.#lastReason);
     }
     return 'done';
   }
--- a/src/shell/gateway/model-planner.ts
+++ b/src/shell/gateway/model-planner.ts
@@ -19,8 +19,8 @@
 import { GATEWAY_EVENTS } from '../../core/logging/catalogue/gateway.js';
 import { type AttemptContext, engineTraits } from './attempt.js';
 import type { Exchange } from './exchange.js';
-import { ModelRoomAsk } from './model-room-ask.js';
-import { wasFree } from './prompt-reading.js';
+import { ModelAdmissionCheck } from './model-room-ask.js';
+import { hadShortQueue } from './prompt-reading.js';
 
 /** A request is taken to be in time when it is expected within this part of its target. */
 const IN_TIME_SHARE = 0.9;
@@ -59,11 +59,11 @@
   }
 
   /** What the request asks of the waiting room; undefined when no engine that generates is left. */
-  roomAsk(limits: PlanLimits): ModelRoomAsk | undefined {
+  admissionCheck(limits: PlanLimits): ModelAdmissionCheck | undefined {
     const first = this.#bestPlan(limits);
     if (first === undefined) return undefined;
     this.#noteDemand(first);
-    return new ModelRoomAsk(this.#exchange, this.#context, {
+    return new ModelAdmissionCheck(this.#exchange, this.#context, {
       first,
       latencyBudgetMs: IN_TIME_SHARE * this.#exchange.options.route.targetLatencyMs,
       replan: () => this.#bestPlan(limits),
@@ -159,7 +159,7 @@
     else if (plan.kind === 'direct') {
       const { server, missingTokens, read } = plan;
       const { paces } = this.#context.fleet;
-      paces.learnDecode(server, missingTokens, elapsedMs, wasFree(read), this.#nowMs());
+      paces.learnDecode(server, missingTokens, elapsedMs, hadShortQueue(read), this.#nowMs());
     }
   }
 
--- a/src/shell/gateway/model-room-ask.ts
+++ b/src/shell/gateway/model-room-ask.ts
@@ -8,10 +8,10 @@
 import type { LogFields } from '../../core/logging/log-event.js';
 import type { AttemptContext } from './attempt.js';
 import type { Exchange } from './exchange.js';
-import { type RoomAsk, roundedOrNull } from './room-ask.js';
+import { type AdmissionCheck, roundedOrNull } from './room-ask.js';
 
 /** How the request is planned. */
-export interface ModelRoomAskOptions {
+export interface ModelAdmissionCheckOptions {
   /** The plan that was made just now. */
   readonly first: EnginePlan;
   /** Within this an answer is in time. */
@@ -22,18 +22,18 @@
 }
 
 /** The ask of one request. */
-export class ModelRoomAsk implements RoomAsk {
+export class ModelAdmissionCheck implements AdmissionCheck {
   readonly lane: string;
   readonly costMs: number;
   readonly spacingMs: number;
-  readonly goesAtEnd = false;
+  readonly isSentAtHoldLimit = false;
   readonly #exchange: Exchange;
   readonly #context: AttemptContext;
-  readonly #options: ModelRoomAskOptions;
+  readonly #options: ModelAdmissionCheckOptions;
   #latest: EnginePlan;
   #isFirst = true;
 
-  constructor(exchange: Exchange, context: AttemptContext, options: ModelRoomAskOptions) {
+  constructor(exchange: Exchange, context: AttemptContext, options: ModelAdmissionCheckOptions) {
     this.#exchange = exchange;
     this.#context = context;
     this.#options = options;
@@ -57,7 +57,7 @@
     }
     const exchange = this.#exchange;
     const { rank, service } = exchange.options;
-    const { fleet, room } = this.#context;
+    const { fleet, admission } = this.#context;
     const { latencyBudgetMs } = this.#options;
     return placeRequest({
       plan: this.#latest,
@@ -66,7 +66,7 @@
       latencyBudgetLeftMs: latencyBudgetMs - exchange.elapsedMs(),
       urgentSlackMs: fleet.slackOf(service).minSlackMs(rank, this.#nowMs()),
       // Asked again it is its turn: those that wait are behind it.
-      isContended: isFirst && room.waitingIn(this.lane) > 0,
+      isContended: isFirst && admission.waitingIn(this.lane) > 0,
       isLearnt: fleet.speedOf(service).isLearnt,
       mayHaveRun: exchange.mayHaveRun,
     });
--- a/src/shell/gateway/open-breaks.ts
+++ b/src/shell/gateway/open-breaks.ts
@@ -11,7 +11,7 @@
 const MOST_OPEN = 512;
 
 /** A run that broke. */
-export interface OpenBreak {
+export interface UnresolvedBreak {
   /** The life that it ran in. */
   readonly server: ServerRecord;
   readonly fingerprint: string;
@@ -20,31 +20,31 @@
 }
 
 /** Breaks of which it is not known yet whether their server ended. */
-export class OpenBreaks {
+export class UnresolvedBreaks {
   readonly #timers: TimerService;
   /** In the order of their time. */
-  #open: readonly OpenBreak[] = [];
+  #open: readonly UnresolvedBreak[] = [];
 
   constructor(timers: TimerService) {
     this.#timers = timers;
   }
 
-  add(broken: OpenBreak): void {
+  add(broken: UnresolvedBreak): void {
     if (broken.server.bornMs === undefined) return;
     this.#open = [...this.#recent(), broken].slice(-MOST_OPEN);
   }
 
   /** Takes out those in lives of a server before this one. */
-  takeBefore({ id, bornMs }: ServerRecord): readonly OpenBreak[] {
+  takeFromEarlierBoots({ id, bornMs }: ServerRecord): readonly UnresolvedBreak[] {
     if (this.#open.length === 0 || bornMs === undefined) return [];
-    const isBefore = ({ server }: OpenBreak) =>
+    const isBefore = ({ server }: UnresolvedBreak) =>
       server.id === id && server.bornMs !== undefined && server.bornMs < bornMs;
     const recent = this.#recent();
     this.#open = recent.filter((broken) => !isBefore(broken));
     return recent.filter(isBefore);
   }
 
-  #recent(): readonly OpenBreak[] {
+  #recent(): readonly UnresolvedBreak[] {
     const sinceMs = this.#timers.nowMs() - LISTED_WITHIN_MS;
     return this.#open.filter(({ atMs }) => atMs >= sinceMs);
   }
--- a/src/shell/gateway/pace-teller.ts
+++ b/src/shell/gateway/pace-teller.ts
@@ -14,7 +14,7 @@
   type ServicePaceSums,
 } from '../../core/gateway/index.js';
 import { GATEWAY_EVENTS } from '../../core/logging/catalogue/gateway.js';
-import { ByteBudget, sizeOnLink } from './byte-budget.js';
+import { ByteBudget, datagramWireBytes } from './byte-budget.js';
 import type { PaceMessage, PacePurpose } from './pace-message-fields.js';
 import { encodePeerMessage, MOST_ENTRIES } from './peer-messages.js';
 import type { GatewayLog } from './request-log.js';
@@ -140,7 +140,7 @@
     const bytes = this.#encode('seen', seen);
     // A relay has a budget for each other relay, as these hear of each zone from one daemon only.
     const copies = isRelay() ? 1 : peers.length;
-    if (peers.length > 0 && !this.#seenBudget.tryTake(sizeOnLink(bytes) * copies)) return;
+    if (peers.length > 0 && !this.#seenBudget.tryTake(datagramWireBytes(bytes) * copies)) return;
     paces.markAdvertised(seen);
     this.#options.send(peers, bytes);
   }
@@ -152,7 +152,7 @@
     const told = this.#toTell.next(known, MOST_ENTRIES, nowMs);
     if (told.length === 0) return;
     const bytes = this.#encode('known', told);
-    if (!this.#knownBudget.tryTake(sizeOnLink(bytes))) return;
+    if (!this.#knownBudget.tryTake(datagramWireBytes(bytes))) return;
     this.#toTell.markAdvertised(told, nowMs);
     this.#options.send(roster.zonePeers(), bytes);
   }
@@ -175,7 +175,7 @@
     for (const services of inParts(paces.known(timers.nowMs()))) {
       const message: PaceMessage = { daemon, zone, purpose: 'answered', services };
       const bytes = encodePeerMessage({ kind: 'paces', message });
-      if (!this.#answerBudget.tryTake(sizeOnLink(bytes))) return;
+      if (!this.#answerBudget.tryTake(datagramWireBytes(bytes))) return;
       reply(message);
     }
   }
--- a/src/shell/gateway/peer-exchange.ts
+++ b/src/shell/gateway/peer-exchange.ts
@@ -22,7 +22,7 @@
   StageNotice,
   TableDigest,
 } from '../../core/gateway/index.js';
-import { ByteBudget, sizeOnLink } from './byte-budget.js';
+import { ByteBudget, datagramWireBytes } from './byte-budget.js';
 import { CacheNewsTeller } from './cache-news-teller.js';
 import {
   ConfigurationTeller,
@@ -295,7 +295,7 @@
     const report = { ...head, work: ownWork(), demand: ownDemand(), reads, reach };
     const version = configurationVersion();
     const bytes = encodePeerMessage({ kind: 'report', report, configurationVersion: version });
-    if (!this.#changeBudget.tryTake(sizeOnLink(bytes) * peers.length)) return;
+    if (!this.#changeBudget.tryTake(datagramWireBytes(bytes) * peers.length)) return;
     this.#sendTo(peers, bytes);
   }
 
--- a/src/shell/gateway/prompt-reading.ts
+++ b/src/shell/gateway/prompt-reading.ts
@@ -7,10 +7,10 @@
   type ServerRecord,
   sharedPart,
 } from '../../core/gateway/index.js';
-import { type AttemptContext, plainAttempt, sendAttempt } from './attempt.js';
+import { type AttemptContext, defaultAttemptOptions, sendAttempt } from './attempt.js';
 import type { Exchange } from './exchange.js';
 import type { MemorySource } from './ports.js';
-import { callWithin } from './timer-service.js';
+import { callWithTimeout } from './timer-service.js';
 
 const MAX_ANSWER_BYTES = 65_536;
 const FREE_TIMEOUT_MS = 500;
@@ -26,7 +26,7 @@
 export type PrefillPlan = Extract<EnginePlan, { kind: 'prefill' }>;
 
 /** Reads the prompt as planned; undefined when that did not come about, `held-back` when it was not sent. */
-export async function readPrompt(
+export async function runPrefill(
   exchange: Exchange,
   context: AttemptContext,
   plan: PrefillPlan,
@@ -35,11 +35,11 @@
   const { server, missingTokens } = plan.prefill;
   const { timers, description, service } = exchange.options;
   const { urgency } = plan.read;
-  const { fleet, noteLoadChange } = context;
+  const { fleet, onLoadChange } = context;
   const load = fleet.loadOf(server.id);
   const startedAtMs = timers.nowMs();
   const read = load.begin(plan.read, startedAtMs);
-  noteLoadChange();
+  onLoadChange();
   noteSharedRead(exchange, context, plan);
   const speed = fleet.speedOf(service);
   const isForecast = speed.isLearnt && urgency === 'in-time';
@@ -47,33 +47,33 @@
     ? PATIENCE_MS + PATIENCE_FACTOR * plan.expectedMs
     : exchange.remainingMs();
   let isGivenUp = false;
-  const memory = await callWithin(timers, patienceMs, exchange.signal, async (signal) => {
+  const memory = await callWithTimeout(timers, patienceMs, exchange.signal, async (signal) => {
     const asked = await askToRead(exchange, context, plan, priority, signal);
     isGivenUp = signal.aborted;
     return asked;
   });
-  noteLoadChange();
+  onLoadChange();
   const nowMs = timers.nowMs();
   if (memory === 'held-back') {
     load.abandon(read);
-    context.room.wake();
+    context.admission.wake();
     return memory;
   }
   const isOver = fleet.directory.isOver(server);
   // What a server has read is gone with its life.
   if (memory === undefined || isOver) {
     load.abandon(read);
-    context.room.wake();
+    context.admission.wake();
     noteWait(exchange, context, plan, nowMs - startedAtMs);
     const wasSilent = isGivenUp && !exchange.signal.aborted;
     if (wasSilent && !isOver) fleet.healthOf(server.id).recordBroken(nowMs);
     return undefined;
   }
   load.finish(read, nowMs);
-  context.room.wake();
+  context.admission.wake();
   exchange.stepTimesMs.prefillMs = nowMs - startedAtMs;
   const elapsedMs = nowMs - startedAtMs;
-  if (wasFree(plan.read) || !speed.isLearnt) {
+  if (hadShortQueue(plan.read) || !speed.isLearnt) {
     const { waitMs } = plan.read;
     fleet.paces.learnPrefill(server, missingTokens, { elapsedMs, waitMs }, nowMs);
   } else noteWait(exchange, context, plan, elapsedMs);
@@ -82,7 +82,7 @@
 }
 
 /** Whether a read was expected to begin so soon that its time shows the engine's pace. */
-export function wasFree({ waitMs, readMs }: ExpectedRead): boolean {
+export function hadShortQueue({ waitMs, readMs }: ExpectedRead): boolean {
   return waitMs <= FREE_WAIT_SHARE * readMs;
 }
 
@@ -123,7 +123,7 @@
 ): Promise<MemorySource | 'held-back' | undefined> {
   const { server, fetchFrom } = plan.prefill;
   const result = await sendAttempt(exchange, context, {
-    ...plainAttempt(server, signal),
+    ...defaultAttemptOptions(server, signal),
     mayKeepConnection: true,
     prefillOnly: true,
     priority,
@@ -146,7 +146,7 @@
 }
 
 /** Frees memory; whether that comes about is not waited for, as it lapses by itself. */
-export function freeMemory(
+export function freeKvMemory(
   exchange: Exchange,
   context: AttemptContext,
   memory: MemorySource,
@@ -160,7 +160,7 @@
     mayKeepConnection: true,
     connectTimeoutMs: FREE_TIMEOUT_MS,
   };
-  void callWithin(exchange.options.timers, FREE_TIMEOUT_MS, undefined, (signal) =>
+  void callWithTimeout(exchange.options.timers, FREE_TIMEOUT_MS, undefined, (signal) =>
     context.calls.call({ ...call, signal }),
   ).then((result) => {
     if (result.kind === 'answered') result.answer.message.resume();
--- a/src/shell/gateway/relay-duty.ts
+++ b/src/shell/gateway/relay-duty.ts
@@ -21,7 +21,7 @@
   type AdvertisedSums,
 } from '../../core/gateway/index.js';
 import { GATEWAY_EVENTS } from '../../core/logging/catalogue/gateway.js';
-import { type ByteBudget, sizeOnLink } from './byte-budget.js';
+import { type ByteBudget, datagramWireBytes } from './byte-budget.js';
 import { encodePeerMessage, MOST_ENTRIES } from './peer-messages.js';
 import type { GatewayLog } from './request-log.js';
 import type { CancelTimer, TimerService } from './timer-service.js';
@@ -202,7 +202,9 @@
   /** Tells an audience what there are bytes for; what there are none for is told later, as it is then. */
   #tell({ peers, budget, sums, totals, news, demand }: SumsAudience): void {
     const newsBytes = news.reads.length * BYTES_OF_READ + news.reach.length * BYTES_OF_REACH;
-    const maxEntries = Math.floor((budget.bytesLeft - BYTES_OF_HEAD - newsBytes) / BYTES_OF_ENTRY);
+    const maxEntries = Math.floor(
+      (budget.availableBytes - BYTES_OF_HEAD - newsBytes) / BYTES_OF_ENTRY,
+    );
     if (maxEntries < LEAST_ENTRIES) return;
     const told = sums.next(totals(), this.#options.timers.nowMs(), maxEntries);
     this.#sendSums(peers, budget, { ...told, ...news, demand: demand() });
@@ -216,7 +218,7 @@
       const part = work.slice(first, first + MOST_ENTRIES);
       const message = first === 0 ? told : { ...told, ...NO_NEWS, isComplete: false };
       const bytes = this.#encodeSums({ ...message, work: part });
-      budget.take(sizeOnLink(bytes));
+      budget.take(datagramWireBytes(bytes));
       this.#options.send(peers, bytes);
     }
   }
--- a/src/shell/gateway/request-room.ts
+++ b/src/shell/gateway/request-room.ts
@@ -9,8 +9,8 @@
 import type { Exchange } from './exchange.js';
 import type { GatewayMetrics } from './gateway-metrics.js';
 import type { GatewayLog } from './request-log.js';
-import { fieldsOf, type LeaveRoom, type RoomAsk } from './room-ask.js';
-import { RoomRefusals } from './room-refusals.js';
+import { admissionLogFields, type ReleaseReservation, type AdmissionCheck } from './room-ask.js';
+import { AdmissionRefusals } from './room-refusals.js';
 import type { CancelTimer, TimerService } from './timer-service.js';
 
 /** Room that is expected to come by itself is looked for no more often than this. */
@@ -20,16 +20,16 @@
 
 interface Waiter {
   readonly exchange: Exchange;
-  readonly ask: RoomAsk;
+  readonly ask: AdmissionCheck;
   readonly place: RoomPlace;
   readonly since: number;
   /** By what was believed when it was last asked. */
   placement: Placement;
-  readonly end: (leave: LeaveRoom | undefined) => void;
+  readonly end: (leave: ReleaseReservation | undefined) => void;
 }
 
 /** What a room is built from. */
-export interface RequestRoomOptions {
+export interface AdmissionGateOptions {
   /** Whether requests wait and are refused here at all. */
   readonly isOn: boolean;
   readonly timers: TimerService;
@@ -38,20 +38,20 @@
 }
 
 /** The waiting room of a daemon. */
-export class RequestRoom {
-  readonly #options: RequestRoomOptions;
+export class AdmissionGate {
+  readonly #options: AdmissionGateOptions;
   readonly #room = new WaitingRoom();
   readonly #waiters = new Map<string, Waiter>();
-  readonly #refusals: RoomRefusals;
+  readonly #refusals: AdmissionRefusals;
   #entered = 0;
   #isStopping = false;
   #isTurning = false;
   #cancelLook: CancelTimer | undefined;
   #lookAtMs = Number.POSITIVE_INFINITY;
 
-  constructor(options: RequestRoomOptions) {
+  constructor(options: AdmissionGateOptions) {
     this.#options = options;
-    this.#refusals = new RoomRefusals(options);
+    this.#refusals = new AdmissionRefusals(options);
   }
 
   get isOn(): boolean {
@@ -69,7 +69,7 @@
   }
 
   /** Lets a request pass, at once or when its turn comes; undefined when it was answered or is over. */
-  pass(exchange: Exchange, ask: RoomAsk): Promise<LeaveRoom | undefined> {
+  admit(exchange: Exchange, ask: AdmissionCheck): Promise<ReleaseReservation | undefined> {
     const placement = ask.place();
     if (placement.kind === 'refuse') {
       this.#refuse(exchange, ask, placement.reason, placement.roomInMs, 0);
@@ -101,10 +101,10 @@
 
   #enter(
     exchange: Exchange,
-    ask: RoomAsk,
+    ask: AdmissionCheck,
     placement: Exclude<Placement, { kind: 'refuse' }>,
     slackMs: number,
-  ): Promise<LeaveRoom | undefined> {
+  ): Promise<ReleaseReservation | undefined> {
     const nowMs = this.#nowMs();
     const place = this.#placeOf(exchange, ask, nowMs + slackMs);
     const hasCapacity = placement.kind === 'go';
@@ -130,14 +130,14 @@
 
   #wait(
     exchange: Exchange,
-    ask: RoomAsk,
+    ask: AdmissionCheck,
     place: RoomPlace,
     placement: Placement,
-  ): Promise<LeaveRoom | undefined> {
+  ): Promise<ReleaseReservation | undefined> {
     const since = this.#nowMs();
     const roomInMs = placement.kind === 'wait' ? placement.roomInMs : 0;
     this.#options.log.write(GATEWAY_EVENTS.requestWaits, {
-      ...fieldsOf(exchange, ask),
+      ...admissionLogFields(exchange, ask),
       behind: this.#room.waitingIn(ask.lane) - 1,
       roomInMs: Math.round(roomInMs),
       mostMs: Math.round(place.latestStartMs - since),
@@ -147,7 +147,7 @@
         this.#takeOut(waiter);
         waiter.end(undefined);
       };
-      const end = (leave: LeaveRoom | undefined) => {
+      const end = (leave: ReleaseReservation | undefined) => {
         exchange.signal.removeEventListener('abort', leaveEarly);
         resolve(leave);
       };
@@ -167,7 +167,7 @@
       this.#waiters.delete(description.id);
       const { exchange, ask, since } = waiter;
       const placement = ask.place();
-      if (ask.goesAtEnd || placement.kind === 'go') {
+      if (ask.isSentAtHoldLimit || placement.kind === 'go') {
         this.#letOneGo(waiter);
         continue;
       }
@@ -208,7 +208,7 @@
 
   #letOneGo({ exchange, ask, since, end }: Waiter): void {
     const waitedMs = this.#nowMs() - since;
-    const fields = { ...fieldsOf(exchange, ask), waitedMs: Math.round(waitedMs) };
+    const fields = { ...admissionLogFields(exchange, ask), waitedMs: Math.round(waitedMs) };
     this.#options.log.write(GATEWAY_EVENTS.requestWaited, fields);
     this.#options.metrics.recordWait(exchange.options.rank, waitedMs);
     end(ask.reserve());
@@ -216,7 +216,7 @@
 
   #refuse(
     exchange: Exchange,
-    ask: RoomAsk,
+    ask: AdmissionCheck,
     reason: string,
     roomInMs: number,
     waitedMs: number,
@@ -230,7 +230,7 @@
     this.#room.leave(place, this.#nowMs());
   }
 
-  #placeOf(exchange: Exchange, ask: RoomAsk, latestStartMs: number): RoomPlace {
+  #placeOf(exchange: Exchange, ask: AdmissionCheck, latestStartMs: number): RoomPlace {
     const { tenant, rank, arrivedAtMs } = exchange.options;
     this.#entered += 1;
     return {
--- a/src/shell/gateway/retry-turns.ts
+++ b/src/shell/gateway/retry-turns.ts
@@ -14,7 +14,7 @@
 }
 
 /** Turns of the watches of one daemon. */
-export class RetryTurns {
+export class WatchRetryQueue {
   readonly #timers: Pick<TimerService, 'after'>;
   #waiting: readonly Waiting[] = [];
   /** Until the watch whose turn it is has said what came of its call. */
@@ -46,7 +46,7 @@
   }
 
   /** The store has answered one of the watches. */
-  noteAnswer(): void {
+  recordStoreAnswer(): void {
     this.#release();
     this.#disarm();
     const all = this.#waiting;
--- a/src/shell/gateway/room-ask.ts
+++ b/src/shell/gateway/room-ask.ts
@@ -4,7 +4,7 @@
 import type { Exchange } from './exchange.js';
 
 /** What a request asks of the room. */
-export interface RoomAsk {
+export interface AdmissionCheck {
   /** Requests that wait for the same servers and are alike. */
   readonly lane: string;
   /** The time of a server that it takes up. */
@@ -14,7 +14,7 @@
   /** Its place by what is believed now. */
   place(): Placement;
   /** Whether it is sent when it was held as long as it may be; it is refused otherwise. */
-  readonly goesAtEnd: boolean;
+  readonly isSentAtHoldLimit: boolean;
   /** What the place was decided from, and how old that is. */
   inputs(): LogFields;
   /** Takes its place at a server until it is sent, so that no other gets the same room; gives it back. */
@@ -22,7 +22,7 @@
 }
 
 /** Gives back what `reserve` took; to be called once, when the request is sent. */
-export type LeaveRoom = () => void;
+export type ReleaseReservation = () => void;
 
 /** A time for a log line; null for one that is not known, or for ever. */
 export function roundedOrNull(spanMs: number): number | null {
@@ -30,7 +30,7 @@
 }
 
 /** The request, and what was believed when it was last asked. */
-export function fieldsOf({ options }: Exchange, ask: RoomAsk): LogFields {
+export function admissionLogFields({ options }: Exchange, ask: AdmissionCheck): LogFields {
   const { description, rank, tenant } = options;
   return {
     request: description.attemptId,
--- a/src/shell/gateway/room-refusals.ts
+++ b/src/shell/gateway/room-refusals.ts
@@ -4,21 +4,21 @@
 import type { Exchange } from './exchange.js';
 import type { GatewayMetrics } from './gateway-metrics.js';
 import type { GatewayLog } from './request-log.js';
-import { fieldsOf, type RoomAsk } from './room-ask.js';
+import { admissionLogFields, type AdmissionCheck } from './room-ask.js';
 import type { TimerService } from './timer-service.js';
 
 /** Another daemon takes a request at once. */
 const STOPPING_RETRY_AFTER_MS = 50;
 
 /** What refusals are told to. */
-export interface RoomRefusalsOptions {
+export interface AdmissionRefusalsOptions {
   readonly timers: TimerService;
   readonly log: Pick<GatewayLog, 'write'>;
   readonly metrics: Pick<GatewayMetrics, 'recordRoomRefusal'>;
 }
 
 /** Why a request is refused. */
-export interface RoomRefusal {
+export interface AdmissionRefusal {
   readonly reason: string;
   /** Until there would be room for it. */
   readonly roomInMs: number;
@@ -28,15 +28,15 @@
 }
 
 /** Refuses requests; callers of one lane are told to come back one after the other. */
-export class RoomRefusals {
-  readonly #options: RoomRefusalsOptions;
+export class AdmissionRefusals {
+  readonly #options: AdmissionRefusalsOptions;
   readonly #retries = new Map<string, RetryLine>();
 
-  constructor(options: RoomRefusalsOptions) {
+  constructor(options: AdmissionRefusalsOptions) {
     this.#options = options;
   }
 
-  refuse(exchange: Exchange, ask: RoomAsk, refusal: RoomRefusal): void {
+  refuse(exchange: Exchange, ask: AdmissionCheck, refusal: AdmissionRefusal): void {
     const { reason, roomInMs, waitedMs, behind } = refusal;
     const retryAfterMs = this.#retryLine(ask.lane).promise({
       nowMs: this.#options.timers.nowMs(),
@@ -46,7 +46,7 @@
       entropy: Math.random(),
     });
     this.#options.log.write(GATEWAY_EVENTS.requestTurnedAway, {
-      ...fieldsOf(exchange, ask),
+      ...admissionLogFields(exchange, ask),
       reason,
       roomInMs: Math.round(roomInMs),
       retryAfterMs: Math.round(retryAfterMs),
@@ -58,9 +58,9 @@
   }
 
   /** This daemon stops: another one takes the request. */
-  refuseStopping(exchange: Exchange, ask: RoomAsk): void {
+  refuseStopping(exchange: Exchange, ask: AdmissionCheck): void {
     this.#options.log.write(GATEWAY_EVENTS.requestTurnedAway, {
-      ...fieldsOf(exchange, ask),
+      ...admissionLogFields(exchange, ask),
       reason: 'stopping',
       retryAfterMs: STOPPING_RETRY_AFTER_MS,
     });
--- a/src/shell/gateway/server-calls.ts
+++ b/src/shell/gateway/server-calls.ts
@@ -52,11 +52,7 @@
     'availability' | 'availabilityOf' | 'limits' | 'permits' | 'recentSends'
   >;
   /** To be called when an answer changed what is known of its server's limit. */
-  readonly noteLimitChange: (
-    server: ServerRecord,
-    change: LimitChange,
-    purpose: CallPurpose,
-  ) => void;
+  readonly onLimitChange: (server: ServerRecord, change: LimitChange, purpose: CallPurpose) => void;
   readonly codec: Pick<RequestCodec, 'readAvailability' | 'readLimit'>;
   readonly timers: TimerService;
   /** The time of day, by which starts of servers are told. */
@@ -156,14 +152,14 @@
   }
 
   #hearLimit(call: ServerCall, sentAtMs: number, { status, message }: BackendAnswer): void {
-    const { codec, fleet, timers, noteLimitChange } = this.#options;
+    const { codec, fleet, timers, onLimitChange } = this.#options;
     const { server, purpose } = call;
     const said = codec.readLimit(status, message.headers);
     if (said.kind === 'unreadable') this.#noteUnreadable(server.id, `limit: ${said.text}`);
     if (!isSureOf(said, call)) return;
     const times = { sentAtMs, nowMs: timers.nowMs() };
     const change = fleet.limits.recordReport(server, said, times);
-    if (change !== undefined) noteLimitChange(server, change, purpose);
+    if (change !== undefined) onLimitChange(server, change, purpose);
   }
 
   #noteUnreadable(server: string, told: string): void {
--- a/src/shell/gateway/server-end-check.ts
+++ b/src/shell/gateway/server-end-check.ts
@@ -12,7 +12,7 @@
 const MOST_KNOWN = 256;
 
 /** What a check is built from. */
-export interface ServerEndCheckOptions {
+export interface ServerExitCheckOptions {
   readonly connections: Pick<BackendConnections, 'isRefused'>;
   /** Whether a later life of a server is listed already. */
   readonly isOver: (server: ServerRecord) => boolean;
@@ -25,12 +25,12 @@
 }
 
 /** Checks whether servers have ended. */
-export class ServerEndCheck {
-  readonly #options: ServerEndCheckOptions;
+export class ServerExitCheck {
+  readonly #options: ServerExitCheckOptions;
   /** By life: one that has begun meanwhile takes connections and says nothing of the one before. */
   readonly #checks = new Map<string, KnownCheck>();
 
-  constructor(options: ServerEndCheckOptions) {
+  constructor(options: ServerExitCheckOptions) {
     this.#options = options;
   }
 
--- a/src/shell/gateway/stage-orders.ts
+++ b/src/shell/gateway/stage-orders.ts
@@ -13,7 +13,7 @@
 import type { EngineCall, EngineReport, RequestCodec } from './ports.js';
 import type { GatewayLog } from './request-log.js';
 import type { CallPurpose, ServerCalls } from './server-calls.js';
-import { callWithin, delay, type TimerService } from './timer-service.js';
+import { callWithTimeout, delay, type TimerService } from './timer-service.js';
 
 /** An ordered engine is asked this often whether its change is over, and the others are told. */
 const FOLLOW_GAP_MS = 400;
@@ -131,7 +131,7 @@
 
   #callEngine(engine: ServerRecord, purpose: CallPurpose, call: EngineCall): Promise<EngineAnswer> {
     const { calls, timers } = this.#options;
-    return callWithin(timers, ORDER_TIMEOUT_MS, undefined, async (signal) => {
+    return callWithTimeout(timers, ORDER_TIMEOUT_MS, undefined, async (signal) => {
       const result = await calls.call({
         ...call,
         server: engine,
--- a/src/shell/gateway/stream-relay.ts
+++ b/src/shell/gateway/stream-relay.ts
@@ -39,7 +39,7 @@
     const { answer } = attempt;
     const { message } = answer;
     const { response } = this.#exchange.options;
-    this.#splitter.discardRest();
+    this.#splitter.discardPartialEvent();
     return new Promise((resolve) => {
       const settle = (result: RelayResult) => {
         this.#exchange.signal.removeEventListener('abort', interrupt);
@@ -59,14 +59,14 @@
         const bytes = this.#isResumable ? this.#splitter.push(chunk) : chunk;
         if (bytes.length > 0 && !this.#write(attempt, bytes)) message.pause();
       });
-      message.once('end', () => settle(answer.isWhole ? 'complete' : 'broken'));
+      message.once('end', () => settle(answer.isComplete ? 'complete' : 'broken'));
       message.once('close', () => settle('broken'));
     });
   }
 
   /** Ends the caller's answer as whole. */
   complete(attempt: AnsweredAttempt): void {
-    const rest = this.#splitter.takeRest();
+    const rest = this.#splitter.takeRemainder();
     if (rest.length > 0 || !this.hasBegun) this.#write(attempt, rest);
     this.#exchange.options.response.end();
     this.#exchange.finish('answered', {
@@ -81,8 +81,8 @@
     if (!this.#exchange.isAnswered) {
       const { answer } = attempt;
       const headers = withoutConnectionHeaders(answer.message.rawHeaders);
-      const { status, isEndedByClose } = answer;
-      if (!this.#exchange.beginStream(status, headers, isEndedByClose)) return true;
+      const { status, isCloseDelimited } = answer;
+      if (!this.#exchange.beginStream(status, headers, isCloseDelimited)) return true;
       this.#exchange.stepTimesMs.firstEventMs = this.#exchange.elapsedMs();
       metrics.recordFirstEvent(this.#way(), this.#exchange.elapsedMs());
     }
--- a/src/shell/gateway/table-call.ts
+++ b/src/shell/gateway/table-call.ts
@@ -1,7 +1,7 @@
 /** Calls to the product's rows in the store: each ends after a time, and all rows of a prefix are read page by page. */
 import type { TableCall, TableResult, TableRow } from '../../core/platform/table.js';
 import type { TableService } from './ports.js';
-import { callWithin, type TimerService } from './timer-service.js';
+import { callWithTimeout, type TimerService } from './timer-service.js';
 
 const TABLE_TIMEOUT_MS = 1_500;
 /** Rows of one page of a scan: as many as the store gives at once. */
@@ -19,7 +19,7 @@
   call: TableCall,
   signal: AbortSignal | undefined,
 ): Promise<TableResult> {
-  return callWithin(timers, TABLE_TIMEOUT_MS, signal, (ended) => table.call(call, ended));
+  return callWithTimeout(timers, TABLE_TIMEOUT_MS, signal, (ended) => table.call(call, ended));
 }
 
 /** All rows, or undefined where a page could not be had: a part of them is worse than an old reading. */
--- a/src/shell/gateway/table-watcher.ts
+++ b/src/shell/gateway/table-watcher.ts
@@ -19,8 +19,8 @@
 import type { WatchAnswer, WatchedRow, WatchedTable } from './ports.js';
 import type { FollowedTable, RelayDigest } from './relay-digest.js';
 import type { GatewayLog } from './request-log.js';
-import type { RetryTurns } from './retry-turns.js';
-import { callWithin, delay, type TimerService } from './timer-service.js';
+import type { WatchRetryQueue } from './retry-turns.js';
+import { callWithTimeout, delay, type TimerService } from './timer-service.js';
 import {
   ANSWER_SLACK_MS,
   FIRST_RETRY_SHARE,
@@ -74,7 +74,7 @@
   /** From 0 to below 1, to spread the retries of many daemons. */
   readonly random: () => number;
   /** Shared by all watches of this daemon. */
-  readonly retryTurns: RetryTurns;
+  readonly retryTurns: WatchRetryQueue;
   readonly timers: TimerService;
   readonly log: Pick<GatewayLog, 'write'>;
 }
@@ -354,7 +354,7 @@
     call: (signal: AbortSignal) => Promise<WatchAnswer<Value>>,
   ): Promise<WatchAnswer<Value>> {
     this.callsTotal += 1;
-    const answer = await callWithin(this.#options.timers, timeoutMs, signal, call);
+    const answer = await callWithTimeout(this.#options.timers, timeoutMs, signal, call);
     const { era } = answer;
     if (era === undefined) return answer;
     switch (this.#revisions.eraOf({ era })) {
@@ -382,7 +382,7 @@
     }
     this.#failuresInARow = 0;
     this.#lastAnswerMs = timers.nowMs();
-    this.#options.retryTurns.noteAnswer();
+    this.#options.retryTurns.recordStoreAnswer();
   }
 
   async #handleFailure(answer: Exclude<WatchAnswer<Value>, { kind: 'rows' }>): Promise<void> {
--- a/src/shell/gateway/tenant-usage.ts
+++ b/src/shell/gateway/tenant-usage.ts
@@ -21,7 +21,7 @@
 import type { UsageMessage } from './peer-messages.js';
 import type { DutyOutcome, PlatformDuties, TableService } from './ports.js';
 import type { GatewayLog } from './request-log.js';
-import { callWithin, delay, type TimerService, type WallClock } from './timer-service.js';
+import { callWithTimeout, delay, type TimerService, type WallClock } from './timer-service.js';
 
 /** The key of the duty's record. */
 const RECORD_KEY = 'usage-duty';
@@ -91,7 +91,7 @@
   }
 
   /** A tenant's request began to run, so long ago. */
-  noteBegan(tenant: string, agoMs: number): void {
+  recordRunStart(tenant: string, agoMs: number): void {
     this.#counts.note(tenant, this.#options.wallClock() - agoMs);
   }
 
@@ -223,7 +223,7 @@
     const { daemon, duties, timers, log, roster, peers } = this.#options;
     const { window, counts, fence } = record;
     const authority = { holder: daemon, fence };
-    const outcome = await callWithin(timers, CALL_TIMEOUT_MS, this.#stopped.signal, (signal) =>
+    const outcome = await callWithTimeout(timers, CALL_TIMEOUT_MS, this.#stopped.signal, (signal) =>
       duties.reportUsage({ window, counts }, authority, signal),
     );
     this.#duty.takeReport(reportOutcomeOf(outcome), record);
--- a/src/shell/gateway/timer-service.ts
+++ b/src/shell/gateway/timer-service.ts
@@ -74,7 +74,7 @@
  * Makes a call whose signal is aborted after a time, or with another signal; the call settles itself.
  * @param outer ends the call sooner; undefined when nothing but the time does
  */
-export async function callWithin<Result>(
+export async function callWithTimeout<Result>(
   timers: TimerService,
   limitMs: number,
   outer: AbortSignal | undefined,
--- a/src/shell/gateway/web-room-ask.ts
+++ b/src/shell/gateway/web-room-ask.ts
@@ -2,20 +2,20 @@
 import { placeWebRequest } from '../../core/gateway/index.js';
 import type { AttemptContext } from './attempt.js';
 import type { Exchange } from './exchange.js';
-import { type RoomAsk, roundedOrNull } from './room-ask.js';
+import { type AdmissionCheck, roundedOrNull } from './room-ask.js';
 
 /** Requests to web servers cost alike: the time that one takes is not known beforehand. */
 const WEB_COST_MS = 1;
 
 /** The ask of a request that is to be sent to one of its service's servers. */
-export function webRoomAsk(exchange: Exchange, { fleet }: AttemptContext): RoomAsk {
+export function webAdmissionCheck(exchange: Exchange, { fleet }: AttemptContext): AdmissionCheck {
   const { service, route, timers } = exchange.options;
   const others = (id: string) => fleet.peerLoads.running(id, timers.nowMs());
   return {
     lane: service,
     costMs: WEB_COST_MS,
     spacingMs: 0,
-    goesAtEnd: true,
+    isSentAtHoldLimit: true,
     place: () =>
       placeWebRequest({
         candidates: fleet.candidates(service, timers.nowMs()),
--- a/src/shell/gateway/web-work.ts
+++ b/src/shell/gateway/web-work.ts
@@ -50,7 +50,7 @@
   }
 
   /** A call to a server of a service began or ended. */
-  noteCall(service: string): void {
+  recordCall(service: string): void {
     const { fleet, peers } = this.#options;
     if (this.#isTold && fleet.isCrowded(service)) peers()?.noteShortCall();
   }
@@ -62,7 +62,7 @@
   }
 
   /** A server says something of its load. */
-  takeLoad(server: ServerRecord, load: ToldLoad): void {
+  applyReportedLoad(server: ServerRecord, load: ToldLoad): void {
     const { isEnabled, fleet, timers } = this.#options;
     if (!isEnabled) return;
     switch (load.kind) {
--- a/src/shell/gateway/whole-exchange.ts
+++ b/src/shell/gateway/whole-exchange.ts
@@ -13,15 +13,15 @@
   type AttemptContext,
   type AttemptResult,
   hasNotRun,
-  plainAttempt,
-  promisesNotRun,
-  refuseUnserved,
+  defaultAttemptOptions,
+  statusImpliesNotExecuted,
+  refuseUnavailable,
   sendAttempt,
-  wholeOutcome,
+  completeAnswerOutcome,
 } from './attempt.js';
-import type { Exchange, WholeAnswer } from './exchange.js';
+import type { Exchange, CompleteAnswer } from './exchange.js';
 import { permitSeekerOf } from './limit-coordinator.js';
-import { webRoomAsk } from './web-room-ask.js';
+import { webAdmissionCheck } from './web-room-ask.js';
 
 const MAX_ANSWER_BYTES = 16_777_216;
 /** Servers that may turn a request down, or be out of reach, before it is refused. */
@@ -31,11 +31,11 @@
 const LEAST_HEDGE_MS = 40;
 
 type RunResult =
-  | { readonly kind: 'whole'; readonly answer: WholeAnswer }
+  | { readonly kind: 'whole'; readonly answer: CompleteAnswer }
   | Exclude<AttemptResult, { kind: 'answered' }>;
 
 /** Runs a request to its final answer. */
-export async function runWholeExchange(exchange: Exchange, context: AttemptContext): Promise<void> {
+export async function runWebExchange(exchange: Exchange, context: AttemptContext): Promise<void> {
   await new WholeRun(exchange, context).run();
 }
 
@@ -46,7 +46,7 @@
   readonly #pending = new Set<Promise<RunResult>>();
   readonly #abandoned = new AbortController();
   #turnedDown = 0;
-  #lastFailure: WholeAnswer | undefined;
+  #lastFailure: CompleteAnswer | undefined;
   #lastReason = 'no server';
 
   constructor(exchange: Exchange, context: AttemptContext) {
@@ -95,15 +95,15 @@
 
   get #mayBeHeld(): boolean {
     const heldMs = MAX_HOLD_SHARE * this.#exchange.options.route.targetLatencyMs;
-    return this.#context.room.isOn && this.#exchange.elapsedMs() < heldMs;
+    return this.#context.admission.isOn && this.#exchange.elapsedMs() < heldMs;
   }
 
   /** Waits until a server is expected to have room; false when the request has its end. */
   async #passRoom(): Promise<boolean> {
     const exchange = this.#exchange;
-    const { room } = this.#context;
-    if (!room.isOn) return true;
-    const leave = await room.pass(exchange, webRoomAsk(exchange, this.#context));
+    const { admission } = this.#context;
+    if (!admission.isOn) return true;
+    const leave = await admission.admit(exchange, webAdmissionCheck(exchange, this.#context));
     if (leave === undefined) {
       if (exchange.signal.aborted) exchange.endInterrupted();
       return false;
@@ -112,8 +112,8 @@
     return true;
   }
 
-  #isWorthRepeating(answer: WholeAnswer): boolean {
-    return this.#isRepeatable && (answer.status >= 500 || answer.isEndedByClose);
+  #isWorthRepeating(answer: CompleteAnswer): boolean {
+    return this.#isRepeatable && (answer.status >= 500 || answer.isCloseDelimited);
   }
 
   #giveUp(): void {
@@ -121,7 +121,7 @@
     if (exchange.signal.aborted) exchange.endInterrupted();
     else if (this.#lastFailure !== undefined) exchange.answer(this.#lastFailure);
     else if (!this.#context.crashes.refuse(exchange)) {
-      refuseUnserved(exchange, this.#context, this.#lastReason);
+      refuseUnavailable(exchange, this.#context, this.#lastReason);
     }
   }
 
@@ -184,17 +184,17 @@
   async #runAt(server: ServerRecord): Promise<RunResult> {
     const sentMs = this.#nowMs();
     const result = await sendAttempt(this.#exchange, this.#context, {
-      ...plainAttempt(server, this.#abandoned.signal),
+      ...defaultAttemptOptions(server, this.#abandoned.signal),
       mayKeepConnection: this.#isRepeatable,
     });
     this.#exchange.endRun(hasNotRun(result));
-    this.#context.room.wake();
+    this.#context.admission.wake();
     // It has not run there, and while it may be held the server may have room for it after a rest.
     const mayComeBack = result.kind === 'not-executed' && this.#mayBeHeld;
     if (mayComeBack || result.kind === 'held-back') {
       this.#exchange.triedServerIds.delete(server.id);
     }
-    if (!hasNotRun(result)) this.#context.noteBegan(this.#exchange, this.#nowMs() - sentMs);
+    if (!hasNotRun(result)) this.#context.recordRunStart(this.#exchange, this.#nowMs() - sentMs);
     if (result.kind !== 'answered') return result;
     const { answer, isStamped, end } = result.attempt;
     const body = await answer.collect(MAX_ANSWER_BYTES);
@@ -205,8 +205,9 @@
     };
     if (body === undefined) return broken('the answer broke off');
     if (isSuccess && !isStamped) return broken('a success without a stamp');
-    if (promisesNotRun(answer.status)) return broken(`status ${answer.status} without its promise`);
-    end(wholeOutcome(answer.status));
+    if (statusImpliesNotExecuted(answer.status))
+      return broken(`status ${answer.status} without its promise`);
+    end(completeAnswerOutcome(answer.status));
     const headers = withoutConnectionHeaders(answer.message.rawHeaders);
     return {
       kind: 'whole',
@@ -215,7 +216,7 @@
         headers,
         body,
         serverId: server.id,
-        isEndedByClose: answer.isEndedByClose,
+        isCloseDelimited: answer.isCloseDelimited,
       },
     };
   }
--- a/src/shell/http/model-call.ts
+++ b/src/shell/http/model-call.ts
@@ -48,7 +48,7 @@
   }
   const flaw = flawOfOptions(parsed, maxOutputTokens);
   if (flaw !== null) return invalid(flaw);
-  const prompt = shape === 'chat' ? readMessages(parsed.messages) : readPrompt(parsed.prompt);
+  const prompt = shape === 'chat' ? readMessages(parsed.messages) : runPrefill(parsed.prompt);
   if (typeof prompt === 'string') return invalid(prompt);
   return ok({
     modelName,
@@ -117,7 +117,7 @@
   return isObject(options) && options.include_usage === true;
 }
 
-function readPrompt(prompt: unknown): Prompt | string {
+function runPrefill(prompt: unknown): Prompt | string {
   if (typeof prompt === 'string') {
     return { text: prompt, tokens: Math.ceil(prompt.length / CHARACTERS_PER_TOKEN) };
   }
--- a/test/duty/lease-after-copy.test.ts
+++ b/test/duty/lease-after-copy.test.ts
@@ -10,7 +10,7 @@
   stepLease,
 } from '../../src/core/lease/index.js';
 import type { TableCall, TableResult, TableRow } from '../../src/core/platform/table.js';
-import { randomOf } from '../gateway/support/seeded-random.js';
+import { seededRandom } from '../gateway/support/seeded-random.js';
 
 const LEASE_MS = 3_000;
 /** Between the acts of two holders lies at least what each leaves for the drift of clocks. */
@@ -144,7 +144,7 @@
 
 /** Daemons that want the duty, stop wanting it and start anew, and a store that comes back from copies some seconds old. */
 function play({ create, releases }: Party, seed: number): readonly Act[] {
-  const random = randomOf(seed);
+  const random = seededRandom(seed);
   const store = new CopiedStore();
   const holders = DAEMONS.map((daemon, index) => create(daemon, index, store));
   const acts: Act[] = [];
--- a/test/gateway/backend-connections.test.ts
+++ b/test/gateway/backend-connections.test.ts
@@ -74,7 +74,7 @@
   const answered = await result;
   assert.equal(answered.kind, 'answered');
   if (answered.kind !== 'answered') return;
-  assert.equal(answered.answer.isEndedByClose, true);
+  assert.equal(answered.answer.isCloseDelimited, true);
   const body = answered.answer.collect(100);
   const handle = Reflect.get(socket, '_handle') as { reset(done: () => void): void };
   handle.reset(() => socket.destroy());
--- a/test/gateway/choices.test.ts
+++ b/test/gateway/choices.test.ts
@@ -266,7 +266,7 @@
   assert.equal(splitter.push(Buffer.from('id: 1\ndata: a\n')).length, 0);
   assert.equal(splitter.push(Buffer.from('\nid: 2\nda')).toString(), 'id: 1\ndata: a\n\n');
   assert.equal(splitter.lastEventId, '1');
-  splitter.discardRest();
+  splitter.discardPartialEvent();
   assert.equal(splitter.push(Buffer.from('id: 2\r\ndata: b\r\n\r\n')).length, 18);
   assert.equal(splitter.lastEventId, '2');
 });
--- a/test/gateway/configuration-in-force.test.ts
+++ b/test/gateway/configuration-in-force.test.ts
@@ -6,7 +6,7 @@
 import { test } from 'node:test';
 import { longestBlindMs, watchTiming } from '../../src/shell/gateway/watch-timing.js';
 import { type DoorState, FollowedZone, type FollowedZoneOptions } from './support/followed-zone.js';
-import { randomOf } from './support/seeded-random.js';
+import { seededRandom } from './support/seeded-random.js';
 
 /** As operators set them: how soon a change is to be in force, and how long after a disturbance a daemon is in touch. */
 interface Bounds {
@@ -57,9 +57,9 @@
   fleet: Fleet,
   { state, lengthMs, struck, changeMs, phase }: Disturbance,
 ): Promise<Played> {
-  const zone = new FollowedZone({ ...fleet, random: randomOf(phase) });
+  const zone = new FollowedZone({ ...fleet, random: seededRandom(phase) });
   await zone.start(37);
-  await zone.timers.passUntil(CALM_MS + phase * PHASE_MS);
+  await zone.timers.advanceUntil(CALM_MS + phase * PHASE_MS);
   const parts = {
     all: zone.daemons,
     followers: zone.daemons.slice(1),
@@ -69,17 +69,17 @@
   const ackMs = endMs + changeMs;
   const callsBefore = zone.callsTotal;
   zone.shut(parts[struck], state);
-  await zone.timers.passUntil(Math.min(ackMs, endMs));
+  await zone.timers.advanceUntil(Math.min(ackMs, endMs));
   if (ackMs >= endMs) zone.shut(parts[struck], 'open');
-  await zone.timers.passUntil(ackMs);
+  await zone.timers.advanceUntil(ackMs);
   const version = zone.change();
-  await zone.timers.passUntil(endMs);
+  await zone.timers.advanceUntil(endMs);
   const calls = zone.callsTotal - callsBefore;
   if (ackMs < endMs) zone.shut(parts[struck], 'open');
   const dueMs = Math.max(endMs + fleet.contactMs, ackMs + fleet.configApplyMs);
-  await zone.timers.passUntil(dueMs + fleet.contactMs);
+  await zone.timers.advanceUntil(dueMs + fleet.contactMs);
   zone.stop();
-  await zone.timers.passUntil(dueMs + 2 * fleet.contactMs);
+  await zone.timers.advanceUntil(dueMs + 2 * fleet.contactMs);
   const sinceMs = Math.max(endMs, ackMs);
   return {
     slowestMs: zone.slowestMs(zone.daemons, version, sinceMs),
@@ -163,16 +163,20 @@
   const { fleet: _, ...options } = FLEETS[1];
   for (const state of ['silent', 'refuses', 'resets'] as const) {
     for (let phase = 0; phase < PHASES; phase += 1) {
-      const zone = new FollowedZone({ ...options, random: randomOf(phase), documentSize: 'small' });
+      const zone = new FollowedZone({
+        ...options,
+        random: seededRandom(phase),
+        documentSize: 'small',
+      });
       await zone.start(37);
-      await zone.timers.passUntil(CALM_MS + phase * PHASE_MS);
+      await zone.timers.advanceUntil(CALM_MS + phase * PHASE_MS);
       zone.shut(zone.daemons.slice(0, 1), state);
       const ackMs = zone.timers.nowMs() + 150;
-      await zone.timers.passUntil(ackMs);
+      await zone.timers.advanceUntil(ackMs);
       const version = zone.change();
-      await zone.timers.passUntil(ackMs + 2 * options.configApplyMs);
+      await zone.timers.advanceUntil(ackMs + 2 * options.configApplyMs);
       zone.stop();
-      await zone.timers.passUntil(ackMs + 4 * options.configApplyMs);
+      await zone.timers.advanceUntil(ackMs + 4 * options.configApplyMs);
       const slowestMs = zone.slowestMs(zone.daemons.slice(1), version, ackMs);
       assert.ok(slowestMs <= options.configApplyMs, `${state}, phase ${phase}: ${slowestMs} ms`);
     }
@@ -186,17 +190,17 @@
   const late: string[] = [];
   for (const { fleet, ...options } of FLEETS.slice(0, 2)) {
     for (const staleMs of [1_000, 3_000, 6_000, 9_000, 12_000]) {
-      const zone = new FollowedZone({ ...options, random: randomOf(4), documentSize: 'small' });
+      const zone = new FollowedZone({ ...options, random: seededRandom(4), documentSize: 'small' });
       await zone.start(37);
-      await zone.timers.passUntil(CALM_MS);
+      await zone.timers.advanceUntil(CALM_MS);
       for (const { table } of zone.daemons) table.staleVersion = zone.newestVersion;
       const version = zone.changeInGap();
       const endMs = CALM_MS + staleMs;
-      await zone.timers.passUntil(endMs);
+      await zone.timers.advanceUntil(endMs);
       for (const { table } of zone.daemons) table.staleVersion = undefined;
-      await zone.timers.passUntil(endMs + 2 * options.contactMs);
+      await zone.timers.advanceUntil(endMs + 2 * options.contactMs);
       zone.stop();
-      await zone.timers.passUntil(endMs + 4 * options.contactMs);
+      await zone.timers.advanceUntil(endMs + 4 * options.contactMs);
       const slowestMs = zone.slowestMs(zone.daemons, version, endMs);
       if (slowestMs > options.contactMs)
         late.push(`${fleet}, stale for ${staleMs}: ${slowestMs} ms`);
@@ -207,13 +211,13 @@
 
 test('reads that are stale under their own revision are no failure of the store: it is not asked for more', async () => {
   const { fleet: _, ...options } = FLEETS[0];
-  const zone = new FollowedZone({ ...options, random: randomOf(5), documentSize: 'small' });
+  const zone = new FollowedZone({ ...options, random: seededRandom(5), documentSize: 'small' });
   await zone.start(37);
-  await zone.timers.passUntil(CALM_MS);
+  await zone.timers.advanceUntil(CALM_MS);
   const staleVersion = zone.newestVersion;
   const staleRevision = zone.newestRevision;
   zone.change();
-  await zone.timers.passUntil(CALM_MS + 1_000);
+  await zone.timers.advanceUntil(CALM_MS + 1_000);
   const version = zone.changeInGap();
   for (const { table } of zone.daemons) {
     table.staleVersion = staleVersion;
@@ -221,12 +225,12 @@
   }
   const callsBefore = zone.callsTotal;
   const endMs = zone.timers.nowMs() + 9_000;
-  await zone.timers.passUntil(endMs);
+  await zone.timers.advanceUntil(endMs);
   const callsOfDaemon = (zone.callsTotal - callsBefore) / zone.daemons.length;
   for (const { table } of zone.daemons) table.staleVersion = undefined;
-  await zone.timers.passUntil(endMs + options.contactMs);
+  await zone.timers.advanceUntil(endMs + options.contactMs);
   zone.stop();
-  await zone.timers.passUntil(endMs + 3 * options.contactMs);
+  await zone.timers.advanceUntil(endMs + 3 * options.contactMs);
   assert.ok(zone.slowestMs(zone.daemons, version, endMs) <= options.contactMs);
   // Retries as while the store is away, two a second, and the held calls of the other table.
   assert.ok(callsOfDaemon <= 9 * 3 + 6, `${callsOfDaemon} calls of a daemon`);
@@ -235,13 +239,13 @@
 test('a follower of a relay that tells no version follows the table as its revisions say', async () => {
   const { fleet: _, ...options } = FLEETS[1];
   const fleet = { ...options, documentSize: 'large', tellsVersion: false } as const;
-  const zone = new FollowedZone({ ...fleet, random: randomOf(6) });
+  const zone = new FollowedZone({ ...fleet, random: seededRandom(6) });
   await zone.start(37);
-  await zone.timers.passUntil(CALM_MS);
+  await zone.timers.advanceUntil(CALM_MS);
   const version = zone.change();
-  await zone.timers.passUntil(CALM_MS + 1_000);
+  await zone.timers.advanceUntil(CALM_MS + 1_000);
   zone.stop();
-  await zone.timers.passUntil(CALM_MS + 3 * options.contactMs);
+  await zone.timers.advanceUntil(CALM_MS + 3 * options.contactMs);
   assert.ok(zone.slowestMs(zone.daemons, version, CALM_MS) <= 1_000);
 });
 
@@ -257,12 +261,12 @@
 
 test('a late configuration that another daemon passes on sets nothing back', async () => {
   const { fleet: _, ...options } = FLEETS[1];
-  const zone = new FollowedZone({ ...options, random: randomOf(2), documentSize: 'small' });
+  const zone = new FollowedZone({ ...options, random: seededRandom(2), documentSize: 'small' });
   await zone.start(37);
-  await zone.timers.passUntil(CALM_MS);
+  await zone.timers.advanceUntil(CALM_MS);
   const late = { key: 'config', encoded: Buffer.from(String(zone.newestVersion)) };
   const version = zone.change();
-  await zone.timers.passUntil(CALM_MS + 500);
+  await zone.timers.advanceUntil(CALM_MS + 500);
   const [, follower] = zone.daemons;
   assert.equal(follower?.follower.inForceVersion, version);
   const isNewer = follower?.follower.takePassedConfiguration({
@@ -274,25 +278,25 @@
   assert.equal(isNewer, false);
   assert.equal(follower?.follower.inForceVersion, version);
   zone.stop();
-  await zone.timers.passUntil(CALM_MS + 3 * options.contactMs);
+  await zone.timers.advanceUntil(CALM_MS + 3 * options.contactMs);
 });
 
 test('a relay that believes a stale read learns the version from the relay of another zone', async () => {
   const { fleet: _, ...options } = FLEETS[1];
-  const zone = new FollowedZone({ ...options, random: randomOf(3), documentSize: 'small' });
+  const zone = new FollowedZone({ ...options, random: seededRandom(3), documentSize: 'small' });
   const [relay] = zone.daemons;
   assert.ok(relay !== undefined);
   const version = zone.change();
   relay.table.staleVersion = version - 1;
   for (const { table } of zone.daemons) table.staleVersion = version - 1;
   await zone.start(37);
-  await zone.timers.passUntil(CALM_MS);
+  await zone.timers.advanceUntil(CALM_MS);
   for (const { table } of zone.daemons) table.staleVersion = undefined;
   assert.equal(relay.follower.inForceVersion, version - 1);
   relay.follower.noteVersion(version, 'relay of another zone');
-  await zone.timers.passUntil(CALM_MS + options.contactMs);
+  await zone.timers.advanceUntil(CALM_MS + options.contactMs);
   zone.stop();
-  await zone.timers.passUntil(CALM_MS + 3 * options.contactMs);
+  await zone.timers.advanceUntil(CALM_MS + 3 * options.contactMs);
   assert.ok(zone.slowestMs(zone.daemons, version, CALM_MS) <= options.contactMs / 2);
 });
 
@@ -302,20 +306,20 @@
 // 6010 of the next; it has 6019 and 6029 now.
 test('a daemon whose first read of the table was stale has the version that its relay has', async () => {
   const { fleet: _, ...options } = FLEETS[1];
-  const zone = new FollowedZone({ ...options, random: randomOf(1), documentSize: 'small' });
+  const zone = new FollowedZone({ ...options, random: seededRandom(1), documentSize: 'small' });
   const late = zone.daemons.slice(-1);
   await zone.start(37, late.length);
-  await zone.timers.passUntil(CALM_MS);
+  await zone.timers.advanceUntil(CALM_MS);
   const version = zone.change();
-  await zone.timers.passUntil(CALM_MS + 1_000);
+  await zone.timers.advanceUntil(CALM_MS + 1_000);
   for (const { table, follower } of late) {
     table.staleVersion = version - 1;
     follower.start();
   }
-  await zone.timers.passUntil(CALM_MS + 2_000);
+  await zone.timers.advanceUntil(CALM_MS + 2_000);
   for (const { table } of late) table.staleVersion = undefined;
-  await zone.timers.passUntil(CALM_MS + 2_000 + options.contactMs);
+  await zone.timers.advanceUntil(CALM_MS + 2_000 + options.contactMs);
   zone.stop();
-  await zone.timers.passUntil(CALM_MS + 2_000 + 3 * options.contactMs);
+  await zone.timers.advanceUntil(CALM_MS + 2_000 + 3 * options.contactMs);
   assert.ok(zone.slowestMs(late, version, CALM_MS + 2_000) <= options.contactMs);
 });
--- a/test/gateway/crashing-request.test.ts
+++ b/test/gateway/crashing-request.test.ts
@@ -158,7 +158,7 @@
   await fixture.logged(GATEWAY_EVENTS.serverAdded, (fields) => fields.server === 'i-2');
   const again = await tryAt(port, 'other work');
   assert.equal(again.status, 200);
-  assert.ok(again.isWhole);
+  assert.ok(again.isComplete);
   await fixture.logged(GATEWAY_EVENTS.requestCleared);
 });
 
--- a/test/gateway/engine-paces.test.ts
+++ b/test/gateway/engine-paces.test.ts
@@ -19,7 +19,7 @@
 } from '../../src/core/gateway/index.js';
 import { rankByRendezvous } from '../../src/core/gateway/rendezvous.js';
 import { FleetView } from '../../src/shell/gateway/fleet-view.js';
-import { type PlannedRead, playUnlikeEngines, randomOf } from './support/unlike-engines.js';
+import { type PlannedRead, playUnlikeEngines, seededRandom } from './support/unlike-engines.js';
 
 const SPEEDS = Array.from({ length: 12 }, (_, place) => [0.7, 0.7, 1.7][place % 3] ?? 1);
 const LEARNT_AFTER = 400;
@@ -94,7 +94,7 @@
 );
 
 test('equal engines come to one pace, and each plan to what it is without paces', () => {
-  const random = randomOf(8);
+  const random = seededRandom(8);
   const speed = new ReadSpeed(true);
   const alone = new ReadSpeed(true);
   const paces = new EnginePaces(speed);
@@ -158,7 +158,7 @@
 }
 
 test('the line and the paces do not drift away together, though reads often take longer than they should', () => {
-  const random = randomOf(12);
+  const random = seededRandom(12);
   const speed = new ReadSpeed(true);
   const paces = new EnginePaces(speed);
   for (let sample = 0; sample < 40_000; sample += 1) {
@@ -193,7 +193,7 @@
 });
 
 test('an engine that waits now and then, or is slow for a moment, keeps its pace', () => {
-  const random = randomOf(3);
+  const random = seededRandom(3);
   const samples = Array.from({ length: 120 }, () => (random() < 0.15 ? 0.4 : 1));
   assert.equal(learnt(samples).paceOf('e'), 1);
 });
--- a/test/gateway/leaving-and-rest.test.ts
+++ b/test/gateway/leaving-and-rest.test.ts
@@ -69,7 +69,7 @@
 
 async function addServer(id: string, script: Script, fields: object = {}): Promise<ServerStandIn> {
   const server = await fixture.addServer(id, script, fields);
-  await timers.passUntil(() =>
+  await timers.advanceUntil(() =>
     fixture.lines.some((line) => {
       return line.event === GATEWAY_EVENTS.serverAdded && line.fields.server === id;
     }),
@@ -173,7 +173,7 @@
   first.script = answering(200, 'anew');
   timers.advance(2_000);
   fixture.listServer('i-1', first, { born: timers.nowMs() });
-  await timers.passUntil(() =>
+  await timers.advanceUntil(() =>
     fixture.lines.some(({ event }) => event === GATEWAY_EVENTS.serverRenewed),
   );
   assert.equal((await fixture.call({ path: '/tiles/1' })).body, 'anew');
@@ -194,7 +194,7 @@
   assert.equal((await fixture.call({ path: '/tiles/1' })).status, 200);
   timers.advance(1_699);
   fixture.listServer('i-1', first, { born });
-  await timers.passUntil(() =>
+  await timers.advanceUntil(() =>
     fixture.lines.some(({ event }) => event === GATEWAY_EVENTS.serverRenewed),
   );
   assert.equal((await fixture.call({ path: '/tiles/1' })).status, 503);
@@ -223,7 +223,7 @@
     await start(true);
     const resting = await addServer('i-1', askingForRest(), fields);
     const taught = fixture.call(request);
-    await timers.passUntil(() =>
+    await timers.advanceUntil(() =>
       fixture.lines.some(({ event }) => event === GATEWAY_EVENTS.requestRefused),
     );
     assert.equal((await taught).status, 503);
--- a/test/gateway/model-requests.test.ts
+++ b/test/gateway/model-requests.test.ts
@@ -20,7 +20,7 @@
   type ServedRequest,
   type ServerStandIn,
   stamped,
-  turningDown,
+  rejectingAsNotExecuted,
 } from './support/server-stand-in.js';
 
 const ALL_EVENTS = [1, 2, 3].map((id) => `id: ${id}\ndata: piece ${id}\n\n`).join('');
@@ -83,7 +83,8 @@
     engine(3)(served);
   });
   const decode = await addEngine('i-d', 'decode', (served) => {
-    const script = served.seen.headers['x-kv-source'] === undefined ? engine(3) : turningDown;
+    const script =
+      served.seen.headers['x-kv-source'] === undefined ? engine(3) : rejectingAsNotExecuted;
     script(served);
   });
   assert.equal((await fixture.call(LONG_REQUEST)).body, ALL_EVENTS);
@@ -93,7 +94,7 @@
 });
 
 test('when no prefill engine reads, the decode engine does', async () => {
-  await addEngine('i-p', 'prefill', turningDown);
+  await addEngine('i-p', 'prefill', rejectingAsNotExecuted);
   await addEngine('i-d', 'decode');
   assert.equal((await fixture.call(LONG_REQUEST)).body, ALL_EVENTS);
 });
@@ -114,7 +115,7 @@
   };
   const answer = await fixture.call(SHORT_REQUEST);
   assert.equal(answer.body, ALL_EVENTS);
-  assert.ok(answer.isWhole);
+  assert.ok(answer.isComplete);
   const resumed = [...requestsOf(first), ...requestsOf(second)].map(
     (seen) => seen.headers['last-event-id'],
   );
@@ -125,7 +126,7 @@
   const decode = await addEngine('i-1', 'decode', engine(3, 1));
   const other = await addEngine('i-2', 'decode', engine(3, 1));
   const answer = await fixture.call(LONG_REQUEST);
-  assert.equal(answer.isWhole, false);
+  assert.equal(answer.isComplete, false);
   assert.equal(requestsOf(decode).length + requestsOf(other).length, 1);
 });
 
--- a/test/gateway/pace-teller.test.ts
+++ b/test/gateway/pace-teller.test.ts
@@ -4,7 +4,7 @@
 import { pack } from 'msgpackr';
 import { decodePeerMessage, encodePeerMessage } from '../../src/shell/gateway/peer-messages.js';
 import { FleetOfTellers, seeReads, type Teller } from './support/fleet-of-tellers.js';
-import { randomOf } from './support/unlike-engines.js';
+import { seededRandom } from './support/unlike-engines.js';
 
 const ZONES = ['a', 'b', 'c'];
 const SPEEDS = [0.7, 0.7, 1.7];
@@ -17,7 +17,7 @@
   spanMs: number,
   perSecond: number,
 ): void {
-  const random = randomOf(6);
+  const random = seededRandom(6);
   const chance = (perSecond * 60) / 1_000;
   for (let passedMs = 0; passedMs < spanMs; passedMs += 60) {
     for (const daemon of fleet.live.values()) {
--- a/test/gateway/request-room.test.ts
+++ b/test/gateway/request-room.test.ts
@@ -5,8 +5,8 @@
 import { GATEWAY_EVENTS } from '../../src/core/logging/catalogue/gateway.js';
 import type { LogEvent, LogFields } from '../../src/core/logging/log-event.js';
 import type { Exchange } from '../../src/shell/gateway/exchange.js';
-import { RequestRoom } from '../../src/shell/gateway/request-room.js';
-import type { RoomAsk } from '../../src/shell/gateway/room-ask.js';
+import { AdmissionGate } from '../../src/shell/gateway/request-room.js';
+import type { AdmissionCheck } from '../../src/shell/gateway/room-ask.js';
 import { ManualTimers } from './support/manual-timers.js';
 
 const GO: Placement = { kind: 'go', slackMs: 200 };
@@ -23,7 +23,7 @@
   const lines: { event: LogEvent; fields: LogFields }[] = [];
   const waits: number[] = [];
   const refusals: string[] = [];
-  const room = new RequestRoom({
+  const room = new AdmissionGate({
     isOn: true,
     timers,
     log: { write: (event, fields = {}) => lines.push({ event, fields }) },
@@ -36,7 +36,7 @@
 }
 
 /** A request whose place a test sets. */
-function caller(timers: ManualTimers, name: string, first: Placement, goesAtEnd = false) {
+function caller(timers: ManualTimers, name: string, first: Placement, isSentAtHoldLimit = false) {
   const left = new AbortController();
   const answers: Refusal[] = [];
   const exchange = {
@@ -51,11 +51,11 @@
     refuse: (reason: string, retryAfterMs: number) => answers.push({ reason, retryAfterMs }),
   } as unknown as Exchange;
   const state = { placement: first, reserved: 0 };
-  const ask: RoomAsk = {
+  const ask: AdmissionCheck = {
     lane: 'reader/read',
     costMs: 50,
     spacingMs: 20,
-    goesAtEnd,
+    isSentAtHoldLimit,
     place: () => state.placement,
     inputs: () => ({ queueMs: 300, sumsAgeMs: 80 }),
     reserve: () => {
@@ -71,7 +71,7 @@
 test('with room a request goes at once and holds its place until it is sent', async () => {
   const { room, timers, lines } = setUp();
   const { exchange, ask, state } = caller(timers, 'a', GO);
-  const leave = await room.pass(exchange, ask);
+  const leave = await room.admit(exchange, ask);
   assert.equal(state.reserved, 1);
   leave?.();
   assert.equal(state.reserved, 0);
@@ -81,7 +81,7 @@
 test('a waiting request goes with the event that brings room, with a line of its wait', async () => {
   const { room, timers, lines, waits } = setUp();
   const { exchange, ask, state } = caller(timers, 'a', WAIT);
-  const passed = room.pass(exchange, ask);
+  const passed = room.admit(exchange, ask);
   assert.equal(room.waiting, 1);
   timers.advance(30);
   assert.equal(room.waiting, 1);
@@ -109,7 +109,7 @@
 test('without an event the room looks by itself when room is expected', async () => {
   const { room, timers } = setUp();
   const { exchange, ask, state } = caller(timers, 'a', WAIT);
-  const passed = room.pass(exchange, ask);
+  const passed = room.admit(exchange, ask);
   state.placement = GO;
   timers.advance(59);
   assert.equal(room.waiting, 1);
@@ -121,7 +121,7 @@
   const { room, timers, refusals, lines } = setUp();
   const refused = caller(timers, 'a', WAIT);
   const sent = caller(timers, 'b', WAIT, true);
-  const passed = [refused, sent].map(({ exchange, ask }) => room.pass(exchange, ask));
+  const passed = [refused, sent].map(({ exchange, ask }) => room.admit(exchange, ask));
   timers.advance(200);
   const [first, second] = await Promise.all(passed);
   assert.equal(first, undefined);
@@ -136,7 +136,7 @@
 test('a caller that leaves frees its place at once, and is given no answer', async () => {
   const { room, timers, refusals } = setUp();
   const { exchange, ask, left, answers } = caller(timers, 'a', WAIT);
-  const passed = room.pass(exchange, ask);
+  const passed = room.admit(exchange, ask);
   left.abort();
   assert.equal(await passed, undefined);
   assert.equal(room.waiting, 0);
@@ -146,14 +146,14 @@
 test('a stopping daemon empties its room and holds nobody any more, but lets go what has room', async () => {
   const { room, timers, refusals } = setUp();
   const waiting = caller(timers, 'a', WAIT);
-  const passed = room.pass(waiting.exchange, waiting.ask);
+  const passed = room.admit(waiting.exchange, waiting.ask);
   room.beginStop();
   assert.equal(await passed, undefined);
   assert.equal(waiting.answers.length, 1);
   const late = caller(timers, 'b', WAIT);
-  assert.equal(await room.pass(late.exchange, late.ask), undefined);
+  assert.equal(await room.admit(late.exchange, late.ask), undefined);
   const free = caller(timers, 'c', GO);
-  assert.notEqual(await room.pass(free.exchange, free.ask), undefined);
+  assert.notEqual(await room.admit(free.exchange, free.ask), undefined);
   assert.deepEqual(refusals, ['stopping 1', 'stopping 1']);
   assert.equal(room.waiting, 0);
 });
@@ -164,7 +164,7 @@
   const told: number[] = [];
   for (const name of ['a', 'b', 'c']) {
     const { exchange, ask, answers } = caller(timers, name, hopeless);
-    assert.equal(await room.pass(exchange, ask), undefined);
+    assert.equal(await room.admit(exchange, ask), undefined);
     told.push(answers[0]?.retryAfterMs ?? 0);
   }
   assert.ok(told.every((retryAfterMs, index) => retryAfterMs >= 400 + 20 * index));
--- a/test/gateway/retry-turns.test.ts
+++ b/test/gateway/retry-turns.test.ts
@@ -1,14 +1,14 @@
 /** Turns of a daemon's watches while the store answers none of them. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
-import { RetryTurns } from '../../src/shell/gateway/retry-turns.js';
+import { WatchRetryQueue } from '../../src/shell/gateway/retry-turns.js';
 import { ManualTimers } from './support/manual-timers.js';
 
 const TURN = { waitMs: 100, callMs: 1_000 };
 
 function watches() {
   const timers = new ManualTimers();
-  const turns = new RetryTurns(timers);
+  const turns = new WatchRetryQueue(timers);
   const gone: string[] = [];
   const stopped = new AbortController();
   const wait = (name: string, signal = stopped.signal) =>
@@ -39,7 +39,7 @@
   void wait('b');
   void wait('c');
   await pass(100);
-  turns.noteAnswer();
+  turns.recordStoreAnswer();
   await pass(0);
   assert.deepEqual(gone, ['a', 'b', 'c']);
 });
--- a/test/gateway/server-limits.test.ts
+++ b/test/gateway/server-limits.test.ts
@@ -43,7 +43,7 @@
 
 async function passMs(spanMs: number): Promise<void> {
   const endMs = timers.nowMs() + spanMs;
-  await timers.passUntil(() => timers.nowMs() >= endMs);
+  await timers.advanceUntil(() => timers.nowMs() >= endMs);
 }
 
 async function startOne(waiting = USUAL_LOAD_DECISIONS.waiting): Promise<void> {
@@ -53,7 +53,7 @@
 
 async function configure(): Promise<void> {
   fixture.store.putConfiguration(configuration(1, [route({}), READ_ROUTE, RESUMABLE_ROUTE]));
-  await timers.passUntil(() => has(GATEWAY_EVENTS.configurationInForce));
+  await timers.advanceUntil(() => has(GATEWAY_EVENTS.configurationInForce));
 }
 
 function has(event: unknown): boolean {
@@ -69,7 +69,7 @@
     void starting.then(() => {
       isUp = true;
     });
-    await timers.passUntil(() => isUp);
+    await timers.advanceUntil(() => isUp);
     ports.push(await starting);
   }
   await configure();
@@ -84,7 +84,7 @@
     fixture.lines.some(
       ({ event, fields: said }) => event === GATEWAY_EVENTS.serverAdded && said.server === id,
     );
-  await timers.passUntil(isAdded);
+  await timers.advanceUntil(isAdded);
   await passMs(500);
 }
 
@@ -115,7 +115,7 @@
     }
     await passMs(STEP_MS);
   }
-  await timers.passUntil(() => answers.length === sent);
+  await timers.advanceUntil(() => answers.length === sent);
   return answers;
 }
 
@@ -281,8 +281,8 @@
   server.limit = '1';
   server.answerMs = 10;
   const named = fixture.call(WEB_REQUEST);
-  await timers.passUntil(() => has(GATEWAY_EVENTS.serverNamedLimit));
-  await Promise.all([named, timers.passUntil(() => server.arrivalsMs.length >= 2)]);
+  await timers.advanceUntil(() => has(GATEWAY_EVENTS.serverNamedLimit));
+  await Promise.all([named, timers.advanceUntil(() => server.arrivalsMs.length >= 2)]);
   await passMs(1_000);
   assert.equal((await slow).status, 200);
   assert.ok(!has(GATEWAY_EVENTS.serverLimitEnded));
@@ -299,11 +299,11 @@
   await startOne();
   const server = webServer('0.2');
   const standIn = await fixture.addServer('i-1', server.script, { born: 1 });
-  await timers.passUntil(() => has(GATEWAY_EVENTS.serverAdded));
+  await timers.advanceUntil(() => has(GATEWAY_EVENTS.serverAdded));
   await load([WEB_REQUEST], 100, 6_000);
   server.limit = undefined;
   fixture.listServer('i-1', standIn, { born: 2 });
-  await timers.passUntil(() => has(GATEWAY_EVENTS.serverRenewed));
+  await timers.advanceUntil(() => has(GATEWAY_EVENTS.serverRenewed));
   const renewedMs = timers.nowMs();
   await load([WEB_REQUEST], 100, 10_000);
   const late = server.since(renewedMs + 10_000 - LAST_MS);
--- a/test/gateway/server-lives.test.ts
+++ b/test/gateway/server-lives.test.ts
@@ -12,11 +12,11 @@
 } from '../../src/core/gateway/index.js';
 import { FleetFollower } from '../../src/shell/gateway/fleet-follower.js';
 import { FleetView } from '../../src/shell/gateway/fleet-view.js';
-import { OpenBreaks } from '../../src/shell/gateway/open-breaks.js';
+import { UnresolvedBreaks } from '../../src/shell/gateway/open-breaks.js';
 import { decodePeerMessage, encodePeerMessage } from '../../src/shell/gateway/peer-messages.js';
 import type { PlatformAdapter, WatchAnswer, WatchedRow } from '../../src/shell/gateway/ports.js';
 import { RelayDigest } from '../../src/shell/gateway/relay-digest.js';
-import { ServerEndCheck } from '../../src/shell/gateway/server-end-check.js';
+import { ServerExitCheck } from '../../src/shell/gateway/server-end-check.js';
 import type { TableChanges } from '../../src/shell/gateway/table-watcher.js';
 import { ManualTimers } from './support/manual-timers.js';
 
@@ -403,7 +403,7 @@
   const timers = new ManualTimers();
   let isOver = false;
   let asked = 0;
-  const check = new ServerEndCheck({
+  const check = new ServerExitCheck({
     connections: {
       isRefused: () => {
         asked += 1;
@@ -423,16 +423,16 @@
 
 test('a run that broke counts once the next life of its server is listed, if that comes soon', () => {
   const timers = new ManualTimers();
-  const breaks = new OpenBreaks(timers);
+  const breaks = new UnresolvedBreaks(timers);
   const broken = { server: record(), fingerprint: 'f', ranMs: 5, atMs: timers.nowMs() };
   breaks.add(broken);
-  assert.deepEqual(breaks.takeBefore(record()), [], 'the same life');
-  assert.deepEqual(breaks.takeBefore(record({ id: 'i-2', bornMs: BORN_MS + 1 })), []);
-  assert.deepEqual(breaks.takeBefore(record({ bornMs: BORN_MS + 1 })), [broken]);
-  assert.deepEqual(breaks.takeBefore(record({ bornMs: BORN_MS + 1 })), [], 'once');
+  assert.deepEqual(breaks.takeFromEarlierBoots(record()), [], 'the same life');
+  assert.deepEqual(breaks.takeFromEarlierBoots(record({ id: 'i-2', bornMs: BORN_MS + 1 })), []);
+  assert.deepEqual(breaks.takeFromEarlierBoots(record({ bornMs: BORN_MS + 1 })), [broken]);
+  assert.deepEqual(breaks.takeFromEarlierBoots(record({ bornMs: BORN_MS + 1 })), [], 'once');
   breaks.add({ ...broken, atMs: timers.nowMs() });
   timers.advance(10_000);
-  assert.deepEqual(breaks.takeBefore(record({ bornMs: BORN_MS + 1 })), [], 'too late');
+  assert.deepEqual(breaks.takeFromEarlierBoots(record({ bornMs: BORN_MS + 1 })), [], 'too late');
 });
 
 test('a report says which life it is of', () => {
--- a/test/gateway/servers-after-copy.test.ts
+++ b/test/gateway/servers-after-copy.test.ts
@@ -33,7 +33,7 @@
 
 async function addServer(id: string): Promise<ServerStandIn> {
   const server = await fixture.addServer(id, answering(200, 'tile'));
-  await timers.passUntil(() => isLogged(GATEWAY_EVENTS.serverAdded, id));
+  await timers.advanceUntil(() => isLogged(GATEWAY_EVENTS.serverAdded, id));
   return server;
 }
 
@@ -46,7 +46,7 @@
 /** Lets time pass until something is so; fails where that takes longer. */
 async function passWithin(mostMs: number, isSo: () => boolean): Promise<void> {
   const endMs = timers.nowMs() + mostMs;
-  await timers.passUntil(() => isSo() || timers.nowMs() >= endMs);
+  await timers.advanceUntil(() => isSo() || timers.nowMs() >= endMs);
   assert.ok(isSo(), `not so after ${mostMs} ms`);
 }
 
@@ -91,13 +91,13 @@
 
 async function pass(spanMs: number): Promise<void> {
   const endMs = timers.nowMs() + spanMs;
-  await timers.passUntil(() => timers.nowMs() >= endMs);
+  await timers.advanceUntil(() => timers.nowMs() >= endMs);
 }
 
 /** Says that a server leaves, and waits until the daemon knows. */
 async function leave(id: string, server: ServerStandIn): Promise<void> {
   fixture.listServer(id, server, { state: 'draining', sequence: 2 });
-  await timers.passUntil(() => stateOf(id) === 'draining');
+  await timers.advanceUntil(() => stateOf(id) === 'draining');
 }
 
 /** The store comes back from a copy, and the daemon has read it. */
@@ -131,7 +131,7 @@
     writeSinceCopy();
     if (word === 'with a word') await leave('i-left', left);
     fixture.store.remove(TABLES.servers, 'i-left');
-    await timers.passUntil(() => !isListed('i-left'));
+    await timers.advanceUntil(() => !isListed('i-left'));
     await restore(copy);
     await pass(3 * 1_200);
     assert.ok(!isListed('i-left'));
@@ -145,7 +145,7 @@
   await addServer('i-back');
   const copy = fixture.store.copy();
   fixture.store.remove(TABLES.servers, 'i-back');
-  await timers.passUntil(() => !isListed('i-back'));
+  await timers.advanceUntil(() => !isListed('i-back'));
   await restore(copy);
   await passWithin(SETTLED_MS, () => isListed('i-back'));
 });
@@ -154,7 +154,7 @@
   const back = await addServer('i-back');
   const copy = fixture.store.copy();
   fixture.store.remove(TABLES.servers, 'i-back');
-  await timers.passUntil(() => !isListed('i-back'));
+  await timers.advanceUntil(() => !isListed('i-back'));
   await restore(copy);
   fixture.listServer('i-back', back, { sequence: 3 });
   await passWithin(1_000, () => isListed('i-back'));
--- a/test/gateway/stage-controller.test.ts
+++ b/test/gateway/stage-controller.test.ts
@@ -133,7 +133,7 @@
       metrics: new GatewayMetrics(),
       log: new GatewayLog(QUIET_LOGGER, timers, 1_000),
       wallClock: () => timers.nowMs(),
-      noteLimitChange: () => undefined,
+      onLimitChange: () => undefined,
     }),
     codec: REQUEST_CODEC,
     tellStage: (notice) => setup.notices.push(notice),
--- a/test/gateway/store-from-copy.test.ts
+++ b/test/gateway/store-from-copy.test.ts
@@ -50,19 +50,19 @@
   for (let changes = 0; changes < 4; changes += 1) zone.change();
   zone.moveCounter(200_000);
   zone.change();
-  await zone.timers.passUntil(CALM_MS);
+  await zone.timers.advanceUntil(CALM_MS);
   zone.shut(zone.daemons, way);
-  await zone.timers.passUntil(CALM_MS + AWAY_MS);
+  await zone.timers.advanceUntil(CALM_MS + AWAY_MS);
   const returnMs = zone.timers.nowMs();
   zone.restore({ revisionsLost: counter.revisionsLost, versionsLost: 2 });
   zone.moveCounter(counter.moved);
   zone.shut(zone.daemons, 'open');
-  await zone.timers.passUntil(returnMs + changeMs);
+  await zone.timers.advanceUntil(returnMs + changeMs);
   const version = zone.change();
   const endMs = returnMs + changeMs + 3 * fleet.contactMs;
-  await zone.timers.passUntil(endMs);
+  await zone.timers.advanceUntil(endMs);
   zone.stop();
-  await zone.timers.passUntil(endMs + 2 * fleet.contactMs);
+  await zone.timers.advanceUntil(endMs + 2 * fleet.contactMs);
   return zone.slowestMs(zone.daemons, version, returnMs + changeMs);
 }
 
@@ -95,17 +95,17 @@
       const zone = new FollowedZone({ ...fleet, random: () => 0.5, documentSize: 'small' });
       await zone.start(START_GAP_MS);
       for (let changes = 0; changes < 4; changes += 1) zone.change();
-      await zone.timers.passUntil(CALM_MS);
+      await zone.timers.advanceUntil(CALM_MS);
       zone.shut(zone.daemons, way);
-      await zone.timers.passUntil(CALM_MS + AWAY_MS);
+      await zone.timers.advanceUntil(CALM_MS + AWAY_MS);
       zone.restore({ revisionsLost: 9, versionsLost: 2 });
       const version = zone.changeUnheard();
       zone.moveCounter(200);
       zone.shut(zone.daemons, 'open');
       const returnMs = zone.timers.nowMs();
-      await zone.timers.passUntil(returnMs + 3 * fleet.contactMs);
+      await zone.timers.advanceUntil(returnMs + 3 * fleet.contactMs);
       zone.stop();
-      await zone.timers.passUntil(returnMs + 5 * fleet.contactMs);
+      await zone.timers.advanceUntil(returnMs + 5 * fleet.contactMs);
       const slowestMs = zone.slowestMs(zone.daemons, version, returnMs);
       if (slowestMs > fleet.contactMs) late.push(`${fleet.fleet}, ${way}: ${slowestMs} ms`);
     }
@@ -116,11 +116,11 @@
 /** The last daemons of a zone have a change in force so long after the store's return and the change. */
 async function slowestMsAfterReturn(zone: FollowedZone, contactMs: number): Promise<number> {
   const returnMs = zone.timers.nowMs();
-  await zone.timers.passUntil(returnMs + 500);
+  await zone.timers.advanceUntil(returnMs + 500);
   const version = zone.change();
-  await zone.timers.passUntil(returnMs + 3 * contactMs);
+  await zone.timers.advanceUntil(returnMs + 3 * contactMs);
   zone.stop();
-  await zone.timers.passUntil(returnMs + 5 * contactMs);
+  await zone.timers.advanceUntil(returnMs + 5 * contactMs);
   return zone.slowestMs(zone.daemons, version, returnMs);
 }
 
@@ -134,7 +134,7 @@
   await zone.start(START_GAP_MS);
   zone.moveCounter(200_000);
   zone.change();
-  await zone.timers.passUntil(CALM_MS);
+  await zone.timers.advanceUntil(CALM_MS);
   return zone;
 }
 
@@ -143,7 +143,7 @@
   for (const documentSize of ['small', 'large'] as const) {
     const zone = await startChanged(FLEETS[1], { hasRelayWithoutEras: true, documentSize });
     zone.shut(zone.daemons, 'silent');
-    await zone.timers.passUntil(CALM_MS + AWAY_MS);
+    await zone.timers.advanceUntil(CALM_MS + AWAY_MS);
     zone.restore(FAR_BELOW);
     zone.shut(zone.daemons, 'open');
     const slowestMs = await slowestMsAfterReturn(zone, FLEETS[1].contactMs);
@@ -158,16 +158,16 @@
     assert.ok(relay !== undefined);
     const shut = refused === 'the relay' ? [relay] : followers.slice(0, 8);
     zone.shut(zone.daemons, 'resets');
-    await zone.timers.passUntil(CALM_MS + AWAY_MS);
+    await zone.timers.advanceUntil(CALM_MS + AWAY_MS);
     zone.restore(FAR_BELOW);
     zone.shut(zone.daemons, 'open');
     zone.shut(shut, 'refuses');
     const returnMs = zone.timers.nowMs();
-    await zone.timers.passUntil(returnMs + 500);
+    await zone.timers.advanceUntil(returnMs + 500);
     const version = zone.change();
-    await zone.timers.passUntil(returnMs + 2 * FLEETS[1].contactMs);
+    await zone.timers.advanceUntil(returnMs + 2 * FLEETS[1].contactMs);
     zone.stop();
-    await zone.timers.passUntil(returnMs + 4 * FLEETS[1].contactMs);
+    await zone.timers.advanceUntil(returnMs + 4 * FLEETS[1].contactMs);
     // A configuration is passed on by the relay, also to those that the store refuses.
     const others = refused === 'the relay' ? followers : zone.daemons;
     const slowestMs = zone.slowestMs(others, version, returnMs);
@@ -180,10 +180,10 @@
     const zone = await startChanged(fleet, {});
     for (const gapMs of [AWAY_MS, 400]) {
       zone.shut(zone.daemons, 'resets');
-      await zone.timers.passUntil(zone.timers.nowMs() + gapMs);
+      await zone.timers.advanceUntil(zone.timers.nowMs() + gapMs);
       zone.restore(FAR_BELOW);
       zone.shut(zone.daemons, 'open');
-      await zone.timers.passUntil(zone.timers.nowMs() + 150);
+      await zone.timers.advanceUntil(zone.timers.nowMs() + 150);
     }
     const slowestMs = await slowestMsAfterReturn(zone, fleet.contactMs);
     assert.ok(slowestMs <= fleet.contactMs, `${fleet.fleet}: ${slowestMs} ms`);
@@ -195,15 +195,15 @@
   zone.restore({ revisionsLost: 0, versionsLost: 0 });
   zone.moveCounter(1);
   const version = zone.change();
-  await zone.timers.passUntil(CALM_MS + 1_000);
+  await zone.timers.advanceUntil(CALM_MS + 1_000);
   zone.goBackTo({ era: 0, revision: 900_000 });
-  await zone.timers.passUntil(CALM_MS + 2_000);
+  await zone.timers.advanceUntil(CALM_MS + 2_000);
   zone.goBackTo({ era: 1, revision: 300_000 });
   const later = zone.change();
   const changedMs = zone.timers.nowMs();
-  await zone.timers.passUntil(changedMs + FLEETS[0].contactMs);
+  await zone.timers.advanceUntil(changedMs + FLEETS[0].contactMs);
   zone.stop();
-  await zone.timers.passUntil(changedMs + 3 * FLEETS[0].contactMs);
+  await zone.timers.advanceUntil(changedMs + 3 * FLEETS[0].contactMs);
   assert.ok(zone.slowestMs(zone.daemons, version, CALM_MS) <= 1_000);
   assert.ok(zone.slowestMs(zone.daemons, later, changedMs) <= FLEETS[0].contactMs);
 });
--- a/test/gateway/support/fixture.ts
+++ b/test/gateway/support/fixture.ts
@@ -33,7 +33,7 @@
   readonly headers: http.IncomingHttpHeaders;
   readonly body: string;
   /** Whether the answer came to its end. */
-  readonly isWhole: boolean;
+  readonly isComplete: boolean;
 }
 
 /** What a caller sends. */
@@ -272,7 +272,7 @@
       status: response.statusCode ?? 0,
       headers: response.headers,
       body: Buffer.concat(chunks).toString('utf8'),
-      isWhole: response.complete,
+      isComplete: response.complete,
     };
   }
 
--- a/test/gateway/support/fleet-of-limits.ts
+++ b/test/gateway/support/fleet-of-limits.ts
@@ -16,7 +16,7 @@
 import { decodePeerMessage, encodePeerMessage } from '../../../src/shell/gateway/peer-messages.js';
 import { type ServerCall, ServerCalls } from '../../../src/shell/gateway/server-calls.js';
 import { ManualTimers } from './manual-timers.js';
-import { randomOf } from './unlike-engines.js';
+import { seededRandom } from './unlike-engines.js';
 
 const SERVICE = 's';
 const STEP_MS = 5;
@@ -81,7 +81,7 @@
       metrics,
       log,
       wallClock: () => timers.nowMs(),
-      noteLimitChange: (server, change, purpose) => this.limits.noteHeard(server, change, purpose),
+      onLimitChange: (server, change, purpose) => this.limits.noteHeard(server, change, purpose),
     });
   }
 }
@@ -107,7 +107,7 @@
 
   constructor(options: FleetOfLimitsOptions) {
     const { daemons, seed, servers = 1, lossShare = 0, waitMs = 0 } = options;
-    this.random = randomOf(seed);
+    this.random = seededRandom(seed);
     this.#lossShare = lossShare;
     this.#waitMs = waitMs;
     this.servers = Array.from({ length: servers }, (_, place) => serverAt(place));
--- a/test/gateway/support/followed-zone.ts
+++ b/test/gateway/support/followed-zone.ts
@@ -333,7 +333,7 @@
   async start(gapMs: number, away = 0): Promise<void> {
     for (const { follower } of this.daemons.slice(0, this.daemons.length - away)) {
       follower.start();
-      await this.timers.passUntil(this.timers.nowMs() + gapMs);
+      await this.timers.advanceUntil(this.timers.nowMs() + gapMs);
     }
     if (this.#options.hasRelay) this.#tell();
   }
--- a/test/gateway/support/manual-timers.ts
+++ b/test/gateway/support/manual-timers.ts
@@ -40,7 +40,7 @@
   }
 
   /** Lets this time and what is on sockets go on together until something is so. */
-  async passUntil(isSo: () => boolean): Promise<void> {
+  async advanceUntil(isSo: () => boolean): Promise<void> {
     while (!isSo()) {
       this.advance(STEP_MS);
       await new Promise((resolve) => setImmediate(resolve));
--- a/test/gateway/support/seeded-random.ts
+++ b/test/gateway/support/seeded-random.ts
@@ -1,5 +1,5 @@
 /** Numbers from 0 to below 1, the same for the same seed (mulberry32). */
-export function randomOf(seed: number): () => number {
+export function seededRandom(seed: number): () => number {
   let state = seed;
   return () => {
     state = (state + 0x6d2b79f5) | 0;
--- a/test/gateway/support/server-stand-in.ts
+++ b/test/gateway/support/server-stand-in.ts
@@ -79,7 +79,7 @@
 }
 
 /** Says that the request has not run. */
-export const turningDown: Script = ({ seen, response }) => {
+export const rejectingAsNotExecuted: Script = ({ seen, response }) => {
   const marks = { 'X-Attempt-Id': String(seen.headers['x-attempt-id']), 'X-Not-Executed': '1' };
   response.writeHead(503, marks).end();
 };
--- a/test/gateway/support/unlike-engines.ts
+++ b/test/gateway/support/unlike-engines.ts
@@ -50,7 +50,7 @@
 /** Plays prompts and gives them in the order of their sending. */
 export function playUnlikeEngines(options: UnlikeEnginesOptions): readonly PlannedRead[] {
   const { speeds, gapMs, prompts, hasPaces } = options;
-  const random = randomOf(options.seed);
+  const random = seededRandom(options.seed);
   const engines = speeds.map((_, place) => engineAt(place));
   const speed = new ReadSpeed(hasPaces);
   speed.setInitialEstimate(9_000, 500);
@@ -147,12 +147,12 @@
 function momentsOf({ slowShare, seed }: UnlikeEnginesOptions) {
   return (engine: number, atMs: number): boolean => {
     const moment = Math.floor(atMs / MOMENT_MS);
-    return randomOf(seed * 7_919 + engine * 104_729 + moment * 1_299_709)() < slowShare;
+    return seededRandom(seed * 7_919 + engine * 104_729 + moment * 1_299_709)() < slowShare;
   };
 }
 
 /** Numbers from 0 to 1, the same for the same seed. */
-export function randomOf(seed: number): () => number {
+export function seededRandom(seed: number): () => number {
   let state = (seed ^ 0x9e3779b9) >>> 0;
   return () => {
     state = (state + 0x6d2b79f5) >>> 0;
--- a/test/gateway/support/virtual-timers.ts
+++ b/test/gateway/support/virtual-timers.ts
@@ -24,7 +24,7 @@
   }
 
   /** Lets time pass, and all that follows from each event run before the next. */
-  async passUntil(endMs: number): Promise<void> {
+  async advanceUntil(endMs: number): Promise<void> {
     await settled();
     while (this.#time.now < endMs) {
       this.#hasFired = false;
--- a/test/gateway/table-watcher.test.ts
+++ b/test/gateway/table-watcher.test.ts
@@ -3,7 +3,7 @@
 import { test } from 'node:test';
 import type { WatchAnswer, WatchedRow, WatchedTable } from '../../src/shell/gateway/ports.js';
 import { RelayDigest } from '../../src/shell/gateway/relay-digest.js';
-import { RetryTurns } from '../../src/shell/gateway/retry-turns.js';
+import { WatchRetryQueue } from '../../src/shell/gateway/retry-turns.js';
 import { type TableConsumer, TableWatcher } from '../../src/shell/gateway/table-watcher.js';
 import { ManualTimers } from './support/manual-timers.js';
 
@@ -50,7 +50,7 @@
     consumer: collectorOf(taken),
     timing: () => ({ ...TIMING, holdMs: 1_000 }),
     random: Math.random,
-    retryTurns: new RetryTurns(timers),
+    retryTurns: new WatchRetryQueue(timers),
     gatherMs,
     noteEra: () => undefined,
     recheckSpans: { cutMs: 6_000, historyLostMs: 12_000 },
@@ -124,7 +124,7 @@
     consumer: collectorOf(taken),
     timing: () => ({ ...TIMING, holdMs: 3_000 }),
     random: Math.random,
-    retryTurns: new RetryTurns(timers),
+    retryTurns: new WatchRetryQueue(timers),
     digest: { table: 'servers', from: digest },
     gatherMs: GATHER_MS,
     noteEra: () => undefined,
--- a/test/gateway/waiting-at-the-door.test.ts
+++ b/test/gateway/waiting-at-the-door.test.ts
@@ -4,7 +4,7 @@
 import { GATEWAY_EVENTS } from '../../src/core/logging/catalogue/gateway.js';
 import { SYSTEM_TIMERS, USUAL_LOAD_DECISIONS } from '../../src/shell/gateway/index.js';
 import { configuration, GatewayFixture, route } from './support/fixture.js';
-import { answering, type Script, turningDown } from './support/server-stand-in.js';
+import { answering, type Script, rejectingAsNotExecuted } from './support/server-stand-in.js';
 
 /** It can be held for long enough for a server's rest to end. */
 const PATIENT = route({ timeoutMs: 20_000, targetLatencyMs: 8_000 });
@@ -28,7 +28,7 @@
   let calls = 0;
   return (served) => {
     calls += 1;
-    const script = calls === 1 ? turningDown : answering(200, 'served');
+    const script = calls === 1 ? rejectingAsNotExecuted : answering(200, 'served');
     script(served);
   };
 }
@@ -51,7 +51,7 @@
 
 test('a request that waits goes to a server that is listed meanwhile', async () => {
   await startWith(true);
-  const full = await fixture.addServer('i-1', turningDown);
+  const full = await fixture.addServer('i-1', rejectingAsNotExecuted);
   await fixture.logged(GATEWAY_EVENTS.serverAdded);
   const answer = fixture.call({ path: '/tiles/1' });
   await fixture.logged(GATEWAY_EVENTS.requestWaits);
--- a/test/gateway/web-requests.test.ts
+++ b/test/gateway/web-requests.test.ts
@@ -5,7 +5,12 @@
 import { deferred } from './support/deferred.js';
 import { configuration, GatewayFixture, route } from './support/fixture.js';
 import { ManualTimers } from './support/manual-timers.js';
-import { answering, type ServedRequest, stamped, turningDown } from './support/server-stand-in.js';
+import {
+  answering,
+  type ServedRequest,
+  stamped,
+  rejectingAsNotExecuted,
+} from './support/server-stand-in.js';
 
 const IDEMPOTENT = route({
   name: 'thumbs',
@@ -90,7 +95,7 @@
 
 test('a request that was turned down goes to another server', async () => {
   await startWith();
-  await fixture.addServer('i-1', turningDown, { zone: 'a' });
+  await fixture.addServer('i-1', rejectingAsNotExecuted, { zone: 'a' });
   await fixture.addServer('i-2', answering(200, 'served'), { zone: 'b' });
   await Promise.all([listed('i-1'), listed('i-2')]);
   const answer = await fixture.call({ path: '/tiles/1' });
@@ -100,7 +105,7 @@
 
 test('a request that every server turned down is refused at once as not run', async () => {
   await startWith();
-  await fixture.addServer('i-1', turningDown);
+  await fixture.addServer('i-1', rejectingAsNotExecuted);
   await listed('i-1');
   const answer = await fixture.call({ path: '/tiles/1' });
   assert.equal(answer.status, 503);
--- a/test/gateway/web-server-load.test.ts
+++ b/test/gateway/web-server-load.test.ts
@@ -226,7 +226,7 @@
       },
     });
     const work = webWorkOf({ isEnabled, fleet, roster: { isLarge }, peers });
-    work.noteCall('s');
+    work.recordCall('s');
     assert.equal(told, isTold ? 1 : 0);
     assert.equal(work.own().length, isTold ? 1 : 0);
     assert.equal(work.loadsOf('s') !== undefined, isEnabled);
@@ -238,8 +238,8 @@
   fleet.directory.apply([server(0)], []);
   fleet.setDaemonCount(83);
   const work = webWorkOf({ isEnabled: false, fleet });
-  work.takeLoad(server(0), { kind: 'figures', figures: figures(6, 3) });
-  work.takeLoad(server(0), { kind: 'unreadable', text: 'many' });
+  work.applyReportedLoad(server(0), { kind: 'figures', figures: figures(6, 3) });
+  work.applyReportedLoad(server(0), { kind: 'unreadable', text: 'many' });
   assert.equal(work.unreadableTotal, 0);
   assert.equal(fleet.webLoadsOf('s', false, 0)('w-0').calls, 0);
 });
@@ -255,18 +255,18 @@
   const expected = () => fleet.webLoadsOf('s', false, timers.nowMs())('w-0');
   const before = expected();
   for (let answer = 0; answer < 5; answer += 1) {
-    told.takeLoad(server(0), { kind: 'unreadable', text: 'many' });
+    told.applyReportedLoad(server(0), { kind: 'unreadable', text: 'many' });
   }
   assert.deepEqual(expected(), before);
   assert.equal(told.unreadableTotal, 5);
   const first = { server: 'w-0', told: 'many', unreadable: 1 };
   assert.deepEqual(lines, [[GATEWAY_EVENTS.toldLoadUnreadable, first]]);
   timers.advance(10_000);
-  told.takeLoad(server(0), { kind: 'unreadable', text: 'many' });
+  told.applyReportedLoad(server(0), { kind: 'unreadable', text: 'many' });
   assert.equal(lines.length, 2);
-  told.takeLoad(server(0), { kind: 'figures', figures: figures(6, 3) });
+  told.applyReportedLoad(server(0), { kind: 'figures', figures: figures(6, 3) });
   assert.equal(expected().calls, 9);
-  told.takeLoad({ ...server(0), bornMs: 1 }, { kind: 'figures', figures: figures(0) });
+  told.applyReportedLoad({ ...server(0), bornMs: 1 }, { kind: 'figures', figures: figures(0) });
   assert.equal(expected().calls, 9, 'of another life');
 });
 
--- a/test/tenant-usage/reporting.test.ts
+++ b/test/tenant-usage/reporting.test.ts
@@ -102,8 +102,8 @@
 test('one daemon reports what all counted, once for each window, at one write each', async () => {
   const fleet = new Fleet();
   fleet.add(['a', 'b', 'c', 'd']);
-  for (const daemon of fleet.daemons.values()) daemon.noteBegan('leiden', 0);
-  fleet.daemons.get('b')?.noteBegan('delft', 0);
+  for (const daemon of fleet.daemons.values()) daemon.recordRunStart('leiden', 0);
+  fleet.daemons.get('b')?.recordRunStart('delft', 0);
   await fleet.pass(6 * WINDOW_MS);
   fleet.stop();
   assert.deepEqual(
@@ -123,7 +123,7 @@
   const holder = fleet.reports[0]?.holder ?? '';
   fleet.kill(holder);
   const others = [...fleet.daemons.values()];
-  for (const daemon of others) daemon.noteBegan('leiden', 0);
+  for (const daemon of others) daemon.recordRunStart('leiden', 0);
   await fleet.pass(WINDOW_MS + DUE_MS);
   fleet.stop();
   const second = fleet.reports.find((report) => report.window === 2);
@@ -142,7 +142,7 @@
     const hasReported = () => fleet.reports.some(({ window }) => window === 2);
     await fleet.pass(2 * WINDOW_MS + WINDOW_MS / 2);
     const restore = fleet.table.copy();
-    for (const daemon of fleet.daemons.values()) daemon.noteBegan('leiden', 0);
+    for (const daemon of fleet.daemons.values()) daemon.recordRunStart('leiden', 0);
     while (!hasReported()) await fleet.pass(STEP_MS);
     restore();
     for (const name of names) if (name !== other) fleet.kill(name);
@@ -163,7 +163,7 @@
 test('a report without an answer is sent again with the same counts and fence', async () => {
   const fleet = new Fleet();
   fleet.add(['a']);
-  fleet.daemons.get('a')?.noteBegan('leiden', 0);
+  fleet.daemons.get('a')?.recordRunStart('leiden', 0);
   fleet.outcomes.push({ kind: 'lost', reason: 'reset' }, { kind: 'refused', status: 429 });
   await fleet.pass(2 * WINDOW_MS);
   fleet.stop();
@@ -175,7 +175,7 @@
   fleet.add(['a', 'b']);
   await fleet.pass(2 * WINDOW_MS);
   fleet.table.isDown = true;
-  for (const daemon of fleet.daemons.values()) daemon.noteBegan('leiden', 0);
+  for (const daemon of fleet.daemons.values()) daemon.recordRunStart('leiden', 0);
   await fleet.pass(7_000);
   fleet.table.isDown = false;
   await fleet.pass(WINDOW_MS);
