--- a/src/core/gateway/crash-records.ts
+++ b/src/core/gateway/crash-records.ts
@@ -17,7 +17,7 @@
 /** Of more crashes the oldest are forgotten; by then there were some that did not overlap. */
 const MOST_CRASHES = 4;
 /** A day: the tries of a caller come much sooner, and a body that is repaired is another request. */
-export const RECORD_KEPT_MS = 86_400_000;
+export const CRASH_RECORD_RETENTION_MS = 86_400_000;
 /** Some two megabytes; a server that ends leaves as many records as it had requests running. */
 const MOST_RECORDS = 4_096;
 /** Records that are not quarantined are told again for so long, so that lost datagrams cost nothing. */
@@ -98,7 +98,7 @@
   }
 
   /** A server ended under a request that had been there so long; just now where no age is given. */
-  noteCrash(
+  recordCrash(
     fingerprint: string,
     { ageMs = 0, ...crash }: Omit<Crash, 'ageMs'> & Partial<Pick<Crash, 'ageMs'>>,
     nowMs: number,
@@ -123,19 +123,19 @@
   }
 
   /** The store has lost what it had of a request. */
-  forgetStored(fingerprint: string): void {
+  markNotStored(fingerprint: string): void {
     const entry = this.#entries.get(fingerprint);
     if (entry !== undefined) entry.isStored = false;
   }
 
-  noteStored(fingerprint: string): void {
+  markStored(fingerprint: string): void {
     const entry = this.#entries.get(fingerprint);
     if (entry !== undefined) entry.isStored = true;
   }
 
   /** Takes what another daemon, or the store, says of a request. */
   take(record: CrashRecord, nowMs: number): CrashRecordChange {
-    if (record.ageMs >= RECORD_KEPT_MS) return 'none';
+    if (record.ageMs >= CRASH_RECORD_RETENTION_MS) return 'none';
     const known = this.#entries.get(record.fingerprint);
     const merged = merge(known, record, nowMs);
     if (known !== undefined && merged === known) return 'none';
@@ -148,14 +148,14 @@
   /** Forgets what is too old; gives the fingerprints of those that were quarantined. */
   dropOld(nowMs: number): readonly string[] {
     const old = [...this.#entries].filter(
-      ([, { changedMs }]) => nowMs - changedMs >= RECORD_KEPT_MS,
+      ([, { changedMs }]) => nowMs - changedMs >= CRASH_RECORD_RETENTION_MS,
     );
     for (const [fingerprint] of old) this.#remove(fingerprint);
     return old.filter(([, entry]) => entry.isQuarantined).map(([fingerprint]) => fingerprint);
   }
 
   /** The next of those that others may lack, by turns. */
-  nextToTell(most: number, nowMs: number): readonly CrashRecord[] {
+  nextToAdvertise(most: number, nowMs: number): readonly CrashRecord[] {
     const told = [...this.#entries].filter(
       ([, entry]) => entry.isQuarantined || nowMs - entry.newsMs < TOLD_AGAIN_MS,
     );
--- a/src/core/gateway/index.ts
+++ b/src/core/gateway/index.ts
@@ -23,7 +23,7 @@
   type CrashRecord,
   type CrashRecordChange,
   CrashRecords,
-  RECORD_KEPT_MS,
+  CRASH_RECORD_RETENTION_MS,
 } from './crash-records.js';
 export {
   cachedPrefixTokens,
--- a/src/shell/gateway/attempt.ts
+++ b/src/shell/gateway/attempt.ts
@@ -33,7 +33,12 @@
   /** Permits to send to servers that name a limit. */
   readonly limits: Pick<
     LimitCoordinator,
-    'noteArrival' | 'prepare' | 'waitForPermit' | 'holdPlace' | 'isGood' | 'giveBack'
+    | 'recordArrival'
+    | 'requestPermits'
+    | 'waitForPermit'
+    | 'reservePermit'
+    | 'isUsable'
+    | 'returnPermits'
   >;
   readonly codec: RequestCodec;
   /** Whether what other daemons have sent unseen counts in a choice. */
@@ -49,7 +54,12 @@
   /** What is known of requests that end servers. */
   readonly crashes: Pick<
     CrashGuard,
-    'isQuarantined' | 'isPrepared' | 'noteBroken' | 'noteWhole' | 'refuse' | 'settled'
+    | 'isQuarantined'
+    | 'isPrepared'
+    | 'recordBrokenRun'
+    | 'recordCompleteRun'
+    | 'refuse'
+    | 'whenChecked'
   >;
   /** To be called when a request began to run at a server, so long ago. */
   readonly recordRunStart: (exchange: Exchange, agoMs: number) => void;
@@ -222,7 +232,7 @@
       case 'good':
         close();
         health.recordSuccess(elapsedMs());
-        if (!options.prefillOnly) context.crashes.noteWhole(exchange);
+        if (!options.prefillOnly) context.crashes.recordCompleteRun(exchange);
         break;
       case 'server-error':
         close();
@@ -299,7 +309,7 @@
     }
   } else health.recordBroken(timers.nowMs());
   if (failure.kind === 'broken') {
-    context.crashes.noteBroken(exchange, options.server, elapsedMs);
+    context.crashes.recordBrokenRun(exchange, options.server, elapsedMs);
   }
   metrics.recordAttempt(failure.kind);
   log.write(GATEWAY_EVENTS.attemptFailed, {
--- a/src/shell/gateway/cache-news-teller.ts
+++ b/src/shell/gateway/cache-news-teller.ts
@@ -4,7 +4,11 @@
  */
 import type { PeerDaemon, PeerRoster } from '../../core/gateway/index.js';
 import { ByteBudget, datagramWireBytes } from './byte-budget.js';
-import { type EngineNews, encodePeerMessage, MOST_ENTRIES } from './peer-messages.js';
+import {
+  type EngineCacheEvents,
+  encodePeerMessage,
+  MAX_ENTRIES_PER_MESSAGE,
+} from './peer-messages.js';
 import type { CancelTimer, TimerService } from './timer-service.js';
 
 /**
@@ -20,7 +24,7 @@
 const NEWS_BUDGET_OF_PEER = { bytesPerSecond: 1_024, burstBytes: 4_096 };
 
 /** What a teller is built from. */
-export interface CacheNewsTellerOptions {
+export interface CacheEventPublisherOptions {
   readonly daemon: string;
   readonly roster: Pick<PeerRoster, 'zonePeers'>;
   readonly timers: TimerService;
@@ -28,13 +32,13 @@
 }
 
 /** One daemon's telling of cache news. */
-export class CacheNewsTeller {
-  readonly #options: CacheNewsTellerOptions;
+export class CacheEventPublisher {
+  readonly #options: CacheEventPublisherOptions;
   readonly #budget: ByteBudget;
-  readonly #waiting = new Map<PeerDaemon['name'], EngineNews[]>();
+  readonly #waiting = new Map<PeerDaemon['name'], EngineCacheEvents[]>();
   #cancel: CancelTimer | undefined;
 
-  constructor(options: CacheNewsTellerOptions) {
+  constructor(options: CacheEventPublisherOptions) {
     this.#options = options;
     this.#budget = new ByteBudget(NEWS_BUDGET_OF_PEER, options.timers);
   }
@@ -44,7 +48,7 @@
   }
 
   /** Tells some daemons soon. */
-  passOn(news: EngineNews, peers: readonly PeerDaemon[]): void {
+  forward(news: EngineCacheEvents, peers: readonly PeerDaemon[]): void {
     for (const { name } of peers) {
       const waiting = this.#waiting.get(name);
       if (waiting === undefined) this.#waiting.set(name, [news]);
@@ -73,14 +77,16 @@
 }
 
 /** Parts news into messages that stay within one packet. */
-function partNews(waiting: readonly EngineNews[]): readonly (readonly EngineNews[])[] {
-  const messages: EngineNews[][] = [];
+function partNews(
+  waiting: readonly EngineCacheEvents[],
+): readonly (readonly EngineCacheEvents[])[] {
+  const messages: EngineCacheEvents[][] = [];
   let room = 0;
   for (const { engineId, isReset, events } of waiting) {
     for (let first = 0; first === 0 || first < events.length; ) {
       if (room <= 0) {
         messages.push([]);
-        room = MOST_ENTRIES;
+        room = MAX_ENTRIES_PER_MESSAGE;
       }
       const part = events.slice(first, first + room);
       messages.at(-1)?.push({ engineId, isReset: isReset && first === 0, events: part });
--- a/src/shell/gateway/cache-news-watcher.ts
+++ b/src/shell/gateway/cache-news-watcher.ts
@@ -7,7 +7,7 @@
 import type { ServerRecord } from '../../core/gateway/index.js';
 import { GATEWAY_EVENTS } from '../../core/logging/catalogue/gateway.js';
 import type { FleetView } from './fleet-view.js';
-import type { EngineNews } from './peer-messages.js';
+import type { EngineCacheEvents } from './peer-messages.js';
 import type { CacheNews, RequestCodec } from './ports.js';
 import type { GatewayLog } from './request-log.js';
 import type { ServerCalls } from './server-calls.js';
@@ -30,29 +30,29 @@
 const MAX_NEWS_BYTES = 4_194_304;
 
 /** Which engines this daemon asks, and who is told what they say. */
-export interface NewsDuty {
+export interface CacheEventDuty {
   isWatcher(engine: ServerRecord): boolean;
-  passOn(engine: ServerRecord, news: EngineNews): void;
+  forward(engine: ServerRecord, news: EngineCacheEvents): void;
 }
 
 /** What watchers of cache news need. */
-export interface CacheNewsContext {
+export interface CacheEventContext {
   readonly fleet: FleetView;
   readonly calls: Pick<ServerCalls, 'call'>;
   readonly codec: RequestCodec;
   readonly timers: TimerService;
-  readonly duty: NewsDuty;
+  readonly duty: CacheEventDuty;
   readonly log: Pick<GatewayLog, 'write'>;
 }
 
 /** The watches of the engines that this daemon is to ask. */
-export class CacheNewsWatchers {
-  readonly #context: CacheNewsContext;
+export class CacheEventWatchers {
+  readonly #context: CacheEventContext;
   readonly #engines = new Map<string, ServerRecord>();
   readonly #watches = new Map<string, AbortController>();
   #cancelLook: CancelTimer | undefined;
 
-  constructor(context: CacheNewsContext) {
+  constructor(context: CacheEventContext) {
     this.#context = context;
   }
 
@@ -64,7 +64,7 @@
   }
 
   /** An engine has started again: its cache is empty, and its news begin anew. */
-  renew(engine: ServerRecord): void {
+  restart(engine: ServerRecord): void {
     this.remove(engine.id);
     if (engine.stage === undefined) return;
     this.#engines.set(engine.id, engine);
@@ -112,7 +112,7 @@
 
 /** Follows one engine; what was missed before comes from the daemon that asked then. */
 class CacheNewsWatch {
-  readonly #context: CacheNewsContext;
+  readonly #context: CacheEventContext;
   readonly #engine: ServerRecord;
   readonly #stopped: AbortSignal;
   #next = 0;
@@ -122,7 +122,7 @@
   #isNewLife: boolean;
 
   constructor(
-    context: CacheNewsContext,
+    context: CacheEventContext,
     engine: ServerRecord,
     isNewLife: boolean,
     stopped: AbortSignal,
@@ -197,7 +197,7 @@
     this.#epoch = news.epoch;
     this.#next = news.nextNumber;
     for (const event of news.events) prefixIndex.confirm(engineId, event.partId, event.tokens);
-    if (isReset || events.length > 0) duty.passOn(this.#engine, { engineId, isReset, events });
+    if (isReset || events.length > 0) duty.forward(this.#engine, { engineId, isReset, events });
     if (news.events.length > 0) await delay(timers, PAUSE_MS, this.#stopped);
   }
 
--- a/src/shell/gateway/configuration-teller.ts
+++ b/src/shell/gateway/configuration-teller.ts
@@ -6,7 +6,11 @@
  * come back from a copy that is older.
  */
 import type { PeerDaemon, PeerRoster } from '../../core/gateway/index.js';
-import { encodePeerMessage, type PassedConfiguration, type PeerMessage } from './peer-messages.js';
+import {
+  encodePeerMessage,
+  type ForwardedConfiguration,
+  type PeerMessage,
+} from './peer-messages.js';
 import type { TableChanges } from './table-watcher.js';
 import type { TimerService } from './timer-service.js';
 
@@ -28,7 +32,7 @@
   /** The version that this daemon has in force; 0 for none. */
   readonly configurationVersion: () => number;
   /** Takes a configuration if it is newer; says whether it was. */
-  readonly takeConfiguration: (change: PassedConfiguration) => boolean;
+  readonly takeConfiguration: (change: ForwardedConfiguration) => boolean;
   readonly send: (peers: readonly PeerDaemon[], bytes: Buffer) => void;
 }
 
@@ -38,7 +42,7 @@
 }
 
 interface NewestConfiguration extends VersionedValue {
-  readonly change: PassedConfiguration;
+  readonly change: ForwardedConfiguration;
   readonly sinceMs: number;
 }
 
@@ -55,7 +59,7 @@
   }
 
   /** One that this daemon had from the store, where it fits a message. */
-  passOn({ era, after, revision, rows }: TableChanges<VersionedValue>): void {
+  forward({ era, after, revision, rows }: TableChanges<VersionedValue>): void {
     const { zone, roster, timers, isRelay, send } = this.#options;
     const newest = rows.at(-1);
     if (newest?.kind !== 'value') return;
@@ -94,7 +98,7 @@
   }
 
   /** What the store has may be older than what is in force. */
-  #noteNewest(change: PassedConfiguration, version: number): void {
+  #noteNewest(change: ForwardedConfiguration, version: number): void {
     const { timers, configurationVersion } = this.#options;
     if (version !== configurationVersion()) return;
     this.#newest = { change, version, sinceMs: timers.nowMs() };
--- a/src/shell/gateway/crash-gossip.ts
+++ b/src/shell/gateway/crash-gossip.ts
@@ -26,7 +26,7 @@
   /** Absent where this daemon tells no others. */
   readonly peers: () => Pick<PeerExchange, 'tell'> | undefined;
   /** A number of this daemon's own, so that not all tell the same one first. */
-  readonly firstTurn: number;
+  readonly initialPeerIndex: number;
   readonly contactMs: number;
   readonly timers: TimerService;
 }
@@ -40,7 +40,7 @@
 
   constructor(options: CrashGossipOptions) {
     this.#options = options;
-    this.#turn = options.firstTurn;
+    this.#turn = options.initialPeerIndex;
     this.#budget = new ByteBudget(BROADCAST_BUDGET, options.timers);
   }
 
@@ -77,7 +77,7 @@
   #tellNext(): void {
     const { records, roster, peers, timers } = this.#options;
     if (records.isEmpty) return;
-    const told = records.nextToTell(MOST_RECORDS_TOLD, timers.nowMs());
+    const told = records.nextToAdvertise(MOST_RECORDS_TOLD, timers.nowMs());
     const everyone = roster.everyone();
     const peer = everyone[this.#turn % Math.max(1, everyone.length)];
     if (told.length === 0 || peer === undefined) return;
--- a/src/shell/gateway/crash-guard.ts
+++ b/src/shell/gateway/crash-guard.ts
@@ -9,7 +9,7 @@
   CrashRecords,
   lifeOf,
   type PeerRoster,
-  RECORD_KEPT_MS,
+  CRASH_RECORD_RETENTION_MS,
   type ServerRecord,
 } from '../../core/gateway/index.js';
 import { GATEWAY_EVENTS } from '../../core/logging/catalogue/gateway.js';
@@ -52,7 +52,7 @@
   /** Absent where this daemon tells no others. */
   readonly peers: () => Pick<PeerExchange, 'tell'> | undefined;
   /** A number of this daemon's own, so that not all tell the same one first. */
-  readonly firstTurn: number;
+  readonly initialPeerIndex: number;
   readonly contactMs: number;
   readonly timers: TimerService;
   readonly wallClock: WallClock;
@@ -113,7 +113,7 @@
   }
 
   /** The store is back from an older copy: what it lacks of the fleet's rows is written again. */
-  noteRestored(): void {
+  handleStoreRestored(): void {
     this.#restore.begin();
   }
 
@@ -148,12 +148,12 @@
     if (!this.isQuarantined(exchange)) return false;
     const fingerprint = this.#fingerprints.of(exchange) ?? '';
     const ageMs = this.#records.get(fingerprint, this.#options.timers.nowMs())?.ageMs ?? 0;
-    exchange.refuse(QUARANTINE_REASON, RECORD_KEPT_MS - ageMs, { fingerprint });
+    exchange.refuse(QUARANTINE_REASON, CRASH_RECORD_RETENTION_MS - ageMs, { fingerprint });
     return true;
   }
 
   /** A run or a reading of a request broke, so long after it was sent to a server. */
-  noteBroken(exchange: GuardedExchange, server: ServerRecord, ranMs: number): void {
+  recordBrokenRun(exchange: GuardedExchange, server: ServerRecord, ranMs: number): void {
     const before = this.#checks.get(exchange);
     const wasReady = this.#options.isReady(server);
     const check = this.#check(exchange, { server, wasReady, ranMs });
@@ -161,24 +161,24 @@
   }
 
   /** A server is listed with a start: runs that broke a moment ago in a life before were ended by that life's end. */
-  noteStarted(server: ServerRecord): void {
+  recordServerStart(server: ServerRecord): void {
     const nowMs = this.#options.timers.nowMs();
     for (const { server: ended, fingerprint, ranMs, atMs } of this.#openBreaks.takeFromEarlierBoots(
       server,
     )) {
       const crash = { serverId: lifeOf(ended), ranMs, ageMs: nowMs - atMs };
-      const change = this.#records.noteCrash(fingerprint, crash, nowMs);
+      const change = this.#records.recordCrash(fingerprint, crash, nowMs);
       this.#noteChange(fingerprint, change, 'own');
     }
   }
 
   /** Resolves once all that broke under a request has been looked into. */
-  async settled(exchange: GuardedExchange): Promise<void> {
+  async whenChecked(exchange: GuardedExchange): Promise<void> {
     await this.#checks.get(exchange);
   }
 
   /** A request ran whole: it ends no servers. */
-  noteWhole(exchange: GuardedExchange): void {
+  recordCompleteRun(exchange: GuardedExchange): void {
     if (this.#records.isEmpty) return;
     const fingerprint = this.#fingerprints.of(exchange);
     if (fingerprint === undefined) return;
@@ -189,7 +189,7 @@
   }
 
   /** What another daemon tells. */
-  takeTold(records: readonly CrashRecord[]): void {
+  applyPeerRecords(records: readonly CrashRecord[]): void {
     for (const record of records) {
       const change = this.#records.take(record, this.#options.timers.nowMs());
       this.#noteChange(record.fingerprint, change, 'peer');
@@ -206,7 +206,7 @@
     const isCounted = hasEnded && isTold;
     const nowMs = timers.nowMs();
     const change = isCounted
-      ? this.#records.noteCrash(fingerprint, { serverId: lifeOf(server), ranMs }, nowMs)
+      ? this.#records.recordCrash(fingerprint, { serverId: lifeOf(server), ranMs }, nowMs)
       : 'none';
     if (isTold && !hasEnded) {
       this.#openBreaks.add({ server, fingerprint, ranMs, atMs: startedMs });
--- a/src/shell/gateway/crash-store-duty.ts
+++ b/src/shell/gateway/crash-store-duty.ts
@@ -67,7 +67,7 @@
         ? await this.#write(record)
         : await table.remove(fingerprint, signal);
       const isSame = records.get(fingerprint, timers.nowMs())?.clearings === record.clearings;
-      if (isDone && isSame) records.noteStored(fingerprint);
+      if (isDone && isSame) records.markStored(fingerprint);
       if (!isDone) await delay(timers, RETRY_MS, signal);
     }
     this.#underWay.delete(fingerprint);
--- a/src/shell/gateway/crash-store-restore.ts
+++ b/src/shell/gateway/crash-store-restore.ts
@@ -86,7 +86,7 @@
       .all(timers.nowMs())
       .filter(({ fingerprint, isQuarantined }) => isQuarantined !== storedNames.has(fingerprint));
     for (const { fingerprint } of differing) {
-      records.forgetStored(fingerprint);
+      records.markNotStored(fingerprint);
       void bringUpToDate(fingerprint);
     }
     log.write(GATEWAY_EVENTS.crashRowsRestored, { turn, rewritten: differing.length });
--- a/src/shell/gateway/crash-table.ts
+++ b/src/shell/gateway/crash-table.ts
@@ -4,7 +4,7 @@
  */
 import { randomBytes } from 'node:crypto';
 import * as z from 'zod/mini';
-import { type CrashRecord, RECORD_KEPT_MS } from '../../core/gateway/index.js';
+import { type CrashRecord, CRASH_RECORD_RETENTION_MS } from '../../core/gateway/index.js';
 import { GATEWAY_EVENTS } from '../../core/logging/catalogue/gateway.js';
 import type { TableCall, TableResult, TableRow } from '../../core/platform/table.js';
 import type { GatewayLog } from './request-log.js';
@@ -127,7 +127,10 @@
     }
     const { serverIds, clearings, unixMs, isLifted } = parsed.data;
     // A machine's time of day may be wrong either way.
-    const ageMs = Math.min(RECORD_KEPT_MS, Math.max(0, this.#options.wallClock() - unixMs));
+    const ageMs = Math.min(
+      CRASH_RECORD_RETENTION_MS,
+      Math.max(0, this.#options.wallClock() - unixMs),
+    );
     const record = { fingerprint, isStored: true, ageMs };
     if (isLifted) {
       return [{ ...record, crashes: [], isQuarantined: false, clearings: clearings + 1 }];
--- a/src/shell/gateway/fleet-follower.ts
+++ b/src/shell/gateway/fleet-follower.ts
@@ -13,10 +13,10 @@
 } from '../../core/gateway/index.js';
 import { GATEWAY_EVENTS } from '../../core/logging/catalogue/gateway.js';
 import { FIRST_ERA } from '../../core/platform/store-position.js';
-import type { CacheNewsWatchers } from './cache-news-watcher.js';
+import type { CacheEventWatchers } from './cache-news-watcher.js';
 import type { FleetView } from './fleet-view.js';
 import { HeardVersion } from './heard-version.js';
-import type { PassedConfiguration } from './peer-messages.js';
+import type { ForwardedConfiguration } from './peer-messages.js';
 import type { PlatformAdapter, WatchedRow } from './ports.js';
 import type { RelayDigest } from './relay-digest.js';
 import type { GatewayLog } from './request-log.js';
@@ -57,7 +57,7 @@
 export interface FleetFollowerOptions {
   readonly adapter: PlatformAdapter;
   readonly fleet: FleetView;
-  readonly cacheNews: CacheNewsWatchers;
+  readonly cacheNews: CacheEventWatchers;
   /** The times of the watches, by what this daemon does for the others. */
   readonly timing: () => WatchTiming;
   /** For how long tables are read whole again, as reads may be stale. */
@@ -73,9 +73,9 @@
   /** The digest of the zone's relay on the tables. */
   readonly digest: RelayDigest;
   /** The store is back from an older copy. */
-  readonly noteRestored: () => void;
+  readonly handleStoreRestored: () => void;
   /** A server is listed, or has started again. */
-  readonly noteStarted: (server: ServerRecord) => void;
+  readonly recordServerStart: (server: ServerRecord) => void;
   readonly timers: TimerService;
   readonly wallClock: WallClock;
   readonly log: GatewayLog;
@@ -113,7 +113,7 @@
       consumer: {
         takeAll: (rows) => this.#takeAllConfigurations(rows),
         takeChanges: (rows) => this.#takeConfigurations(rows),
-        passOn: (changes) => options.passOnConfiguration(changes),
+        forward: (changes) => options.passOnConfiguration(changes),
       },
       ...shared,
       gatherMs: GATHER_CONFIGURATIONS_MS,
@@ -129,7 +129,7 @@
         takeAll: (rows) => this.#takeServers(rows, true),
         takeChanges: (rows) => this.#takeServers(rows, false),
         // Rows that mean something only beside what is known here are looked up by each daemon itself.
-        passOn: (changes) => {
+        forward: (changes) => {
           if (!this.#hasPassedOver) options.passOnServers(changes);
         },
       },
@@ -223,7 +223,7 @@
     this.#era = era;
     const { restored, timers, random } = this.#options;
     restored.begin(timers.nowMs());
-    this.#options.noteRestored();
+    this.#options.handleStoreRestored();
     this.#loggedRestored.clear();
     for (const cancel of this.#cancelRereads) cancel();
     this.#cancelRereads = restored.looksAfterMs.map((afterMs) =>
@@ -248,7 +248,7 @@
    * newer one is taken whatever this daemon's own watch has seen, as that may be out of reach of the store.
    * @returns whether it was newer
    */
-  takePassedConfiguration({ key, encoded, ...span }: PassedConfiguration): boolean {
+  takePassedConfiguration({ key, encoded, ...span }: ForwardedConfiguration): boolean {
     const before = this.inForceVersion;
     const row = this.#options.adapter.configurations.decode(key, encoded);
     if (row.kind !== 'value' || row.value.version <= before) return false;
@@ -356,13 +356,13 @@
   }
 
   #carryOut(change: DirectoryChange): void {
-    const { fleet, cacheNews, noteStarted, log } = this.#options;
+    const { fleet, cacheNews, recordServerStart, log } = this.#options;
     const { added, changed, removed, renewed } = change;
     fleet.forgetEnded(change);
     for (const server of removed) cacheNews.remove(server.id);
     for (const server of added) cacheNews.add(server);
-    for (const server of renewed) cacheNews.renew(server);
-    for (const server of [...added, ...renewed]) noteStarted(server);
+    for (const server of renewed) cacheNews.restart(server);
+    for (const server of [...added, ...renewed]) recordServerStart(server);
     for (const server of added) this.#logServer(GATEWAY_EVENTS.serverAdded, server);
     for (const server of changed) this.#logServer(GATEWAY_EVENTS.serverChanged, server);
     for (const server of removed) this.#logServer(GATEWAY_EVENTS.serverRemoved, server);
--- a/src/shell/gateway/fleet-view.ts
+++ b/src/shell/gateway/fleet-view.ts
@@ -39,7 +39,7 @@
 import { getOrCreate } from './entry-of.js';
 import { FleetDemand } from './fleet-demand.js';
 import { type LoadDecisions, USUAL_LOAD_DECISIONS } from './gateway-settings.js';
-import type { EngineNews } from './peer-messages.js';
+import type { EngineCacheEvents } from './peer-messages.js';
 
 /** Entries for web servers in one message, beside those for engines: crowded services have few servers. */
 const MOST_WEB_ENTRIES = 16;
@@ -344,7 +344,7 @@
   }
 
   /** Takes an engine's cache news that another daemon passed on. */
-  takeNews(news: EngineNews, nowMs: number): void {
+  takeNews(news: EngineCacheEvents, nowMs: number): void {
     const { engineId, isReset, events } = news;
     if (this.directory.get(engineId) === undefined) return;
     if (isReset) this.prefixIndex.forget(engineId);
--- a/src/shell/gateway/gateway.ts
+++ b/src/shell/gateway/gateway.ts
@@ -8,7 +8,7 @@
 import { GATEWAY_EVENTS } from '../../core/logging/catalogue/gateway.js';
 import type { AttemptContext } from './attempt.js';
 import { BackendConnections } from './backend-connections.js';
-import { CacheNewsWatchers } from './cache-news-watcher.js';
+import { CacheEventWatchers } from './cache-news-watcher.js';
 import { CallerListener } from './caller-listener.js';
 import { CrashGuard } from './crash-guard.js';
 import { Duties } from './duties.js';
@@ -78,7 +78,7 @@
   readonly #callers: CallerListener;
   readonly #servers: Server[] = [];
   readonly #follower: FleetFollower;
-  readonly #cacheNews: CacheNewsWatchers;
+  readonly #cacheNews: CacheEventWatchers;
   readonly #stages: StageController;
   /** Absent where the settings name no address for it. */
   readonly #peers: PeerExchange | undefined;
@@ -139,7 +139,8 @@
       wallClock: this.#steadyClock,
       metrics: this.#metrics,
       log,
-      onLimitChange: (server, change, purpose) => this.#limits.noteHeard(server, change, purpose),
+      onLimitChange: (server, change, purpose) =>
+        this.#limits.recordReportedLimit(server, change, purpose),
     });
     const context: AttemptContext = {
       fleet: this.#fleet,
@@ -172,7 +173,7 @@
       peers: this.#peers,
       timers,
     });
-    this.#cacheNews = new CacheNewsWatchers({ ...context, timers, duty, log });
+    this.#cacheNews = new CacheEventWatchers({ ...context, timers, duty, log });
     this.#follower = new FleetFollower({
       adapter,
       fleet: this.#fleet,
@@ -184,8 +185,8 @@
       digest: this.#digest,
       passOnConfiguration: (changes) => this.#peers?.passOnConfiguration(changes),
       passOnServers: (changes) => this.#peers?.passOnServers(changes),
-      noteStarted: (server) => this.#crashes.noteStarted(server),
-      noteRestored: () => this.#noteRestored(),
+      recordServerStart: (server) => this.#crashes.recordServerStart(server),
+      handleStoreRestored: () => this.#noteRestored(),
       timers: this.#suspensionAware,
       wallClock,
       log,
@@ -330,7 +331,7 @@
       isReady: (server) => this.#fleet.wasReady(server, timers.nowMs()),
       roster: this.#roster,
       peers: () => this.#peers,
-      firstTurn: incarnation,
+      initialPeerIndex: incarnation,
       contactMs: settings.bounds.contactMs,
       timers,
       wallClock: this.#steadyClock,
@@ -376,7 +377,7 @@
       takeTables: (digest) => this.#digest.take(digest),
       relayPeersChecksum: () => this.#digest.peersChecksum,
       takeStage: (notice) => this.#fleet.stageNotices.take(notice, timers.nowMs()),
-      takeCrashes: (records) => this.#crashes.takeTold(records),
+      takeCrashes: (records) => this.#crashes.applyPeerRecords(records),
       takeUsage: (message, reply) => this.#duties.takeUsage(message, reply),
       takeLimit: (message, reply) => this.#limits.take(message, reply),
       takeNews: (news) => this.#fleet.takeNews(news, timers.nowMs()),
@@ -415,8 +416,8 @@
 
   /** What this daemon keeps in the store may be lost. */
   #noteRestored(): void {
-    this.#crashes.noteRestored();
-    this.#peers?.noteRestored();
+    this.#crashes.handleStoreRestored();
+    this.#peers?.handleStoreRestored();
   }
 
   get #watchRole(): WatchRole {
--- a/src/shell/gateway/limit-asks.ts
+++ b/src/shell/gateway/limit-asks.ts
@@ -13,8 +13,8 @@
 import { GATEWAY_EVENTS } from '../../core/logging/catalogue/gateway.js';
 import type { FleetView } from './fleet-view.js';
 import type { GatewayMetrics } from './gateway-metrics.js';
-import type { LimitGrants } from './limit-grants.js';
-import type { LimitAskMessage, LimitGrantMessage } from './limit-message-fields.js';
+import type { PermitGranter } from './limit-grants.js';
+import type { PermitRequestMessage, PermitGrantMessage } from './limit-message-fields.js';
 import type { GatewayLog } from './request-log.js';
 import type { CancelTimer, TimerService } from './timer-service.js';
 
@@ -34,13 +34,13 @@
 const NO_NUMBER = 0;
 
 /** What it is built from. */
-export interface LimitAsksOptions {
+export interface PermitRequesterOptions {
   readonly daemon: string;
   readonly fleet: Pick<FleetView, 'limits' | 'permits' | 'recentSends'>;
   /** Undefined where this daemon has no address for others: it is alone. */
   readonly roster: Pick<PeerRoster, 'hasList' | 'everyone'> | undefined;
-  readonly grants: Pick<LimitGrants, 'answer' | 'tellAll'>;
-  readonly send: (peers: readonly PeerDaemon[], message: LimitAskMessage) => void;
+  readonly grants: Pick<PermitGranter, 'answer' | 'tellAll'>;
+  readonly send: (peers: readonly PeerDaemon[], message: PermitRequestMessage) => void;
   readonly timers: TimerService;
   /** 0 to 1, anew each time. */
   readonly random: () => number;
@@ -71,14 +71,14 @@
 }
 
 /** The asking side of a daemon. */
-export class LimitAsks {
-  readonly #options: LimitAsksOptions;
+export class PermitRequester {
+  readonly #options: PermitRequesterOptions;
   readonly #states = new Map<string, AskState>();
   readonly #misses = new Map<string, number>();
   readonly #passedOverUntilMs = new Map<string, number>();
   #number = NO_NUMBER;
 
-  constructor(options: LimitAsksOptions) {
+  constructor(options: PermitRequesterOptions) {
     this.#options = options;
   }
 
@@ -116,7 +116,7 @@
   }
 
   /** Takes an answer. */
-  take(grant: LimitGrantMessage): void {
+  take(grant: PermitGrantMessage): void {
     const { fleet, timers, noteTold } = this.#options;
     const { serverId, granted, daemon: granter } = grant;
     const nowMs = timers.nowMs();
@@ -128,7 +128,7 @@
     const state = this.#stateOf(serverId);
     const { open } = state;
     if (open === undefined || open.number !== grant.number) {
-      this.giveBack(serverId, granter, granted);
+      this.returnPermits(serverId, granter, granted);
       return;
     }
     open.cancelTimeout();
@@ -147,12 +147,12 @@
     this.#states.clear();
   }
 
-  #store({ serverId, granted, daemon: granter }: LimitGrantMessage, expiresAtMs: number): void {
+  #store({ serverId, granted, daemon: granter }: PermitGrantMessage, expiresAtMs: number): void {
     const { fleet, timers, metrics, notePermits } = this.#options;
     if (granted === 0) return;
     const validMs = expiresAtMs - timers.nowMs();
     if (validMs <= 0) {
-      this.giveBack(serverId, granter, granted);
+      this.returnPermits(serverId, granter, granted);
       return;
     }
     metrics.recordPermits('granted', granted);
@@ -162,7 +162,7 @@
   }
 
   /** Who found no room asks again when there may be some; with many daemons that ask, each asks the more seldom. */
-  #planNext(state: AskState, grant: LimitGrantMessage, nowMs: number): void {
+  #planNext(state: AskState, grant: PermitGrantMessage, nowMs: number): void {
     const { fleet, timers, random, noteMayAsk } = this.#options;
     const { serverId, granted, roomInMs, requesters, limit } = grant;
     const gapMs = ASK_GAP_MS * requesters * (0.5 + random());
@@ -205,19 +205,19 @@
   #giveBackUnused(): void {
     const { fleet, timers } = this.#options;
     for (const { serverId, count, granter } of fleet.permits.takeExpired(timers.nowMs())) {
-      this.giveBack(serverId, granter, count);
+      this.returnPermits(serverId, granter, count);
     }
   }
 
   /** Gives back permits that were not used to the daemon that granted them. */
-  giveBack(serverId: string, granter: string, count: number): void {
+  returnPermits(serverId: string, granter: string, count: number): void {
     if (count === 0) return;
     this.#options.metrics.recordPermits('given-back', count);
     const message = this.#messageOf(serverId, { number: NO_NUMBER, wanted: 0, returned: count });
     this.#send(granter, message);
   }
 
-  #send(granter: string, message: LimitAskMessage): void {
+  #send(granter: string, message: PermitRequestMessage): void {
     const { daemon, roster, grants, send } = this.#options;
     if (granter === daemon) {
       const answer = grants.answer(message);
@@ -230,8 +230,8 @@
 
   #messageOf(
     serverId: string,
-    what: Pick<LimitAskMessage, 'number' | 'wanted' | 'returned'>,
-  ): LimitAskMessage {
+    what: Pick<PermitRequestMessage, 'number' | 'wanted' | 'returned'>,
+  ): PermitRequestMessage {
     const { daemon, fleet, timers } = this.#options;
     const nowMs = timers.nowMs();
     // Undefined where nothing is known: that is no word that the limit has ended.
--- a/src/shell/gateway/limit-coordinator.ts
+++ b/src/shell/gateway/limit-coordinator.ts
@@ -14,8 +14,8 @@
 import type { Exchange } from './exchange.js';
 import type { FleetView } from './fleet-view.js';
 import type { GatewayMetrics } from './gateway-metrics.js';
-import { LimitAsks } from './limit-asks.js';
-import { LimitGrants } from './limit-grants.js';
+import { PermitRequester } from './limit-asks.js';
+import { PermitGranter } from './limit-grants.js';
 import type { LimitMessage } from './limit-message-fields.js';
 import { PermitWaiters } from './permit-waiters.js';
 import type { GatewayLog } from './request-log.js';
@@ -37,21 +37,21 @@
 const PLACE_VALID_MS = 2_000;
 
 /** A permit that is kept for a run whose prompt is being read. */
-export interface HeldPlace {
+export interface PermitReservation {
   readonly server: ServerRecord;
   readonly granter: string;
   readonly untilMs: number;
 }
 
 /** A request that may wait for a permit. */
-export interface PermitSeeker {
+export interface PermitWaitRequest {
   readonly service: string;
   /** 0 the most urgent. */
   readonly rank: number;
   readonly attemptId: string;
   readonly arrivedAtMs: number;
   /** From now on. */
-  readonly mostWaitMs: number;
+  readonly maxWaitMs: number;
   readonly signal: AbortSignal;
 }
 
@@ -78,8 +78,8 @@
 /** A daemon's part in keeping to the limits of servers. */
 export class LimitCoordinator {
   readonly #options: LimitCoordinatorOptions;
-  readonly #asks: LimitAsks;
-  readonly #grants: LimitGrants;
+  readonly #asks: PermitRequester;
+  readonly #grants: PermitGranter;
   readonly #waiters: PermitWaiters;
   readonly #arrivals = new Map<string, Arrivals>();
 
@@ -89,13 +89,13 @@
     this.#waiters = new PermitWaiters(timers);
     const noteTold = (serverId: string, change: LimitChange, by: string) =>
       this.#noteTold(serverId, change, by);
-    this.#grants = new LimitGrants({
+    this.#grants = new PermitGranter({
       ...options,
       limits: fleet.limits,
       everyone: () => roster?.everyone() ?? [],
       noteTold,
     });
-    this.#asks = new LimitAsks({
+    this.#asks = new PermitRequester({
       ...options,
       grants: this.#grants,
       noteTold,
@@ -110,7 +110,7 @@
   }
 
   /** A caller's request to a service arrived. */
-  noteArrival(service: string): void {
+  recordArrival(service: string): void {
     const nowMs = this.#options.timers.nowMs();
     const spanStartMs = Math.floor(nowMs / ARRIVALS_SPAN_MS) * ARRIVALS_SPAN_MS;
     const known = this.#arrivals.get(service);
@@ -127,7 +127,7 @@
    * with few requests would not use a permit that comes after the one it was for.
    * @returns undefined where there is nothing to wait for
    */
-  prepare(servers: readonly ServerRecord[]): Promise<void> | undefined {
+  requestPermits(servers: readonly ServerRecord[]): Promise<void> | undefined {
     const asks = servers.flatMap((server) => this.#ask(server) ?? []);
     if (asks.length === 0) return undefined;
     const { timers } = this.#options;
@@ -137,7 +137,7 @@
   }
 
   /** An answer of a server changed what is known of its limit. */
-  noteHeard(server: ServerRecord, change: LimitChange, purpose: CallPurpose): void {
+  recordReportedLimit(server: ServerRecord, change: LimitChange, purpose: CallPurpose): void {
     const { id, service } = server;
     this.#asks.tell(id, change);
     this.#options.metrics.recordToldAvailability(`limit-${change.kind}`);
@@ -167,9 +167,9 @@
    * Where nothing but limits keeps a request from being sent, waits for a permit as long as the request can be in time
    * after it. @returns whether to try again
    */
-  async waitForPermit(seeker: PermitSeeker): Promise<boolean> {
+  async waitForPermit(seeker: PermitWaitRequest): Promise<boolean> {
     const { fleet, timers, log } = this.#options;
-    const { service, rank, arrivedAtMs, attemptId, mostWaitMs: mostMs, signal } = seeker;
+    const { service, rank, arrivedAtMs, attemptId, maxWaitMs: mostMs, signal } = seeker;
     const nowMs = timers.nowMs();
     const limited = fleet.atLimit(service, nowMs).filter(({ stage }) => stage !== 'prefill');
     const expectedMs = limited.map(({ id }) => fleet.permits.expectedInMs(id, nowMs));
@@ -193,7 +193,10 @@
    * Takes the place of a run now that begins once its prompt was read elsewhere, where only engines that name limits
    * are left to generate: else the prompt may be read in vain. Undefined where none has to be taken, or none is there.
    */
-  holdPlace(service: string, choose: () => ServerRecord | undefined): HeldPlace | undefined {
+  reservePermit(
+    service: string,
+    choose: () => ServerRecord | undefined,
+  ): PermitReservation | undefined {
     const { fleet, timers } = this.#options;
     const nowMs = timers.nowMs();
     const isUnlimited = ({ id, stage }: ServerRecord) =>
@@ -206,7 +209,7 @@
   }
 
   /** Whether a place may still be used. */
-  isGood({ server, untilMs }: HeldPlace): boolean {
+  isUsable({ server, untilMs }: PermitReservation): boolean {
     const { fleet, timers } = this.#options;
     const nowMs = timers.nowMs();
     const isOpen = fleet.availability.of(server, nowMs).kind === 'open';
@@ -214,8 +217,8 @@
   }
 
   /** Gives back a place that no run came to, where one was held. */
-  giveBack(place: HeldPlace | undefined): void {
-    if (place !== undefined) this.#asks.giveBack(place.server.id, place.granter, 1);
+  returnPermits(place: PermitReservation | undefined): void {
+    if (place !== undefined) this.#asks.returnPermits(place.server.id, place.granter, 1);
   }
 
   stop(): void {
@@ -281,11 +284,11 @@
 }
 
 /** What a request asks when it may wait for a permit: that no server has seen it is held as long as any that waits. */
-export function permitSeekerOf(exchange: Exchange): PermitSeeker {
+export function permitWaitRequestOf(exchange: Exchange): PermitWaitRequest {
   const { service, rank, arrivedAtMs, description, route } = exchange.options;
-  const mostWaitMs = exchange.mayHaveRun
+  const maxWaitMs = exchange.mayHaveRun
     ? Math.min(exchange.remainingMs(), LONGEST_RESUME_WAIT_MS)
     : MAX_HOLD_SHARE * route.targetLatencyMs - exchange.elapsedMs();
   const { attemptId } = description;
-  return { service, rank, attemptId, arrivedAtMs, mostWaitMs, signal: exchange.signal };
+  return { service, rank, attemptId, arrivedAtMs, maxWaitMs, signal: exchange.signal };
 }
--- a/src/shell/gateway/limit-grants.ts
+++ b/src/shell/gateway/limit-grants.ts
@@ -12,9 +12,9 @@
 import { GATEWAY_EVENTS } from '../../core/logging/catalogue/gateway.js';
 import { ByteBudget, datagramWireBytes } from './byte-budget.js';
 import type {
-  LimitAskMessage,
-  LimitGrantMessage,
-  LimitToldMessage,
+  PermitRequestMessage,
+  PermitGrantMessage,
+  LimitUpdateMessage,
 } from './limit-message-fields.js';
 import { encodePeerMessage } from './peer-messages.js';
 import type { GatewayLog } from './request-log.js';
@@ -29,25 +29,25 @@
 const TOLD_BUDGET = { bytesPerSecond: 4_096, burstBytes: 65_536 };
 
 /** What it is built from. */
-export interface LimitGrantsOptions {
+export interface PermitGranterOptions {
   readonly daemon: string;
   readonly limits: NamedLimits;
   readonly timers: TimerService;
   readonly log: Pick<GatewayLog, 'write'>;
   /** All other daemons. */
   readonly everyone: () => readonly PeerDaemon[];
-  readonly send: (peers: readonly PeerDaemon[], message: LimitToldMessage) => void;
+  readonly send: (peers: readonly PeerDaemon[], message: LimitUpdateMessage) => void;
   /** Told of what an ask brought to light. */
   readonly noteTold: (serverId: string, change: LimitChange, by: string) => void;
 }
 
 /** The granting side of a daemon. */
-export class LimitGrants {
-  readonly #options: LimitGrantsOptions;
+export class PermitGranter {
+  readonly #options: PermitGranterOptions;
   readonly #ledgers = new Map<string, LimitLedger>();
   readonly #toldBudget: ByteBudget;
 
-  constructor(options: LimitGrantsOptions) {
+  constructor(options: PermitGranterOptions) {
     this.#options = options;
     this.#toldBudget = new ByteBudget(TOLD_BUDGET, options.timers);
   }
@@ -58,7 +58,7 @@
   }
 
   /** Answers an ask, of this daemon or another. */
-  answer(ask: LimitAskMessage): LimitGrantMessage {
+  answer(ask: PermitRequestMessage): PermitGrantMessage {
     const { daemon, limits, timers } = this.#options;
     const { serverId, number } = ask;
     const nowMs = timers.nowMs();
@@ -78,12 +78,12 @@
     const limit = limits.advertisementOf(serverId, timers.nowMs());
     if (limit === undefined) return;
     const peers = everyone();
-    const message: LimitToldMessage = { kind: 'limit-told', daemon, serverId, limit };
+    const message: LimitUpdateMessage = { kind: 'limit-told', daemon, serverId, limit };
     const bytes = datagramWireBytes(encodePeerMessage(message)) * peers.length;
     if (this.#toldBudget.tryTake(bytes)) send(peers, message);
   }
 
-  #takeTold({ serverId, limit, daemon: by }: LimitAskMessage, nowMs: number): void {
+  #takeTold({ serverId, limit, daemon: by }: PermitRequestMessage, nowMs: number): void {
     const { limits, noteTold } = this.#options;
     const change = limit === undefined ? undefined : limits.applyAdvertised(serverId, limit, nowMs);
     if (change === undefined) return;
@@ -92,7 +92,10 @@
     if (change.kind !== 'changed') this.tellAll(serverId);
   }
 
-  #ledgerOf({ serverId, knownForMs, daemon: by }: LimitAskMessage, nowMs: number): LimitLedger {
+  #ledgerOf(
+    { serverId, knownForMs, daemon: by }: PermitRequestMessage,
+    nowMs: number,
+  ): LimitLedger {
     const known = this.#ledgers.get(serverId);
     if (known !== undefined) return known;
     this.#dropOld(nowMs);
--- a/src/shell/gateway/limit-message-fields.ts
+++ b/src/shell/gateway/limit-message-fields.ts
@@ -10,7 +10,7 @@
 }
 
 /** A daemon asks the one that grants for permits, tells it what it knows, or both. */
-export interface LimitAskMessage {
+export interface PermitRequestMessage {
   readonly kind: 'limit-ask';
   readonly daemon: string;
   /** The answer bears it. */
@@ -26,7 +26,7 @@
 }
 
 /** The answer: what is granted, and what the granting daemon knows of the limit. */
-export interface LimitGrantMessage {
+export interface PermitGrantMessage {
   readonly kind: 'limit-grant';
   readonly daemon: string;
   readonly number: number;
@@ -39,7 +39,7 @@
 }
 
 /** The daemon that grants tells all others that a limit began, changed or ended. */
-export interface LimitToldMessage {
+export interface LimitUpdateMessage {
   readonly kind: 'limit-told';
   readonly daemon: string;
   readonly serverId: string;
@@ -47,7 +47,7 @@
 }
 
 /** A message on limits. */
-export type LimitMessage = LimitAskMessage | LimitGrantMessage | LimitToldMessage;
+export type LimitMessage = PermitRequestMessage | PermitGrantMessage | LimitUpdateMessage;
 
 /** A figure that can be counted with: what is no such thing makes a message unreadable. */
 const amount = z.number().check(z.nonnegative());
@@ -109,20 +109,20 @@
   }
 }
 
-export function decodeLimitAsk(fields: z.infer<typeof limitAskSchema>): LimitAskMessage {
+export function decodeLimitAsk(fields: z.infer<typeof limitAskSchema>): PermitRequestMessage {
   const [, daemon, number, serverId, limit, knownForMs, wanted, returned, sent] = fields;
   const unmetered = sent.map(([ageMs, count]) => ({ ageMs, count }));
   const told = { daemon, number, serverId, limit: decodeKnownLimit(limit) };
   return { kind: 'limit-ask', ...told, knownForMs, wanted, returned, unmetered };
 }
 
-export function decodeLimitGrant(fields: z.infer<typeof limitGrantSchema>): LimitGrantMessage {
+export function decodeLimitGrant(fields: z.infer<typeof limitGrantSchema>): PermitGrantMessage {
   const [, daemon, number, serverId, limit, granted, roomInMs, requesters] = fields;
   const told = { daemon, number, serverId, limit: decodeKnownLimit(limit) };
   return { kind: 'limit-grant', ...told, granted, roomInMs, requesters };
 }
 
-export function decodeLimitTold(fields: z.infer<typeof limitToldSchema>): LimitToldMessage {
+export function decodeLimitTold(fields: z.infer<typeof limitToldSchema>): LimitUpdateMessage {
   const [, daemon, serverId, limit] = fields;
   return { kind: 'limit-told', daemon, serverId, limit: decodeLimit(limit) };
 }
--- a/src/shell/gateway/model-exchange.ts
+++ b/src/shell/gateway/model-exchange.ts
@@ -18,7 +18,7 @@
   completeAnswerOutcome,
 } from './attempt.js';
 import type { Exchange } from './exchange.js';
-import { type HeldPlace, permitSeekerOf } from './limit-coordinator.js';
+import { type PermitReservation, permitWaitRequestOf } from './limit-coordinator.js';
 import { ModelPlanner, type PlanLimits } from './model-planner.js';
 import type { MemorySource } from './ports.js';
 import { freeKvMemory, type PrefillPlan, runPrefill } from './prompt-reading.js';
@@ -60,7 +60,7 @@
   async run(): Promise<void> {
     const { service } = this.#exchange.options;
     this.#context.fleet.budgetOf(service).countRequest();
-    this.#context.limits.noteArrival(service);
+    this.#context.limits.recordArrival(service);
     if (this.#planner.isCutByStop()) {
       this.#exchange.refuse(
         'this daemon stops before the stream could end',
@@ -71,7 +71,7 @@
     let next = await this.#step();
     while (next === 'again') {
       // Whether its last server ended decides whether another one may be lost to it.
-      await this.#context.crashes.settled(this.#exchange);
+      await this.#context.crashes.whenChecked(this.#exchange);
       next = await this.#step();
     }
   }
@@ -96,11 +96,11 @@
     const { limits } = this.#context;
     for (;;) {
       const wanted = this.#planner.limitedChoice({ mayPrefill: !this.#prefillFailed });
-      if (wanted.length > 0) await limits.prepare(wanted);
+      if (wanted.length > 0) await limits.requestPermits(wanted);
       if (this.#exchange.signal.aborted) return 'no-room';
       const plan = await this.#planInRoom();
       if (plan !== undefined) return plan;
-      if (!(await limits.waitForPermit(permitSeekerOf(this.#exchange)))) return undefined;
+      if (!(await limits.waitForPermit(permitWaitRequestOf(this.#exchange)))) return undefined;
     }
   }
 
@@ -134,14 +134,14 @@
     const place = this.#holdPlace(source);
     const memory = await runPrefill(this.#exchange, this.#context, plan, priority);
     if (memory === undefined || memory === 'held-back') {
-      this.#context.limits.giveBack(place);
+      this.#context.limits.returnPermits(place);
       // Another engine may read it as well where this one takes no more for now.
       if (memory === undefined) this.#prefillFailed = true;
       this.#way = 'direct';
       return 'again';
     }
     if (this.#exchange.signal.aborted) {
-      this.#context.limits.giveBack(place);
+      this.#context.limits.returnPermits(place);
       this.#freeUnused(memory, plan);
       return this.#endInterrupted();
     }
@@ -153,24 +153,26 @@
     return this.#run(server, memory, undefined, plan, server === place?.server);
   }
 
-  #holdPlace(source: ServerRecord): HeldPlace | undefined {
+  #holdPlace(source: ServerRecord): PermitReservation | undefined {
     const { service } = this.#exchange.options;
-    return this.#context.limits.holdPlace(service, () => this.#planner.decodeEngineAfter(source));
+    return this.#context.limits.reservePermit(service, () =>
+      this.#planner.decodeEngineAfter(source),
+    );
   }
 
   /** The engine that goes on; the list, and the permits, may have changed while the prompt was read. */
   async #engineAfter(
     source: ServerRecord,
-    place: HeldPlace | undefined,
+    place: PermitReservation | undefined,
   ): Promise<ServerRecord | undefined> {
     const { limits } = this.#context;
-    if (place !== undefined && limits.isGood(place)) return place.server;
-    limits.giveBack(place);
+    if (place !== undefined && limits.isUsable(place)) return place.server;
+    limits.returnPermits(place);
     const wanted = this.#planner.limitedRunChoice(source, 'any');
-    if (wanted.length > 0) await limits.prepare(wanted);
+    if (wanted.length > 0) await limits.requestPermits(wanted);
     const server = this.#planner.decodeEngineAfter(source);
     if (server !== undefined) return server;
-    const mayTry = await limits.waitForPermit(permitSeekerOf(this.#exchange));
+    const mayTry = await limits.waitForPermit(permitWaitRequestOf(this.#exchange));
     return mayTry ? this.#planner.decodeEngineAfter(source) : undefined;
   }
 
--- a/src/shell/gateway/pace-teller.ts
+++ b/src/shell/gateway/pace-teller.ts
@@ -16,7 +16,7 @@
 import { GATEWAY_EVENTS } from '../../core/logging/catalogue/gateway.js';
 import { ByteBudget, datagramWireBytes } from './byte-budget.js';
 import type { PaceMessage, PacePurpose } from './pace-message-fields.js';
-import { encodePeerMessage, MOST_ENTRIES } from './peer-messages.js';
+import { encodePeerMessage, MAX_ENTRIES_PER_MESSAGE } from './peer-messages.js';
 import type { GatewayLog } from './request-log.js';
 import type { CancelTimer, TimerService } from './timer-service.js';
 
@@ -38,7 +38,7 @@
 const IGNORED_GAP_MS = 10_000;
 
 /** What a teller is built from. */
-export interface PaceTellerOptions {
+export interface PaceGossipOptions {
   readonly daemon: string;
   readonly zone: string;
   readonly roster: Pick<
@@ -55,8 +55,8 @@
 }
 
 /** One daemon's telling of paces. */
-export class PaceTeller {
-  readonly #options: PaceTellerOptions;
+export class PaceGossip {
+  readonly #options: PaceGossipOptions;
   readonly #seenBudget: ByteBudget;
   readonly #knownBudget: ByteBudget;
   readonly #answerBudget: ByteBudget;
@@ -68,7 +68,7 @@
   #ignoredToldMs = Number.NEGATIVE_INFINITY;
   #cancel: CancelTimer | undefined;
 
-  constructor(options: PaceTellerOptions) {
+  constructor(options: PaceGossipOptions) {
     this.#options = options;
     const { timers } = options;
     this.#seenBudget = new ByteBudget(BUDGET, timers);
@@ -135,7 +135,7 @@
   #tellSeen(nowMs: number): void {
     const { paces, roster, isRelay } = this.#options;
     const peers = isRelay() ? roster.otherRelays(nowMs) : roster.toldOfChanges(nowMs);
-    const seen = paces.unadvertised(MOST_ENTRIES);
+    const seen = paces.unadvertised(MAX_ENTRIES_PER_MESSAGE);
     if (seen.length === 0) return;
     const bytes = this.#encode('seen', seen);
     // A relay has a budget for each other relay, as these hear of each zone from one daemon only.
@@ -149,7 +149,7 @@
   #tellKnown(nowMs: number): void {
     const { paces, roster } = this.#options;
     const known = paces.known(nowMs);
-    const told = this.#toTell.next(known, MOST_ENTRIES, nowMs);
+    const told = this.#toTell.next(known, MAX_ENTRIES_PER_MESSAGE, nowMs);
     if (told.length === 0) return;
     const bytes = this.#encode('known', told);
     if (!this.#knownBudget.tryTake(datagramWireBytes(bytes))) return;
@@ -210,8 +210,8 @@
 function inParts(known: readonly ServicePaceSums[]): readonly (readonly ServicePaceSums[])[] {
   return known.flatMap(({ service, line, engines }) => {
     const parts: ServicePaceSums[][] = [];
-    for (let first = 0; first === 0 || first < engines.length; first += MOST_ENTRIES) {
-      const part = engines.slice(first, first + MOST_ENTRIES);
+    for (let first = 0; first === 0 || first < engines.length; first += MAX_ENTRIES_PER_MESSAGE) {
+      const part = engines.slice(first, first + MAX_ENTRIES_PER_MESSAGE);
       parts.push([{ service, line: first === 0 ? line : undefined, engines: part }]);
     }
     return parts;
--- a/src/shell/gateway/peer-directory.ts
+++ b/src/shell/gateway/peer-directory.ts
@@ -80,7 +80,7 @@
   }
 
   /** The store is back from an older copy, which may lack this daemon's row and those of others. */
-  noteRestored(): void {
+  handleStoreRestored(): void {
     const { timers, random, log } = this.#options;
     const inMs = Math.round(REWRITE_SPREAD_MS * random());
     this.#rewriteAtMs = timers.nowMs() + inMs;
--- a/src/shell/gateway/peer-exchange.ts
+++ b/src/shell/gateway/peer-exchange.ts
@@ -23,20 +23,20 @@
   TableDigest,
 } from '../../core/gateway/index.js';
 import { ByteBudget, datagramWireBytes } from './byte-budget.js';
-import { CacheNewsTeller } from './cache-news-teller.js';
+import { CacheEventPublisher } from './cache-news-teller.js';
 import {
   ConfigurationTeller,
   MOST_PASSED_BYTES,
   type VersionedValue,
 } from './configuration-teller.js';
 import type { LimitMessage } from './limit-message-fields.js';
-import { PaceTeller } from './pace-teller.js';
+import { PaceGossip } from './pace-teller.js';
 import { PeerDirectory } from './peer-directory.js';
 import {
   decodePeerMessage,
-  type EngineNews,
+  type EngineCacheEvents,
   encodePeerMessage,
-  type PassedConfiguration,
+  type ForwardedConfiguration,
   type PeerMessage,
   type UsageMessage,
 } from './peer-messages.js';
@@ -106,7 +106,7 @@
   /** The version that another daemon has in force. */
   readonly noteVersion: (version: number, daemon: string) => void;
   /** A configuration that a relay had from the store; says whether it was newer. */
-  readonly takeConfiguration: (change: PassedConfiguration) => boolean;
+  readonly takeConfiguration: (change: ForwardedConfiguration) => boolean;
   /** Changes of servers that the zone's relay had from the store. */
   readonly takeServers: (changes: TableChanges<ServerRecord>) => void;
   /** An engine that another daemon ordered to change its stage. */
@@ -118,7 +118,7 @@
   /** What others ask or tell of servers that name a limit; `reply` goes back to who did. */
   readonly takeLimit: (message: LimitMessage, reply: Reply) => void;
   /** Cache news that another daemon passed on. */
-  readonly takeNews: (news: EngineNews) => void;
+  readonly takeNews: (news: EngineCacheEvents) => void;
 }
 
 /** The daemon's part in telling loads and news. */
@@ -128,8 +128,8 @@
   readonly #directory: PeerDirectory;
   readonly #changeBudget: ByteBudget;
   readonly #relay: RelayDuty;
-  readonly #cacheNews: CacheNewsTeller;
-  readonly #paces: PaceTeller;
+  readonly #cacheNews: CacheEventPublisher;
+  readonly #paces: PaceGossip;
   readonly #configurations: ConfigurationTeller;
   #ownReads: ReadNotice[] = [];
   #ownReach: ReachNotice[] = [];
@@ -152,11 +152,11 @@
       relaysBudget: new ByteBudget(RELAY_BUDGET_OF_PEER, options.timers),
       send: (peers, bytes) => this.#sendTo(peers, bytes),
     });
-    this.#cacheNews = new CacheNewsTeller({
+    this.#cacheNews = new CacheEventPublisher({
       ...options,
       send: (peers, bytes) => this.#sendTo(peers, bytes),
     });
-    this.#paces = new PaceTeller({
+    this.#paces = new PaceGossip({
       ...options,
       isRelay: () => this.#relay.isRelay,
       send: (peers, bytes) => this.#sendTo(peers, bytes),
@@ -196,8 +196,8 @@
   }
 
   /** The store is back from an older copy. */
-  noteRestored(): void {
-    this.#directory.noteRestored();
+  handleStoreRestored(): void {
+    this.#directory.handleStoreRestored();
   }
 
   /** Says soon what has changed. */
@@ -223,7 +223,7 @@
       const news = { reads: this.#ownReads, reach: this.#ownReach };
       this.#ownReads = [];
       this.#ownReach = [];
-      if (this.#relay.isRelay) this.#relay.passOn(news);
+      if (this.#relay.isRelay) this.#relay.forward(news);
       this.#tellOwnWork(roster.toldOfChanges(timers.nowMs()), news);
     });
   }
@@ -251,7 +251,7 @@
 
   /** As the relay of its zone, passes on a configuration that it had from the store, where it fits. */
   passOnConfiguration(changes: TableChanges<VersionedValue>): void {
-    if (!this.#isStopped) this.#configurations.passOn(changes);
+    if (!this.#isStopped) this.#configurations.forward(changes);
   }
 
   /** Tells everyone of an engine that changes its stage. */
@@ -266,8 +266,8 @@
   }
 
   /** Passes an engine's news on to daemons that do not ask for them. */
-  passOn(news: EngineNews, peers: readonly PeerDaemon[]): void {
-    if (peers.length > 0 && !this.#isStopped) this.#cacheNews.passOn(news, peers);
+  forward(news: EngineCacheEvents, peers: readonly PeerDaemon[]): void {
+    if (peers.length > 0 && !this.#isStopped) this.#cacheNews.forward(news, peers);
   }
 
   /** Shows those who hear of no change that this daemon is there. */
@@ -307,7 +307,7 @@
     const { loads, timers } = this.#options;
     loads.take(report, timers.nowMs());
     this.#takeNewsOf(report);
-    if (this.#relay.isRelay) this.#relay.passOn(report);
+    if (this.#relay.isRelay) this.#relay.forward(report);
   }
 
   #takeSums(zone: string, sums: LoadSums): void {
--- a/src/shell/gateway/peer-message-fields.ts
+++ b/src/shell/gateway/peer-message-fields.ts
@@ -79,7 +79,7 @@
   z.number(),
 ]);
 export const crashesSchema = z.tuple([z.literal(KINDS.crashes), z.array(crashSchema)]);
-export const newsSchema = z.tuple([
+export const cacheEventsSchema = z.tuple([
   z.literal(KINDS.news),
   z.string(),
   z.array(z.tuple([z.string(), z.boolean(), z.array(z.tuple([z.string(), z.number()]))])),
@@ -152,7 +152,7 @@
 /** The window that was reported. */
 export const usageReportedSchema = z.tuple([z.literal(KINDS.usageReported), z.number()]);
 /** An engine's cache news, as its watcher passes them on. */
-export interface EngineNews {
+export interface EngineCacheEvents {
   readonly engineId: string;
   /** All that was known of the engine's cache before is void. */
   readonly isReset: boolean;
@@ -256,7 +256,7 @@
   return { serverId, isReachable, by };
 }
 
-export function encodeNews({ engineId, isReset, events }: EngineNews): unknown[] {
+export function encodeCacheEvents({ engineId, isReset, events }: EngineCacheEvents): unknown[] {
   return [engineId, isReset, events.map(({ partId, tokens }) => [partId, tokens])];
 }
 
--- a/src/shell/gateway/peer-messages.ts
+++ b/src/shell/gateway/peer-messages.ts
@@ -34,11 +34,11 @@
   decodeReads,
   decodeServer,
   decodeWork,
-  type EngineNews,
+  type EngineCacheEvents,
   encodeCrash,
   encodeDemand,
   encodeEra,
-  encodeNews,
+  encodeCacheEvents,
   encodeProgress,
   encodeReach,
   encodeReads,
@@ -46,7 +46,7 @@
   encodeWork,
   goneKey,
   KINDS,
-  newsSchema,
+  cacheEventsSchema,
   reportSchema,
   serversSchema,
   stageSchema,
@@ -58,17 +58,17 @@
 } from './peer-message-fields.js';
 import type { TableChanges } from './table-watcher.js';
 
-export type { EngineNews } from './peer-message-fields.js';
+export type { EngineCacheEvents } from './peer-message-fields.js';
 
 /** Entries of a message, so that it stays within one packet. */
-export const MOST_ENTRIES = 40;
+export const MAX_ENTRIES_PER_MESSAGE = 40;
 
 /** The schema of each kind, so that a message is checked against its own alone. */
 const schemaOfKind = new Map<unknown, MessageSchema>([
   [KINDS.servers, serversSchema],
   [KINDS.report, reportSchema],
   [KINDS.sums, sumsSchema],
-  [KINDS.news, newsSchema],
+  [KINDS.news, cacheEventsSchema],
   [KINDS.stage, stageSchema],
   [KINDS.tables, tablesSchema],
   [KINDS.configuration, configurationSchema],
@@ -86,7 +86,7 @@
   | typeof serversSchema
   | typeof reportSchema
   | typeof sumsSchema
-  | typeof newsSchema
+  | typeof cacheEventsSchema
   | typeof stageSchema
   | typeof tablesSchema
   | typeof configurationSchema
@@ -100,7 +100,7 @@
   | typeof crashesSchema;
 
 /** A change of the configuration, as the relay of a zone had it from the store. */
-export interface PassedConfiguration extends StorePosition {
+export interface ForwardedConfiguration extends StorePosition {
   readonly after: number;
   readonly key: string;
   /** The row's value as the store holds it. */
@@ -143,13 +143,13 @@
   | {
       readonly kind: 'configuration';
       readonly zone: string;
-      readonly change: PassedConfiguration;
+      readonly change: ForwardedConfiguration;
     }
   /** Paces of engines. */
   | { readonly kind: 'paces'; readonly message: PaceMessage }
   /** What a daemon knows of requests that end servers. */
   | { readonly kind: 'crashes'; readonly records: readonly CrashRecord[] }
-  | { readonly kind: 'news'; readonly daemon: string; readonly news: readonly EngineNews[] };
+  | { readonly kind: 'news'; readonly daemon: string; readonly news: readonly EngineCacheEvents[] };
 
 /** The bytes of a message. */
 export function encodePeerMessage(message: PeerMessage): Buffer {
@@ -189,7 +189,7 @@
       return pack([...head, ...progress, ageMs, peersChecksum, configurationVersion]);
     }
     case 'news':
-      return pack([KINDS.news, message.daemon, message.news.map(encodeNews)]);
+      return pack([KINDS.news, message.daemon, message.news.map(encodeCacheEvents)]);
     case 'paces':
       return pack(encodePaces(message.message));
     case 'limit-ask':
--- a/src/shell/gateway/relay-duty.ts
+++ b/src/shell/gateway/relay-duty.ts
@@ -22,7 +22,7 @@
 } from '../../core/gateway/index.js';
 import { GATEWAY_EVENTS } from '../../core/logging/catalogue/gateway.js';
 import { type ByteBudget, datagramWireBytes } from './byte-budget.js';
-import { encodePeerMessage, MOST_ENTRIES } from './peer-messages.js';
+import { encodePeerMessage, MAX_ENTRIES_PER_MESSAGE } from './peer-messages.js';
 import type { GatewayLog } from './request-log.js';
 import type { CancelTimer, TimerService } from './timer-service.js';
 
@@ -138,7 +138,7 @@
   }
 
   /** News of this daemon, or of one of its zone. */
-  passOn({ reads, reach }: OwnNews): void {
+  forward({ reads, reach }: OwnNews): void {
     const newReach = this.#zoneReach.take(reach, this.#options.timers.nowMs());
     const news = { reads, reach: newReach };
     addNews(this.#newsForZone, news);
@@ -214,8 +214,8 @@
   #sendSums(peers: readonly PeerDaemon[], budget: ByteBudget, told: SumsMessage): void {
     const { work, reads, reach, isComplete } = told;
     if (!isComplete && work.length === 0 && reads.length === 0 && reach.length === 0) return;
-    for (let first = 0; first === 0 || first < work.length; first += MOST_ENTRIES) {
-      const part = work.slice(first, first + MOST_ENTRIES);
+    for (let first = 0; first === 0 || first < work.length; first += MAX_ENTRIES_PER_MESSAGE) {
+      const part = work.slice(first, first + MAX_ENTRIES_PER_MESSAGE);
       const message = first === 0 ? told : { ...told, ...NO_NEWS, isComplete: false };
       const bytes = this.#encodeSums({ ...message, work: part });
       budget.take(datagramWireBytes(bytes));
--- a/src/shell/gateway/roster-news-duty.ts
+++ b/src/shell/gateway/roster-news-duty.ts
@@ -1,9 +1,9 @@
 /** Parts the engines' news calls among the daemons, as the roster says. */
 import type { PeerRoster, ServerRecord } from '../../core/gateway/index.js';
-import type { NewsDuty } from './cache-news-watcher.js';
+import type { CacheEventDuty } from './cache-news-watcher.js';
 import type { FleetView } from './fleet-view.js';
 import type { PeerExchange } from './peer-exchange.js';
-import type { EngineNews } from './peer-messages.js';
+import type { EngineCacheEvents } from './peer-messages.js';
 import type { TimerService } from './timer-service.js';
 
 /** Without a list of daemons by then, this one asks all engines. */
@@ -14,12 +14,12 @@
   readonly roster: PeerRoster;
   readonly fleet: FleetView;
   /** Absent where this daemon tells no others. */
-  readonly peers: Pick<PeerExchange, 'passOn'> | undefined;
+  readonly peers: Pick<PeerExchange, 'forward'> | undefined;
   readonly timers: TimerService;
 }
 
 /** Asks for the news that the roster gives this daemon to ask for. */
-export class RosterNewsDuty implements NewsDuty {
+export class RosterNewsDuty implements CacheEventDuty {
   readonly #options: RosterNewsDutyOptions;
   readonly #startedMs: number;
 
@@ -39,10 +39,10 @@
     return roster.isWatcher(engine.id, this.#maxNewsCalls(engine), nowMs);
   }
 
-  passOn(engine: ServerRecord, news: EngineNews): void {
+  forward(engine: ServerRecord, news: EngineCacheEvents): void {
     const { roster, peers, timers } = this.#options;
     const told = roster.toldOfNews(engine.id, this.#maxNewsCalls(engine), timers.nowMs());
-    peers?.passOn(news, told);
+    peers?.forward(news, told);
   }
 
   #maxNewsCalls(engine: ServerRecord): number {
--- a/src/shell/gateway/table-watcher.ts
+++ b/src/shell/gateway/table-watcher.ts
@@ -47,7 +47,7 @@
   takeAll(rows: readonly WatchedRow<Value>[]): boolean;
   takeChanges(rows: readonly WatchedRow<Value>[]): void;
   /** These changes came from the store itself; others may be told of them. */
-  readonly passOn?: (changes: TableChanges<Value>) => void;
+  readonly forward?: (changes: TableChanges<Value>) => void;
 }
 
 /** Where the digest of a relay on a table is had from. */
@@ -279,7 +279,7 @@
     }
     this.#revisions.noteChange(answer.revision);
     consumer.takeChanges(answer.rows);
-    consumer.passOn?.({ era, after, revision: answer.revision, rows: answer.rows });
+    consumer.forward?.({ era, after, revision: answer.revision, rows: answer.rows });
     if (gatherMs > 0) await this.#gather(gatherMs);
   }
 
--- a/src/shell/gateway/whole-exchange.ts
+++ b/src/shell/gateway/whole-exchange.ts
@@ -20,7 +20,7 @@
   completeAnswerOutcome,
 } from './attempt.js';
 import type { Exchange, CompleteAnswer } from './exchange.js';
-import { permitSeekerOf } from './limit-coordinator.js';
+import { permitWaitRequestOf } from './limit-coordinator.js';
 import { webAdmissionCheck } from './web-room-ask.js';
 
 const MAX_ANSWER_BYTES = 16_777_216;
@@ -84,7 +84,7 @@
     if (result.kind === 'not-executed' || result.kind === 'not-sent') this.#turnedDown += 1;
     if (this.#pending.size > 0 || result.kind === 'no-budget') return false;
     // Whether its last server ended decides whether another one may be lost to it.
-    await this.#context.crashes.settled(this.#exchange);
+    await this.#context.crashes.whenChecked(this.#exchange);
     if (this.#exchange.signal.aborted) return false;
     if (!(await this.#passRoom())) return true;
     await this.#prepareLimited();
@@ -129,12 +129,12 @@
   async #startFirst(): Promise<boolean> {
     const exchange = this.#exchange;
     const { limits, crashes } = this.#context;
-    limits.noteArrival(exchange.options.service);
+    limits.recordArrival(exchange.options.service);
     await this.#prepareLimited();
     if (exchange.signal.aborted) return false;
     while (!this.#startNext(true)) {
       if (crashes.isQuarantined(exchange)) return false;
-      if (!(await limits.waitForPermit(permitSeekerOf(exchange)))) return false;
+      if (!(await limits.waitForPermit(permitWaitRequestOf(exchange)))) return false;
     }
     return true;
   }
@@ -146,7 +146,7 @@
     const atLimit = fleet.atLimit(service, timers.nowMs());
     if (atLimit.length === 0) return;
     const chosen = this.#choose(fleet.candidatesWithLimited(service, timers.nowMs()));
-    await limits.prepare(atLimit.filter(({ id }) => id === chosen?.id));
+    await limits.requestPermits(atLimit.filter(({ id }) => id === chosen?.id));
   }
 
   #choose(candidates: readonly ServerRecord[]): ServerRecord | undefined {
--- a/test/gateway/configuration-teller.test.ts
+++ b/test/gateway/configuration-teller.test.ts
@@ -32,7 +32,7 @@
     const value = { version };
     const encoded = Buffer.from(String(version));
     const rows = [{ kind: 'value', key: 'config', value, encoded }] as const;
-    teller.passOn({ era: 1, after: revision - 1, revision, rows });
+    teller.forward({ era: 1, after: revision - 1, revision, rows });
   };
   tell(VERSION, 5);
   // The copy that the store came back from has an older one.
--- a/test/gateway/crash-records.test.ts
+++ b/test/gateway/crash-records.test.ts
@@ -2,7 +2,11 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import fc from 'fast-check';
-import { type CrashRecord, CrashRecords, RECORD_KEPT_MS } from '../../src/core/gateway/index.js';
+import {
+  type CrashRecord,
+  CrashRecords,
+  CRASH_RECORD_RETENTION_MS,
+} from '../../src/core/gateway/index.js';
 
 const MOST_RECORDS = 4_096;
 
@@ -27,10 +31,10 @@
 
 test('the second server that ends under a request quarantines it, the same one twice does not', () => {
   const records = new CrashRecords();
-  assert.equal(records.noteCrash('f', { serverId: 's-1', ranMs: 0 }, 0), 'recorded');
-  assert.equal(records.noteCrash('f', { serverId: 's-1', ranMs: 0 }, 10), 'none');
+  assert.equal(records.recordCrash('f', { serverId: 's-1', ranMs: 0 }, 0), 'recorded');
+  assert.equal(records.recordCrash('f', { serverId: 's-1', ranMs: 0 }, 10), 'none');
   assert.ok(!records.isQuarantined('f'));
-  assert.equal(records.noteCrash('f', { serverId: 's-2', ranMs: 0 }, 20), 'quarantined');
+  assert.equal(records.recordCrash('f', { serverId: 's-2', ranMs: 0 }, 20), 'quarantined');
   assert.ok(records.isQuarantined('f'));
   assert.equal(records.quarantined, 1);
   assert.ok(!records.isQuarantined('g'));
@@ -38,14 +42,14 @@
 
 test('a whole run clears a request, and what was known before does not come back', () => {
   const records = new CrashRecords();
-  records.noteCrash('f', { serverId: 's-1', ranMs: 0 }, 0);
-  records.noteCrash('f', { serverId: 's-2', ranMs: 0 }, 0);
+  records.recordCrash('f', { serverId: 's-1', ranMs: 0 }, 0);
+  records.recordCrash('f', { serverId: 's-2', ranMs: 0 }, 0);
   assert.equal(records.clear('f', 10), 'cleared');
   assert.equal(records.quarantined, 0);
   assert.equal(records.take(record({ crashes: TWO_CRASHES }), 20), 'none');
   assert.ok(!records.isQuarantined('f'));
-  assert.equal(records.noteCrash('f', { serverId: 's-3', ranMs: 0 }, 30), 'recorded');
-  assert.equal(records.noteCrash('f', { serverId: 's-4', ranMs: 0 }, 40), 'quarantined');
+  assert.equal(records.recordCrash('f', { serverId: 's-3', ranMs: 0 }, 30), 'recorded');
+  assert.equal(records.recordCrash('f', { serverId: 's-4', ranMs: 0 }, 40), 'quarantined');
 });
 
 test('a request that nothing is known of is not cleared', () => {
@@ -56,27 +60,27 @@
 
 test('whoever missed a clearing is told of it again, however long it is over', () => {
   const records = new CrashRecords();
-  records.noteCrash('f', { serverId: 's-1', ranMs: 0 }, 0);
+  records.recordCrash('f', { serverId: 's-1', ranMs: 0 }, 0);
   records.clear('f', 0);
-  assert.deepEqual(records.nextToTell(10, 60_000), []);
+  assert.deepEqual(records.nextToAdvertise(10, 60_000), []);
   records.take(record({ crashes: TWO_CRASHES }), 60_000);
   assert.deepEqual(
-    records.nextToTell(10, 60_000).map(({ clearings }) => clearings),
+    records.nextToAdvertise(10, 60_000).map(({ clearings }) => clearings),
     [1],
   );
 });
 
 test('servers that end together under copies of a request count once', () => {
   const records = new CrashRecords();
-  records.noteCrash('f', { serverId: 's-1', ranMs: 80 }, 100);
-  assert.equal(records.noteCrash('f', { serverId: 's-2', ranMs: 60 }, 101), 'recorded');
-  assert.equal(records.noteCrash('f', { serverId: 's-3', ranMs: 30 }, 120), 'recorded');
-  assert.equal(records.noteCrash('f', { serverId: 's-4', ranMs: 40 }, 160), 'quarantined');
+  records.recordCrash('f', { serverId: 's-1', ranMs: 80 }, 100);
+  assert.equal(records.recordCrash('f', { serverId: 's-2', ranMs: 60 }, 101), 'recorded');
+  assert.equal(records.recordCrash('f', { serverId: 's-3', ranMs: 30 }, 120), 'recorded');
+  assert.equal(records.recordCrash('f', { serverId: 's-4', ranMs: 40 }, 160), 'quarantined');
 });
 
 test('that they ended together is seen as well where each daemon knows of one', () => {
   const records = new CrashRecords();
-  records.noteCrash('f', { serverId: 's-1', ranMs: 80 }, 100);
+  records.recordCrash('f', { serverId: 's-1', ranMs: 80 }, 100);
   const told = record({ crashes: [{ serverId: 's-2', ageMs: 3, ranMs: 60 }] });
   assert.equal(records.take(told, 104), 'recorded');
   assert.ok(!records.isQuarantined('f'));
@@ -127,10 +131,10 @@
 
 test('there are never more than so many records, and quarantined ones go last', () => {
   const records = new CrashRecords();
-  records.noteCrash('kept', { serverId: 's-1', ranMs: 0 }, 0);
-  records.noteCrash('kept', { serverId: 's-2', ranMs: 0 }, 0);
+  records.recordCrash('kept', { serverId: 's-1', ranMs: 0 }, 0);
+  records.recordCrash('kept', { serverId: 's-2', ranMs: 0 }, 0);
   for (let index = 0; index < MOST_RECORDS + 100; index += 1) {
-    records.noteCrash(`f-${index}`, { serverId: 's-3', ranMs: 0 }, 10);
+    records.recordCrash(`f-${index}`, { serverId: 's-3', ranMs: 0 }, 10);
   }
   assert.equal(records.size, MOST_RECORDS);
   assert.ok(records.isQuarantined('kept'));
@@ -138,22 +142,22 @@
 
 test('a record is forgotten after its time, and an old one is not taken', () => {
   const records = new CrashRecords();
-  records.noteCrash('f', { serverId: 's-1', ranMs: 0 }, 0);
-  records.noteCrash('f', { serverId: 's-2', ranMs: 0 }, 0);
-  assert.deepEqual(records.dropOld(RECORD_KEPT_MS - 1), []);
-  assert.deepEqual(records.dropOld(RECORD_KEPT_MS), ['f']);
+  records.recordCrash('f', { serverId: 's-1', ranMs: 0 }, 0);
+  records.recordCrash('f', { serverId: 's-2', ranMs: 0 }, 0);
+  assert.deepEqual(records.dropOld(CRASH_RECORD_RETENTION_MS - 1), []);
+  assert.deepEqual(records.dropOld(CRASH_RECORD_RETENTION_MS), ['f']);
   assert.equal(records.quarantined, 0);
-  const old = record({ crashes: TWO_CRASHES, ageMs: RECORD_KEPT_MS });
-  assert.equal(records.take(old, RECORD_KEPT_MS), 'none');
+  const old = record({ crashes: TWO_CRASHES, ageMs: CRASH_RECORD_RETENTION_MS });
+  assert.equal(records.take(old, CRASH_RECORD_RETENTION_MS), 'none');
 });
 
 test('more records than fit a message are told by turns', () => {
   const records = new CrashRecords();
   for (let index = 0; index < 5; index += 1)
-    records.noteCrash(`f-${index}`, { serverId: 's-1', ranMs: 0 }, 0);
+    records.recordCrash(`f-${index}`, { serverId: 's-1', ranMs: 0 }, 0);
   const told = new Set<string>();
   for (let turn = 0; turn < 3; turn += 1) {
-    for (const { fingerprint } of records.nextToTell(2, 100)) told.add(fingerprint);
+    for (const { fingerprint } of records.nextToAdvertise(2, 100)) told.add(fingerprint);
   }
   assert.equal(told.size, 5);
 });
--- a/test/gateway/crash-spread.test.ts
+++ b/test/gateway/crash-spread.test.ts
@@ -47,9 +47,9 @@
     await fleet.advance(50);
   }
   assert.deepEqual(fleet.sendersOf(BODY), [0], 'nothing shows that it has ended');
-  fleet.guard(0).noteStarted({ ...fleet.serverOf('i-0', 3_000), id: 'i-1' });
+  fleet.guard(0).recordServerStart({ ...fleet.serverOf('i-0', 3_000), id: 'i-1' });
   assert.deepEqual(fleet.sendersOf(BODY), [0], 'another server started');
-  fleet.guard(0).noteStarted(fleet.serverOf('i-0', 3_000));
+  fleet.guard(0).recordServerStart(fleet.serverOf('i-0', 3_000));
   assert.deepEqual(fleet.sendersOf(BODY), []);
   fleet.stop();
 });
@@ -188,7 +188,7 @@
   assert.ok(fleet.datagrams <= 16 * 194, `${fleet.datagrams} datagrams`);
   assert.equal(fleet.sendersOf('work 7').length, 195);
   for (let index = 0; index < 32; index += 1) {
-    fleet.guard(index).noteWhole(requestOf(`work ${index}`));
+    fleet.guard(index).recordCompleteRun(requestOf(`work ${index}`));
   }
   await fleet.advance(1_000);
   assert.equal(fleet.store.writes, writes);
@@ -199,7 +199,7 @@
   const fleet = await startFleet(9);
   await crashThrice(fleet, [0, 1, 2]);
   await fleet.advance(100);
-  fleet.guard(6).noteWhole(requestOf(BODY));
+  fleet.guard(6).recordCompleteRun(requestOf(BODY));
   await fleet.advance(100);
   assert.equal(fleet.sendersOf(BODY).length, 9);
   for (let daemon = 0; daemon < 9; daemon += 1) fleet.start(daemon);
@@ -239,7 +239,7 @@
   restore: () => void,
 ): Promise<void> {
   restore();
-  for (let daemon = 0; daemon < daemons; daemon += 1) fleet.guard(daemon).noteRestored();
+  for (let daemon = 0; daemon < daemons; daemon += 1) fleet.guard(daemon).handleStoreRestored();
   await fleet.advance(RESTORED_MS);
 }
 
@@ -267,7 +267,7 @@
   await crashThrice(fleet, [0, 4, 8]);
   await fleet.advance(CONTACT_MS);
   const restore = fleet.store.copy();
-  fleet.guard(2).noteWhole(requestOf(BODY));
+  fleet.guard(2).recordCompleteRun(requestOf(BODY));
   await fleet.advance(CONTACT_MS);
   await restoreFleet(fleet, 9, restore);
   assert.deepEqual(rowsOf(fleet), []);
--- a/test/gateway/limit-fleets.test.ts
+++ b/test/gateway/limit-fleets.test.ts
@@ -4,7 +4,7 @@
  */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
-import type { HeldPlace } from '../../src/shell/gateway/limit-coordinator.js';
+import type { PermitReservation } from '../../src/shell/gateway/limit-coordinator.js';
 import { FleetOfLimits } from './support/fleet-of-limits.js';
 import { allowedInSpan, SETTLE_MS } from './support/limited-server.js';
 
@@ -168,14 +168,14 @@
   const [server] = fleet.servers;
   const asker = fleet.daemons.find((daemon) => daemon !== granter);
   assert.ok(granter !== undefined && server !== undefined && asker !== undefined);
-  let place: HeldPlace | undefined;
+  let place: PermitReservation | undefined;
   while (place === undefined) {
-    void asker.limits.prepare([server]);
+    void asker.limits.requestPermits([server]);
     await fleet.play(5, () => 0);
-    place = asker.limits.holdPlace(server.service, () => server);
+    place = asker.limits.reservePermit(server.service, () => server);
   }
   asker.fleet.forgetEnded({ removed: [server], renewed: [] });
-  asker.limits.giveBack(place);
+  asker.limits.returnPermits(place);
   await fleet.play(1_000, () => 0);
   assert.equal(granter.fleet.limits.of(server.id)?.perSecond, 5);
 });
--- a/test/gateway/limit-messages.test.ts
+++ b/test/gateway/limit-messages.test.ts
@@ -3,13 +3,13 @@
 import { test } from 'node:test';
 import { pack, unpack } from 'msgpackr';
 import type {
-  LimitAskMessage,
+  PermitRequestMessage,
   LimitMessage,
 } from '../../src/shell/gateway/limit-message-fields.js';
 import { decodePeerMessage, encodePeerMessage } from '../../src/shell/gateway/peer-messages.js';
 
 const LIMIT = { perSecond: 1.2, reportedAgoMs: 30 };
-const ASK: LimitAskMessage = {
+const ASK: PermitRequestMessage = {
   kind: 'limit-ask',
   daemon: 'front-1',
   number: 7,
--- a/test/gateway/peer-directory.test.ts
+++ b/test/gateway/peer-directory.test.ts
@@ -74,7 +74,7 @@
   const { directory, advance, scansMade, writesMade } = setUp((roster) => roster.checksum);
   await advance(0);
   assert.deepEqual([writesMade(), scansMade()], [1, 1]);
-  directory.noteRestored();
+  directory.handleStoreRestored();
   for (let seconds = 0; seconds < 2; seconds += 1) await advance(LOOK_MS);
   assert.deepEqual([writesMade(), scansMade()], [2, 1]);
   for (let seconds = 0; seconds < 3; seconds += 1) await advance(LOOK_MS);
--- a/test/gateway/peers.test.ts
+++ b/test/gateway/peers.test.ts
@@ -16,7 +16,7 @@
 import { PeerExchange } from '../../src/shell/gateway/peer-exchange.js';
 import {
   decodePeerMessage,
-  type EngineNews,
+  type EngineCacheEvents,
   encodePeerMessage,
 } from '../../src/shell/gateway/peer-messages.js';
 import { deferred } from './support/deferred.js';
@@ -261,7 +261,7 @@
   const summed = deferred<LoadSums>();
   const relayed = deferred<LoadSums>();
   const found = deferred<ReachNotice>();
-  const informed = deferred<EngineNews>();
+  const informed = deferred<EngineCacheEvents>();
   const changed = deferred<number>();
   const listed = deferred<number>();
   const versioned = deferred<number>();
@@ -395,7 +395,7 @@
   await relay.reported.promise;
   const told = await settledBy(other.summed.promise, timers);
   const events = [{ partId: 'p', tokens: 900 }];
-  relay.exchange.passOn({ engineId: 'e', isReset: false, events }, relay.roster.zonePeers());
+  relay.exchange.forward({ engineId: 'e', isReset: false, events }, relay.roster.zonePeers());
   timers.advance(1_000);
   const news = await other.informed.promise;
   for (const { exchange } of both) exchange.stop();
--- a/test/gateway/server-lives.test.ts
+++ b/test/gateway/server-lives.test.ts
@@ -70,7 +70,7 @@
     const cacheNews = {
       add: () => undefined,
       remove: () => undefined,
-      renew: ({ id }: ServerRecord) => this.renewedWatches.push(id),
+      restart: ({ id }: ServerRecord) => this.renewedWatches.push(id),
     };
     this.#follower = new FleetFollower({
       adapter: { servers, configurations } as unknown as PlatformAdapter,
@@ -80,10 +80,10 @@
       recheckSpans: { cutMs: 0, historyLostMs: 0 },
       restored: new RestoredServers(3_000),
       random: Math.random,
-      noteRestored: () => undefined,
+      handleStoreRestored: () => undefined,
       passOnServers: ({ rows }) => this.passedOn.push(rows.length),
       passOnConfiguration: () => undefined,
-      noteStarted: ({ id }) => this.started.push(id),
+      recordServerStart: ({ id }) => this.started.push(id),
       digest: this.#digest,
       timers: this.timers,
       wallClock: () => NOW_UNIX_MS,
--- a/test/gateway/support/fleet-of-guards.ts
+++ b/test/gateway/support/fleet-of-guards.ts
@@ -68,11 +68,11 @@
             const to = this.#names.indexOf(name);
             const isLost = this.#options.random() < (this.#options.lossRate ?? 0);
             if (isLost || this.isCutOff(daemon) || this.isCutOff(to)) continue;
-            this.timers.after(1, () => this.guard(to).takeTold(message.records));
+            this.timers.after(1, () => this.guard(to).applyPeerRecords(message.records));
           }
         },
       }),
-      firstTurn: daemon,
+      initialPeerIndex: daemon,
       contactMs: CONTACT_MS,
       timers: this.timers,
       wallClock: () => this.timers.nowMs(),
@@ -99,8 +99,8 @@
   async crash(daemon: number, body: string, serverId: string, bornMs?: number): Promise<void> {
     const exchange = requestOf(body);
     const server = this.serverOf(serverId, bornMs);
-    this.guard(daemon).noteBroken(exchange, server, RAN_MS);
-    await this.guard(daemon).settled(exchange);
+    this.guard(daemon).recordBrokenRun(exchange, server, RAN_MS);
+    await this.guard(daemon).whenChecked(exchange);
     await settleAll();
   }
 
--- a/test/gateway/support/fleet-of-limits.ts
+++ b/test/gateway/support/fleet-of-limits.ts
@@ -10,7 +10,7 @@
 import { GatewayMetrics } from '../../../src/shell/gateway/gateway-metrics.js';
 import {
   LimitCoordinator,
-  type PermitSeeker,
+  type PermitWaitRequest,
 } from '../../../src/shell/gateway/limit-coordinator.js';
 import type { LimitMessage } from '../../../src/shell/gateway/limit-message-fields.js';
 import { decodePeerMessage, encodePeerMessage } from '../../../src/shell/gateway/peer-messages.js';
@@ -81,7 +81,8 @@
       metrics,
       log,
       wallClock: () => timers.nowMs(),
-      onLimitChange: (server, change, purpose) => this.limits.noteHeard(server, change, purpose),
+      onLimitChange: (server, change, purpose) =>
+        this.limits.recordReportedLimit(server, change, purpose),
     });
   }
 }
@@ -197,11 +198,11 @@
   async #arrive(daemon: Daemon): Promise<void> {
     const { limits, fleet, calls } = daemon;
     this.offered += 1;
-    limits.noteArrival(SERVICE);
+    limits.recordArrival(SERVICE);
     const arrivedAtMs = this.timers.nowMs();
     const wanted = this.#drawn(fleet.candidatesWithLimited(SERVICE, arrivedAtMs));
     const atLimit = fleet.atLimit(SERVICE, arrivedAtMs);
-    await limits.prepare(atLimit.filter(({ id }) => id === wanted?.id));
+    await limits.requestPermits(atLimit.filter(({ id }) => id === wanted?.id));
     for (;;) {
       const server = this.#drawn(fleet.candidates(SERVICE, this.timers.nowMs()));
       if (server !== undefined) {
@@ -217,14 +218,14 @@
   }
 
   /** What is asked of a request that waits for a permit. */
-  #waiting(arrivedAtMs: number): PermitSeeker {
+  #waiting(arrivedAtMs: number): PermitWaitRequest {
     const leftMs = () => arrivedAtMs + this.#waitMs - this.timers.nowMs();
     return {
       service: SERVICE,
       rank: 0,
       attemptId: 'a',
       arrivedAtMs,
-      mostWaitMs: leftMs(),
+      maxWaitMs: leftMs(),
       signal: new AbortController().signal,
     };
   }
--- a/test/gateway/support/fleet-of-tellers.ts
+++ b/test/gateway/support/fleet-of-tellers.ts
@@ -6,7 +6,7 @@
   ReadSpeed,
 } from '../../../src/core/gateway/index.js';
 import { GATEWAY_EVENTS } from '../../../src/core/logging/catalogue/gateway.js';
-import { PaceTeller } from '../../../src/shell/gateway/pace-teller.js';
+import { PaceGossip } from '../../../src/shell/gateway/pace-teller.js';
 import { decodePeerMessage, encodePeerMessage } from '../../../src/shell/gateway/peer-messages.js';
 import { ManualTimers } from './manual-timers.js';
 
@@ -21,7 +21,7 @@
   readonly ignored: number[];
   /** Bytes that this daemon has sent, by receiver. */
   readonly sent: Map<string, number>;
-  readonly teller: PaceTeller;
+  readonly teller: PaceGossip;
 }
 
 /** A fleet whose relays are known from the start; engines are listed everywhere. */
@@ -57,7 +57,7 @@
     roster.replace(this.#daemons, timers.nowMs());
     const ignored: number[] = [];
     const sent = new Map<string, number>();
-    const teller = new PaceTeller({
+    const teller = new PaceGossip({
       daemon: name,
       zone: daemon.zone,
       roster,
--- a/test/gateway/support/followed-zone.ts
+++ b/test/gateway/support/followed-zone.ts
@@ -264,7 +264,7 @@
     table: ConfigurationTable,
     timers: VirtualTimers,
     random: () => number,
-    passOn: (changes: TableChanges<GatewayConfiguration>) => void,
+    forward: (changes: TableChanges<GatewayConfiguration>) => void,
   ) {
     this.door = new Door(timers);
     this.table = new ConfigurationsAtDoor(table, this.door);
@@ -273,15 +273,19 @@
     this.follower = new FleetFollower({
       adapter: adapter as unknown as PlatformAdapter,
       fleet: this.fleet,
-      cacheNews: { add: () => undefined, remove: () => undefined, renew: () => undefined } as never,
+      cacheNews: {
+        add: () => undefined,
+        remove: () => undefined,
+        restart: () => undefined,
+      } as never,
       timing: () => watchTiming(role, contactMs),
       recheckSpans: recheckSpans(contactMs),
       restored: new RestoredServers(contactMs),
       random,
-      noteRestored: () => undefined,
+      handleStoreRestored: () => undefined,
       passOnServers: () => undefined,
-      passOnConfiguration: passOn,
-      noteStarted: () => undefined,
+      passOnConfiguration: forward,
+      recordServerStart: () => undefined,
       digest: this.digest,
       timers,
       wallClock: () => timers.nowMs(),
@@ -322,10 +326,10 @@
     const followerRole = hasRelay ? 'follower' : 'alone';
     this.daemons = Array.from({ length: daemons }, (_, index) => {
       const role = hasRelay && index === 0 ? 'relay' : followerRole;
-      const passOn = (changes: TableChanges<GatewayConfiguration>) => {
+      const forward = (changes: TableChanges<GatewayConfiguration>) => {
         if (role === 'relay' && documentSize === 'small') this.#passOn(changes);
       };
-      return new FollowingDaemon(role, contactMs, this.#table, this.timers, random, passOn);
+      return new FollowingDaemon(role, contactMs, this.#table, this.timers, random, forward);
     });
   }
 
