--- a/src/core/gateway/crash-records.ts
+++ b/src/core/gateway/crash-records.ts
@@ -25,7 +25,7 @@
 
 /** A life of a server that ended while a request ran there. */
 export interface Crash {
-  /** The life, as `lifeOf` names it: a server that starts again may end again. */
+  /** The life, as `bootIdOf` names it: a server that starts again may end again. */
   readonly serverId: string;
   /** Since the server ended. */
   readonly ageMs: number;
--- a/src/core/gateway/followed-revisions.ts
+++ b/src/core/gateway/followed-revisions.ts
@@ -6,7 +6,7 @@
 import type { TableProgress } from './digest-schedule.js';
 
 /** How the era of an answer relates to the one that is followed. */
-export type EraOfAnswer = 'first' | 'same' | 'older' | 'newer';
+export type EraRelation = 'first' | 'same' | 'older' | 'newer';
 
 /** The revisions of one table. */
 export class FollowedRevisions {
@@ -48,14 +48,14 @@
     return { era: this.era, changed: this.#changed, seen, reread: this.#reread };
   }
 
-  eraOf(answer: { readonly era: number }): EraOfAnswer {
+  compareEra(answer: { readonly era: number }): EraRelation {
     if (this.#era === undefined) return 'first';
     if (answer.era === this.#era) return 'same';
     return answer.era > this.#era ? 'newer' : 'older';
   }
 
   /** The store is in another era: the table has to be read whole. */
-  enter(era: number): void {
+  enterEra(era: number): void {
     this.#era = era;
     this.#seen = undefined;
     this.#changed = 0;
@@ -64,7 +64,7 @@
   }
 
   /** What was followed may lack changes: the table has to be read whole. */
-  lose(): void {
+  invalidate(): void {
     this.#seen = undefined;
   }
 
@@ -78,7 +78,7 @@
     this.#seen = Math.max(this.#seen ?? 0, revision);
   }
 
-  noteChange(revision: number): void {
+  recordChange(revision: number): void {
     this.#changed = Math.max(this.#changed, revision);
   }
 
@@ -86,11 +86,11 @@
    * The table was read whole.
    * @param isToldToOthers whether those who rely on this daemon are to read it whole as well
    */
-  goOnFrom(revision: number, isToldToOthers: boolean): void {
+  resumeFrom(revision: number, isToldToOthers: boolean): void {
     this.#hasRead = true;
     this.#whole = revision;
     if (isToldToOthers) this.#reread = revision;
-    this.noteChange(revision);
+    this.recordChange(revision);
     this.advanceTo(revision);
   }
 
@@ -98,16 +98,16 @@
    * Another daemon has followed the table to there, and this one has all that it has.
    * @returns whether that was in the same era
    */
-  takeOver({ era, changed, seen, reread }: TableProgress): boolean {
+  adoptProgress({ era, changed, seen, reread }: TableProgress): boolean {
     if (era !== this.era) return false;
     this.#whole = Math.max(this.#whole, reread);
-    this.noteChange(changed);
+    this.recordChange(changed);
     this.advanceTo(seen);
     return true;
   }
 
   /** Whether changes that another daemon had join what was seen: nothing is left out or set back. */
-  joins({ era, after, revision }: StorePosition & { readonly after: number }): boolean {
+  isContiguous({ era, after, revision }: StorePosition & { readonly after: number }): boolean {
     if (this.#seen === undefined || era !== this.era) return false;
     return after <= this.#seen && this.#seen < revision;
   }
--- a/src/core/gateway/index.ts
+++ b/src/core/gateway/index.ts
@@ -48,7 +48,7 @@
 } from './explain-request.js';
 export { FleetPaces, type PaceChange } from './fleet-paces.js';
 export { FleetSize } from './fleet-size.js';
-export { type EraOfAnswer, FollowedRevisions } from './followed-revisions.js';
+export { type EraRelation, FollowedRevisions } from './followed-revisions.js';
 export { ForecastScale } from './forecast-scale.js';
 export { preferredEngineOf } from './home.js';
 export {
@@ -81,7 +81,7 @@
   type LoadSums,
   PeerLoads,
 } from './peer-load.js';
-export { type OwnPlace, type PeerDaemon, PeerRoster } from './peer-roster.js';
+export { type OwnDaemon, type PeerDaemon, PeerRoster } from './peer-roster.js';
 export {
   type ArrivalInput,
   type ArrivalRefusal,
@@ -104,7 +104,7 @@
 export { PrefixCacheIndex, type ReadNotice } from './prefix-knowledge.js';
 export { kvTransferMs } from './prompt-donors.js';
 export { planAtRank, RankShares } from './rank-shares.js';
-export { type ReachNotice, ReachNoticeFilter } from './reach-notices.js';
+export { type ReachabilityNotice, ReachabilityNoticeFilter } from './reach-notices.js';
 export { type PromptPriorityInput, promptPriority } from './read-priority.js';
 export { ReadSpeed } from './read-speed.js';
 export { RecentSends } from './recent-sends.js';
@@ -129,9 +129,9 @@
 export {
   type DirectoryChange,
   type EngineStage,
-  lifeOf,
-  type PassedOverReason,
-  type PassedOverRow,
+  bootIdOf,
+  type SkipReason,
+  type SkippedRow,
   ServerDirectory,
   type ServerRecord,
   type ServerState,
--- a/src/core/gateway/peer-load.ts
+++ b/src/core/gateway/peer-load.ts
@@ -5,7 +5,7 @@
 
 import type { Urgency } from './engine-load.js';
 import type { ReadNotice } from './prefix-knowledge.js';
-import type { ReachNotice } from './reach-notices.js';
+import type { ReachabilityNotice } from './reach-notices.js';
 import { addDemands, type ServiceDemand } from './stage-demand.js';
 
 /** A daemon that has told nothing for this long counts as having nothing. */
@@ -41,7 +41,7 @@
   /** What it was asked for lately. */
   readonly demand: readonly ServiceDemand[];
   /** Servers that it found silent, or back, since the last report. */
-  readonly reach: readonly ReachNotice[];
+  readonly reach: readonly ReachabilityNotice[];
 }
 
 /** Sums told by the relay of a zone: over all daemons to its zone, over its zone to the other relays. */
@@ -57,7 +57,7 @@
   /** What the same daemons were asked for lately. */
   readonly demand: readonly ServiceDemand[];
   /** Servers that daemons found silent, or back, since the last sums. */
-  readonly reach: readonly ReachNotice[];
+  readonly reach: readonly ReachabilityNotice[];
 }
 
 interface ReceivedWork {
--- a/src/core/gateway/peer-roster.ts
+++ b/src/core/gateway/peer-roster.ts
@@ -13,7 +13,7 @@
 import { rankByRendezvous } from './rendezvous.js';
 
 /** Up to so many daemons in all, each tells all others. */
-export const MOST_DIRECT_DAEMONS = 12;
+export const MAX_DIRECT_DAEMONS = 12;
 const LEAST_HEARTBEAT_MS = 1_000;
 /** Heartbeats go to all others, so they come the more seldom the more daemons there are. */
 const HEARTBEAT_MS_FOR_PEER = 30;
@@ -39,7 +39,7 @@
 }
 
 /** This daemon's own place. */
-export interface OwnPlace {
+export interface OwnDaemon {
   readonly name: string;
   readonly zone: string;
 }
@@ -63,7 +63,7 @@
 
 /** The known daemons and their parts. */
 export class PeerRoster {
-  readonly #self: OwnPlace;
+  readonly #self: OwnDaemon;
   readonly #known = new Map<string, KnownPeer>();
   #hasList = false;
   #checksum = 0;
@@ -75,7 +75,7 @@
   readonly #silentRelays = new Set<string>();
   #liveZone: LiveZone | undefined;
 
-  constructor(self: OwnPlace) {
+  constructor(self: OwnDaemon) {
     this.#self = self;
   }
 
@@ -91,7 +91,7 @@
 
   /** Whether the fleet is too large for everyone to tell everyone. */
   get isLarge(): boolean {
-    return this.daemonCount > MOST_DIRECT_DAEMONS;
+    return this.daemonCount > MAX_DIRECT_DAEMONS;
   }
 
   get heartbeatMs(): number {
@@ -102,7 +102,7 @@
    * Whether this daemon knows what all daemons are asked for: in a large fleet only the relays do, and without a list
    * each would take its own part for the whole.
    */
-  knowsDemandOfAll(isRelay: boolean): boolean {
+  knowsFleetDemand(isRelay: boolean): boolean {
     return this.#hasList && (!this.isLarge || isRelay);
   }
 
@@ -139,7 +139,7 @@
   }
 
   /** Something came from a daemon. */
-  heard(name: string, nowMs: number): void {
+  recordContact(name: string, nowMs: number): void {
     const known = this.#known.get(name);
     if (known === undefined) return;
     // One that was silent is live from here on.
@@ -150,8 +150,8 @@
   }
 
   /** The relay of a zone told something. */
-  heardRelay(name: string, zone: string, nowMs: number): void {
-    this.heard(name, nowMs);
+  recordRelayContact(name: string, zone: string, nowMs: number): void {
+    this.recordContact(name, nowMs);
     if (zone !== this.#self.zone) {
       this.#otherRelays.set(zone, { name, heardMs: nowMs });
       return;
@@ -164,26 +164,26 @@
    * The place of this daemon among all that are listed for a key, from 0; after all others while it has no list, as
    * all that have just started would have the first place.
    */
-  placeFor(key: string): number {
+  positionFor(key: string): number {
     if (!this.#hasList) return Number.MAX_SAFE_INTEGER;
     const names = [...this.#known.keys(), this.#self.name];
     return rankByRendezvous(key, names).indexOf(this.#self.name);
   }
 
   /** All daemons to tell, heard or not: one that was silent may be back. */
-  everyone(): readonly PeerDaemon[] {
+  allPeers(): readonly PeerDaemon[] {
     return [...this.#known.values()].map(({ daemon }) => daemon);
   }
 
   /** Who is told of a change: everyone, or the relay of the own zone, which sums up for the others. */
-  toldOfChanges(nowMs: number): readonly PeerDaemon[] {
-    if (!this.isLarge) return this.everyone();
+  changeRecipients(nowMs: number): readonly PeerDaemon[] {
+    if (!this.isLarge) return this.allPeers();
     return this.#daemonsNamed([this.#relayOf(this.#self.zone, nowMs)]);
   }
 
   /** The relays of the other zones. */
   otherRelays(nowMs: number): readonly PeerDaemon[] {
-    const zones = new Set(this.everyone().map(({ zone }) => zone));
+    const zones = new Set(this.allPeers().map(({ zone }) => zone));
     zones.delete(this.#self.zone);
     return [...zones].flatMap((zone) => this.#daemonsNamed([this.#relayOf(zone, nowMs)]));
   }
@@ -195,7 +195,7 @@
 
   /** The other daemons of the own zone. */
   zonePeers(): readonly PeerDaemon[] {
-    return this.everyone().filter(({ zone }) => zone === this.#self.zone);
+    return this.allPeers().filter(({ zone }) => zone === this.#self.zone);
   }
 
   /**
@@ -207,7 +207,11 @@
   }
 
   /** Who is passed an engine's news by this daemon: none unless it is the first of the watchers. */
-  toldOfNews(engineId: string, maxNewsCalls: number, nowMs: number): readonly PeerDaemon[] {
+  cacheEventRecipients(
+    engineId: string,
+    maxNewsCalls: number,
+    nowMs: number,
+  ): readonly PeerDaemon[] {
     const watchers = this.#watchersOf(engineId, maxNewsCalls, nowMs);
     if (watchers[0] !== this.#self.name) return [];
     return this.zonePeers().filter(({ name }) => !watchers.includes(name));
@@ -233,9 +237,10 @@
 
   /** Daemons of other zones are not heard one by one: their relay says that it is. */
   #relayOfOther(zone: string, nowMs: number): string | undefined {
-    const heard = this.#otherRelays.get(zone);
-    if (heard !== undefined && nowMs - heard.heardMs <= OTHER_RELAY_VALID_MS) return heard.name;
-    const listed = this.everyone().filter((daemon) => daemon.zone === zone);
+    const recordContact = this.#otherRelays.get(zone);
+    if (recordContact !== undefined && nowMs - recordContact.heardMs <= OTHER_RELAY_VALID_MS)
+      return recordContact.name;
+    const listed = this.allPeers().filter((daemon) => daemon.zone === zone);
     return rankByRendezvous(
       `relay of ${zone}`,
       listed.map(({ name }) => name),
--- a/src/core/gateway/reach-notices.ts
+++ b/src/core/gateway/reach-notices.ts
@@ -4,7 +4,7 @@
  */
 
 /** What a daemon found out about a server. */
-export interface ReachNotice {
+export interface ReachabilityNotice {
   readonly serverId: string;
   /** The daemon that found it out. One alone may have lost a packet, or be cut off itself. */
   readonly by: string;
@@ -15,7 +15,7 @@
 /** Notices on a server that are passed on within this time: as many daemons as make one believed. */
 const WINDOW_MS = 250;
 /** So many daemons have to find a server silent before one that has not tried believes it. */
-export const WITNESSES = 2;
+export const MIN_UNREACHABLE_REPORTS = 2;
 
 interface PassedNotices {
   readonly sinceMs: number;
@@ -23,20 +23,20 @@
 }
 
 /** A relay's memory of the notices that it has passed on. */
-export class ReachNoticeFilter {
+export class ReachabilityNoticeFilter {
   readonly #passed = new Map<string, PassedNotices>();
 
   /** The notices that say something new; they count as passed on from here. */
-  take(notices: readonly ReachNotice[], nowMs: number): readonly ReachNotice[] {
+  take(notices: readonly ReachabilityNotice[], nowMs: number): readonly ReachabilityNotice[] {
     if (notices.length === 0) return notices;
     this.#dropOld(nowMs);
     return notices.filter((notice) => this.#isNews(notice, nowMs));
   }
 
-  #isNews({ serverId, isReachable, by }: ReachNotice, nowMs: number): boolean {
+  #isNews({ serverId, isReachable, by }: ReachabilityNotice, nowMs: number): boolean {
     const key = `${isReachable} ${serverId}`;
     const passed = this.#passed.get(key) ?? { sinceMs: nowMs, by: new Set<string>() };
-    if (passed.by.size >= WITNESSES || passed.by.has(by)) return false;
+    if (passed.by.size >= MIN_UNREACHABLE_REPORTS || passed.by.has(by)) return false;
     passed.by.add(by);
     this.#passed.set(key, passed);
     return true;
--- a/src/core/gateway/restored-servers.ts
+++ b/src/core/gateway/restored-servers.ts
@@ -9,7 +9,7 @@
  */
 import {
   type DirectoryChange,
-  isSameLife,
+  isSameBoot,
   type ServerDirectory,
   type ServerRecord,
 } from './server-directory.js';
@@ -68,7 +68,7 @@
   }
 
   /** When the list is to be read again after the store's return, as it means more from then on. */
-  get looksAfterMs(): readonly number[] {
+  get rereadDelaysMs(): readonly number[] {
     return [REWRITTEN_MS, this.#lapseMs];
   }
 
@@ -126,10 +126,10 @@
   ): RestoredReason | undefined {
     if (record.state === 'draining') return undefined;
     if (known !== undefined) {
-      return known.state === 'draining' && isSameLife(known, record) ? 'leaves' : undefined;
+      return known.state === 'draining' && isSameBoot(known, record) ? 'leaves' : undefined;
     }
     const left = this.#left.get(record.id)?.server;
-    if (left === undefined || !isSameLife(left, record)) return undefined;
+    if (left === undefined || !isSameBoot(left, record)) return undefined;
     if (left.state === 'draining') return 'left';
     // A change is written by the server itself.
     return isWhole && agoMs < this.#lapseMs ? 'left' : undefined;
--- a/src/core/gateway/server-availability.ts
+++ b/src/core/gateway/server-availability.ts
@@ -4,7 +4,7 @@
  * server is left. Both are kept whatever the platform's list says meanwhile: a row may be read late, and may lapse and
  * come back while the store is out of reach. A leave ends with the life of the server that said it.
  */
-import { isSameLife, type ServerRecord } from './server-directory.js';
+import { isSameBoot, type ServerRecord } from './server-directory.js';
 
 /** A server that asks for more is tried again after this: one bad answer loses no server for good. */
 const LONGEST_REST_MS = 60_000;
@@ -167,7 +167,7 @@
  * start: then the word was heard well after that start, though the list still showed the life before.
  */
 function wasSaidBy({ server, toldUnixMs }: Leave, life: ServerRecord): boolean {
-  if (isSameLife(server, life)) return true;
+  if (isSameBoot(server, life)) return true;
   const isSameServer = server.address === life.address && server.service === life.service;
   if (!isSameServer || life.bornMs === undefined || toldUnixMs === undefined) return false;
   return toldUnixMs - life.bornMs > CLOCK_MARGIN_MS;
--- a/src/core/gateway/server-directory.ts
+++ b/src/core/gateway/server-directory.ts
@@ -28,16 +28,16 @@
 }
 
 /** Why a row was not taken. */
-export type PassedOverReason =
+export type SkipReason =
   /** A later life of the same server is known. */
   | 'older-life'
   /** It does not say when it started, though this server did before: another writer's. It names no server to use. */
   | 'no-start';
 
 /** A row that was not taken. */
-export interface PassedOverRow {
+export interface SkippedRow {
   readonly record: ServerRecord;
-  readonly reason: PassedOverReason;
+  readonly reason: SkipReason;
 }
 
 /** What changed in the directory. */
@@ -46,12 +46,12 @@
   readonly removed: readonly ServerRecord[];
   readonly changed: readonly ServerRecord[];
   /** Started again under the id that they had; these are the new lives. */
-  readonly renewed: readonly ServerRecord[];
-  readonly passedOver: readonly PassedOverRow[];
+  readonly restarted: readonly ServerRecord[];
+  readonly skipped: readonly SkippedRow[];
 }
 
 /** How a row relates to what is known under its id. */
-type RowMeaning = 'new' | 'same-life' | 'new-life' | PassedOverReason;
+type RowMeaning = 'new' | 'same-life' | 'new-life' | SkipReason;
 
 /** The listed servers, by service. */
 export class ServerDirectory {
@@ -89,15 +89,15 @@
   }
 
   /** Whether another life of this server is listed now: the one that is asked about has ended. */
-  isOver(server: ServerRecord): boolean {
+  isSuperseded(server: ServerRecord): boolean {
     const listed = this.#byId.get(server.id);
-    return listed !== undefined && !isSameLife(listed, server);
+    return listed !== undefined && !isSameBoot(listed, server);
   }
 
   /** Whether a life of a server took new work when it was last listed, also if another one has followed since. */
   wasReady(server: ServerRecord): boolean {
     const lives = [this.#byId.get(server.id), this.#before.get(server.id)];
-    return lives.find((life) => life !== undefined && isSameLife(life, server))?.state === 'ready';
+    return lives.find((life) => life !== undefined && isSameBoot(life, server))?.state === 'ready';
   }
 
   /**
@@ -120,8 +120,8 @@
     const added: ServerRecord[] = [];
     const changed: ServerRecord[] = [];
     const removed: ServerRecord[] = [];
-    const renewed: ServerRecord[] = [];
-    const passedOver: PassedOverRow[] = [];
+    const restarted: ServerRecord[] = [];
+    const skipped: SkippedRow[] = [];
     for (const record of records) {
       const known = this.#byId.get(record.id);
       const wasStartless = this.#startless.has(record.id) && record.bornMs === undefined;
@@ -140,20 +140,20 @@
         case 'new-life':
           if (known !== undefined) this.#before.set(record.id, known);
           this.#byId.set(record.id, record);
-          renewed.push(record);
+          restarted.push(record);
           break;
         case 'older-life':
-          passedOver.push({ record, reason: meaning });
+          skipped.push({ record, reason: meaning });
           break;
         case 'no-start':
-          passedOver.push({ record, reason: meaning });
+          skipped.push({ record, reason: meaning });
           removed.push(...this.#remove(record.id));
           this.#startless.add(record.id);
           break;
       }
     }
     for (const id of removedIds) removed.push(...this.#remove(id));
-    return { added, removed, changed, renewed, passedOver };
+    return { added, removed, changed, restarted, skipped };
   }
 
   #remove(id: string): readonly ServerRecord[] {
@@ -167,12 +167,12 @@
 }
 
 /** A text of its own for each life of a server, the same at every daemon. */
-export function lifeOf({ id, bornMs }: ServerRecord): string {
+export function bootIdOf({ id, bornMs }: ServerRecord): string {
   return bornMs === undefined ? id : `${id}@${bornMs}`;
 }
 
 /** Another service or address is another server, also where no start is told. */
-export function isSameLife(one: ServerRecord, other: ServerRecord): boolean {
+export function isSameBoot(one: ServerRecord, other: ServerRecord): boolean {
   return (
     one.bornMs === other.bornMs && one.address === other.address && one.service === other.service
   );
@@ -184,7 +184,7 @@
   latestStartMs: number,
 ): RowMeaning {
   if (known === undefined) return 'new';
-  if (isSameLife(known, record)) return 'same-life';
+  if (isSameBoot(known, record)) return 'same-life';
   if (known.bornMs === undefined) return 'new-life';
   if (record.bornMs === undefined) return 'no-start';
   const isOlder = record.bornMs < known.bornMs && known.bornMs <= latestStartMs;
--- a/src/core/gateway/server-health.ts
+++ b/src/core/gateway/server-health.ts
@@ -3,7 +3,7 @@
  * that fails is passed over for a time that doubles with each failure in a row, then tried again.
  */
 
-import { type ReachNotice, WITNESSES } from './reach-notices.js';
+import { type ReachabilityNotice, MIN_UNREACHABLE_REPORTS } from './reach-notices.js';
 
 const FIRST_EJECTION_MS = 400;
 const LONGEST_EJECTION_MS = 4_000;
@@ -91,7 +91,7 @@
   }
 
   /** Another daemon found the server silent, or reached it again. */
-  applyReachNotice({ isReachable, by }: ReachNotice, nowMs: number): void {
+  applyReachNotice({ isReachable, by }: ReachabilityNotice, nowMs: number): void {
     if (isReachable) {
       if (this.recordReached()) this.#ejectedUntilMs = 0;
       return;
@@ -101,7 +101,7 @@
     }
     this.#witnesses.set(by, nowMs);
     const witnesses = this.#witnesses.size + (this.#isSilent ? 1 : 0);
-    if (witnesses >= WITNESSES) this.#toldSilentUntilMs = nowMs + TOLD_SILENT_MS;
+    if (witnesses >= MIN_UNREACHABLE_REPORTS) this.#toldSilentUntilMs = nowMs + TOLD_SILENT_MS;
   }
 
   /** Whether it answers no connection, as far as is known; it is tried by one call at a time. */
--- a/src/core/gateway/unseen-work.ts
+++ b/src/core/gateway/unseen-work.ts
@@ -2,7 +2,7 @@
  * What other daemons have sent since they told of their work: by the rate at which the fleet is asked, over the time
  * that a change takes until it shows here.
  */
-import { MOST_DIRECT_DAEMONS } from './peer-roster.js';
+import { MAX_DIRECT_DAEMONS } from './peer-roster.js';
 import type { UnseenWork } from './spread-choice.js';
 import type { DemandSums } from './stage-demand.js';
 
@@ -28,7 +28,7 @@
 /** The work that does not show yet; undefined in a fleet whose daemons tell each other at once. */
 export function unseenWork(input: UnseenWorkInput): UnseenWork | undefined {
   const { daemons, reportingDaemons, knownAgeMs, own, all, spanMs, busyForMs } = input;
-  if (daemons === undefined || daemons <= MOST_DIRECT_DAEMONS) return undefined;
+  if (daemons === undefined || daemons <= MAX_DIRECT_DAEMONS) return undefined;
   if (knownAgeMs === undefined) {
     return { kind: 'by-daemons', daemons: Math.max(0, daemons - 1 - reportingDaemons) };
   }
--- a/src/shell/gateway/attempt.ts
+++ b/src/shell/gateway/attempt.ts
@@ -4,7 +4,7 @@
  */
 import type {
   EngineTraits,
-  ReachNotice,
+  ReachabilityNotice,
   ReadNotice,
   ServerHealth,
   ServerRecord,
@@ -50,7 +50,7 @@
   /** To be called when a shared part begins to be read, so that no other daemon has it read again. */
   readonly noteRead: (read: ReadNotice) => void;
   /** To be called when a server does not answer a connection, or does so again. */
-  readonly noteReach: (reach: Omit<ReachNotice, 'by'>) => void;
+  readonly advertiseReachability: (reach: Omit<ReachabilityNotice, 'by'>) => void;
   /** What is known of requests that end servers. */
   readonly crashes: Pick<
     CrashGuard,
@@ -211,7 +211,7 @@
   if (result.kind !== 'answered') return failed(result);
   const { answer } = result;
   if (health.recordReached()) {
-    context.noteReach({ serverId: options.server.id, isReachable: true });
+    context.advertiseReachability({ serverId: options.server.id, isReachable: true });
   }
   const marks = context.codec.readMarks(answer.status, answer.message.headers);
   if (isWebCall && marks.load !== undefined)
@@ -304,8 +304,8 @@
   if (failure.kind === 'not-executed') health.recordRefusal(timers.nowMs());
   else if (failure.kind === 'not-sent' && failure.connectTimedOut) {
     health.recordSilent(timers.nowMs());
-    if (!context.fleet.directory.isOver(options.server)) {
-      context.noteReach({ serverId: options.server.id, isReachable: false });
+    if (!context.fleet.directory.isSuperseded(options.server)) {
+      context.advertiseReachability({ serverId: options.server.id, isReachable: false });
     }
   } else health.recordBroken(timers.nowMs());
   if (failure.kind === 'broken') {
--- a/src/shell/gateway/caller-listener.ts
+++ b/src/shell/gateway/caller-listener.ts
@@ -34,7 +34,7 @@
   readonly log: GatewayLog;
   readonly metrics: GatewayMetrics;
   /** How old the last look for a newer configuration is. */
-  readonly configurationLookAgeMs: () => number;
+  readonly configurationCheckAgeMs: () => number;
 }
 
 /** A request that has been read, with its route and whose it is. */
@@ -161,13 +161,13 @@
     response: ServerResponse,
     { configuration, sinceMs }: ConfigurationInForce,
   ): void {
-    const { context, log, timers, configurationLookAgeMs } = this.#options;
+    const { context, log, timers, configurationCheckAgeMs } = this.#options;
     log.write(GATEWAY_EVENTS.routeUnknown, {
       request: context.codec.describe(request.headers)?.attemptId ?? '',
       host: request.headers.host ?? '',
       configurationVersion: configuration.version,
       inForceForMs: Math.round(timers.nowMs() - sinceMs),
-      lookAgeMs: Math.round(configurationLookAgeMs()),
+      lookAgeMs: Math.round(configurationCheckAgeMs()),
     });
     this.#reject(request, response, 404, 'no such route', []);
   }
--- a/src/shell/gateway/configuration-teller.ts
+++ b/src/shell/gateway/configuration-teller.ts
@@ -18,13 +18,13 @@
  * What is larger is had from the store by each daemon; a datagram holds 64 KiB at most, and one that takes this many
  * packets hardly ever loses one.
  */
-export const MOST_PASSED_BYTES = 16_384;
+export const MAX_FORWARDED_BYTES = 16_384;
 
 /** A daemon hears of a change by itself within this time, unless something is wrong. */
 const BEHIND_MS = 1_000;
 
 /** What a teller is built from. */
-export interface ConfigurationTellerOptions {
+export interface ConfigurationGossipOptions {
   readonly zone: string;
   readonly roster: PeerRoster;
   readonly timers: TimerService;
@@ -32,7 +32,7 @@
   /** The version that this daemon has in force; 0 for none. */
   readonly configurationVersion: () => number;
   /** Takes a configuration if it is newer; says whether it was. */
-  readonly takeConfiguration: (change: ForwardedConfiguration) => boolean;
+  readonly applyConfiguration: (change: ForwardedConfiguration) => boolean;
   readonly send: (peers: readonly PeerDaemon[], bytes: Buffer) => void;
 }
 
@@ -47,14 +47,14 @@
 }
 
 /** The daemon's part in passing configurations on. */
-export class ConfigurationTeller {
-  readonly #options: ConfigurationTellerOptions;
+export class ConfigurationGossip {
+  readonly #options: ConfigurationGossipOptions;
   /** The newest that fits a message. */
   #newest: NewestConfiguration | undefined;
   /** When daemons that are behind were told the newest. */
   readonly #toldMs = new Map<string, number>();
 
-  constructor(options: ConfigurationTellerOptions) {
+  constructor(options: ConfigurationGossipOptions) {
     this.#options = options;
   }
 
@@ -64,7 +64,7 @@
     const newest = rows.at(-1);
     if (newest?.kind !== 'value') return;
     const { key, encoded } = newest;
-    if (encoded === undefined || encoded.length > MOST_PASSED_BYTES) return;
+    if (encoded === undefined || encoded.length > MAX_FORWARDED_BYTES) return;
     const change = { era, after, revision, key, encoded };
     this.#noteNewest(change, newest.value.version);
     if (!isRelay()) return;
@@ -74,22 +74,22 @@
 
   /** One from another daemon; from another zone's relay it is passed on to the own zone, once. */
   take(message: Extract<PeerMessage, { kind: 'configuration' }>): void {
-    const { zone, roster, isRelay, takeConfiguration, send } = this.#options;
-    const isNewer = takeConfiguration(message.change);
+    const { zone, roster, isRelay, applyConfiguration, send } = this.#options;
+    const isNewer = applyConfiguration(message.change);
     if (isNewer) this.#noteNewest(message.change, this.#options.configurationVersion());
     if (!isNewer || !isRelay() || message.zone === zone) return;
     send(roster.zonePeers(), encodePeerMessage({ ...message, zone }));
   }
 
   /** A daemon says which version it has in force; 0 where it has none, or does not say. */
-  noteVersion(daemon: string, version: number): void {
+  recordPeerVersion(daemon: string, version: number): void {
     const { zone, roster, timers, configurationVersion, send } = this.#options;
     const newest = this.#newest;
     if (newest === undefined || newest.version !== configurationVersion()) return;
     const nowMs = timers.nowMs();
     const lastMs = Math.max(newest.sinceMs, this.#toldMs.get(daemon) ?? 0);
     if (version === 0 || version >= newest.version || nowMs - lastMs < BEHIND_MS) return;
-    const peer = roster.everyone().find(({ name }) => name === daemon);
+    const peer = roster.allPeers().find(({ name }) => name === daemon);
     if (peer === undefined) return;
     this.#toldMs.set(daemon, nowMs);
     // How its own watch goes on is its own to find.
--- a/src/shell/gateway/crash-gossip.ts
+++ b/src/shell/gateway/crash-gossip.ts
@@ -22,9 +22,9 @@
 /** What telling needs. */
 export interface CrashGossipOptions {
   readonly records: CrashRecords;
-  readonly roster: Pick<PeerRoster, 'everyone'>;
+  readonly roster: Pick<PeerRoster, 'allPeers'>;
   /** Absent where this daemon tells no others. */
-  readonly peers: () => Pick<PeerExchange, 'tell'> | undefined;
+  readonly peers: () => Pick<PeerExchange, 'sendMessage'> | undefined;
   /** A number of this daemon's own, so that not all tell the same one first. */
   readonly initialPeerIndex: number;
   readonly contactMs: number;
@@ -58,19 +58,19 @@
 
   /** Tells everyone at once, as far as the budget goes. */
   broadcast(records: readonly CrashRecord[]): void {
-    const everyone = this.#options.roster.everyone();
-    const tell = (told: readonly CrashRecord[]) =>
-      this.#options.peers()?.tell(everyone, { kind: 'crashes', records: told });
+    const allPeers = this.#options.roster.allPeers();
+    const sendMessage = (told: readonly CrashRecord[]) =>
+      this.#options.peers()?.sendMessage(allPeers, { kind: 'crashes', records: told });
     const quarantined = records.filter(({ isQuarantined }) => isQuarantined);
-    for (const record of quarantined) tell([record]);
+    for (const record of quarantined) sendMessage([record]);
     const others = records.filter(({ isQuarantined }) => !isQuarantined);
-    const bytesOfRecord = RECORD_BYTES * Math.max(1, everyone.length);
+    const bytesOfRecord = RECORD_BYTES * Math.max(1, allPeers.length);
     const affordable = Math.floor(BROADCAST_BUDGET.burstBytes / bytesOfRecord);
     const step = Math.min(MOST_RECORDS_TOLD, Math.max(1, affordable));
     for (let first = 0; first < others.length; first += step) {
       const told = others.slice(first, first + step);
       if (!this.#budget.tryTake(told.length * bytesOfRecord)) return;
-      tell(told);
+      sendMessage(told);
     }
   }
 
@@ -78,10 +78,10 @@
     const { records, roster, peers, timers } = this.#options;
     if (records.isEmpty) return;
     const told = records.nextToAdvertise(MOST_RECORDS_TOLD, timers.nowMs());
-    const everyone = roster.everyone();
-    const peer = everyone[this.#turn % Math.max(1, everyone.length)];
+    const allPeers = roster.allPeers();
+    const peer = allPeers[this.#turn % Math.max(1, allPeers.length)];
     if (told.length === 0 || peer === undefined) return;
     this.#turn += 1;
-    peers()?.tell([peer], { kind: 'crashes', records: told });
+    peers()?.sendMessage([peer], { kind: 'crashes', records: told });
   }
 }
--- a/src/shell/gateway/crash-guard.ts
+++ b/src/shell/gateway/crash-guard.ts
@@ -7,7 +7,7 @@
   type CrashRecord,
   type CrashRecordChange,
   CrashRecords,
-  lifeOf,
+  bootIdOf,
   type PeerRoster,
   CRASH_RECORD_RETENTION_MS,
   type ServerRecord,
@@ -48,9 +48,9 @@
   readonly endCheck: Pick<ServerExitCheck, 'hasEnded'>;
   /** Whether a life of a server took new work when it was last listed; one that is about to end by plan does not. */
   readonly isReady: (server: ServerRecord) => boolean;
-  readonly roster: Pick<PeerRoster, 'everyone' | 'placeFor' | 'hasList'>;
+  readonly roster: Pick<PeerRoster, 'allPeers' | 'positionFor' | 'hasList'>;
   /** Absent where this daemon tells no others. */
-  readonly peers: () => Pick<PeerExchange, 'tell'> | undefined;
+  readonly peers: () => Pick<PeerExchange, 'sendMessage'> | undefined;
   /** A number of this daemon's own, so that not all tell the same one first. */
   readonly initialPeerIndex: number;
   readonly contactMs: number;
@@ -166,7 +166,7 @@
     for (const { server: ended, fingerprint, ranMs, atMs } of this.#openBreaks.takeFromEarlierBoots(
       server,
     )) {
-      const crash = { serverId: lifeOf(ended), ranMs, ageMs: nowMs - atMs };
+      const crash = { serverId: bootIdOf(ended), ranMs, ageMs: nowMs - atMs };
       const change = this.#records.recordCrash(fingerprint, crash, nowMs);
       this.#noteChange(fingerprint, change, 'own');
     }
@@ -206,7 +206,7 @@
     const isCounted = hasEnded && isTold;
     const nowMs = timers.nowMs();
     const change = isCounted
-      ? this.#records.recordCrash(fingerprint, { serverId: lifeOf(server), ranMs }, nowMs)
+      ? this.#records.recordCrash(fingerprint, { serverId: bootIdOf(server), ranMs }, nowMs)
       : 'none';
     if (isTold && !hasEnded) {
       this.#openBreaks.add({ server, fingerprint, ranMs, atMs: startedMs });
@@ -214,7 +214,7 @@
     log.write(GATEWAY_EVENTS.brokenRunChecked, {
       request: exchange.options.description.attemptId,
       fingerprint,
-      server: lifeOf(server),
+      server: bootIdOf(server),
       hasEnded,
       isCounted,
       crashes: this.#records.get(fingerprint, nowMs)?.crashes.length ?? 0,
--- a/src/shell/gateway/crash-store-duty.ts
+++ b/src/shell/gateway/crash-store-duty.ts
@@ -18,7 +18,7 @@
 export interface CrashStoreDutyOptions {
   readonly records: CrashRecords;
   readonly table: CrashTable;
-  readonly roster: Pick<PeerRoster, 'placeFor' | 'hasList'>;
+  readonly roster: Pick<PeerRoster, 'positionFor' | 'hasList'>;
   /** Reads all rows that the store has. */
   readonly readRows: () => Promise<unknown>;
   /** Told of a row that the store has. */
@@ -46,7 +46,7 @@
     const { signal } = this.#stopped;
     while (!signal.aborted) {
       await delay(timers, LOOK_GAP_MS, signal);
-      const isOwnTurn = !roster.hasList || roster.placeFor('crash records') === 0;
+      const isOwnTurn = !roster.hasList || roster.positionFor('crash records') === 0;
       for (const fingerprint of records.dropOld(timers.nowMs())) {
         if (isOwnTurn) await table.remove(fingerprint, signal);
       }
@@ -91,7 +91,7 @@
   /** Another daemon found it out, and may not reach the store. */
   async standIn(fingerprint: string): Promise<void> {
     const { roster, timers } = this.#options;
-    const turn = roster.placeFor(fingerprint);
+    const turn = roster.positionFor(fingerprint);
     if (turn >= MOST_TURNS) return;
     await delay(timers, (turn + 1) * TURN_MS, this.#stopped.signal);
     await this.bringUpToDate(fingerprint);
--- a/src/shell/gateway/crash-store-restore.ts
+++ b/src/shell/gateway/crash-store-restore.ts
@@ -17,7 +17,7 @@
 export interface CrashStoreRestoreOptions {
   readonly table: Pick<CrashTable, 'read' | 'createKey'>;
   readonly records: CrashRecords;
-  readonly roster: Pick<PeerRoster, 'placeFor' | 'hasList'>;
+  readonly roster: Pick<PeerRoster, 'positionFor' | 'hasList'>;
   /** The secret that this daemon goes by; undefined while it has none. */
   readonly ownKey: () => Buffer | undefined;
   readonly takeKey: (key: Buffer) => void;
@@ -52,7 +52,7 @@
 
   async #run(signal: AbortSignal): Promise<void> {
     const { roster, timers, table } = this.#options;
-    const turn = roster.hasList ? roster.placeFor('crash rows after a copy') : 0;
+    const turn = roster.hasList ? roster.positionFor('crash rows after a copy') : 0;
     await delay(timers, turn * TURN_MS, signal);
     while (!signal.aborted) {
       const content = await table.read(signal);
--- a/src/shell/gateway/crash-table.ts
+++ b/src/shell/gateway/crash-table.ts
@@ -8,7 +8,7 @@
 import { GATEWAY_EVENTS } from '../../core/logging/catalogue/gateway.js';
 import type { TableCall, TableResult, TableRow } from '../../core/platform/table.js';
 import type { GatewayLog } from './request-log.js';
-import { callTable, readAllRows, type TableReach } from './table-call.js';
+import { callTable, readAllRows, type TableAccess } from './table-call.js';
 import type { WallClock } from './timer-service.js';
 
 const PREFIX = 'crash/';
@@ -42,7 +42,7 @@
   | { readonly kind: 'failed' };
 
 /** What a table is reached by. */
-export interface CrashTableOptions extends TableReach {
+export interface CrashTableOptions extends TableAccess {
   readonly wallClock: WallClock;
   readonly log: Pick<GatewayLog, 'write'>;
 }
--- a/src/shell/gateway/duties.ts
+++ b/src/shell/gateway/duties.ts
@@ -25,7 +25,7 @@
   readonly fleet: FleetView;
   readonly roster: PeerRoster;
   /** Absent where this daemon tells no others. */
-  readonly peers: () => Pick<PeerExchange, 'tell'> | undefined;
+  readonly peers: () => Pick<PeerExchange, 'sendMessage'> | undefined;
   /** Whether this daemon knows enough of the fleet to order anything. */
   readonly mayOrderCapacity: () => boolean;
   readonly timers: TimerService;
@@ -92,7 +92,7 @@
   }
 
   /** What another daemon tells of usage, or asks. */
-  takeUsage(message: UsageMessage, reply: Reply): void {
+  handleUsage(message: UsageMessage, reply: Reply): void {
     this.#usage?.take(message, reply);
   }
 }
--- a/src/shell/gateway/fleet-follower.ts
+++ b/src/shell/gateway/fleet-follower.ts
@@ -15,7 +15,7 @@
 import { FIRST_ERA } from '../../core/platform/store-position.js';
 import type { CacheEventWatchers } from './cache-news-watcher.js';
 import type { FleetView } from './fleet-view.js';
-import { HeardVersion } from './heard-version.js';
+import { NewestPeerVersion } from './heard-version.js';
 import type { ForwardedConfiguration } from './peer-messages.js';
 import type { PlatformAdapter, WatchedRow } from './ports.js';
 import type { RelayDigest } from './relay-digest.js';
@@ -44,7 +44,7 @@
 /** A watch, whatever its table holds. */
 type Watch = Pick<
   TableWatcher<never>,
-  'run' | 'stop' | 'noteEra' | 'callsTotal' | 'lastAnswerMs' | 'progress' | 'isUnread'
+  'run' | 'stop' | 'handleEra' | 'callsTotal' | 'lastAnswerMs' | 'progress' | 'needsFullRead'
 >;
 
 type ServerEvent = (typeof GATEWAY_EVENTS)[
@@ -67,9 +67,9 @@
   /** From 0 to below 1, to spread what many daemons do. */
   readonly random: () => number;
   /** Changes of servers that came from the store itself. */
-  readonly passOnServers: (changes: TableChanges<ServerRecord>) => void;
+  readonly forwardServers: (changes: TableChanges<ServerRecord>) => void;
   /** Changes of the configuration that came from the store itself. */
-  readonly passOnConfiguration: (changes: TableChanges<GatewayConfiguration>) => void;
+  readonly forwardConfiguration: (changes: TableChanges<GatewayConfiguration>) => void;
   /** The digest of the zone's relay on the tables. */
   readonly digest: RelayDigest;
   /** The store is back from an older copy. */
@@ -81,7 +81,7 @@
   readonly log: GatewayLog;
   readonly applyLimits: (limits: CallerLimits) => void;
   /** To be called when the list of servers has changed. */
-  readonly noteServers: () => void;
+  readonly onServersChanged: () => void;
 }
 
 /** The watches of configuration and servers. */
@@ -90,7 +90,7 @@
   readonly #watches: readonly Watch[];
   readonly #configurations: TableWatcher<GatewayConfiguration>;
   readonly #servers: TableWatcher<ServerRecord>;
-  readonly #heard: HeardVersion;
+  readonly #heard: NewestPeerVersion;
   readonly #unreadable = new UnreadableRows();
   /** The last era that the store came back in. */
   #era = FIRST_ERA;
@@ -106,44 +106,44 @@
     this.#options = options;
     const { adapter, timing, recheckSpans, random, timers, log, digest } = options;
     const retryTurns = new WatchRetryQueue(timers);
-    const noteEra = (era: number) => this.#noteEra(era);
-    const shared = { timing, recheckSpans, random, retryTurns, timers, log, noteEra };
+    const handleEra = (era: number) => this.#noteEra(era);
+    const shared = { timing, recheckSpans, random, retryTurns, timers, log, handleEra };
     const configurations = new TableWatcher({
       table: adapter.configurations,
       consumer: {
-        takeAll: (rows) => this.#takeAllConfigurations(rows),
-        takeChanges: (rows) => this.#takeConfigurations(rows),
-        forward: (changes) => options.passOnConfiguration(changes),
+        applyAll: (rows) => this.#takeAllConfigurations(rows),
+        applyChanges: (rows) => this.#takeConfigurations(rows),
+        forward: (changes) => options.forwardConfiguration(changes),
       },
       ...shared,
-      gatherMs: GATHER_CONFIGURATIONS_MS,
+      batchMs: GATHER_CONFIGURATIONS_MS,
       digest: {
         table: 'configurations',
         from: digest,
-        hasAll: () => this.#hasRelaysVersion,
+        isUpToDateWithRelay: () => this.#hasRelaysVersion,
       },
     });
     const servers = new TableWatcher({
       table: adapter.servers,
       consumer: {
-        takeAll: (rows) => this.#takeServers(rows, true),
-        takeChanges: (rows) => this.#takeServers(rows, false),
+        applyAll: (rows) => this.#takeServers(rows, true),
+        applyChanges: (rows) => this.#takeServers(rows, false),
         // Rows that mean something only beside what is known here are looked up by each daemon itself.
         forward: (changes) => {
-          if (!this.#hasPassedOver) options.passOnServers(changes);
+          if (!this.#hasPassedOver) options.forwardServers(changes);
         },
       },
       ...shared,
-      gatherMs: GATHER_SERVERS_MS,
+      batchMs: GATHER_SERVERS_MS,
       digest: { table: 'servers', from: digest },
     });
     this.#configurations = configurations;
     this.#servers = servers;
     this.#watches = [configurations, servers];
-    this.#heard = new HeardVersion({
+    this.#heard = new NewestPeerVersion({
       inForce: () => this.inForceVersion,
-      look: () => configurations.lookAgain(),
-      graceMs: timing().lookMs,
+      look: () => configurations.requestFullRead(),
+      graceMs: timing().callTimeoutMs,
       timers,
       log,
     });
@@ -166,7 +166,7 @@
 
   /** Tables that are to be read whole before their changes are followed. */
   get unreadTables(): number {
-    return this.#watches.filter(({ isUnread }) => isUnread).length;
+    return this.#watches.filter(({ needsFullRead }) => needsFullRead).length;
   }
 
   /** Rows of servers that cannot be read now. */
@@ -200,7 +200,7 @@
   }
 
   /** Another daemon says which version it has in force. */
-  noteVersion(version: number, from: string): void {
+  recordPeerVersion(version: number, from: string): void {
     this.#heard.note(version, from);
   }
 
@@ -211,14 +211,14 @@
   }
 
   /** How old the last look for a newer configuration is, this daemon's own or its relay's. */
-  configurationLookAgeMs(): number {
+  configurationCheckAgeMs(): number {
     const { timers, digest } = this.#options;
-    return timers.nowMs() - Math.max(this.#configurations.lastAnswerMs, digest.lookedMs);
+    return timers.nowMs() - Math.max(this.#configurations.lastAnswerMs, digest.relayContactAtMs);
   }
 
   /** One table was heard in the store's new era: none of the others is to wait for its own answer. */
   #noteEra(era: number): void {
-    for (const watch of this.#watches) watch.noteEra(era);
+    for (const watch of this.#watches) watch.handleEra(era);
     if (era <= this.#era) return;
     this.#era = era;
     const { restored, timers, random } = this.#options;
@@ -226,13 +226,13 @@
     this.#options.handleStoreRestored();
     this.#loggedRestored.clear();
     for (const cancel of this.#cancelRereads) cancel();
-    this.#cancelRereads = restored.looksAfterMs.map((afterMs) =>
-      timers.after(afterMs + REREAD_SPREAD_MS * random(), () => this.#servers.lookAgain()),
+    this.#cancelRereads = restored.rereadDelaysMs.map((afterMs) =>
+      timers.after(afterMs + REREAD_SPREAD_MS * random(), () => this.#servers.requestFullRead()),
     );
   }
 
   /** Changes of servers that a relay had from the store. */
-  takeServerChanges({ rows, ...span }: TableChanges<ServerRecord>): void {
+  applyServerChanges({ rows, ...span }: TableChanges<ServerRecord>): void {
     this.#servers.offer({ ...span, rows: rows.map((row) => this.#withStart(row)) });
   }
 
@@ -248,7 +248,7 @@
    * newer one is taken whatever this daemon's own watch has seen, as that may be out of reach of the store.
    * @returns whether it was newer
    */
-  takePassedConfiguration({ key, encoded, ...span }: ForwardedConfiguration): boolean {
+  applyForwardedConfiguration({ key, encoded, ...span }: ForwardedConfiguration): boolean {
     const before = this.inForceVersion;
     const row = this.#options.adapter.configurations.decode(key, encoded);
     if (row.kind !== 'value' || row.value.version <= before) return false;
@@ -270,7 +270,8 @@
   /** A newer one spares others a whole read; how their watches go on is theirs to find. */
   #takeAllConfigurations(rows: readonly WatchedRow<GatewayConfiguration>[]): boolean {
     const isNewer = this.#takeConfigurations(rows);
-    if (isNewer) this.#options.passOnConfiguration({ era: FIRST_ERA, after: 0, revision: 0, rows });
+    if (isNewer)
+      this.#options.forwardConfiguration({ era: FIRST_ERA, after: 0, revision: 0, rows });
     return isNewer;
   }
 
@@ -297,7 +298,7 @@
   #takeConfiguration(configuration: GatewayConfiguration): void {
     const { log, timers, fleet, applyLimits } = this.#options;
     const before = fleet.inForce?.configuration.version ?? 0;
-    const outcome = fleet.takeConfiguration(configuration, timers.nowMs());
+    const outcome = fleet.applyConfiguration(configuration, timers.nowMs());
     const fields = { configurationVersion: configuration.version, before };
     switch (outcome) {
       case 'same':
@@ -307,7 +308,7 @@
         return;
       case 'taken':
         applyLimits(configuration.limits);
-        this.#heard.noteInForce(configuration.version);
+        this.#heard.recordInForce(configuration.version);
         log.write(GATEWAY_EVENTS.configurationInForce, {
           ...fields,
           routes: configuration.routes.length,
@@ -347,27 +348,27 @@
       ? directory.replaceAll(read.records, latestStartMs)
       : directory.apply(read.records, goneIds, latestStartMs);
     restored.note(change, nowMs);
-    this.#hasPassedOver = change.passedOver.length > 0;
+    this.#hasPassedOver = change.skipped.length > 0;
     this.#carryOut(change);
-    const { added, changed, removed, renewed } = change;
-    const isChanged = added.length + changed.length + removed.length + renewed.length > 0;
-    if (isChanged) this.#options.noteServers();
+    const { added, changed, removed, restarted } = change;
+    const isChanged = added.length + changed.length + removed.length + restarted.length > 0;
+    if (isChanged) this.#options.onServersChanged();
     return isChanged;
   }
 
   #carryOut(change: DirectoryChange): void {
     const { fleet, cacheNews, recordServerStart, log } = this.#options;
-    const { added, changed, removed, renewed } = change;
+    const { added, changed, removed, restarted } = change;
     fleet.forgetEnded(change);
     for (const server of removed) cacheNews.remove(server.id);
     for (const server of added) cacheNews.add(server);
-    for (const server of renewed) cacheNews.restart(server);
-    for (const server of [...added, ...renewed]) recordServerStart(server);
+    for (const server of restarted) cacheNews.restart(server);
+    for (const server of [...added, ...restarted]) recordServerStart(server);
     for (const server of added) this.#logServer(GATEWAY_EVENTS.serverAdded, server);
     for (const server of changed) this.#logServer(GATEWAY_EVENTS.serverChanged, server);
     for (const server of removed) this.#logServer(GATEWAY_EVENTS.serverRemoved, server);
-    for (const server of renewed) this.#logServer(GATEWAY_EVENTS.serverRenewed, server);
-    for (const { record, reason } of change.passedOver) {
+    for (const server of restarted) this.#logServer(GATEWAY_EVENTS.serverRenewed, server);
+    for (const { record, reason } of change.skipped) {
       const listedBornMs = fleet.directory.get(record.id)?.bornMs ?? '';
       const fields = { server: record.id, reason, bornMs: record.bornMs ?? '', listedBornMs };
       log.write(GATEWAY_EVENTS.serverRowPassedOver, fields);
--- a/src/shell/gateway/fleet-view.ts
+++ b/src/shell/gateway/fleet-view.ts
@@ -16,7 +16,7 @@
   PeerLoads,
   PrefixCacheIndex,
   RankShares,
-  type ReachNotice,
+  type ReachabilityNotice,
   ReadSpeed,
   RecentSends,
   RetryBudget,
@@ -118,7 +118,7 @@
     return this.#inForce !== undefined && this.directory.size > 0;
   }
 
-  takeConfiguration(configuration: GatewayConfiguration, nowMs: number): ConfigurationOutcome {
+  applyConfiguration(configuration: GatewayConfiguration, nowMs: number): ConfigurationOutcome {
     const currentVersion = this.#inForce?.configuration.version;
     if (currentVersion === configuration.version) return 'same';
     if (currentVersion !== undefined && configuration.version < currentVersion) return 'older';
@@ -130,8 +130,8 @@
   }
 
   /** Forgets what was known of servers that are gone, and of lives that are over. */
-  forgetEnded({ removed, renewed }: Pick<DirectoryChange, 'removed' | 'renewed'>): void {
-    for (const server of [...removed, ...renewed]) {
+  forgetEnded({ removed, restarted }: Pick<DirectoryChange, 'removed' | 'restarted'>): void {
+    for (const server of [...removed, ...restarted]) {
       this.#health.delete(server.id);
       this.#loads.delete(server.id);
       this.stageNotices.forget(server.id);
@@ -245,7 +245,7 @@
   }
 
   /** A server that another daemon found silent, or back. */
-  takeReach(notice: ReachNotice, nowMs: number): void {
+  handleReachability(notice: ReachabilityNotice, nowMs: number): void {
     if (this.directory.get(notice.serverId) === undefined) return;
     this.healthOf(notice.serverId).applyReachNotice(notice, nowMs);
   }
@@ -344,7 +344,7 @@
   }
 
   /** Takes an engine's cache news that another daemon passed on. */
-  takeNews(news: EngineCacheEvents, nowMs: number): void {
+  applyCacheEvents(news: EngineCacheEvents, nowMs: number): void {
     const { engineId, isReset, events } = news;
     if (this.directory.get(engineId) === undefined) return;
     if (isReset) this.prefixIndex.forget(engineId);
--- a/src/shell/gateway/gateway-gauges.ts
+++ b/src/shell/gateway/gateway-gauges.ts
@@ -21,7 +21,7 @@
     | 'callsTotal'
     | 'silentMs'
     | 'unreadableServers'
-    | 'configurationLookAgeMs'
+    | 'configurationCheckAgeMs'
     | 'highestVersion'
     | 'isConfigurationUnreadable'
     | 'storeEra'
@@ -87,7 +87,7 @@
     {
       name: 'configuration_look_age_ms',
       help: "Age of the last look for a newer configuration, this daemon's own or its relay's",
-      read: () => follower.configurationLookAgeMs(),
+      read: () => follower.configurationCheckAgeMs(),
     },
     {
       name: 'configuration_unreadable',
--- a/src/shell/gateway/gateway.ts
+++ b/src/shell/gateway/gateway.ts
@@ -4,7 +4,7 @@
  */
 import { randomInt } from 'node:crypto';
 import type { Server } from 'node:http';
-import { PeerRoster, type ReachNotice, RestoredServers } from '../../core/gateway/index.js';
+import { PeerRoster, type ReachabilityNotice, RestoredServers } from '../../core/gateway/index.js';
 import { GATEWAY_EVENTS } from '../../core/logging/catalogue/gateway.js';
 import type { AttemptContext } from './attempt.js';
 import { BackendConnections } from './backend-connections.js';
@@ -24,7 +24,7 @@
 import type { GatewayLog } from './request-log.js';
 import { AdmissionGate } from './request-room.js';
 import { RetryBudgetReporter } from './retry-budget-reporter.js';
-import { RosterNewsDuty } from './roster-news-duty.js';
+import { RosterCacheEventDuty } from './roster-news-duty.js';
 import { ServerCalls } from './server-calls.js';
 import { ServerExitCheck } from './server-end-check.js';
 import { createMetricsServer, createReadinessServer, listen } from './small-listeners.js';
@@ -36,7 +36,7 @@
   type TimerService,
   type WallClock,
 } from './timer-service.js';
-import { digestAgeMs, recheckSpans, type WatchRole, watchTiming } from './watch-timing.js';
+import { maxDigestAgeMs, recheckSpans, type WatchRole, watchTiming } from './watch-timing.js';
 import { WebWork } from './web-work.js';
 
 /** The platform looks twice, a second apart, before it sends no more connections. */
@@ -111,7 +111,10 @@
       metrics: this.#metrics,
     });
     this.#roster = new PeerRoster({ name: settings.name, zone: settings.zone });
-    this.#digest = new RelayDigest(this.#suspensionAware, digestAgeMs(settings.bounds.contactMs));
+    this.#digest = new RelayDigest(
+      this.#suspensionAware,
+      maxDigestAgeMs(settings.bounds.contactMs),
+    );
     this.#connections = new BackendConnections(timers);
     this.#admission = new AdmissionGate({
       isOn: settings.decisions.waiting,
@@ -150,9 +153,9 @@
       admission: this.#admission,
       zone: settings.zone,
       isSpreading: settings.decisions.spreading,
-      onLoadChange: () => this.#peers?.noteChange(),
+      onLoadChange: () => this.#peers?.scheduleReport(),
       noteRead: (read) => this.#peers?.noteRead(read),
-      noteReach: (reach) => this.#peers?.noteReach(reach),
+      advertiseReachability: (reach) => this.#peers?.advertiseReachability(reach),
       crashes: this.#crashes,
       webWork,
       recordRunStart: ({ options: { tenant } }, agoMs) =>
@@ -163,11 +166,11 @@
       timers,
       log,
       metrics: this.#metrics,
-      configurationLookAgeMs: () => this.#follower.configurationLookAgeMs(),
+      configurationCheckAgeMs: () => this.#follower.configurationCheckAgeMs(),
     });
     this.#duties = this.#createDuties(incarnation);
     this.#peers = this.#createPeers(incarnation);
-    const duty = new RosterNewsDuty({
+    const duty = new RosterCacheEventDuty({
       roster: this.#roster,
       fleet: this.#fleet,
       peers: this.#peers,
@@ -183,15 +186,15 @@
       restored: new RestoredServers(settings.bounds.contactMs),
       random: Math.random,
       digest: this.#digest,
-      passOnConfiguration: (changes) => this.#peers?.passOnConfiguration(changes),
-      passOnServers: (changes) => this.#peers?.passOnServers(changes),
+      forwardConfiguration: (changes) => this.#peers?.forwardConfiguration(changes),
+      forwardServers: (changes) => this.#peers?.forwardServers(changes),
       recordServerStart: (server) => this.#crashes.recordServerStart(server),
       handleStoreRestored: () => this.#noteRestored(),
       timers: this.#suspensionAware,
       wallClock,
       log,
       applyLimits: (limits) => this.#callers.applyLimits(limits),
-      noteServers: () => this.#admission.wake(),
+      onServersChanged: () => this.#admission.wake(),
     });
     this.#stages = new StageController({
       daemon: settings.name,
@@ -203,7 +206,7 @@
       codec: adapter.requests,
       mayOrder: () => this.#knowsDemand,
       startingEngines: (service) => this.#duties.comingServers(service),
-      tellStage: (notice) => this.#peers?.tellStage(notice),
+      broadcastStage: (notice) => this.#peers?.broadcastStage(notice),
       timers,
       leaseTimers: this.#suspensionAware,
       log,
@@ -302,7 +305,7 @@
 
   /** A daemon that has no address for peers is taken to be alone. */
   get #knowsDemand(): boolean {
-    return this.#peers === undefined || this.#roster.knowsDemandOfAll(this.#isRelay);
+    return this.#peers === undefined || this.#roster.knowsFleetDemand(this.#isRelay);
   }
 
   #createLimits(): LimitCoordinator {
@@ -311,7 +314,7 @@
       daemon: settings.name,
       fleet: this.#fleet,
       roster: settings.listen.peers === undefined ? undefined : this.#roster,
-      send: (peers, message) => this.#peers?.tell(peers, message),
+      send: (peers, message) => this.#peers?.sendMessage(peers, message),
       timers,
       random: Math.random,
       log,
@@ -325,7 +328,7 @@
       table: adapter.table,
       endCheck: new ServerExitCheck({
         connections: this.#connections,
-        isOver: (server) => this.#fleet.directory.isOver(server),
+        isSuperseded: (server) => this.#fleet.directory.isSuperseded(server),
         timers,
       }),
       isReady: (server) => this.#fleet.wasReady(server, timers.nowMs()),
@@ -348,7 +351,7 @@
       fleet: this.#fleet,
       roster: this.#roster,
       peers: () => this.#peers,
-      mayOrderCapacity: () => this.#roster.knowsDemandOfAll(this.#isRelay),
+      mayOrderCapacity: () => this.#roster.knowsFleetDemand(this.#isRelay),
       timers,
       leaseTimers: this.#suspensionAware,
       log,
@@ -366,21 +369,21 @@
       table: adapter.table,
       roster: this.#roster,
       log,
-      takeReach: (reach) => this.#takeReach(reach),
-      takeRead: (read) => this.#fleet.prefixIndex.expectRead(read, timers.nowMs()),
-      noteRelay: (isRelay) => this.#noteRelay(isRelay),
+      handleReachability: (reach) => this.#takeReach(reach),
+      handleRead: (read) => this.#fleet.prefixIndex.expectRead(read, timers.nowMs()),
+      onRelayChange: (isRelay) => this.#noteRelay(isRelay),
       tableDigest: () => this.#follower.digestToSend(),
-      takeConfiguration: (change) => this.#follower.takePassedConfiguration(change),
+      applyConfiguration: (change) => this.#follower.applyForwardedConfiguration(change),
       configurationVersion: () => this.#follower.inForceVersion,
-      noteVersion: (version, daemon) => this.#follower.noteVersion(version, daemon),
-      takeServers: (changes) => this.#follower.takeServerChanges(changes),
-      takeTables: (digest) => this.#digest.take(digest),
+      recordPeerVersion: (version, daemon) => this.#follower.recordPeerVersion(version, daemon),
+      applyServers: (changes) => this.#follower.applyServerChanges(changes),
+      handleTableDigest: (digest) => this.#digest.take(digest),
       relayPeersChecksum: () => this.#digest.peersChecksum,
-      takeStage: (notice) => this.#fleet.stageNotices.take(notice, timers.nowMs()),
-      takeCrashes: (records) => this.#crashes.applyPeerRecords(records),
-      takeUsage: (message, reply) => this.#duties.takeUsage(message, reply),
-      takeLimit: (message, reply) => this.#limits.take(message, reply),
-      takeNews: (news) => this.#fleet.takeNews(news, timers.nowMs()),
+      handleStageNotice: (notice) => this.#fleet.stageNotices.take(notice, timers.nowMs()),
+      handleCrashRecords: (records) => this.#crashes.applyPeerRecords(records),
+      handleUsage: (message, reply) => this.#duties.handleUsage(message, reply),
+      handleLimitMessage: (message, reply) => this.#limits.take(message, reply),
+      applyCacheEvents: (news) => this.#fleet.applyCacheEvents(news, timers.nowMs()),
       loads: this.#fleet.peerLoads,
       paces: this.#fleet.paces,
       isReady: () => this.#fleet.isReady,
@@ -388,24 +391,24 @@
       ownWork: () => [...this.#fleet.ownWork(timers.nowMs()), ...this.#webWork.own()],
       ownDemand: () => this.#fleet.demand.own(timers.nowMs()),
       serverIdOf: (shortId) => this.#fleet.directory.idOf(shortId),
-      noteSums: () => this.#admission.wake(),
-      noteDaemonCount: (daemons) => this.#noteDaemonCount(daemons),
+      onSums: () => this.#admission.wake(),
+      recordDaemonCount: (daemons) => this.#noteDaemonCount(daemons),
     });
   }
 
   #noteDaemonCount(daemons: number): void {
     const before = this.#fleet.size.listed;
     this.#fleet.setDaemonCount(daemons);
-    this.#retryBudgets.noteDaemonCount(before, daemons);
+    this.#retryBudgets.recordDaemonCount(before, daemons);
   }
 
   /** What other daemons say of a server; a change of belief is a line in the log. */
-  #takeReach(reach: ReachNotice): void {
+  #takeReach(reach: ReachabilityNotice): void {
     const { timers, log } = this.#options;
     const nowMs = timers.nowMs();
     const { serverId: server, by } = reach;
     const wasDark = this.#fleet.isUnreachable(server, nowMs);
-    this.#fleet.takeReach(reach, nowMs);
+    this.#fleet.handleReachability(reach, nowMs);
     const isUnreachable = this.#fleet.isUnreachable(server, nowMs);
     if (isUnreachable === wasDark) return;
     log.write(isUnreachable ? GATEWAY_EVENTS.serverDark : GATEWAY_EVENTS.serverReached, {
--- a/src/shell/gateway/heard-version.ts
+++ b/src/shell/gateway/heard-version.ts
@@ -11,7 +11,7 @@
 const LONGEST_GAP_MS = 60_000;
 
 /** What is built from. */
-export interface HeardVersionOptions {
+export interface NewestPeerVersionOptions {
   /** The version that this daemon has in force; 0 for none. */
   readonly inForce: () => number;
   /** Looks for a newer one at once. */
@@ -23,15 +23,15 @@
 }
 
 /** Keeps the newest version heard of. */
-export class HeardVersion {
-  readonly #options: HeardVersionOptions;
+export class NewestPeerVersion {
+  readonly #options: NewestPeerVersionOptions;
   #highest = 0;
   #heardMs = 0;
   #from = '';
   #isBehind = false;
   #cancelLook: CancelTimer | undefined;
 
-  constructor(options: HeardVersionOptions) {
+  constructor(options: NewestPeerVersionOptions) {
     this.#options = options;
   }
 
@@ -52,7 +52,7 @@
   }
 
   /** This daemon has another version in force. */
-  noteInForce(version: number): void {
+  recordInForce(version: number): void {
     if (version < this.#highest) return;
     this.#cancelLook?.();
     this.#cancelLook = undefined;
--- a/src/shell/gateway/limit-asks.ts
+++ b/src/shell/gateway/limit-asks.ts
@@ -38,7 +38,7 @@
   readonly daemon: string;
   readonly fleet: Pick<FleetView, 'limits' | 'permits' | 'recentSends'>;
   /** Undefined where this daemon has no address for others: it is alone. */
-  readonly roster: Pick<PeerRoster, 'hasList' | 'everyone'> | undefined;
+  readonly roster: Pick<PeerRoster, 'hasList' | 'allPeers'> | undefined;
   readonly grants: Pick<PermitGranter, 'answer' | 'tellAll'>;
   readonly send: (peers: readonly PeerDaemon[], message: PermitRequestMessage) => void;
   readonly timers: TimerService;
@@ -224,7 +224,7 @@
       if (message.number !== NO_NUMBER) this.take(answer);
       return;
     }
-    const peer = roster?.everyone().find(({ name }) => name === granter);
+    const peer = roster?.allPeers().find(({ name }) => name === granter);
     if (peer !== undefined) send([peer], message);
   }
 
@@ -249,7 +249,7 @@
     if (roster === undefined) return daemon;
     if (!roster.hasList) return undefined;
     const nowMs = timers.nowMs();
-    const names = [...roster.everyone().map(({ name }) => name), daemon];
+    const names = [...roster.allPeers().map(({ name }) => name), daemon];
     const ranked = rankByRendezvous(`limit of ${serverId}`, names);
     const isHeard = (name: string) => (this.#passedOverUntilMs.get(name) ?? 0) <= nowMs;
     return ranked.find(isHeard) ?? ranked[0];
--- a/src/shell/gateway/limit-coordinator.ts
+++ b/src/shell/gateway/limit-coordinator.ts
@@ -92,7 +92,7 @@
     this.#grants = new PermitGranter({
       ...options,
       limits: fleet.limits,
-      everyone: () => roster?.everyone() ?? [],
+      allPeers: () => roster?.allPeers() ?? [],
       noteTold,
     });
     this.#asks = new PermitRequester({
--- a/src/shell/gateway/limit-grants.ts
+++ b/src/shell/gateway/limit-grants.ts
@@ -35,7 +35,7 @@
   readonly timers: TimerService;
   readonly log: Pick<GatewayLog, 'write'>;
   /** All other daemons. */
-  readonly everyone: () => readonly PeerDaemon[];
+  readonly allPeers: () => readonly PeerDaemon[];
   readonly send: (peers: readonly PeerDaemon[], message: LimitUpdateMessage) => void;
   /** Told of what an ask brought to light. */
   readonly noteTold: (serverId: string, change: LimitChange, by: string) => void;
@@ -74,10 +74,10 @@
 
   /** Tells all daemons what this one, which grants, knows of a limit. */
   tellAll(serverId: string): void {
-    const { daemon, limits, timers, everyone, send } = this.#options;
+    const { daemon, limits, timers, allPeers, send } = this.#options;
     const limit = limits.advertisementOf(serverId, timers.nowMs());
     if (limit === undefined) return;
-    const peers = everyone();
+    const peers = allPeers();
     const message: LimitUpdateMessage = { kind: 'limit-told', daemon, serverId, limit };
     const bytes = datagramWireBytes(encodePeerMessage(message)) * peers.length;
     if (this.#toldBudget.tryTake(bytes)) send(peers, message);
--- a/src/shell/gateway/pace-teller.ts
+++ b/src/shell/gateway/pace-teller.ts
@@ -43,7 +43,7 @@
   readonly zone: string;
   readonly roster: Pick<
     PeerRoster,
-    'isLarge' | 'toldOfChanges' | 'otherRelays' | 'zonePeers' | 'everyone'
+    'isLarge' | 'changeRecipients' | 'otherRelays' | 'zonePeers' | 'allPeers'
   >;
   readonly paces: FleetPaces;
   readonly timers: TimerService;
@@ -134,7 +134,7 @@
   /** What this daemon saw, and as a relay what its zone did. */
   #tellSeen(nowMs: number): void {
     const { paces, roster, isRelay } = this.#options;
-    const peers = isRelay() ? roster.otherRelays(nowMs) : roster.toldOfChanges(nowMs);
+    const peers = isRelay() ? roster.otherRelays(nowMs) : roster.changeRecipients(nowMs);
     const seen = paces.unadvertised(MAX_ENTRIES_PER_MESSAGE);
     if (seen.length === 0) return;
     const bytes = this.#encode('seen', seen);
@@ -162,8 +162,8 @@
     const { roster, isReady, timers, send } = this.#options;
     const isOver = this.#isAnswered || this.#questions >= MOST_QUESTIONS;
     if (isOver || !isReady() || this.#looks % LOOKS_PER_QUESTION !== 1) return;
-    const relays = roster.isLarge ? roster.toldOfChanges(timers.nowMs()) : [];
-    const peers = [...relays, ...roster.zonePeers(), ...roster.everyone()];
+    const relays = roster.isLarge ? roster.changeRecipients(timers.nowMs()) : [];
+    const peers = [...relays, ...roster.zonePeers(), ...roster.allPeers()];
     const asked = peers[this.#questions % Math.max(1, peers.length)];
     if (asked === undefined) return;
     this.#questions += 1;
--- a/src/shell/gateway/peer-directory.ts
+++ b/src/shell/gateway/peer-directory.ts
@@ -43,7 +43,7 @@
   /** From 0 to below 1, to spread what many daemons do. */
   readonly random: () => number;
   /** Told how many daemons a list holds, this one counted, when it was read or is the relay's too. */
-  readonly noteDaemonCount: (daemons: number) => void;
+  readonly recordDaemonCount: (daemons: number) => void;
   /** The checksum of the zone's relay's list; undefined while its digest is not fresh. */
   readonly relayPeersChecksum: () => number | undefined;
 }
@@ -105,9 +105,9 @@
 
   /** A list that the zone's relay has as well is as good as read again. */
   #noteSameList(): void {
-    const { relayPeersChecksum, roster, noteDaemonCount } = this.#options;
+    const { relayPeersChecksum, roster, recordDaemonCount } = this.#options;
     const isSame = roster.hasList && relayPeersChecksum() === roster.checksum;
-    if (isSame) noteDaemonCount(roster.daemonCount);
+    if (isSame) recordDaemonCount(roster.daemonCount);
   }
 
   async #refresh(): Promise<void> {
@@ -128,14 +128,14 @@
   }
 
   async #scan(): Promise<void> {
-    const { daemon, roster, timers, noteDaemonCount } = this.#options;
+    const { daemon, roster, timers, recordDaemonCount } = this.#options;
     const rows = await readAllRows(ROW_PREFIX, (page) => this.#callTable(page));
     if (rows === undefined) return;
     this.#rescanAtMs = undefined;
     const peers = rows.flatMap((row) => this.#readPeer(row));
     this.#isAnnounced &&= peers.some(({ name }) => name === daemon);
     roster.replace(peers, timers.nowMs());
-    noteDaemonCount(roster.daemonCount);
+    recordDaemonCount(roster.daemonCount);
   }
 
   /** As the relay, takes away the rows of daemons of its zone that are gone. */
--- a/src/shell/gateway/peer-exchange.ts
+++ b/src/shell/gateway/peer-exchange.ts
@@ -15,7 +15,7 @@
   PeerDaemon,
   PeerLoads,
   PeerRoster,
-  ReachNotice,
+  ReachabilityNotice,
   ReadNotice,
   ServerRecord,
   ServiceDemand,
@@ -25,8 +25,8 @@
 import { ByteBudget, datagramWireBytes } from './byte-budget.js';
 import { CacheEventPublisher } from './cache-news-teller.js';
 import {
-  ConfigurationTeller,
-  MOST_PASSED_BYTES,
+  ConfigurationGossip,
+  MAX_FORWARDED_BYTES,
   type VersionedValue,
 } from './configuration-teller.js';
 import type { LimitMessage } from './limit-message-fields.js';
@@ -41,7 +41,7 @@
   type UsageMessage,
 } from './peer-messages.js';
 import type { TableService } from './ports.js';
-import { NO_NEWS, type OwnNews, RelayDuty, type RelayDutyOptions } from './relay-duty.js';
+import { NO_NOTICES, type PeerNotices, RelayDuty, type RelayDutyOptions } from './relay-duty.js';
 import type { GatewayLog } from './request-log.js';
 import type { TableChanges } from './table-watcher.js';
 import type { CancelTimer, TimerService } from './timer-service.js';
@@ -86,39 +86,39 @@
   /** What this daemon was asked for lately. */
   readonly ownDemand: () => readonly ServiceDemand[];
   /** To be called when the relay's sums came. */
-  readonly noteSums: () => void;
+  readonly onSums: () => void;
   /** Told how many daemons there are, this one counted. */
-  readonly noteDaemonCount: (daemons: number) => void;
+  readonly recordDaemonCount: (daemons: number) => void;
   /** A read that another daemon told of. */
-  readonly takeRead: (read: ReadNotice) => void;
+  readonly handleRead: (read: ReadNotice) => void;
   /** A server that another daemon found silent, or back. */
-  readonly takeReach: (reach: ReachNotice) => void;
+  readonly handleReachability: (reach: ReachabilityNotice) => void;
   /** Told when this daemon becomes its zone's relay, or no longer is. */
-  readonly noteRelay: (isRelay: boolean) => void;
+  readonly onRelayChange: (isRelay: boolean) => void;
   /** What this daemon has seen of the store's tables. */
   readonly tableDigest: () => Omit<TableDigest, 'peersChecksum'>;
   /** The checksum of the zone's relay's list of daemons; undefined while its digest is not fresh. */
   readonly relayPeersChecksum: () => number | undefined;
   /** What the zone's relay has seen of them. */
-  readonly takeTables: (digest: TableDigest) => void;
+  readonly handleTableDigest: (digest: TableDigest) => void;
   /** The version of the configuration that this daemon has in force; 0 for none. */
   readonly configurationVersion: () => number;
   /** The version that another daemon has in force. */
-  readonly noteVersion: (version: number, daemon: string) => void;
+  readonly recordPeerVersion: (version: number, daemon: string) => void;
   /** A configuration that a relay had from the store; says whether it was newer. */
-  readonly takeConfiguration: (change: ForwardedConfiguration) => boolean;
+  readonly applyConfiguration: (change: ForwardedConfiguration) => boolean;
   /** Changes of servers that the zone's relay had from the store. */
-  readonly takeServers: (changes: TableChanges<ServerRecord>) => void;
+  readonly applyServers: (changes: TableChanges<ServerRecord>) => void;
   /** An engine that another daemon ordered to change its stage. */
-  readonly takeStage: (notice: StageNotice) => void;
+  readonly handleStageNotice: (notice: StageNotice) => void;
   /** What others tell of the usage of tenants; `reply` goes back to who told it. */
-  readonly takeUsage: (message: UsageMessage, reply: Reply) => void;
+  readonly handleUsage: (message: UsageMessage, reply: Reply) => void;
   /** What another daemon knows of requests that end servers. */
-  readonly takeCrashes: (records: readonly CrashRecord[]) => void;
+  readonly handleCrashRecords: (records: readonly CrashRecord[]) => void;
   /** What others ask or tell of servers that name a limit; `reply` goes back to who did. */
-  readonly takeLimit: (message: LimitMessage, reply: Reply) => void;
+  readonly handleLimitMessage: (message: LimitMessage, reply: Reply) => void;
   /** Cache news that another daemon passed on. */
-  readonly takeNews: (news: EngineCacheEvents) => void;
+  readonly applyCacheEvents: (news: EngineCacheEvents) => void;
 }
 
 /** The daemon's part in telling loads and news. */
@@ -130,9 +130,9 @@
   readonly #relay: RelayDuty;
   readonly #cacheNews: CacheEventPublisher;
   readonly #paces: PaceGossip;
-  readonly #configurations: ConfigurationTeller;
+  readonly #configurations: ConfigurationGossip;
   #ownReads: ReadNotice[] = [];
-  #ownReach: ReachNotice[] = [];
+  #ownReach: ReachabilityNotice[] = [];
   #sequence = 0;
   #heartbeatsSent = 0;
   #cancelFlush: CancelTimer | undefined;
@@ -161,7 +161,7 @@
       isRelay: () => this.#relay.isRelay,
       send: (peers, bytes) => this.#sendTo(peers, bytes),
     });
-    this.#configurations = new ConfigurationTeller({
+    this.#configurations = new ConfigurationGossip({
       ...options,
       isRelay: () => this.#relay.isRelay,
       send: (peers, bytes) => this.#sendTo(peers, bytes),
@@ -201,13 +201,13 @@
   }
 
   /** Says soon what has changed. */
-  noteChange(): void {
+  scheduleReport(): void {
     if (this.#cancelFlush !== undefined) return;
     this.#flushAfter(this.#options.roster.isLarge ? COALESCE_FOR_RELAY_MS : COALESCE_MS);
   }
 
   /** Says at once that a call began or ended that takes about as long as changes are gathered for otherwise. */
-  noteShortCall(): void {
+  scheduleUrgentReport(): void {
     if (this.#isFlushNear) return;
     this.#cancelFlush?.();
     this.#flushAfter(COALESCE_MS);
@@ -224,44 +224,44 @@
       this.#ownReads = [];
       this.#ownReach = [];
       if (this.#relay.isRelay) this.#relay.forward(news);
-      this.#tellOwnWork(roster.toldOfChanges(timers.nowMs()), news);
+      this.#tellOwnWork(roster.changeRecipients(timers.nowMs()), news);
     });
   }
 
   /** Says soon that a read of a shared part was begun. */
   noteRead(read: ReadNotice): void {
     this.#ownReads.push(read);
-    this.noteChange();
+    this.scheduleReport();
   }
 
   /** Says soon that a server is silent, or back. */
-  noteReach(reach: Omit<ReachNotice, 'by'>): void {
+  advertiseReachability(reach: Omit<ReachabilityNotice, 'by'>): void {
     this.#ownReach.push({ ...reach, by: this.#options.daemon });
-    this.noteChange();
+    this.scheduleReport();
   }
 
   /** As the relay of its zone, passes on what it had from the store, where that fits a datagram. */
-  passOnServers(changes: TableChanges<ServerRecord>): void {
+  forwardServers(changes: TableChanges<ServerRecord>): void {
     const { zone, roster } = this.#options;
     const isWhole = changes.rows.every(({ kind }) => kind !== 'malformed');
     if (!this.#relay.isRelay || this.#isStopped || !isWhole) return;
     const bytes = encodePeerMessage({ kind: 'servers', zone, changes });
-    if (bytes.length <= MOST_PASSED_BYTES) this.#sendTo(roster.zonePeers(), bytes);
+    if (bytes.length <= MAX_FORWARDED_BYTES) this.#sendTo(roster.zonePeers(), bytes);
   }
 
   /** As the relay of its zone, passes on a configuration that it had from the store, where it fits. */
-  passOnConfiguration(changes: TableChanges<VersionedValue>): void {
+  forwardConfiguration(changes: TableChanges<VersionedValue>): void {
     if (!this.#isStopped) this.#configurations.forward(changes);
   }
 
   /** Tells everyone of an engine that changes its stage. */
-  tellStage(notice: StageNotice): void {
+  broadcastStage(notice: StageNotice): void {
     if (this.#isStopped) return;
-    this.#sendTo(this.#options.roster.everyone(), encodePeerMessage({ kind: 'stage', notice }));
+    this.#sendTo(this.#options.roster.allPeers(), encodePeerMessage({ kind: 'stage', notice }));
   }
 
   /** Tells some daemons something at once. */
-  tell(peers: readonly PeerDaemon[], message: PeerMessage): void {
+  sendMessage(peers: readonly PeerDaemon[], message: PeerMessage): void {
     if (peers.length > 0 && !this.#isStopped) this.#sendTo(peers, encodePeerMessage(message));
   }
 
@@ -274,7 +274,7 @@
   #beat(): void {
     const { timers, roster } = this.#options;
     this.#cancelBeat = timers.after(HEARTBEAT_STEP_MS, () => {
-      if (roster.isLarge) this.#tellOwnWork(this.#nextHeartbeats(), NO_NEWS);
+      if (roster.isLarge) this.#tellOwnWork(this.#nextHeartbeats(), NO_NOTICES);
       this.#beat();
     });
   }
@@ -288,7 +288,7 @@
     return [...peers, ...peers].slice(first, first + count);
   }
 
-  #tellOwnWork(peers: readonly PeerDaemon[], { reads, reach }: OwnNews): void {
+  #tellOwnWork(peers: readonly PeerDaemon[], { reads, reach }: PeerNotices): void {
     if (peers.length === 0) return;
     const { daemon, incarnation, ownWork, ownDemand, configurationVersion } = this.#options;
     const head = { daemon, incarnation, sequence: this.#nextSequence() };
@@ -311,7 +311,7 @@
   }
 
   #takeSums(zone: string, sums: LoadSums): void {
-    const { loads, timers, ownWork, noteSums } = this.#options;
+    const { loads, timers, ownWork, onSums } = this.#options;
     this.#takeNewsOf(sums);
     if (zone !== this.#options.zone) {
       this.#relay.applySums(zone, sums);
@@ -319,7 +319,7 @@
     }
     if (this.#relay.isRelay) return;
     loads.applySums(sums, ownWork(), timers.nowMs());
-    noteSums();
+    onSums();
   }
 
   /** With whole ids of servers; one that is not listed here keeps its short one, for those who list it. */
@@ -333,8 +333,15 @@
 
   #receive(bytes: Buffer, sender: RemoteInfo): void {
     const { daemon, zone, roster, timers } = this.#options;
-    const { takeUsage, takeNews, takeStage, takeTables, takeServers, noteVersion } = this.#options;
-    const { takeCrashes, takeLimit } = this.#options;
+    const {
+      handleUsage,
+      applyCacheEvents,
+      handleStageNotice,
+      handleTableDigest,
+      applyServers,
+      recordPeerVersion,
+    } = this.#options;
+    const { handleCrashRecords, handleLimitMessage } = this.#options;
     const message = decodePeerMessage(bytes);
     const nowMs = timers.nowMs();
     switch (message?.kind) {
@@ -342,36 +349,36 @@
         return;
       case 'report':
         if (message.report.daemon === daemon) return;
-        roster.heard(message.report.daemon, nowMs);
-        noteVersion(message.configurationVersion, message.report.daemon);
-        this.#configurations.noteVersion(message.report.daemon, message.configurationVersion);
+        roster.recordContact(message.report.daemon, nowMs);
+        recordPeerVersion(message.configurationVersion, message.report.daemon);
+        this.#configurations.recordPeerVersion(message.report.daemon, message.configurationVersion);
         this.#takeReport(this.#withServerIds(message.report));
         return;
       case 'sums':
         if (message.sums.relay === daemon) return;
-        roster.heardRelay(message.sums.relay, message.zone, nowMs);
+        roster.recordRelayContact(message.sums.relay, message.zone, nowMs);
         this.#takeSums(message.zone, this.#withServerIds(message.sums));
         return;
       case 'tables':
         if (message.relay === daemon) return;
-        roster.heardRelay(message.relay, message.zone, nowMs);
-        noteVersion(message.digest.configurationVersion, message.relay);
-        this.#configurations.noteVersion(message.relay, message.digest.configurationVersion);
-        if (message.zone === zone && !this.#relay.isRelay) takeTables(message.digest);
+        roster.recordRelayContact(message.relay, message.zone, nowMs);
+        recordPeerVersion(message.digest.configurationVersion, message.relay);
+        this.#configurations.recordPeerVersion(message.relay, message.digest.configurationVersion);
+        if (message.zone === zone && !this.#relay.isRelay) handleTableDigest(message.digest);
         return;
       case 'configuration':
         this.#configurations.take(message);
         return;
       case 'servers':
-        if (message.zone === zone && !this.#relay.isRelay) takeServers(message.changes);
+        if (message.zone === zone && !this.#relay.isRelay) applyServers(message.changes);
         return;
       case 'stage':
-        takeStage(message.notice);
+        handleStageNotice(message.notice);
         return;
       case 'usage-asked':
       case 'usage-counted':
       case 'usage-reported':
-        takeUsage(message, (answer) => this.#reply(answer, sender));
+        handleUsage(message, (answer) => this.#reply(answer, sender));
         return;
       case 'paces':
         this.#paces.take(message.message, (answer) =>
@@ -381,13 +388,13 @@
       case 'limit-ask':
       case 'limit-grant':
       case 'limit-told':
-        takeLimit(message, (answer) => this.#reply(answer, sender));
+        handleLimitMessage(message, (answer) => this.#reply(answer, sender));
         return;
       case 'crashes':
-        takeCrashes(message.records);
+        handleCrashRecords(message.records);
         return;
       case 'news':
-        for (const news of message.news) takeNews(news);
+        for (const news of message.news) applyCacheEvents(news);
         return;
     }
   }
@@ -396,9 +403,9 @@
     if (!this.#isStopped) this.#socket.send(encodePeerMessage(message), port, address);
   }
 
-  #takeNewsOf({ reads, reach }: OwnNews): void {
-    for (const read of reads) this.#options.takeRead(read);
-    for (const notice of reach) this.#options.takeReach(notice);
+  #takeNewsOf({ reads, reach }: PeerNotices): void {
+    for (const read of reads) this.#options.handleRead(read);
+    for (const notice of reach) this.#options.handleReachability(notice);
   }
 
   #nextSequence(): number {
--- a/src/shell/gateway/peer-message-fields.ts
+++ b/src/shell/gateway/peer-message-fields.ts
@@ -6,7 +6,7 @@
 import {
   type CrashRecord,
   type EngineWork,
-  type ReachNotice,
+  type ReachabilityNotice,
   type ReadNotice,
   type ServerRecord,
   type ServiceDemand,
@@ -244,7 +244,7 @@
   return { service, prefillMs, decodeMs, requests, shortRequests };
 }
 
-export function encodeReach({ serverId, isReachable, by }: ReachNotice): unknown[] {
+export function encodeReach({ serverId, isReachable, by }: ReachabilityNotice): unknown[] {
   return [serverId, isReachable, by];
 }
 
@@ -252,7 +252,7 @@
   string,
   boolean,
   string,
-]): ReachNotice {
+]): ReachabilityNotice {
   return { serverId, isReachable, by };
 }
 
--- a/src/shell/gateway/prompt-reading.ts
+++ b/src/shell/gateway/prompt-reading.ts
@@ -59,14 +59,14 @@
     context.admission.wake();
     return memory;
   }
-  const isOver = fleet.directory.isOver(server);
+  const isSuperseded = fleet.directory.isSuperseded(server);
   // What a server has read is gone with its life.
-  if (memory === undefined || isOver) {
+  if (memory === undefined || isSuperseded) {
     load.abandon(read);
     context.admission.wake();
     noteWait(exchange, context, plan, nowMs - startedAtMs);
     const wasSilent = isGivenUp && !exchange.signal.aborted;
-    if (wasSilent && !isOver) fleet.healthOf(server.id).recordBroken(nowMs);
+    if (wasSilent && !isSuperseded) fleet.healthOf(server.id).recordBroken(nowMs);
     return undefined;
   }
   load.finish(read, nowMs);
--- a/src/shell/gateway/relay-digest.ts
+++ b/src/shell/gateway/relay-digest.ts
@@ -29,7 +29,7 @@
   }
 
   /** When the relay last looked at the store, as far as its digests say. */
-  get lookedMs(): number {
+  get relayContactAtMs(): number {
     return this.#freshUntilMs - this.#maxAgeMs;
   }
 
@@ -98,14 +98,14 @@
   }
 
   /** While the digest is fresh and says that there is nothing to look for. */
-  async whileCurrent(isCurrent: () => boolean, signal: AbortSignal): Promise<void> {
+  async waitWhileCurrent(isCurrent: () => boolean, signal: AbortSignal): Promise<void> {
     while (!signal.aborted && this.isFresh && isCurrent()) {
       await this.#nextDigest(this.#freshUntilMs - this.#timers.nowMs(), signal);
     }
   }
 
   /** Until there is a fresh digest, or the signal. */
-  async freshened(signal: AbortSignal): Promise<void> {
+  async waitUntilFresh(signal: AbortSignal): Promise<void> {
     while (!signal.aborted && !this.isFresh) await this.#nextDigest(undefined, signal);
   }
 
--- a/src/shell/gateway/relay-duty.ts
+++ b/src/shell/gateway/relay-duty.ts
@@ -12,8 +12,8 @@
   type PeerDaemon,
   type PeerLoads,
   type PeerRoster,
-  type ReachNotice,
-  ReachNoticeFilter,
+  type ReachabilityNotice,
+  ReachabilityNoticeFilter,
   type ReadNotice,
   type ServiceDemand,
   SumsAdvertiser,
@@ -44,20 +44,20 @@
 const LEAST_ENTRIES = 12;
 
 /** What daemons tell once, beside their work: reads that began, servers that fell silent or are back. */
-export interface OwnNews {
+export interface PeerNotices {
   readonly reads: readonly ReadNotice[];
-  readonly reach: readonly ReachNotice[];
+  readonly reach: readonly ReachabilityNotice[];
 }
 
 /** Sums with what is told beside them. */
-type SumsMessage = AdvertisedSums & OwnNews & Pick<LoadSums, 'demand'>;
+type SumsMessage = AdvertisedSums & PeerNotices & Pick<LoadSums, 'demand'>;
 
-export const NO_NEWS: OwnNews = { reads: [], reach: [] };
+export const NO_NOTICES: PeerNotices = { reads: [], reach: [] };
 
 /** News that are collected until they are told. */
 interface PendingNews {
   readonly reads: ReadNotice[];
-  readonly reach: ReachNotice[];
+  readonly reach: ReachabilityNotice[];
 }
 
 /** Who is told sums, and what. */
@@ -89,7 +89,7 @@
   /** What this daemon has seen of the store's tables. */
   readonly tableDigest: () => Omit<TableDigest, 'peersChecksum'>;
   /** Told when this daemon becomes its zone's relay, or no longer is. */
-  readonly noteRelay: (isRelay: boolean) => void;
+  readonly onRelayChange: (isRelay: boolean) => void;
   readonly nextSequence: () => number;
   /** Bytes that may be sent to each daemon of the own zone. */
   readonly zoneBudget: ByteBudget;
@@ -104,8 +104,8 @@
   readonly #sums = new SumsAdvertiser();
   readonly #zoneSums = new SumsAdvertiser();
   readonly #digestSchedule = new DigestSchedule();
-  readonly #zoneReach = new ReachNoticeFilter();
-  readonly #otherReach = new ReachNoticeFilter();
+  readonly #zoneReach = new ReachabilityNoticeFilter();
+  readonly #otherReach = new ReachabilityNoticeFilter();
   /** What is still to be told to the own zone: its own news, and those of other zones. */
   readonly #newsForZone: PendingNews = { reads: [], reach: [] };
   /** What is still to be told to the other relays. */
@@ -138,7 +138,7 @@
   }
 
   /** News of this daemon, or of one of its zone. */
-  forward({ reads, reach }: OwnNews): void {
+  forward({ reads, reach }: PeerNotices): void {
     const newReach = this.#zoneReach.take(reach, this.#options.timers.nowMs());
     const news = { reads, reach: newReach };
     addNews(this.#newsForZone, news);
@@ -159,7 +159,7 @@
     this.#isRelay = isRelay;
     clearNews(this.#newsForZone);
     clearNews(this.#newsForRelays);
-    this.#options.noteRelay(isRelay);
+    this.#options.onRelayChange(isRelay);
     const { zone, log, roster } = this.#options;
     log.write(GATEWAY_EVENTS.roleInFleet, { zone, isRelay, daemons: roster.daemonCount });
   }
@@ -173,7 +173,7 @@
     const bytes = encodePeerMessage({ kind: 'tables', relay: daemon, zone, digest });
     // Relays tell each other which version they have: one that believes a stale read learns it from them.
     const zoneAndRelays = [...roster.zonePeers(), ...roster.otherRelays(nowMs)];
-    send(audience === 'everyone' ? roster.everyone() : zoneAndRelays, bytes);
+    send(audience === 'everyone' ? roster.allPeers() : zoneAndRelays, bytes);
   }
 
   #tellSums(): void {
@@ -216,7 +216,7 @@
     if (!isComplete && work.length === 0 && reads.length === 0 && reach.length === 0) return;
     for (let first = 0; first === 0 || first < work.length; first += MAX_ENTRIES_PER_MESSAGE) {
       const part = work.slice(first, first + MAX_ENTRIES_PER_MESSAGE);
-      const message = first === 0 ? told : { ...told, ...NO_NEWS, isComplete: false };
+      const message = first === 0 ? told : { ...told, ...NO_NOTICES, isComplete: false };
       const bytes = this.#encodeSums({ ...message, work: part });
       budget.take(datagramWireBytes(bytes));
       this.#options.send(peers, bytes);
@@ -230,7 +230,7 @@
   }
 }
 
-function addNews(pending: PendingNews, { reads, reach }: OwnNews): void {
+function addNews(pending: PendingNews, { reads, reach }: PeerNotices): void {
   pending.reads.push(...reads);
   pending.reach.push(...reach);
   const tooMany = pending.reads.length - MOST_PENDING_READS;
--- a/src/shell/gateway/retry-budget-reporter.ts
+++ b/src/shell/gateway/retry-budget-reporter.ts
@@ -66,7 +66,7 @@
   }
 
   /** To be called when the list of daemons was read. */
-  noteDaemonCount(before: number | undefined, daemons: number): void {
+  recordDaemonCount(before: number | undefined, daemons: number): void {
     if (daemons === before) return;
     this.#options.log.write(GATEWAY_EVENTS.fleetSizeChanged, {
       daemons,
--- a/src/shell/gateway/roster-news-duty.ts
+++ b/src/shell/gateway/roster-news-duty.ts
@@ -10,7 +10,7 @@
 const LIST_AWAITED_MS = 4_000;
 
 /** What a duty is built from. */
-export interface RosterNewsDutyOptions {
+export interface RosterCacheEventDutyOptions {
   readonly roster: PeerRoster;
   readonly fleet: FleetView;
   /** Absent where this daemon tells no others. */
@@ -19,11 +19,11 @@
 }
 
 /** Asks for the news that the roster gives this daemon to ask for. */
-export class RosterNewsDuty implements CacheEventDuty {
-  readonly #options: RosterNewsDutyOptions;
+export class RosterCacheEventDuty implements CacheEventDuty {
+  readonly #options: RosterCacheEventDutyOptions;
   readonly #startedMs: number;
 
-  constructor(options: RosterNewsDutyOptions) {
+  constructor(options: RosterCacheEventDutyOptions) {
     this.#options = options;
     this.#startedMs = options.timers.nowMs();
   }
@@ -41,7 +41,7 @@
 
   forward(engine: ServerRecord, news: EngineCacheEvents): void {
     const { roster, peers, timers } = this.#options;
-    const told = roster.toldOfNews(engine.id, this.#maxNewsCalls(engine), timers.nowMs());
+    const told = roster.cacheEventRecipients(engine.id, this.#maxNewsCalls(engine), timers.nowMs());
     peers?.forward(news, told);
   }
 
--- a/src/shell/gateway/server-end-check.ts
+++ b/src/shell/gateway/server-end-check.ts
@@ -3,7 +3,7 @@
  * tried. A server that has ended refuses it; one that was reset, cut or spoilt an answer takes it, or says nothing. One
  * that has started again takes it, too; its later life in the list shows that the one before has ended.
  */
-import { lifeOf, type ServerRecord } from '../../core/gateway/index.js';
+import { bootIdOf, type ServerRecord } from '../../core/gateway/index.js';
 import type { BackendConnections } from './backend-connections.js';
 import type { TimerService } from './timer-service.js';
 
@@ -15,7 +15,7 @@
 export interface ServerExitCheckOptions {
   readonly connections: Pick<BackendConnections, 'isRefused'>;
   /** Whether a later life of a server is listed already. */
-  readonly isOver: (server: ServerRecord) => boolean;
+  readonly isSuperseded: (server: ServerRecord) => boolean;
   readonly timers: TimerService;
 }
 
@@ -36,16 +36,16 @@
 
   /** Whether a life of a server is over, just after a run there broke: refused, or followed by another one. */
   async hasEnded(server: ServerRecord): Promise<boolean> {
-    const { isOver } = this.#options;
-    if (isOver(server)) return true;
+    const { isSuperseded } = this.#options;
+    if (isSuperseded(server)) return true;
     const isRefused = await this.#isRefused(server);
-    return isRefused || isOver(server);
+    return isRefused || isSuperseded(server);
   }
 
   #isRefused(server: ServerRecord): Promise<boolean> {
     const { connections, timers } = this.#options;
     const nowMs = timers.nowMs();
-    const life = lifeOf(server);
+    const life = bootIdOf(server);
     const known = this.#checks.get(life);
     if (known !== undefined && nowMs - known.atMs < SHARED_MS) return known.hasEnded;
     this.#dropOld(nowMs);
--- a/src/shell/gateway/stage-orders.ts
+++ b/src/shell/gateway/stage-orders.ts
@@ -32,7 +32,7 @@
   readonly calls: Pick<ServerCalls, 'call'>;
   readonly codec: RequestCodec;
   /** Tells the other daemons of an engine that changes. */
-  readonly tellStage: (notice: StageNotice) => void;
+  readonly broadcastStage: (notice: StageNotice) => void;
   /** The epoch of the lease while this daemon holds it. */
   readonly currentEpoch: () => number | undefined;
   /** Told when an order is sent. */
@@ -99,7 +99,7 @@
       this.#tellStage({ engineId: engine.id, stage, phase: 'changing' });
       await delay(timers, FOLLOW_GAP_MS);
       const isGone = fleet.directory.get(engine.id) === undefined;
-      if (isGone || fleet.directory.isOver(engine)) return;
+      if (isGone || fleet.directory.isSuperseded(engine)) return;
       const report = await this.#readReport(engine);
       // An order is forgotten with the life that took it.
       if (report !== undefined && this.#isOtherLife(engine, report)) return;
@@ -113,14 +113,14 @@
 
   /** Whether a report is of another life than the one that was planned with; its order sequence began anew. */
   #isOtherLife(engine: ServerRecord, { bornMs }: EngineReport): boolean {
-    if (this.#options.fleet.directory.isOver(engine)) return true;
+    if (this.#options.fleet.directory.isSuperseded(engine)) return true;
     return bornMs !== undefined && engine.bornMs !== undefined && bornMs !== engine.bornMs;
   }
 
   #tellStage(notice: StageNotice): void {
-    const { fleet, timers, tellStage } = this.#options;
+    const { fleet, timers, broadcastStage } = this.#options;
     fleet.stageNotices.take(notice, timers.nowMs());
-    tellStage(notice);
+    broadcastStage(notice);
   }
 
   async #readReport(engine: ServerRecord): Promise<EngineReport | undefined> {
--- a/src/shell/gateway/table-call.ts
+++ b/src/shell/gateway/table-call.ts
@@ -8,14 +8,14 @@
 const PAGE_ROWS = 500;
 
 /** What a call needs. */
-export interface TableReach {
+export interface TableAccess {
   readonly table: TableService;
   readonly timers: TimerService;
 }
 
 /** @param signal ends the call sooner; undefined when nothing but its time does */
 export function callTable(
-  { table, timers }: TableReach,
+  { table, timers }: TableAccess,
   call: TableCall,
   signal: AbortSignal | undefined,
 ): Promise<TableResult> {
--- a/src/shell/gateway/table-watcher.ts
+++ b/src/shell/gateway/table-watcher.ts
@@ -44,8 +44,8 @@
 /** Who takes a table's rows. */
 export interface TableConsumer<Value> {
   /** The whole table as of one moment. @returns whether that differs from what was known */
-  takeAll(rows: readonly WatchedRow<Value>[]): boolean;
-  takeChanges(rows: readonly WatchedRow<Value>[]): void;
+  applyAll(rows: readonly WatchedRow<Value>[]): boolean;
+  applyChanges(rows: readonly WatchedRow<Value>[]): void;
   /** These changes came from the store itself; others may be told of them. */
   readonly forward?: (changes: TableChanges<Value>) => void;
 }
@@ -55,7 +55,7 @@
   readonly table: FollowedTable;
   readonly from: RelayDigest;
   /** Whether this daemon has all that the relay has, whatever either has seen of the table; absent where it can't tell. */
-  readonly hasAll?: () => boolean;
+  readonly isUpToDateWithRelay?: () => boolean;
 }
 
 /** What a watcher is built from. */
@@ -66,11 +66,11 @@
   /** The digest of a relay on this table; absent where the daemon always follows it by itself. */
   readonly digest?: DigestSource;
   /** Changes that come within this time of each other are taken in one call; 0 takes each at once. */
-  readonly gatherMs: number;
+  readonly batchMs: number;
   /** For how long a table is read whole again. */
   readonly recheckSpans: RecheckSpans;
   /** Told when the store answers in another era than before. */
-  readonly noteEra: (era: number) => void;
+  readonly handleEra: (era: number) => void;
   /** From 0 to below 1, to spread the retries of many daemons. */
   readonly random: () => number;
   /** Shared by all watches of this daemon. */
@@ -114,21 +114,21 @@
    * its own under way, and only where they join what it has seen, so nothing is left out or set back.
    */
   offer(changes: TableChanges<Value>): void {
-    if (!this.#isIdle || !this.#revisions.joins(changes)) return;
+    if (!this.#isIdle || !this.#revisions.isContiguous(changes)) return;
     this.#revisions.advanceTo(changes.revision);
-    this.#revisions.noteChange(changes.revision);
-    this.#options.consumer.takeChanges(changes.rows);
+    this.#revisions.recordChange(changes.revision);
+    this.#options.consumer.applyChanges(changes.rows);
   }
 
   /** The store was heard in an era; a later one than before makes all that was followed worth nothing. */
-  noteEra(era: number): void {
-    if (this.#revisions.eraOf({ era }) !== 'newer') return;
+  handleEra(era: number): void {
+    if (this.#revisions.compareEra({ era }) !== 'newer') return;
     this.#enterEra(era);
-    this.lookAgain();
+    this.requestFullRead();
   }
 
   /** Whether the table has to be read whole before its changes are followed. */
-  get isUnread(): boolean {
+  get needsFullRead(): boolean {
     return this.#revisions.seen === undefined;
   }
 
@@ -148,7 +148,7 @@
   }
 
   /** Reads the table whole as soon as no other such call is under way. */
-  lookAgain(): void {
+  requestFullRead(): void {
     this.#mustLook = true;
     this.#interrupt.abort();
   }
@@ -168,9 +168,9 @@
   /** Where this daemon has all that its relay has, it goes on from where the relay has followed the table to. */
   #takeOverProgress(): void {
     const { digest } = this.#options;
-    if (!this.#hasFreshDigest || digest?.hasAll?.() !== true) return;
+    if (!this.#hasFreshDigest || digest?.isUpToDateWithRelay?.() !== true) return;
     const progress = digest.from.progressOf(digest.table);
-    if (progress !== undefined && this.#revisions.takeOver(progress)) this.#rechecks.end();
+    if (progress !== undefined && this.#revisions.adoptProgress(progress)) this.#rechecks.end();
   }
 
   /** Whether there is a digest that says what the table is now. */
@@ -190,7 +190,7 @@
     if (answer === undefined) return;
     if (this.#revisions.isStale(answer)) return this.#logStale(answer);
     // Changes go on from where they were followed to: what this read has taken up is still to be passed on.
-    const hasDiffered = this.#options.consumer.takeAll(answer.rows);
+    const hasDiffered = this.#options.consumer.applyAll(answer.rows);
     const isFirstOfEra = this.#revisions.seen === undefined;
     if (recheck === 'last' || hasDiffered || isFirstOfEra) this.#goOnFrom(answer.revision, true);
   }
@@ -203,7 +203,7 @@
       this.#logStale(answer);
       return this.#handleFailure({ kind: 'failed', reason: 'a stale read', wasRefused: true });
     }
-    this.#options.consumer.takeAll(answer.rows);
+    this.#options.consumer.applyAll(answer.rows);
     this.#goOnFrom(answer.revision, isToldToZone);
   }
 
@@ -235,13 +235,13 @@
 
   /** A daemon that has nothing to serve by yet gives a slow store more time. */
   get #lookMs(): number {
-    const { lookMs, firstLookMs } = this.#options.timing();
-    return this.#revisions.hasRead ? lookMs : firstLookMs;
+    const { callTimeoutMs, firstReadTimeoutMs } = this.#options.timing();
+    return this.#revisions.hasRead ? callTimeoutMs : firstReadTimeoutMs;
   }
 
   /** Changes are followed from a whole read on; what changed before is not known change by change. */
   #goOnFrom(revision: number, isToldToZone: boolean): void {
-    this.#revisions.goOnFrom(revision, isToldToZone);
+    this.#revisions.resumeFrom(revision, isToldToZone);
     this.#noteReadInEra();
   }
 
@@ -255,7 +255,7 @@
   }
 
   async #readChanges(): Promise<void> {
-    const { consumer, gatherMs } = this.#options;
+    const { consumer, batchMs } = this.#options;
     // While reads may be stale this daemon looks for itself.
     if (!this.#rechecks.isUnderWay) {
       await this.#awaitDigest();
@@ -277,29 +277,29 @@
       this.#gathersInARow = 0;
       return;
     }
-    this.#revisions.noteChange(answer.revision);
-    consumer.takeChanges(answer.rows);
+    this.#revisions.recordChange(answer.revision);
+    consumer.applyChanges(answer.rows);
     consumer.forward?.({ era, after, revision: answer.revision, rows: answer.rows });
-    if (gatherMs > 0) await this.#gather(gatherMs);
+    if (batchMs > 0) await this.#gather(batchMs);
   }
 
   /** A hold would hide for as long that the store is back, so none is asked for after a call that failed. */
   #askForChanges(after: number): Promise<WatchAnswer<Value>> {
     const { table, timing } = this.#options;
-    const { holdMs, lookMs } = timing();
+    const { holdMs, callTimeoutMs } = timing();
     const isHeld = this.#failuresInARow === 0;
     const waitMs = isHeld ? holdMs : LEAST_HOLD_MS;
-    const limitMs = isHeld ? holdMs + ANSWER_SLACK_MS : lookMs;
+    const limitMs = isHeld ? holdMs + ANSWER_SLACK_MS : callTimeoutMs;
     return this.#ask(limitMs, this.#interrupt.signal, (signal) =>
       table.changesAfter(after, waitMs, signal),
     );
   }
 
   /** Lets changes come together before the next call; the longer they go on, the longer. */
-  async #gather(gatherMs: number): Promise<void> {
+  async #gather(batchMs: number): Promise<void> {
     this.#gathersInARow = Math.min(MOST_GATHER_GROWTH, this.#gathersInARow + 1);
     await this.#idle(
-      delay(this.#options.timers, gatherMs * this.#gathersInARow, this.#interrupt.signal),
+      delay(this.#options.timers, batchMs * this.#gathersInARow, this.#interrupt.signal),
     );
   }
 
@@ -308,7 +308,7 @@
     const { digest } = this.#options;
     if (digest === undefined) return;
     const { signal } = this.#interrupt;
-    await this.#idle(digest.from.whileCurrent(() => this.#isCurrent(digest), signal));
+    await this.#idle(digest.from.waitWhileCurrent(() => this.#isCurrent(digest), signal));
   }
 
   #isCurrent({ table, from }: DigestSource): boolean {
@@ -334,9 +334,9 @@
 
   /** Reads may be stale for a while, as after a lost history. */
   #enterEra(era: number): void {
-    const { log, table, timers, recheckSpans, noteEra } = this.#options;
+    const { log, table, timers, recheckSpans, handleEra } = this.#options;
     const { era: eraBefore, revision: revisionBefore } = this.#revisions.changed;
-    this.#revisions.enter(era);
+    this.#revisions.enterEra(era);
     this.#eraSinceMs ??= timers.nowMs();
     this.#rechecks.begin(timers.nowMs(), recheckSpans.historyLostMs);
     log.write(GATEWAY_EVENTS.storeEraRaised, {
@@ -345,7 +345,7 @@
       eraBefore,
       revisionBefore,
     });
-    noteEra(era);
+    handleEra(era);
   }
 
   async #ask(
@@ -357,11 +357,11 @@
     const answer = await callWithTimeout(this.#options.timers, timeoutMs, signal, call);
     const { era } = answer;
     if (era === undefined) return answer;
-    switch (this.#revisions.eraOf({ era })) {
+    switch (this.#revisions.compareEra({ era })) {
       case 'same':
         return answer;
       case 'first':
-        this.#revisions.enter(era);
+        this.#revisions.enterEra(era);
         return answer;
       case 'newer':
         this.#enterEra(era);
@@ -389,7 +389,7 @@
     if (this.#stopped.signal.aborted) return;
     const { log, table, timers, recheckSpans } = this.#options;
     if (answer.kind === 'history-lost') {
-      this.#revisions.lose();
+      this.#revisions.invalidate();
       this.#rechecks.begin(timers.nowMs(), recheckSpans.historyLostMs);
       log.write(GATEWAY_EVENTS.historyLost, { table: table.name, era: answer.era });
       return;
@@ -405,16 +405,16 @@
   /** A fresh digest of the relay ends the wait, as it may say that there is nothing to ask for. */
   async #backOff(): Promise<void> {
     const { digest, timing, random, retryTurns } = this.#options;
-    const { longestRetryMs } = timing();
-    const backoffMs = FIRST_RETRY_SHARE * longestRetryMs * 2 ** (this.#failuresInARow - 1);
+    const { maxRetryDelayMs } = timing();
+    const backoffMs = FIRST_RETRY_SHARE * maxRetryDelayMs * 2 ** (this.#failuresInARow - 1);
     const spread = 1 - RETRY_SPREAD * random();
-    const waitMs = Math.min(longestRetryMs, backoffMs) * spread;
+    const waitMs = Math.min(maxRetryDelayMs, backoffMs) * spread;
     const ended = new AbortController();
     const end = () => ended.abort();
     this.#stopped.signal.addEventListener('abort', end, { once: true });
     // A fresh digest says already that there is something to ask for.
     const mayHear = digest !== undefined && !digest.from.isFresh;
-    if (mayHear) void digest.from.freshened(ended.signal).then(end);
+    if (mayHear) void digest.from.waitUntilFresh(ended.signal).then(end);
     await this.#idle(retryTurns.next({ waitMs, callMs: this.#lookMs }, ended.signal));
     end();
     this.#stopped.signal.removeEventListener('abort', end);
--- a/src/shell/gateway/tenant-usage.ts
+++ b/src/shell/gateway/tenant-usage.ts
@@ -61,9 +61,9 @@
   readonly dueMs: number;
   readonly duties: PlatformDuties;
   readonly table: TableService;
-  readonly roster: Pick<PeerRoster, 'everyone' | 'placeFor'>;
+  readonly roster: Pick<PeerRoster, 'allPeers' | 'positionFor'>;
   /** Absent where this daemon tells no others. */
-  readonly peers: () => Pick<PeerExchange, 'tell'> | undefined;
+  readonly peers: () => Pick<PeerExchange, 'sendMessage'> | undefined;
   readonly wallClock: WallClock;
   readonly timers: TimerService;
   /** Whose clock counts the time of a suspended machine. */
@@ -144,7 +144,7 @@
 
   /** How long after the end of a window this daemon steps in for it. */
   #turnMs(): number {
-    const place = this.#options.roster.placeFor(RECORD_KEY);
+    const place = this.#options.roster.positionFor(RECORD_KEY);
     return FIRST_TURN_MS + TURN_GAP_MS * Math.min(MOST_TURNS, place);
   }
 
@@ -191,16 +191,16 @@
     this.#collection = collection;
     for (const part of this.#ownParts(window)) collection.take(part);
     for (let asks = 0; asks < MOST_ASKS; asks += 1) {
-      const silent = roster.everyone().filter(({ name }) => !collection.hasAnswered(name));
+      const silent = roster.allPeers().filter(({ name }) => !collection.hasAnswered(name));
       if (silent.length === 0) break;
-      peers()?.tell(silent, { kind: 'usage-asked', window });
+      peers()?.sendMessage(silent, { kind: 'usage-asked', window });
       await delay(timers, ASK_GAP_MS, this.#stopped.signal);
     }
     this.#collection = undefined;
     this.#collected = { window, counts: Object.fromEntries(collection.total()) };
     log.write(GATEWAY_EVENTS.usageCollected, {
       window,
-      daemons: roster.everyone().length + 1,
+      daemons: roster.allPeers().length + 1,
       answers: collection.answers,
     });
   }
@@ -229,7 +229,7 @@
     this.#duty.takeReport(reportOutcomeOf(outcome), record);
     if (outcome.kind === 'accepted') {
       this.#failuresInARow = 0;
-      peers()?.tell(roster.everyone(), { kind: 'usage-reported', window });
+      peers()?.sendMessage(roster.allPeers(), { kind: 'usage-reported', window });
       log.write(GATEWAY_EVENTS.usageReported, { window, fence });
       return;
     }
--- a/src/shell/gateway/watch-timing.ts
+++ b/src/shell/gateway/watch-timing.ts
@@ -18,11 +18,11 @@
   /** How long the store holds a call while nothing changes. */
   readonly holdMs: number;
   /** A call that is not held is over after this. */
-  readonly lookMs: number;
+  readonly callTimeoutMs: number;
   /** The first call of a daemon, which has nothing to serve by yet, is given longer: the store may be slow. */
-  readonly firstLookMs: number;
+  readonly firstReadTimeoutMs: number;
   /** The longest wait before a call that failed is made again. */
-  readonly longestRetryMs: number;
+  readonly maxRetryDelayMs: number;
 }
 
 /** An answer to a held call that takes this much longer than the hold is not coming. */
@@ -53,27 +53,27 @@
 /** The times of a role's watches. */
 export function watchTiming(role: WatchRole, contactMs: number): WatchTiming {
   const looks = {
-    lookMs: contactMs * LOOK_SHARE_OF_CONTACT,
-    firstLookMs: contactMs * HOLD_SHARE_OF_CONTACT,
+    callTimeoutMs: contactMs * LOOK_SHARE_OF_CONTACT,
+    firstReadTimeoutMs: contactMs * HOLD_SHARE_OF_CONTACT,
   };
   switch (role) {
     case 'alone':
       return {
         ...looks,
         holdMs: contactMs * HOLD_SHARE_OF_CONTACT,
-        longestRetryMs: LONGEST_RETRY_MS,
+        maxRetryDelayMs: LONGEST_RETRY_MS,
       };
     case 'relay':
       return {
         ...looks,
         holdMs: contactMs * RELAY_HOLD_SHARE_OF_CONTACT,
-        longestRetryMs: LONGEST_RETRY_MS,
+        maxRetryDelayMs: LONGEST_RETRY_MS,
       };
     case 'follower':
       return {
         ...looks,
         holdMs: contactMs * FOLLOWER_HOLD_SHARE_OF_CONTACT,
-        longestRetryMs: contactMs * FOLLOWER_RETRY_SHARE_OF_CONTACT,
+        maxRetryDelayMs: contactMs * FOLLOWER_RETRY_SHARE_OF_CONTACT,
       };
   }
 }
@@ -83,14 +83,14 @@
  * alone. The last call that was swallowed began just before the end: it is a held one, after which the first wait is
  * short, or one of a row that failed, after which the wait is the longest.
  */
-export function longestBlindMs({ holdMs, lookMs, longestRetryMs }: WatchTiming): number {
-  const afterHeld = holdMs + ANSWER_SLACK_MS + longestRetryMs * FIRST_RETRY_SHARE;
-  const afterLook = lookMs + longestRetryMs;
+export function longestBlindMs({ holdMs, callTimeoutMs, maxRetryDelayMs }: WatchTiming): number {
+  const afterHeld = holdMs + ANSWER_SLACK_MS + maxRetryDelayMs * FIRST_RETRY_SHARE;
+  const afterLook = callTimeoutMs + maxRetryDelayMs;
   return Math.max(afterHeld, afterLook);
 }
 
 /** How old a relay's look at the store may be that others rely on. */
-export function digestAgeMs(contactMs: number): number {
+export function maxDigestAgeMs(contactMs: number): number {
   return contactMs * DIGEST_AGE_SHARE_OF_CONTACT;
 }
 
--- a/src/shell/gateway/web-work.ts
+++ b/src/shell/gateway/web-work.ts
@@ -28,7 +28,7 @@
   >;
   readonly roster: Pick<PeerRoster, 'isLarge'>;
   /** Absent where this daemon tells no others. */
-  readonly peers: () => Pick<PeerExchange, 'noteShortCall'> | undefined;
+  readonly peers: () => Pick<PeerExchange, 'scheduleUrgentReport'> | undefined;
   readonly timers: TimerService;
   readonly log: Pick<GatewayLog, 'write'>;
 }
@@ -52,7 +52,7 @@
   /** A call to a server of a service began or ended. */
   recordCall(service: string): void {
     const { fleet, peers } = this.#options;
-    if (this.#isTold && fleet.isCrowded(service)) peers()?.noteShortCall();
+    if (this.#isTold && fleet.isCrowded(service)) peers()?.scheduleUrgentReport();
   }
 
   /** What is expected at the servers of a service; undefined where only own calls count. */
@@ -68,7 +68,7 @@
     switch (load.kind) {
       case 'figures': {
         const isListed = fleet.directory.get(server.id) !== undefined;
-        if (!isListed || fleet.directory.isOver(server)) return;
+        if (!isListed || fleet.directory.isSuperseded(server)) return;
         const { openCalls } = fleet.healthOf(server.id);
         fleet.webLoads.recordReport(server.id, load.figures, openCalls, timers.nowMs());
         return;
--- a/test/gateway/capacity-controller.test.ts
+++ b/test/gateway/capacity-controller.test.ts
@@ -46,7 +46,7 @@
   };
   const services = new Map([['reader', { name: 'reader', engine: undefined, scaling }]]);
   const limits = { maxHeaderBytes: 1, maxBodyBytes: 1, headerTimeoutMs: 1, idleTimeoutMs: 1 };
-  fleet.takeConfiguration(
+  fleet.applyConfiguration(
     { version: 1, routes: [], tenants: undefined, services, limits },
     timers.nowMs(),
   );
--- a/test/gateway/configuration-in-force.test.ts
+++ b/test/gateway/configuration-in-force.test.ts
@@ -269,7 +269,7 @@
   await zone.timers.advanceUntil(CALM_MS + 500);
   const [, follower] = zone.daemons;
   assert.equal(follower?.follower.inForceVersion, version);
-  const isNewer = follower?.follower.takePassedConfiguration({
+  const isNewer = follower?.follower.applyForwardedConfiguration({
     ...late,
     era: 0,
     after: 1,
@@ -293,7 +293,7 @@
   await zone.timers.advanceUntil(CALM_MS);
   for (const { table } of zone.daemons) table.staleVersion = undefined;
   assert.equal(relay.follower.inForceVersion, version - 1);
-  relay.follower.noteVersion(version, 'relay of another zone');
+  relay.follower.recordPeerVersion(version, 'relay of another zone');
   await zone.timers.advanceUntil(CALM_MS + options.contactMs);
   zone.stop();
   await zone.timers.advanceUntil(CALM_MS + 3 * options.contactMs);
--- a/test/gateway/configuration-teller.test.ts
+++ b/test/gateway/configuration-teller.test.ts
@@ -2,7 +2,7 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import { PeerRoster } from '../../src/core/gateway/index.js';
-import { ConfigurationTeller } from '../../src/shell/gateway/configuration-teller.js';
+import { ConfigurationGossip } from '../../src/shell/gateway/configuration-teller.js';
 import { decodePeerMessage } from '../../src/shell/gateway/peer-messages.js';
 import { ManualTimers } from './support/manual-timers.js';
 
@@ -19,13 +19,13 @@
     timers.nowMs(),
   );
   const told: { readonly to: readonly string[]; readonly bytes: Buffer }[] = [];
-  const teller = new ConfigurationTeller({
+  const teller = new ConfigurationGossip({
     zone: 'z',
     roster,
     timers,
     isRelay: () => false,
     configurationVersion: () => VERSION,
-    takeConfiguration: () => true,
+    applyConfiguration: () => true,
     send: (peers, bytes) => told.push({ to: peers.map(({ name }) => name), bytes }),
   });
   const tell = (version: number, revision: number) => {
@@ -43,11 +43,11 @@
 // A daemon that started while the store had only an older copy stayed with that until the operator wrote again.
 test('a daemon that goes on with an older configuration is told the newer one, once in a while', () => {
   const { timers, teller, told } = setUp();
-  teller.noteVersion('b', VERSION - 4);
+  teller.recordPeerVersion('b', VERSION - 4);
   assert.equal(told.length, 0, 'it hears of a change by itself');
   timers.advance(SETTLED_MS);
-  teller.noteVersion('b', VERSION - 4);
-  teller.noteVersion('b', VERSION - 4);
+  teller.recordPeerVersion('b', VERSION - 4);
+  teller.recordPeerVersion('b', VERSION - 4);
   assert.deepEqual(
     told.map(({ to }) => to),
     [['b']],
@@ -57,7 +57,7 @@
   assert.equal(message.change.encoded.toString(), String(VERSION));
   assert.deepEqual([message.change.after, message.change.revision], [0, 0], 'it joins no watch');
   timers.advance(SETTLED_MS);
-  teller.noteVersion('b', VERSION - 4);
+  teller.recordPeerVersion('b', VERSION - 4);
   assert.equal(told.length, 2);
 });
 
@@ -65,7 +65,7 @@
   test(`a daemon that says version ${version} of ${VERSION} is told nothing`, () => {
     const { timers, teller, told } = setUp();
     timers.advance(SETTLED_MS);
-    teller.noteVersion('b', version);
+    teller.recordPeerVersion('b', version);
     assert.deepEqual(told, []);
   });
 }
--- a/test/gateway/digest-schedule.test.ts
+++ b/test/gateway/digest-schedule.test.ts
@@ -23,7 +23,7 @@
 test('everyone hears the first time and each ninth, the own zone each time', () => {
   const told = new DigestSchedule();
   const audiences = Array.from({ length: 12 }, (_, beat) => told.next(digest(1, 1), beat * 400));
-  const everyone = audiences.flatMap((audience, beat) => (audience === 'everyone' ? [beat] : []));
-  assert.deepEqual(everyone, [0, 9]);
+  const allPeers = audiences.flatMap((audience, beat) => (audience === 'everyone' ? [beat] : []));
+  assert.deepEqual(allPeers, [0, 9]);
   assert.equal(audiences.filter((audience) => audience === 'zone').length, 10);
 });
--- a/test/gateway/heard-version.test.ts
+++ b/test/gateway/heard-version.test.ts
@@ -3,7 +3,7 @@
 import { test } from 'node:test';
 import { GATEWAY_EVENTS } from '../../src/core/logging/catalogue/gateway.js';
 import type { LogEvent, LogFields } from '../../src/core/logging/log-event.js';
-import { HeardVersion } from '../../src/shell/gateway/heard-version.js';
+import { NewestPeerVersion } from '../../src/shell/gateway/heard-version.js';
 import { ManualTimers } from './support/manual-timers.js';
 
 const GRACE_MS = 1_000;
@@ -12,7 +12,7 @@
   const timers = new ManualTimers();
   const state = { inForce: 4, looks: 0 };
   const lines: { readonly event: LogEvent; readonly fields: LogFields }[] = [];
-  const heard = new HeardVersion({
+  const heard = new NewestPeerVersion({
     inForce: () => state.inForce,
     look: () => (state.looks += 1),
     graceMs: GRACE_MS,
@@ -21,7 +21,7 @@
   });
   const take = (version: number) => {
     state.inForce = version;
-    heard.noteInForce(version);
+    heard.recordInForce(version);
   };
   return { timers, state, lines, heard, take };
 }
--- a/test/gateway/limit-fleets.test.ts
+++ b/test/gateway/limit-fleets.test.ts
@@ -72,7 +72,7 @@
   fleet.perSecond = 20;
   const { daemons, timers } = fleet;
   const lists = [daemons.slice(0, 5), daemons.slice(5)].map((half) =>
-    half.map((daemon) => daemon.roster.everyone()),
+    half.map((daemon) => daemon.roster.allPeers()),
   );
   for (const [half, list] of lists.entries()) {
     const first = half * 5;
@@ -174,7 +174,7 @@
     await fleet.play(5, () => 0);
     place = asker.limits.reservePermit(server.service, () => server);
   }
-  asker.fleet.forgetEnded({ removed: [server], renewed: [] });
+  asker.fleet.forgetEnded({ removed: [server], restarted: [] });
   asker.limits.returnPermits(place);
   await fleet.play(1_000, () => 0);
   assert.equal(granter.fleet.limits.of(server.id)?.perSecond, 5);
--- a/test/gateway/peer-directory.test.ts
+++ b/test/gateway/peer-directory.test.ts
@@ -38,7 +38,7 @@
     timers,
     random: () => 0.5,
     log: { write: () => undefined },
-    noteDaemonCount: (daemons) => counts.push(daemons),
+    recordDaemonCount: (daemons) => counts.push(daemons),
     relayPeersChecksum: () => relayPeersChecksum(roster),
   });
   void directory.run(PORT);
--- a/test/gateway/peer-roster.test.ts
+++ b/test/gateway/peer-roster.test.ts
@@ -32,10 +32,14 @@
   const all = daemons(9);
   for (const [index, roster] of rostersOf(all).entries()) {
     assert.equal(roster.isLarge, false);
-    assert.equal(roster.toldOfChanges(0).length, 8);
+    assert.equal(roster.changeRecipients(0).length, 8);
     assert.equal(roster.isRelay(0), false);
     assert.equal(roster.isWatcher('engine', MAX_NEWS_CALLS, 0), true);
-    assert.deepEqual(roster.toldOfNews('engine', MAX_NEWS_CALLS, 0), [], all[index]?.name);
+    assert.deepEqual(
+      roster.cacheEventRecipients('engine', MAX_NEWS_CALLS, 0),
+      [],
+      all[index]?.name,
+    );
   }
 });
 
@@ -48,7 +52,7 @@
     const self = all[index];
     const own = relays.filter(({ zone, name }) => zone === self?.zone && name !== self.name);
     const others = relays.filter(({ zone }) => zone !== self?.zone);
-    assert.deepEqual(namesOf(roster.toldOfChanges(0)), namesOf(own));
+    assert.deepEqual(namesOf(roster.changeRecipients(0)), namesOf(own));
     assert.deepEqual(namesOf(roster.otherRelays(0)), namesOf(others));
   }
 });
@@ -62,7 +66,9 @@
     );
     assert.deepEqual(watchers.map(({ zone }) => zone).sort(), ZONES);
     assert.ok(watchers.length <= MAX_NEWS_CALLS);
-    const told = rosters.flatMap((roster) => roster.toldOfNews(engineId, MAX_NEWS_CALLS, 0));
+    const told = rosters.flatMap((roster) =>
+      roster.cacheEventRecipients(engineId, MAX_NEWS_CALLS, 0),
+    );
     assert.deepEqual(namesOf([...told, ...watchers]), namesOf(all));
   }
 });
@@ -75,7 +81,7 @@
 
 /** All daemons are heard but the named ones. */
 function hearAllBut(roster: PeerRoster, all: readonly PeerDaemon[], silent: string, nowMs: number) {
-  for (const { name } of all) if (name !== silent) roster.heard(name, nowMs);
+  for (const { name } of all) if (name !== silent) roster.recordContact(name, nowMs);
 }
 
 test('a relay that falls silent is passed over soon, and taken back when it is heard', () => {
@@ -87,10 +93,10 @@
   const others = zoneRosters.filter((roster) => !roster.isRelay(0));
   for (const roster of others) {
     hearAllBut(roster, all, relay.name, 2_000);
-    assert.equal(namesOf(roster.toldOfChanges(2_000)).includes(relay.name), false);
+    assert.equal(namesOf(roster.changeRecipients(2_000)).includes(relay.name), false);
   }
   assert.equal(others.filter((roster) => roster.isRelay(2_000)).length, 1);
-  for (const roster of others) roster.heardRelay(relay.name, relay.zone, 2_100);
+  for (const roster of others) roster.recordRelayContact(relay.name, relay.zone, 2_100);
   assert.equal(others.filter((roster) => roster.isRelay(2_100)).length, 0);
 });
 
@@ -98,13 +104,13 @@
   const all = daemons(60);
   const rosters = rostersOf(all);
   const first = all.find(
-    (_, index) => (rosters[index]?.toldOfNews('e', MAX_NEWS_CALLS, 0).length ?? 0) > 0,
+    (_, index) => (rosters[index]?.cacheEventRecipients('e', MAX_NEWS_CALLS, 0).length ?? 0) > 0,
   );
   assert.ok(first !== undefined);
   const left = rosters.filter((_, index) => all[index] !== first);
   for (const roster of left) hearAllBut(roster, all, first.name, SILENT_MS);
   const zones = left.flatMap((roster) => {
-    const told = roster.toldOfNews('e', MAX_NEWS_CALLS, SILENT_MS);
+    const told = roster.cacheEventRecipients('e', MAX_NEWS_CALLS, SILENT_MS);
     return told.length > 0 ? [told[0]?.zone] : [];
   });
   assert.deepEqual(zones.sort(), ZONES);
@@ -117,7 +123,7 @@
   const ranked = namesOf(roster.otherRelays(0).filter(({ zone }) => zone === 'south'));
   const another = all.find(({ name, zone }) => zone === 'south' && name !== ranked[0]);
   assert.ok(another !== undefined);
-  roster.heardRelay(another.name, 'south', 1_000);
+  roster.recordRelayContact(another.name, 'south', 1_000);
   const told = (nowMs: number) =>
     namesOf(roster.otherRelays(nowMs).filter(({ zone }) => zone === 'south'));
   assert.deepEqual(told(2_000), [another.name]);
@@ -126,9 +132,9 @@
 
 test('a daemon that has read no list of daemons takes no part that the whole fleet is needed for', () => {
   const roster = new PeerRoster({ name: 'new', zone: 'a' });
-  assert.equal(roster.knowsDemandOfAll(false), false, 'its own part is not the whole');
-  assert.ok(roster.placeFor('usage') > 340, 'it would be first, as all that start with it');
+  assert.equal(roster.knowsFleetDemand(false), false, 'its own part is not the whole');
+  assert.ok(roster.positionFor('usage') > 340, 'it would be first, as all that start with it');
   roster.replace([], 0);
-  assert.equal(roster.knowsDemandOfAll(false), true, 'it is alone');
-  assert.equal(roster.placeFor('usage'), 0);
+  assert.equal(roster.knowsFleetDemand(false), true, 'it is alone');
+  assert.equal(roster.positionFor('usage'), 0);
 });
--- a/test/gateway/peers.test.ts
+++ b/test/gateway/peers.test.ts
@@ -7,7 +7,7 @@
   type LoadSums,
   PeerLoads,
   PeerRoster,
-  type ReachNotice,
+  type ReachabilityNotice,
   type ReadNotice,
   ReadSpeed,
   type ServerRecord,
@@ -260,7 +260,7 @@
   const reported = deferred<LoadReport>();
   const summed = deferred<LoadSums>();
   const relayed = deferred<LoadSums>();
-  const found = deferred<ReachNotice>();
+  const found = deferred<ReachabilityNotice>();
   const informed = deferred<EngineCacheEvents>();
   const changed = deferred<number>();
   const listed = deferred<number>();
@@ -280,11 +280,11 @@
     timers,
     log: SILENT_LOG,
     serverIdOf: () => undefined,
-    noteSums: () => undefined,
-    noteDaemonCount: listed.resolve,
+    onSums: () => undefined,
+    recordDaemonCount: listed.resolve,
     ownWork: () => work,
     ownDemand: () => [],
-    noteRelay: () => undefined,
+    onRelayChange: () => undefined,
     paces: new FleetPaces({ use: 'always', speedOf: () => speed, serviceOf: () => 's' }),
     isReady: () => true,
     tableDigest: () => ({
@@ -294,21 +294,21 @@
       ageMs: 5,
     }),
     relayPeersChecksum: () => undefined,
-    takeTables: () => undefined,
-    takeServers: ({ rows }) => changed.resolve(rows.length),
-    takeReach: found.resolve,
+    handleTableDigest: () => undefined,
+    applyServers: ({ rows }) => changed.resolve(rows.length),
+    handleReachability: found.resolve,
     configurationVersion: () => VERSION,
-    noteVersion: (version) => versioned.resolve(version),
-    takeConfiguration: ({ revision }) => {
+    recordPeerVersion: (version) => versioned.resolve(version),
+    applyConfiguration: ({ revision }) => {
       configured.resolve(revision);
       return true;
     },
-    takeStage: () => undefined,
-    takeNews: informed.resolve,
-    takeUsage: () => undefined,
-    takeLimit: () => undefined,
-    takeCrashes: () => undefined,
-    takeRead: noticed.resolve,
+    handleStageNotice: () => undefined,
+    applyCacheEvents: informed.resolve,
+    handleUsage: () => undefined,
+    handleLimitMessage: () => undefined,
+    handleCrashRecords: () => undefined,
+    handleRead: noticed.resolve,
     loads: {
       take: (report, nowMs) => {
         loads.take(report, nowMs);
@@ -414,7 +414,7 @@
     return { kind: 'value', key: id, value: { ...SERVER, id } } as const;
   });
   timers.advance(500);
-  relay.exchange.passOnServers({ era: 0, after: 1, revision: 2, rows });
+  relay.exchange.forwardServers({ era: 0, after: 1, revision: 2, rows });
   const count = await settledBy(other.changed.promise, timers);
   for (const { exchange } of both) exchange.stop();
   assert.equal(count, 100);
@@ -429,12 +429,12 @@
   await settledBy(elsewhere.listed.promise, timers);
   timers.advance(1_000);
   const addresses = both.flatMap(({ roster }) => roster.zonePeers());
-  elsewhere.roster.replace([...elsewhere.roster.everyone(), ...addresses], timers.nowMs());
-  elsewhere.roster.heardRelay(relay.name, 'z', timers.nowMs());
+  elsewhere.roster.replace([...elsewhere.roster.allPeers(), ...addresses], timers.nowMs());
+  elsewhere.roster.recordRelayContact(relay.name, 'z', timers.nowMs());
   timers.advance(1_000);
   const encoded = Buffer.from('{}');
   const rows = [{ kind: 'value', key: 'config', value: { version: VERSION }, encoded }] as const;
-  elsewhere.exchange.passOnConfiguration({ era: 0, after: 1, revision: 2, rows });
+  elsewhere.exchange.forwardConfiguration({ era: 0, after: 1, revision: 2, rows });
   assert.equal(await settledBy(other.configured.promise, timers), 2);
   for (const { exchange } of [...both, elsewhere]) exchange.stop();
 });
--- a/test/gateway/reach-notices.test.ts
+++ b/test/gateway/reach-notices.test.ts
@@ -2,15 +2,15 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import {
-  type ReachNotice,
-  ReachNoticeFilter,
+  type ReachabilityNotice,
+  ReachabilityNoticeFilter,
   ServerHealth,
   type ServerRecord,
 } from '../../src/core/gateway/index.js';
 import { FleetView } from '../../src/shell/gateway/fleet-view.js';
 
-const silent = (by: string): ReachNotice => ({ serverId: 's', by, isReachable: false });
-const back = (by: string): ReachNotice => ({ serverId: 's', by, isReachable: true });
+const silent = (by: string): ReachabilityNotice => ({ serverId: 's', by, isReachable: false });
+const back = (by: string): ReachabilityNotice => ({ serverId: 's', by, isReachable: true });
 
 test('a silent server is passed over, then tried by one call at a time', () => {
   const health = new ServerHealth();
@@ -56,7 +56,7 @@
 });
 
 test('a relay passes on as many notices of a server as are needed, and news again later', () => {
-  const filter = new ReachNoticeFilter();
+  const filter = new ReachabilityNoticeFilter();
   const notices = ['a', 'a', 'b', 'c', 'd'].map(silent);
   assert.deepEqual(
     filter.take(notices, 0).map(({ by }) => by),
@@ -94,7 +94,7 @@
   const waitMs = fleet.roomExpectedInMs('m', 100) ?? 0;
   assert.ok(waitMs > 0 && waitMs <= 400, `${waitMs} ms`);
   assert.equal(fleet.isReachable('d2', 100), false);
-  fleet.takeReach({ serverId: 'd2', by: 'b', isReachable: true }, 100);
+  fleet.handleReachability({ serverId: 'd2', by: 'b', isReachable: true }, 100);
   assert.deepEqual(
     fleet.candidates('m', 100).map(({ id }) => id),
     ['r', 'd2'],
--- a/test/gateway/retry-budget-reporter.test.ts
+++ b/test/gateway/retry-budget-reporter.test.ts
@@ -55,10 +55,10 @@
 test('a budget begun before the list of daemons was read says so', () => {
   const { fleet, reporter, fieldsOf } = setUp();
   fleet.budgetOf('m');
-  reporter.noteDaemonCount(fleet.size.listed, 59);
+  reporter.recordDaemonCount(fleet.size.listed, 59);
   fleet.setDaemonCount(59);
   fleet.setDaemonCount(59);
-  reporter.noteDaemonCount(fleet.size.listed, 59);
+  reporter.recordDaemonCount(fleet.size.listed, 59);
   fleet.budgetOf('n');
   assert.deepEqual(
     fieldsOf(GATEWAY_EVENTS.retryBudgetBegun).map(({ service, daemons }) => [service, daemons]),
--- a/test/gateway/server-lives.test.ts
+++ b/test/gateway/server-lives.test.ts
@@ -39,7 +39,7 @@
   return { table: 'servers', privateKey: key, value: bytes.toString('base64') };
 }
 
-const TIMING = { lookMs: 1_000, firstLookMs: 3_000, longestRetryMs: 500 };
+const TIMING = { callTimeoutMs: 1_000, firstReadTimeoutMs: 3_000, maxRetryDelayMs: 500 };
 
 /** A follower of one list of servers whose rows a test gives. */
 class FollowedList {
@@ -81,8 +81,8 @@
       restored: new RestoredServers(3_000),
       random: Math.random,
       handleStoreRestored: () => undefined,
-      passOnServers: ({ rows }) => this.passedOn.push(rows.length),
-      passOnConfiguration: () => undefined,
+      forwardServers: ({ rows }) => this.passedOn.push(rows.length),
+      forwardConfiguration: () => undefined,
       recordServerStart: ({ id }) => this.started.push(id),
       digest: this.#digest,
       timers: this.timers,
@@ -92,7 +92,7 @@
           this.lines.push({ event: event.message, ...fields }),
       } as never,
       applyLimits: () => undefined,
-      noteServers: () => undefined,
+      onServersChanged: () => undefined,
     });
   }
 
@@ -133,7 +133,7 @@
 
   /** Changes that a relay passes on; they count while this daemon asks the store nothing. */
   offer(changes: TableChanges<ServerRecord>): void {
-    this.#follower.takeServerChanges(changes);
+    this.#follower.applyServerChanges(changes);
   }
 
   get unreadable(): number {
@@ -270,8 +270,8 @@
         way === 'apply'
           ? directory.apply([second], [], NOW_UNIX_MS)
           : directory.replaceAll([second], NOW_UNIX_MS);
-      const reason = change.passedOver[0]?.reason;
-      const seen = reason ?? (change.renewed.length > 0 ? 'renewed' : 'same');
+      const reason = change.skipped[0]?.reason;
+      const seen = reason ?? (change.restarted.length > 0 ? 'renewed' : 'same');
       assert.equal(seen, expected, way);
       const listed = directory.get('i-1');
       if (expected === 'older-life') assert.equal(listed?.bornMs, BORN_MS, way);
@@ -284,10 +284,10 @@
 test('a start that is told for the first time is another life; one in the future makes none an older one', () => {
   const directory = new ServerDirectory();
   directory.apply([record({ bornMs: undefined })], [], NOW_UNIX_MS);
-  assert.equal(directory.apply([record()], [], NOW_UNIX_MS).renewed.length, 1);
+  assert.equal(directory.apply([record()], [], NOW_UNIX_MS).restarted.length, 1);
   const ahead = record({ bornMs: NOW_UNIX_MS + 86_400_000 });
-  assert.equal(directory.apply([ahead], [], NOW_UNIX_MS).renewed.length, 1);
-  assert.equal(directory.apply([record()], [], NOW_UNIX_MS).renewed.length, 1);
+  assert.equal(directory.apply([ahead], [], NOW_UNIX_MS).restarted.length, 1);
+  assert.equal(directory.apply([record()], [], NOW_UNIX_MS).restarted.length, 1);
   assert.equal(directory.get('i-1')?.bornMs, BORN_MS);
 });
 
@@ -340,9 +340,9 @@
   const server = list.fleet.directory.get('i-1');
   assert.ok(server);
   const before = list.fleet.healthOf('i-1');
-  assert.equal(list.fleet.directory.isOver(server), false);
+  assert.equal(list.fleet.directory.isSuperseded(server), false);
   await list.change([rowOf('i-1', { ...ENTRY, born: BORN_MS + 5_000 })]);
-  assert.equal(list.fleet.directory.isOver(server), true);
+  assert.equal(list.fleet.directory.isSuperseded(server), true);
   assert.equal(list.fleet.directory.wasReady(server), true, 'it took new work until its end');
   assert.notEqual(list.fleet.healthOf('i-1'), before);
   list.stop();
@@ -401,7 +401,7 @@
 
 test('a life that ended counts as ended though its server takes connections again', async () => {
   const timers = new ManualTimers();
-  let isOver = false;
+  let isSuperseded = false;
   let asked = 0;
   const check = new ServerExitCheck({
     connections: {
@@ -410,13 +410,13 @@
         return Promise.resolve(false);
       },
     },
-    isOver: () => isOver,
+    isSuperseded: () => isSuperseded,
     timers,
   });
   assert.equal(await check.hasEnded(record()), false);
-  isOver = true;
+  isSuperseded = true;
   assert.equal(await check.hasEnded(record()), true);
-  isOver = false;
+  isSuperseded = false;
   assert.equal(await check.hasEnded(record({ bornMs: BORN_MS + 1 })), false);
   assert.equal(asked, 2, 'what was found of one life says nothing of the next');
 });
--- a/test/gateway/spread.test.ts
+++ b/test/gateway/spread.test.ts
@@ -281,7 +281,7 @@
   const fleet = new FleetView({ ratio: 0.2, slack: 50 });
   const services = new Map([['m', { name: 'm', engine: undefined, scaling: undefined }]]);
   const limits = { maxHeaderBytes: 1, maxBodyBytes: 1, headerTimeoutMs: 1, idleTimeoutMs: 1 };
-  fleet.takeConfiguration({ version: 1, routes: [], tenants: undefined, services, limits }, 0);
+  fleet.applyConfiguration({ version: 1, routes: [], tenants: undefined, services, limits }, 0);
   fleet.directory.replaceAll(['a', 'b'].map((id) => engine(id, 'prefill', 'zone-0')));
   assert.equal(fleet.busiestToMean(0), 0);
   fleet.loadOf('a').begin({ urgency: 'in-time', readMs: 300, waitMs: 0 }, 0);
--- a/test/gateway/stage-controller.test.ts
+++ b/test/gateway/stage-controller.test.ts
@@ -74,7 +74,7 @@
     idleTimeoutMs: 1,
   };
   const services = new Map([['reader', { name: 'reader', engine, scaling: undefined }]]);
-  fleet.takeConfiguration({ version: 1, routes: [], tenants: undefined, services, limits }, nowMs);
+  fleet.applyConfiguration({ version: 1, routes: [], tenants: undefined, services, limits }, nowMs);
   const records = [0, 1, 2, 3, 4, 5, 6, 7].map(
     (index): ServerRecord => ({
       id: `e${index}`,
@@ -136,7 +136,7 @@
       onLimitChange: () => undefined,
     }),
     codec: REQUEST_CODEC,
-    tellStage: (notice) => setup.notices.push(notice),
+    broadcastStage: (notice) => setup.notices.push(notice),
     timers,
     log: new GatewayLog(QUIET_LOGGER, timers, 1_000),
   });
--- a/test/gateway/support/fleet-of-guards.ts
+++ b/test/gateway/support/fleet-of-guards.ts
@@ -61,7 +61,7 @@
       isReady: () => true,
       roster,
       peers: () => ({
-        tell: (told, message) => {
+        sendMessage: (told, message) => {
           if (message.kind !== 'crashes') return;
           for (const { name } of told) {
             this.datagrams += 1;
--- a/test/gateway/support/fleet-of-tellers.ts
+++ b/test/gateway/support/fleet-of-tellers.ts
@@ -100,11 +100,11 @@
     for (let passedMs = 0; passedMs < spanMs; passedMs += 60) {
       const nowMs = this.timers.nowMs();
       for (const { daemon, roster } of [...this.live.values()]) {
-        for (const other of this.live.values()) other.roster.heard(daemon.name, nowMs);
+        for (const other of this.live.values()) other.roster.recordContact(daemon.name, nowMs);
         if (!roster.isRelay(nowMs)) continue;
         for (const other of this.live.values()) {
           if (other.daemon.name === daemon.name) continue;
-          other.roster.heardRelay(daemon.name, daemon.zone, nowMs);
+          other.roster.recordRelayContact(daemon.name, daemon.zone, nowMs);
         }
       }
       this.timers.advance(60);
--- a/test/gateway/support/followed-zone.ts
+++ b/test/gateway/support/followed-zone.ts
@@ -20,7 +20,7 @@
 import { RelayDigest } from '../../../src/shell/gateway/relay-digest.js';
 import type { TableChanges } from '../../../src/shell/gateway/table-watcher.js';
 import {
-  digestAgeMs,
+  maxDigestAgeMs,
   recheckSpans,
   type WatchRole,
   watchTiming,
@@ -268,7 +268,7 @@
   ) {
     this.door = new Door(timers);
     this.table = new ConfigurationsAtDoor(table, this.door);
-    this.digest = new RelayDigest(timers, digestAgeMs(contactMs));
+    this.digest = new RelayDigest(timers, maxDigestAgeMs(contactMs));
     const adapter = { configurations: this.table, servers: noServersAt(table, this.door, timers) };
     this.follower = new FleetFollower({
       adapter: adapter as unknown as PlatformAdapter,
@@ -283,15 +283,15 @@
       restored: new RestoredServers(contactMs),
       random,
       handleStoreRestored: () => undefined,
-      passOnServers: () => undefined,
-      passOnConfiguration: forward,
+      forwardServers: () => undefined,
+      forwardConfiguration: forward,
       recordServerStart: () => undefined,
       digest: this.digest,
       timers,
       wallClock: () => timers.nowMs(),
       log: { write: () => undefined } as never,
       applyLimits: ({ idleTimeoutMs }) => this.inForceMs.set(idleTimeoutMs, timers.nowMs()),
-      noteServers: () => undefined,
+      onServersChanged: () => undefined,
     });
   }
 }
@@ -419,7 +419,7 @@
     if (this.#schedule.next(digest, this.timers.nowMs()) !== 'nobody') {
       this.timers.after(DATAGRAM_MS, () => {
         for (const { digest: heard, follower } of followers) {
-          follower.noteVersion(digest.configurationVersion, 'relay');
+          follower.recordPeerVersion(digest.configurationVersion, 'relay');
           heard.take(digest);
         }
       });
@@ -432,7 +432,8 @@
     if (newest?.kind !== 'value' || newest.encoded === undefined) return;
     const change = { era, after, revision, key: newest.key, encoded: newest.encoded };
     this.timers.after(DATAGRAM_MS, () => {
-      for (const { follower } of this.daemons.slice(1)) follower.takePassedConfiguration(change);
+      for (const { follower } of this.daemons.slice(1))
+        follower.applyForwardedConfiguration(change);
     });
   }
 }
--- a/test/gateway/support/web-fleet.ts
+++ b/test/gateway/support/web-fleet.ts
@@ -18,7 +18,7 @@
 /** As a relay gathers its sums. */
 const RELAY_GAP_MS = 60;
 const LINK_MS = 2;
-const NO_NEWS = { reads: [], demand: [], reach: [] };
+const NO_NOTICES = { reads: [], demand: [], reach: [] };
 
 /** What varies between runs. */
 export interface WebFleetOptions {
@@ -277,7 +277,7 @@
         incarnation: 1,
         sequence: this.#sequence,
         work: this.#ownWork(daemon),
-        ...NO_NEWS,
+        ...NO_NOTICES,
       };
       this.#after(LINK_MS, () => relay.take(report, this.#nowMs));
     });
@@ -304,7 +304,7 @@
   #sums(zone: string, work: readonly EngineWork[]): LoadSums {
     this.#sequence += 1;
     const head = { relay: zone, incarnation: 1, sequence: this.#sequence, isComplete: true };
-    return { ...head, work, ...NO_NEWS };
+    return { ...head, work, ...NO_NOTICES };
   }
 
   #after(delayMs: number, run: () => void): void {
--- a/test/gateway/table-watcher.test.ts
+++ b/test/gateway/table-watcher.test.ts
@@ -8,7 +8,7 @@
 import { ManualTimers } from './support/manual-timers.js';
 
 const GATHER_MS = 400;
-const TIMING = { lookMs: 1_000, firstLookMs: 3_000, longestRetryMs: 500 };
+const TIMING = { callTimeoutMs: 1_000, firstReadTimeoutMs: 3_000, maxRetryDelayMs: 500 };
 
 /** A table in which a row changes with every call. */
 class RestlessTable implements WatchedTable<number> {
@@ -41,18 +41,18 @@
     for (const row of rows) if ('value' in row) taken.push(Number(row.value));
     return taken.some((value) => !before.has(value));
   };
-  return { takeAll: take, takeChanges: take };
+  return { applyAll: take, applyChanges: take };
 }
 
-function watcherOf(table: RestlessTable, gatherMs: number, timers: ManualTimers, taken: number[]) {
+function watcherOf(table: RestlessTable, batchMs: number, timers: ManualTimers, taken: number[]) {
   return new TableWatcher<number>({
     table,
     consumer: collectorOf(taken),
     timing: () => ({ ...TIMING, holdMs: 1_000 }),
     random: Math.random,
     retryTurns: new WatchRetryQueue(timers),
-    gatherMs,
-    noteEra: () => undefined,
+    batchMs,
+    handleEra: () => undefined,
     recheckSpans: { cutMs: 6_000, historyLostMs: 12_000 },
     timers,
     log: { write: () => undefined },
@@ -126,8 +126,8 @@
     random: Math.random,
     retryTurns: new WatchRetryQueue(timers),
     digest: { table: 'servers', from: digest },
-    gatherMs: GATHER_MS,
-    noteEra: () => undefined,
+    batchMs: GATHER_MS,
+    handleEra: () => undefined,
     recheckSpans: { cutMs: 6_000, historyLostMs: 12_000 },
     timers,
     log: { write: () => undefined },
--- a/test/gateway/web-server-load.test.ts
+++ b/test/gateway/web-server-load.test.ts
@@ -221,7 +221,7 @@
     fleet.healthOf('w-0').open(0);
     let told = 0;
     const peers = () => ({
-      noteShortCall: () => {
+      scheduleUrgentReport: () => {
         told += 1;
       },
     });
--- a/test/tenant-usage/reporting.test.ts
+++ b/test/tenant-usage/reporting.test.ts
@@ -71,7 +71,7 @@
       },
       table: this.table,
       roster,
-      peers: () => ({ tell: (peers, message) => this.#tell(name, peers, message) }),
+      peers: () => ({ sendMessage: (peers, message) => this.#tell(name, peers, message) }),
       wallClock: () => FIRST_WINDOW * WINDOW_MS + this.timers.nowMs() - this.#startedMs,
       timers: this.timers,
       leaseTimers: this.timers,
