--- a/soak/mutations.ts
+++ b/soak/mutations.ts
@@ -117,7 +117,7 @@
     name: 'words-outlast-copies',
     promise: 'DRAIN',
     file: 'src/core/gateway/restored-servers.ts',
-    text: "return known.state === 'draining' && isSameLife(known, record) ? 'leaves' : undefined;",
+    text: "return known.state === 'draining' && isSameBoot(known, record) ? 'leaves' : undefined;",
     replacement: 'return undefined;',
   },
   {
--- a/src/core/gateway/choose-engine.ts
+++ b/src/core/gateway/choose-engine.ts
@@ -5,9 +5,9 @@
 import { sharedPart } from './description.js';
 import type { EngineChoiceInput } from './engine-choice-input.js';
 import {
-  occupancyCostMs,
   healthCostMs,
   OTHER_ZONE_COST_MS,
+  occupancyCostMs,
   paceAt,
   runCostMs,
   runsAt,
--- a/src/core/gateway/engine-paces.ts
+++ b/src/core/gateway/engine-paces.ts
@@ -10,7 +10,7 @@
  * all engines that were seen, whatever they are: without that, both could drift away together.
  */
 import { isPossibleLine, LineSamples, type LineSums } from './line-samples.js';
-import { clampLogPace, PaceSamples, type ObservedPace, WeightedMean } from './pace-samples.js';
+import { clampLogPace, type ObservedPace, PaceSamples, WeightedMean } from './pace-samples.js';
 import type { ReadSpeed } from './read-speed.js';
 
 /**
--- a/src/core/gateway/index.ts
+++ b/src/core/gateway/index.ts
@@ -19,11 +19,11 @@
   type TrafficShare,
 } from './configuration.js';
 export {
+  CRASH_RECORD_RETENTION_MS,
   type Crash,
   type CrashRecord,
   type CrashRecordChange,
   CrashRecords,
-  CRASH_RECORD_RETENTION_MS,
 } from './crash-records.js';
 export {
   cachedPrefixTokens,
@@ -54,8 +54,8 @@
 export {
   LEDGER_SPAN_MS,
   LimitLedger,
-  type PermitRequest,
   type PermitGrant,
+  type PermitRequest,
   type TimedCount,
 } from './limit-ledger.js';
 export {
@@ -66,13 +66,13 @@
 } from './limit-permits.js';
 export type { LineSums } from './line-samples.js';
 export {
+  type AdvertisedLimit,
   type AnswerTimes,
-  type ReportedLimit,
   type LimitChange,
+  type LimitReading,
   type NamedLimit,
   NamedLimits,
-  type LimitReading,
-  type AdvertisedLimit,
+  type ReportedLimit,
 } from './named-limits.js';
 export { PaceAdvertiser } from './paces-to-tell.js';
 export {
@@ -93,10 +93,10 @@
 } from './place-request.js';
 export { placeWebRequest, type WebPlaceInput } from './place-web-request.js';
 export {
-  requiredEngines,
+  type DecodeRecoveryInput,
   planDecodeRecovery,
   planStageChanges,
-  type DecodeRecoveryInput,
+  requiredEngines,
   type StageChange,
   type StageNeed,
   type StagePlanInput,
@@ -121,20 +121,20 @@
 export {
   type AtLimit,
   type Availability,
+  type ReportedAvailability,
   type SendAvailability,
   ServerAvailability,
-  type ReportedAvailability,
   type Unavailable,
 } from './server-availability.js';
 export {
+  bootIdOf,
   type DirectoryChange,
   type EngineStage,
-  bootIdOf,
-  type SkipReason,
-  type SkippedRow,
   ServerDirectory,
   type ServerRecord,
   type ServerState,
+  type SkippedRow,
+  type SkipReason,
 } from './server-directory.js';
 export { type OpenCall, ServerHealth } from './server-health.js';
 export { shortIdOf } from './short-id.js';
@@ -148,7 +148,7 @@
   type WorkSource,
 } from './stage-demand.js';
 export { type StageNotice, StageNotices, type StagePhase } from './stage-notices.js';
-export { SumsAdvertiser, type AdvertisedSums } from './sums-to-tell.js';
+export { type AdvertisedSums, SumsAdvertiser } from './sums-to-tell.js';
 export { type Admission, TenantTable } from './tenants.js';
 export { ADVERTISE_DELAY_MS, unseenWork } from './unseen-work.js';
 export { UrgentSlack } from './urgent-slack.js';
--- a/src/core/gateway/server-health.ts
+++ b/src/core/gateway/server-health.ts
@@ -3,7 +3,7 @@
  * that fails is passed over for a time that doubles with each failure in a row, then tried again.
  */
 
-import { type ReachabilityNotice, MIN_UNREACHABLE_REPORTS } from './reach-notices.js';
+import { MIN_UNREACHABLE_REPORTS, type ReachabilityNotice } from './reach-notices.js';
 
 const FIRST_EJECTION_MS = 400;
 const LONGEST_EJECTION_MS = 4_000;
--- a/src/shell/gateway/crash-guard.ts
+++ b/src/shell/gateway/crash-guard.ts
@@ -4,12 +4,12 @@
  * one, each with its whole batch, as counted by the servers of a fleet of nine daemons.
  */
 import {
+  bootIdOf,
+  CRASH_RECORD_RETENTION_MS,
   type CrashRecord,
   type CrashRecordChange,
   CrashRecords,
-  bootIdOf,
   type PeerRoster,
-  CRASH_RECORD_RETENTION_MS,
   type ServerRecord,
 } from '../../core/gateway/index.js';
 import { GATEWAY_EVENTS } from '../../core/logging/catalogue/gateway.js';
--- a/src/shell/gateway/crash-table.ts
+++ b/src/shell/gateway/crash-table.ts
@@ -4,7 +4,7 @@
  */
 import { randomBytes } from 'node:crypto';
 import * as z from 'zod/mini';
-import { type CrashRecord, CRASH_RECORD_RETENTION_MS } from '../../core/gateway/index.js';
+import { CRASH_RECORD_RETENTION_MS, type CrashRecord } from '../../core/gateway/index.js';
 import { GATEWAY_EVENTS } from '../../core/logging/catalogue/gateway.js';
 import type { TableCall, TableResult, TableRow } from '../../core/platform/table.js';
 import type { GatewayLog } from './request-log.js';
--- a/src/shell/gateway/limit-coordinator.ts
+++ b/src/shell/gateway/limit-coordinator.ts
@@ -3,8 +3,8 @@
  * asks for and uses, those that it grants to others, and the requests that wait for one.
  */
 import {
-  MAX_HOLD_SHARE,
   type LimitChange,
+  MAX_HOLD_SHARE,
   type PeerDaemon,
   type PeerRoster,
   type ServerRecord,
--- a/src/shell/gateway/limit-grants.ts
+++ b/src/shell/gateway/limit-grants.ts
@@ -12,9 +12,9 @@
 import { GATEWAY_EVENTS } from '../../core/logging/catalogue/gateway.js';
 import { ByteBudget, datagramWireBytes } from './byte-budget.js';
 import type {
-  PermitRequestMessage,
-  PermitGrantMessage,
   LimitUpdateMessage,
+  PermitGrantMessage,
+  PermitRequestMessage,
 } from './limit-message-fields.js';
 import { encodePeerMessage } from './peer-messages.js';
 import type { GatewayLog } from './request-log.js';
--- a/src/shell/gateway/model-exchange.ts
+++ b/src/shell/gateway/model-exchange.ts
@@ -10,12 +10,12 @@
   type AttemptContext,
   type AttemptOptions,
   type AttemptResult,
-  hasNotRun,
+  completeAnswerOutcome,
   defaultAttemptOptions,
-  statusImpliesNotExecuted,
+  hasNotRun,
   refuseUnavailable,
   sendAttempt,
-  completeAnswerOutcome,
+  statusImpliesNotExecuted,
 } from './attempt.js';
 import type { Exchange } from './exchange.js';
 import { type PermitReservation, permitWaitRequestOf } from './limit-coordinator.js';
--- a/src/shell/gateway/model-planner.ts
+++ b/src/shell/gateway/model-planner.ts
@@ -3,14 +3,14 @@
  * its priorities, the work that it asks of each stage, and the times that were seen.
  */
 import {
-  chooseDecodeEngine,
   type ArrivalRefusal,
+  chooseDecodeEngine,
   type EngineChoiceInput,
   type EnginePlan,
   kvTransferMs,
   planModelRequest,
-  type ReadSpeed,
   promptPriority,
+  type ReadSpeed,
   refusalOnArrival,
   type ServerRecord,
   type Spread,
--- a/src/shell/gateway/peer-messages.ts
+++ b/src/shell/gateway/peer-messages.ts
@@ -25,6 +25,7 @@
 } from './limit-message-fields.js';
 import { decodePaces, encodePaces, type PaceMessage, pacesSchema } from './pace-message-fields.js';
 import {
+  cacheEventsSchema,
   configurationSchema,
   crashesSchema,
   decodeCrash,
@@ -35,10 +36,10 @@
   decodeServer,
   decodeWork,
   type EngineCacheEvents,
+  encodeCacheEvents,
   encodeCrash,
   encodeDemand,
   encodeEra,
-  encodeCacheEvents,
   encodeProgress,
   encodeReach,
   encodeReads,
@@ -46,7 +47,6 @@
   encodeWork,
   goneKey,
   KINDS,
-  cacheEventsSchema,
   reportSchema,
   serversSchema,
   stageSchema,
--- a/src/shell/gateway/ports.ts
+++ b/src/shell/gateway/ports.ts
@@ -7,11 +7,11 @@
 import type {
   EngineStage,
   GatewayConfiguration,
+  LimitReading,
   LoadFigures,
+  ReportedAvailability,
   RequestDescription,
-  LimitReading,
   ServerRecord,
-  ReportedAvailability,
 } from '../../core/gateway/index.js';
 import type { StorePosition } from '../../core/platform/store-position.js';
 import type { TableCall, TableResult } from '../../core/platform/table.js';
--- a/src/shell/gateway/relay-duty.ts
+++ b/src/shell/gateway/relay-duty.ts
@@ -5,6 +5,7 @@
  * hears its own zone and one message for each other zone.
  */
 import {
+  type AdvertisedSums,
   DigestSchedule,
   type EngineWork,
   type LoadReport,
@@ -18,7 +19,6 @@
   type ServiceDemand,
   SumsAdvertiser,
   type TableDigest,
-  type AdvertisedSums,
 } from '../../core/gateway/index.js';
 import { GATEWAY_EVENTS } from '../../core/logging/catalogue/gateway.js';
 import { type ByteBudget, datagramWireBytes } from './byte-budget.js';
--- a/src/shell/gateway/request-room.ts
+++ b/src/shell/gateway/request-room.ts
@@ -9,7 +9,7 @@
 import type { Exchange } from './exchange.js';
 import type { GatewayMetrics } from './gateway-metrics.js';
 import type { GatewayLog } from './request-log.js';
-import { admissionLogFields, type ReleaseReservation, type AdmissionCheck } from './room-ask.js';
+import { type AdmissionCheck, admissionLogFields, type ReleaseReservation } from './room-ask.js';
 import { AdmissionRefusals } from './room-refusals.js';
 import type { CancelTimer, TimerService } from './timer-service.js';
 
--- a/src/shell/gateway/room-refusals.ts
+++ b/src/shell/gateway/room-refusals.ts
@@ -4,7 +4,7 @@
 import type { Exchange } from './exchange.js';
 import type { GatewayMetrics } from './gateway-metrics.js';
 import type { GatewayLog } from './request-log.js';
-import { admissionLogFields, type AdmissionCheck } from './room-ask.js';
+import { type AdmissionCheck, admissionLogFields } from './room-ask.js';
 import type { TimerService } from './timer-service.js';
 
 /** Another daemon takes a request at once. */
--- a/src/shell/gateway/server-calls.ts
+++ b/src/shell/gateway/server-calls.ts
@@ -3,9 +3,9 @@
  * an answer says of its server is heard here, and nothing is sent to one that has said that it wants nothing.
  */
 import type {
-  ReportedLimit,
   LimitChange,
   LimitReading,
+  ReportedLimit,
   SendAvailability,
   ServerRecord,
 } from '../../core/gateway/index.js';
--- a/src/shell/gateway/whole-exchange.ts
+++ b/src/shell/gateway/whole-exchange.ts
@@ -4,22 +4,22 @@
  */
 import {
   chooseWebServer,
-  MAX_HOLD_SHARE,
   isRepeatable,
+  MAX_HOLD_SHARE,
   type ServerRecord,
 } from '../../core/gateway/index.js';
 import { withoutConnectionHeaders } from '../http/headers.js';
 import {
   type AttemptContext,
   type AttemptResult,
-  hasNotRun,
+  completeAnswerOutcome,
   defaultAttemptOptions,
-  statusImpliesNotExecuted,
+  hasNotRun,
   refuseUnavailable,
   sendAttempt,
-  completeAnswerOutcome,
+  statusImpliesNotExecuted,
 } from './attempt.js';
-import type { Exchange, CompleteAnswer } from './exchange.js';
+import type { CompleteAnswer, Exchange } from './exchange.js';
 import { permitWaitRequestOf } from './limit-coordinator.js';
 import { webAdmissionCheck } from './web-room-ask.js';
 
--- a/test/gateway/choices.test.ts
+++ b/test/gateway/choices.test.ts
@@ -2,14 +2,14 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import {
+  cachedPrefixTokens,
   chooseWebServer,
   type EngineChoiceInput,
   EngineLoad,
-  preferredEngineOf,
-  cachedPrefixTokens,
   PeerLoads,
   PrefixCacheIndex,
   planModelRequest,
+  preferredEngineOf,
   ReadSpeed,
   type Route,
   RouteTable,
--- a/test/gateway/crash-records.test.ts
+++ b/test/gateway/crash-records.test.ts
@@ -3,9 +3,9 @@
 import { test } from 'node:test';
 import fc from 'fast-check';
 import {
+  CRASH_RECORD_RETENTION_MS,
   type CrashRecord,
   CrashRecords,
-  CRASH_RECORD_RETENTION_MS,
 } from '../../src/core/gateway/index.js';
 
 const MOST_RECORDS = 4_096;
--- a/test/gateway/limit-messages.test.ts
+++ b/test/gateway/limit-messages.test.ts
@@ -3,8 +3,8 @@
 import { test } from 'node:test';
 import { pack, unpack } from 'msgpackr';
 import type {
-  PermitRequestMessage,
   LimitMessage,
+  PermitRequestMessage,
 } from '../../src/shell/gateway/limit-message-fields.js';
 import { decodePeerMessage, encodePeerMessage } from '../../src/shell/gateway/peer-messages.js';
 
--- a/test/gateway/model-requests.test.ts
+++ b/test/gateway/model-requests.test.ts
@@ -17,10 +17,10 @@
 import { ManualTimers } from './support/manual-timers.js';
 import {
   engine,
+  rejectingAsNotExecuted,
   type ServedRequest,
   type ServerStandIn,
   stamped,
-  rejectingAsNotExecuted,
 } from './support/server-stand-in.js';
 
 const ALL_EVENTS = [1, 2, 3].map((id) => `id: ${id}\ndata: piece ${id}\n\n`).join('');
--- a/test/gateway/named-limits.test.ts
+++ b/test/gateway/named-limits.test.ts
@@ -3,8 +3,8 @@
 import { test } from 'node:test';
 import { REQUEST_CODEC } from '../../platform/request-codec.js';
 import {
-  type ReportedLimit,
   NamedLimits,
+  type ReportedLimit,
   type ServerRecord,
 } from '../../src/core/gateway/index.js';
 
--- a/test/gateway/overload-replay.test.ts
+++ b/test/gateway/overload-replay.test.ts
@@ -12,8 +12,8 @@
   PeerLoads,
   type PlaceInput,
   placeRequest,
-  RankShares,
   promptPriority,
+  RankShares,
   refusalOnArrival,
   UrgentSlack,
 } from '../../src/core/gateway/index.js';
--- a/test/gateway/waiting-at-the-door.test.ts
+++ b/test/gateway/waiting-at-the-door.test.ts
@@ -4,7 +4,7 @@
 import { GATEWAY_EVENTS } from '../../src/core/logging/catalogue/gateway.js';
 import { SYSTEM_TIMERS, USUAL_LOAD_DECISIONS } from '../../src/shell/gateway/index.js';
 import { configuration, GatewayFixture, route } from './support/fixture.js';
-import { answering, type Script, rejectingAsNotExecuted } from './support/server-stand-in.js';
+import { answering, rejectingAsNotExecuted, type Script } from './support/server-stand-in.js';
 
 /** It can be held for long enough for a server's rest to end. */
 const PATIENT = route({ timeoutMs: 20_000, targetLatencyMs: 8_000 });
--- a/test/gateway/web-requests.test.ts
+++ b/test/gateway/web-requests.test.ts
@@ -7,9 +7,9 @@
 import { ManualTimers } from './support/manual-timers.js';
 import {
   answering,
+  rejectingAsNotExecuted,
   type ServedRequest,
   stamped,
-  rejectingAsNotExecuted,
 } from './support/server-stand-in.js';
 
 const IDEMPOTENT = route({
