--- a/src/core/gateway/engine-paces.ts
+++ b/src/core/gateway/engine-paces.ts
@@ -1,64 +1,75 @@
 /**
- * The pace of each engine of a service against the usual one: 1.7 reads a prompt in a 1.7th of the time
- * that the service's line says, and steps as much faster.
+ * Learns the pace of each engine of a service, relative to the usual engine: one with a pace of 1.7 reads a prompt in
+ * 1/1.7 of the time that the service's line predicts, and generates as much faster. The line gives the read time as a
+ * linear function of the prompt's tokens.
  *
- * It is learnt from reads that did not wait, by this daemon and by others, as a mean of logarithms. Few
- * samples say little: they are drawn to the usual pace by the weight of what was seen. Differences that
- * chance makes among equal engines count as none, so that equal engines are decided on as one pace.
+ * A pace is a mean of logarithms over reads that did not queue, observed by this daemon and by others. An estimate from
+ * few samples is shrunk toward the usual pace according to their weight. Differences that chance produces among equal
+ * engines count as none, so that equal engines are treated as having the same pace.
  *
- * The line and the paces are learnt from the same reads, each by means of the other. So the usual pace is the mean of
- * all engines that were seen, whatever they are: without that, both could drift away together.
+ * The line and the paces are learnt from the same reads, each with the help of the other. The usual pace is therefore
+ * defined as the mean over all observed engines; otherwise the line and the paces could drift together without bound.
  */
 import { isPossibleLine, LineSamples, type LineSums } from './line-samples.js';
 import { clampLogPace, type ObservedPace, PaceSamples, WeightedMean } from './pace-samples.js';
 import type { ReadSpeed } from './read-speed.js';
 
 /**
- * Reads that take longer than the engine's pace says may include a wait that nobody knew of, or a moment in which it was
- * slow: busy engines have more of these, and are not slower for it.
+ * Weight of a read that took longer than the engine's pace predicts: it may include an unknown wait or a temporary
+ * slowdown. Busy engines have more of these without being slower.
+ */
+const SLOWER_READ_WEIGHT = 0.15;
+/** Difference of logarithms by which reads of one engine vary without such a wait or slowdown. */
+const SLOWER_READ_LOG = 0.05;
+/** Weight of first-token samples from which their bias against the line is used. */
+const MIN_BIAS_WEIGHT = 5;
+/**
+ * An estimate received from a relay replaces this daemon's own unless its weight is below this share of the own weight.
+ */
+const MIN_RECEIVED_WEIGHT_SHARE = 0.5;
+/**
+ * Largest weight that is accepted in a message for an engine or a line; the weights that daemons hold stay below it.
+ */
+const MAX_WEIGHT = 1_000;
+/** Largest share of the elapsed time that is deducted as wait; an expected wait beyond it was a wrong estimate. */
+const MAX_WAIT_SHARE = 0.3;
+/**
+ * Weight of a decode engine's first token: it shows less of the engine's pace, since its step is shared with other
+ * requests.
  */
-const LONGER_WEIGHT = 0.15;
-/** Logarithms of reads of one engine differ by this much without any such wait or slow moment. */
-const LONGER_LOG = 0.05;
-/** First tokens before it is known how they come out. */
-const TRUSTED_WEIGHT = 5;
-/** What others know counts for more than what this daemon does, unless they have seen less than this part of it. */
-const LEAST_KNOWN_SHARE = 0.5;
-/** All that a message can say of one engine, or of a line: more than daemons hold. */
-const MOST_WEIGHT = 1_000;
-/** A wait that was expected to be longer than this part of all the time was expected wrongly. */
-const MOST_WAIT_SHARE = 0.3;
-/** The first token of a run shows less of an engine's pace: the step that it waits for is shared with others. */
 const DECODE_WEIGHT = 0.5;
-/** Paces are not worked out again for their age within this time; the caller's own interval comes on top. */
-const REFRESH_MS = 1_000;
+/**
+ * Minimum interval between updates of paces for the age of their samples; the interval at which callers call `refresh`
+ * adds to it.
+ */
+const REFRESH_INTERVAL_MS = 1_000;
 
 /**
- * Engines count as unlike once their paces differ by so much, as the standard deviation of their logarithms: well more
- * than waits that nobody tells of make among equal ones. They count as alike again below the lower bound.
+ * Engines count as heterogeneous once the standard deviation of their log paces reaches this value, which is well above
+ * what unreported waits produce among equal engines. They count as homogeneous again below the lower bound.
  */
-const UNLIKE_LOG = 0.3;
-const ALIKE_LOG = 0.2;
-/** An engine that was seen less often says nothing of how unlike they are. */
-const LEAST_SEEN_WEIGHT = 2;
-const LEAST_SEEN_ENGINES = 4;
+const HETEROGENEOUS_SD = 0.3;
+const HOMOGENEOUS_SD = 0.2;
+/** Weight that an engine needs to count in that decision, and the minimum number of such engines. */
+const MIN_OBSERVED_WEIGHT = 2;
+const MIN_OBSERVED_ENGINES = 4;
 
-/** How long an engine took. */
+/** The measured time of a read. */
 export interface TimedRead {
   readonly elapsedMs: number;
-  /** What was expected to be read before. */
+  /** Expected time of the reads queued before it. */
   readonly waitMs: number;
 }
 
-/** What was seen of one engine's pace. */
+/** The evidence for one engine's pace. */
 export interface PaceSums extends ObservedPace {
   readonly engineId: string;
 }
 
-/** What was seen, or is known, of a service's line and its engines. */
+/** New observations, or all current estimates, of a service's line and engines. */
 export interface ServicePaceSums {
   readonly service: string;
-  /** Undefined where nothing is said of it. */
+  /** Undefined if there is nothing to report of the line. */
   readonly line: LineSums | undefined;
   readonly engines: readonly PaceSums[];
 }
@@ -68,51 +79,54 @@
   readonly #speed: ReadSpeed;
   readonly #byEngine = new Map<string, PaceSamples>();
   readonly #mean = new WeightedMean();
-  readonly #untoldLine = new LineSamples(1);
-  readonly #untold = new Map<string, PaceSamples>();
-  /** How first tokens come out against the line, whatever the engine: that is no pace of one. */
+  readonly #unadvertisedLine = new LineSamples(1);
+  readonly #unadvertised = new Map<string, PaceSamples>();
+  /** Deviation of first-token times from the line over all engines, which is not part of any single engine's pace. */
   readonly #decodeBias = new PaceSamples();
-  #refreshedMs = Number.NEGATIVE_INFINITY;
-  #isUnlike = false;
+  #refreshedAtMs = Number.NEGATIVE_INFINITY;
+  #isHeterogeneous = false;
 
-  /** @param speed the service's line, which every engine's samples are brought to */
+  /** @param speed the service's line, against which the samples of all engines are measured */
   constructor(speed: ReadSpeed) {
     this.#speed = speed;
   }
 
-  /** Whether the engines' paces differ by more than chance and waits make of equal ones; as of the last `refresh`. */
+  /**
+   * Whether the engines' paces differ by more than chance and waits produce among equal engines, as of the last
+   * `refresh`.
+   */
   get isHeterogeneous(): boolean {
-    return this.#isUnlike;
+    return this.#isHeterogeneous;
   }
 
-  /** The service's line by these paces. */
+  /** The service's line as learnt together with the paces. */
   get line(): LineSums {
     return this.#speed.line;
   }
 
-  /** An engine's pace against the usual one; 1 while nothing else is known. */
+  /** An engine's pace relative to the usual one; 1 while nothing else is known. */
   paceOf(engineId: string): number {
     return this.#byEngine.get(engineId)?.pace ?? 1;
   }
 
-  /** The pace by which an engine counts as the home of shared parts. */
+  /** The quantized pace by which an engine is weighted in the choice of preferred engines. */
   quantizedPaceOf(engineId: string): number {
     return this.#byEngine.get(engineId)?.quantizedPace ?? 1;
   }
 
-  /** A prefill engine read so many tokens, next to nobody known waiting before them. */
+  /** Records that a prefill engine read `tokens` tokens; hardly any work was known to be queued before them. */
   learnPrefill(engineId: string, tokens: number, read: TimedRead, nowMs: number): void {
     const elapsedMs = ownTimeOf(read);
     if (!(tokens > 0 && elapsedMs > 0)) return;
     this.#learn(engineId, Math.log(this.#speed.prefillMs(tokens) / elapsedMs), 1, nowMs);
     const pace = this.paceOf(engineId);
     const weight = this.#speed.learnPrefill(tokens, elapsedMs, pace);
-    this.#untoldLine.add(tokens, elapsedMs * pace, weight);
+    this.#unadvertisedLine.add(tokens, elapsedMs * pace, weight);
   }
 
   /**
-   * A decode engine read so many tokens and began to generate.
-   * @param wasFree whether nobody was known to wait before them
+   * Records that a decode engine read `tokens` tokens and began to generate.
+   * @param wasFree whether no request was known to be queued before it
    */
   learnDecode(
     engineId: string,
@@ -127,48 +141,48 @@
   }
 
   /**
-   * Adds what other daemons have seen.
-   * @param isRelayed whether it is told on with what this daemon sees itself
+   * Adds observations of other daemons.
+   * @param isRelayed whether they are advertised further together with this daemon's own observations
    */
   addObserved({ line, engines }: ServicePaceSums, isRelayed: boolean, nowMs: number): void {
     if (line !== undefined) this.#speed.addLine(line);
-    if (line !== undefined && isRelayed) this.#untoldLine.merge(line);
-    for (const seen of engines) {
-      this.#change(seen.engineId, (samples) => samples.add(seen, nowMs));
-      if (isRelayed) this.#note(seen.engineId, seen, nowMs);
+    if (line !== undefined && isRelayed) this.#unadvertisedLine.merge(line);
+    for (const observed of engines) {
+      this.#updateSamples(observed.engineId, (samples) => samples.add(observed, nowMs));
+      if (isRelayed) this.#recordUnadvertised(observed.engineId, observed, nowMs);
     }
   }
 
-  /** Takes what the zone's relay knows, which has heard of more than this daemon. */
+  /** Applies the estimates of the zone's relay, which receives the observations of more daemons. */
   applyKnown({ line, engines }: ServicePaceSums, nowMs: number): void {
-    if (line !== undefined && isMore(line.weight, this.#speed.line.weight)) {
+    if (line !== undefined && hasEnoughWeight(line.weight, this.#speed.line.weight)) {
       this.#speed.replaceLine(line);
     }
     for (const known of engines) {
-      this.#change(known.engineId, (samples) => {
-        if (isMore(known.weight, samples.weightAt(nowMs))) samples.replace(known, nowMs);
+      this.#updateSamples(known.engineId, (samples) => {
+        if (hasEnoughWeight(known.weight, samples.weightAt(nowMs))) samples.replace(known, nowMs);
       });
     }
-    this.#settleAll();
+    this.#updateAllPaces();
   }
 
-  /** What has not been told yet; undefined for nothing. */
+  /** Observations that have not been advertised yet; undefined if there are none. */
   unadvertised(service: string, maxEngines: number): ServicePaceSums | undefined {
-    const line = this.#untoldLine.weight > 0 ? this.#untoldLine.sums : undefined;
-    const engines = [...this.#untold]
+    const line = this.#unadvertisedLine.weight > 0 ? this.#unadvertisedLine.sums : undefined;
+    const engines = [...this.#unadvertised]
       .slice(0, maxEngines)
-      .map(([id, seen]) => ({ engineId: id, ...seen.sums }));
+      .map(([id, observed]) => ({ engineId: id, ...observed.sums }));
     if (line === undefined && engines.length === 0) return undefined;
     return { service, line, engines };
   }
 
-  /** What was untold has been told. */
+  /** Marks observations as advertised. */
   markAdvertised({ engines }: ServicePaceSums): void {
-    this.#untoldLine.clear();
-    for (const { engineId } of engines) this.#untold.delete(engineId);
+    this.#unadvertisedLine.clear();
+    for (const { engineId } of engines) this.#unadvertised.delete(engineId);
   }
 
-  /** All that is known. */
+  /** All current estimates. */
   known(service: string, nowMs: number): ServicePaceSums {
     const { line } = this.#speed;
     const engines = [...this.#byEngine].map(([id, samples]) => ({
@@ -179,39 +193,42 @@
     return { service, line: line.weight > 0 ? line : undefined, engines };
   }
 
-  /** Every engine of which something was seen. */
+  /** Every engine with observations. */
   *all(): Generator<{ readonly engineId: string; readonly pace: number }> {
     for (const [engineId, { pace }] of this.#byEngine) yield { engineId, pace };
   }
 
-  /** The engine is gone, or another began under its name. */
+  /** Drops the observations of an engine that was removed, or whose id was taken over by a new one. */
   forget(engineId: string): void {
     const samples = this.#byEngine.get(engineId);
     if (samples !== undefined) this.#mean.remove(samples);
     this.#byEngine.delete(engineId);
-    this.#untold.delete(engineId);
+    this.#unadvertised.delete(engineId);
   }
 
-  /** Lets what is old count for less, and counts each engine against the mean as it is now. */
+  /** Decays old samples and recomputes each engine's pace against the current mean. */
   refresh(nowMs: number): void {
-    if (nowMs - this.#refreshedMs < REFRESH_MS) return;
-    this.#refreshedMs = nowMs;
+    if (nowMs - this.#refreshedAtMs < REFRESH_INTERVAL_MS) return;
+    this.#refreshedAtMs = nowMs;
     this.#mean.clear();
     for (const samples of this.#byEngine.values()) {
       samples.decayTo(nowMs);
       this.#mean.add(samples);
     }
-    this.#settleAll();
-    this.#judgeUnlike();
+    this.#updateAllPaces();
+    this.#updateHeterogeneity();
   }
 
-  #judgeUnlike(): void {
-    const seen = [...this.#byEngine.values()].filter(({ weight }) => weight >= LEAST_SEEN_WEIGHT);
-    if (seen.length < LEAST_SEEN_ENGINES || 2 * seen.length < this.#byEngine.size) return;
-    const logs = seen.map(({ pace }) => Math.log(pace));
+  #updateHeterogeneity(): void {
+    const observed = [...this.#byEngine.values()].filter(
+      ({ weight }) => weight >= MIN_OBSERVED_WEIGHT,
+    );
+    if (observed.length < MIN_OBSERVED_ENGINES || 2 * observed.length < this.#byEngine.size) return;
+    const logs = observed.map(({ pace }) => Math.log(pace));
     const mean = logs.reduce((sum, log) => sum + log, 0) / logs.length;
     const variance = logs.reduce((sum, log) => sum + (log - mean) ** 2, 0) / logs.length;
-    this.#isUnlike = Math.sqrt(variance) >= (this.#isUnlike ? ALIKE_LOG : UNLIKE_LOG);
+    this.#isHeterogeneous =
+      Math.sqrt(variance) >= (this.#isHeterogeneous ? HOMOGENEOUS_SD : HETEROGENEOUS_SD);
   }
 
   #learnFirstToken(engineId: string, tokens: number, elapsedMs: number, nowMs: number): void {
@@ -219,41 +236,41 @@
     if (!this.#speed.isTrusted || !Number.isFinite(logRatio)) return;
     const bias = this.#decodeBias;
     bias.add({ logPace: clampLogPace(logRatio), weight: 1 }, nowMs);
-    if (bias.weightAt(nowMs) < TRUSTED_WEIGHT) return;
+    if (bias.weightAt(nowMs) < MIN_BIAS_WEIGHT) return;
     this.#learn(engineId, logRatio - bias.logPace, DECODE_WEIGHT, nowMs);
   }
 
   #learn(engineId: string, logRatio: number, weight: number, nowMs: number): void {
-    // What the line says before it is learnt is no measure of an engine.
+    // Before the line is trusted, its predictions are no measure of an engine.
     if (!this.#speed.isTrusted || !Number.isFinite(logRatio)) return;
-    const samples = this.#samplesOf(engineId);
+    const samples = this.#getOrCreateSamples(engineId);
     const logPace = clampLogPace(logRatio);
-    const isLonger = samples.weight > 0 && logPace < samples.logPace - LONGER_LOG;
-    const seen = { logPace, weight: isLonger ? weight * LONGER_WEIGHT : weight };
-    this.#note(engineId, seen, nowMs);
-    this.#change(engineId, () => samples.add(seen, nowMs));
+    const isSlower = samples.weight > 0 && logPace < samples.logPace - SLOWER_READ_LOG;
+    const observed = { logPace, weight: isSlower ? weight * SLOWER_READ_WEIGHT : weight };
+    this.#recordUnadvertised(engineId, observed, nowMs);
+    this.#updateSamples(engineId, () => samples.add(observed, nowMs));
   }
 
-  #change(engineId: string, change: (samples: PaceSamples) => void): void {
-    const samples = this.#samplesOf(engineId);
+  #updateSamples(engineId: string, update: (samples: PaceSamples) => void): void {
+    const samples = this.#getOrCreateSamples(engineId);
     this.#mean.remove(samples);
-    change(samples);
+    update(samples);
     this.#mean.add(samples);
     samples.updatePace(this.#mean.value);
   }
 
-  /** Keeps what was seen until it is told. */
-  #note(engineId: string, seen: ObservedPace, nowMs: number): void {
-    const unadvertised = this.#untold.get(engineId) ?? new PaceSamples();
-    this.#untold.set(engineId, unadvertised);
-    unadvertised.add(seen, nowMs);
+  /** Keeps an observation until it is advertised. */
+  #recordUnadvertised(engineId: string, observed: ObservedPace, nowMs: number): void {
+    const unadvertised = this.#unadvertised.get(engineId) ?? new PaceSamples();
+    this.#unadvertised.set(engineId, unadvertised);
+    unadvertised.add(observed, nowMs);
   }
 
-  #settleAll(): void {
+  #updateAllPaces(): void {
     for (const samples of this.#byEngine.values()) samples.updatePace(this.#mean.value);
   }
 
-  #samplesOf(engineId: string): PaceSamples {
+  #getOrCreateSamples(engineId: string): PaceSamples {
     const known = this.#byEngine.get(engineId);
     if (known !== undefined) return known;
     const created = new PaceSamples();
@@ -262,22 +279,22 @@
   }
 }
 
-/** Whether a line that was told can be true; nothing else of a message depends on it. */
+/** Whether a received line is plausible; if it is not, the rest of its message is still used. */
 export function isUsableLine(line: LineSums): boolean {
-  return line.weight <= MOST_WEIGHT && isPossibleLine(line);
+  return line.weight <= MAX_WEIGHT && isPossibleLine(line);
 }
 
-/** Whether what was told of an engine can be true. */
+/** Whether the received evidence for an engine is plausible. */
 export function isUsablePace({ logPace, weight }: PaceSums): boolean {
-  const isWeight = weight > 0 && weight <= MOST_WEIGHT;
+  const isWeight = weight > 0 && weight <= MAX_WEIGHT;
   return isWeight && clampLogPace(logPace) === logPace;
 }
 
-/** The read itself: the engines that have most to do are those whose reads wait, and are not slower for it. */
+/** The elapsed time without the expected wait: reads wait most at the busiest engines, which are not slower for it. */
 function ownTimeOf({ elapsedMs, waitMs }: TimedRead): number {
-  return elapsedMs - Math.min(waitMs, MOST_WAIT_SHARE * elapsedMs);
+  return elapsedMs - Math.min(waitMs, MAX_WAIT_SHARE * elapsedMs);
 }
 
-function isMore(toldWeight: number, ownWeight: number): boolean {
-  return toldWeight >= LEAST_KNOWN_SHARE * ownWeight;
+function hasEnoughWeight(receivedWeight: number, ownWeight: number): boolean {
+  return receivedWeight >= MIN_RECEIVED_WEIGHT_SHARE * ownWeight;
 }
--- a/src/core/gateway/fleet-paces.ts
+++ b/src/core/gateway/fleet-paces.ts
@@ -1,7 +1,7 @@
 /**
- * The paces of the engines of all services, and what other daemons tell of them. While engines are not shown to be
- * unlike, and where the settings want no paces, a service has one line, which each daemon learns for itself: paces that
- * chance shows of equal engines would only send their work to and fro.
+ * The paces of the engines of all services, and their exchange with other daemons. While engines are not shown to be
+ * heterogeneous, and where the settings disable paces, a service has a single line, which each daemon learns for
+ * itself: paces that differ by chance among equal engines would only shift work back and forth between them.
  */
 import {
   EnginePaces,
@@ -13,33 +13,33 @@
 import { ReadSpeed } from './read-speed.js';
 import type { ServerRecord } from './server-directory.js';
 
-/** A pace that has changed by less is not worth a line in the log. */
-const NOTED_CHANGE = Math.log(1.25);
+/** Smallest change of a pace's logarithm that is logged. */
+const MIN_LOGGED_CHANGE = Math.log(1.25);
 
-/** Whether an engine's pace counts in decisions. */
+/** When decisions take the engines' paces into account. */
 export type PaceUse = 'never' | 'where-unlike' | 'always';
 
-/** What the paces are built from. */
+/** Settings and look-ups for `FleetPaces`. */
 export interface FleetPacesOptions {
   readonly use: PaceUse;
   readonly speedOf: (service: string) => ReadSpeed;
-  /** The service of a listed engine; undefined for one that is not listed. */
+  /** The service of a listed engine; undefined for an engine that is not listed. */
   readonly serviceOf: (engineId: string) => string | undefined;
 }
 
-/** A belief that has changed. */
+/** A pace that has changed by enough to be logged. */
 export interface PaceChange {
   readonly engineId: string;
   readonly pace: number;
   readonly before: number;
 }
 
-/** All engines' paces. */
+/** The paces of all engines. */
 export class FleetPaces {
   readonly #options: FleetPacesOptions;
   readonly #byService = new Map<string, EnginePaces>();
-  /** Paces as they were last written to the log. */
-  readonly #noted = new Map<string, number>();
+  /** The paces as last written to the log. */
+  readonly #logged = new Map<string, number>();
 
   constructor(options: FleetPacesOptions) {
     this.#options = options;
@@ -49,12 +49,12 @@
     return this.#options.use !== 'never';
   }
 
-  /** Whether the lines that decisions go by are learnt with other daemons from the start. */
+  /** Whether the lines that decisions use are learnt jointly with other daemons from the start. */
   get sharesLine(): boolean {
     return this.#options.use === 'always';
   }
 
-  /** Whether the engines of a service are decided on by their paces now. */
+  /** Whether decisions currently use the paces of a service's engines. */
   isUsedFor(service: string): boolean {
     switch (this.#options.use) {
       case 'never':
@@ -66,39 +66,39 @@
     }
   }
 
-  /** An engine's pace against the usual one of its service: 2 reads in half the time. */
+  /** An engine's pace relative to its service's usual one; an engine of pace 2 reads in half the time. */
   paceOf(engineId: string): number {
     const service = this.#options.serviceOf(engineId);
     return service === undefined ? 1 : this.pacesOf(service)(engineId);
   }
 
-  /** The same for the engines of one service. */
+  /** Returns the look-up of paces for the engines of one service. */
   pacesOf(service: string): (engineId: string) => number {
     const paces = this.isUsedFor(service) ? this.#byService.get(service) : undefined;
     return paces === undefined ? () => 1 : (engineId) => paces.paceOf(engineId);
   }
 
-  /** The paces by which engines of a service count as homes of shared parts. */
+  /** Returns the look-up of quantized paces, which weight a service's engines in the choice of preferred engines. */
   quantizedPacesOf(service: string): (engineId: string) => number {
     const paces = this.isUsedFor(service) ? this.#byService.get(service) : undefined;
     return paces === undefined ? () => 1 : (engineId) => paces.quantizedPaceOf(engineId);
   }
 
-  /** A prefill engine read so many tokens, next to nobody known waiting before them. */
+  /** Records that a prefill engine read `tokens` tokens; hardly any work was known to be queued before them. */
   learnPrefill(
     { id, service }: Pick<ServerRecord, 'id' | 'service'>,
     tokens: number,
     read: TimedRead,
     nowMs: number,
   ): void {
-    if (this.isOn) this.#of(service).learnPrefill(id, tokens, read, nowMs);
+    if (this.isOn) this.#getOrCreate(service).learnPrefill(id, tokens, read, nowMs);
     if (this.isUsedFor(service)) this.#useLine(service);
     else this.#options.speedOf(service).learnPrefill(tokens, read.elapsedMs);
   }
 
   /**
-   * A decode engine read so many tokens and began to generate.
-   * @param wasFree whether nobody was known to wait before them
+   * Records that a decode engine read `tokens` tokens and began to generate.
+   * @param wasFree whether no request was known to be queued before it
    */
   learnDecode(
     { id, service }: Pick<ServerRecord, 'id' | 'service'>,
@@ -107,27 +107,32 @@
     wasFree: boolean,
     nowMs: number,
   ): void {
-    if (this.isOn) this.#of(service).learnDecode(id, tokens, elapsedMs, wasFree, nowMs);
+    if (this.isOn) this.#getOrCreate(service).learnDecode(id, tokens, elapsedMs, wasFree, nowMs);
     if (this.#hasOwnLine) {
       this.#options.speedOf(service).learnDecode(tokens, elapsedMs, this.pacesOf(service)(id));
     }
   }
 
   /**
-   * Adds what other daemons have seen.
-   * @param isRelayed whether it is told on with what this daemon sees itself
-   * @returns how many items were no use
+   * Adds observations of other daemons.
+   * @param isRelayed whether they are advertised further together with this daemon's own observations
+   * @returns the number of entries that were ignored as implausible or because their engine is not listed
    */
-  addObserved(told: readonly ServicePaceSums[], isRelayed: boolean, nowMs: number): number {
-    return this.#takeUsable(told, (paces, usable) => paces.addObserved(usable, isRelayed, nowMs));
+  addObserved(received: readonly ServicePaceSums[], isRelayed: boolean, nowMs: number): number {
+    return this.#applyUsable(received, (paces, usable) =>
+      paces.addObserved(usable, isRelayed, nowMs),
+    );
   }
 
-  /** Takes what another daemon knows; gives how many items were no use. */
-  applyKnown(told: readonly ServicePaceSums[], nowMs: number): number {
-    return this.#takeUsable(told, (paces, usable) => paces.applyKnown(usable, nowMs));
+  /**
+   * Applies the estimates of another daemon.
+   * @returns the number of ignored entries, as for `addObserved`
+   */
+  applyKnown(received: readonly ServicePaceSums[], nowMs: number): number {
+    return this.#applyUsable(received, (paces, usable) => paces.applyKnown(usable, nowMs));
   }
 
-  /** What has not been told yet. */
+  /** Observations that have not been advertised yet. */
   unadvertised(maxEngines: number): readonly ServicePaceSums[] {
     const all = [...this.#byService].map(([service, paces]) =>
       paces.unadvertised(service, maxEngines),
@@ -135,56 +140,56 @@
     return all.filter((sums) => sums !== undefined);
   }
 
-  /** What was untold has been told. */
-  markAdvertised(told: readonly ServicePaceSums[]): void {
-    for (const sums of told) this.#byService.get(sums.service)?.markAdvertised(sums);
+  /** Marks observations as advertised. */
+  markAdvertised(received: readonly ServicePaceSums[]): void {
+    for (const sums of received) this.#byService.get(sums.service)?.markAdvertised(sums);
   }
 
-  /** All that is known. */
+  /** All current estimates. */
   known(nowMs: number): readonly ServicePaceSums[] {
     return [...this.#byService].map(([service, paces]) => paces.known(service, nowMs));
   }
 
-  /** The server is gone, or another life of it began. */
+  /** Drops the observations of a server that was removed or has restarted. */
   forget({ id, service }: Pick<ServerRecord, 'id' | 'service'>): void {
     this.#byService.get(service)?.forget(id);
-    this.#noted.delete(id);
+    this.#logged.delete(id);
   }
 
-  /** Lets what is old count for less. */
+  /** Decays old samples. */
   refresh(nowMs: number): void {
     for (const paces of this.#byService.values()) paces.refresh(nowMs);
   }
 
-  /** Some beliefs in use that have changed since they were last given here. */
-  takeChanges(most: number): readonly PaceChange[] {
+  /** Returns up to `max` paces in use that have changed since this method last returned them. */
+  takeChanges(max: number): readonly PaceChange[] {
     const changes: PaceChange[] = [];
     for (const { engineId, pace } of this.all()) {
-      if (changes.length >= most) break;
-      const before = this.#noted.get(engineId) ?? 1;
-      if (Math.abs(Math.log(pace / before)) < NOTED_CHANGE) continue;
-      this.#noted.set(engineId, pace);
+      if (changes.length >= max) break;
+      const before = this.#logged.get(engineId) ?? 1;
+      if (Math.abs(Math.log(pace / before)) < MIN_LOGGED_CHANGE) continue;
+      this.#logged.set(engineId, pace);
       changes.push({ engineId, pace, before });
     }
     return changes;
   }
 
-  /** The engines whose pace differs most from the usual one, and by how much. */
-  largestDeviations(most: number): ReadonlyMap<string, number> {
-    const unlike = [...this.all()].filter(({ pace }) => pace !== 1);
+  /** The `max` engines whose paces differ most from the usual one, with their paces. */
+  largestDeviations(max: number): ReadonlyMap<string, number> {
+    const deviating = [...this.all()].filter(({ pace }) => pace !== 1);
     const size = (pace: number) => Math.abs(Math.log(pace));
-    unlike.sort((left, right) => size(right.pace) - size(left.pace));
-    return new Map(unlike.slice(0, most).map(({ engineId, pace }) => [engineId, pace]));
+    deviating.sort((left, right) => size(right.pace) - size(left.pace));
+    return new Map(deviating.slice(0, max).map(({ engineId, pace }) => [engineId, pace]));
   }
 
-  /** Every engine of which something was seen, of the services whose paces are in use. */
+  /** Every engine with observations, of the services whose paces are in use. */
   *all(): Generator<Pick<PaceChange, 'engineId' | 'pace'>> {
     for (const [service, paces] of this.#byService) {
       if (this.isUsedFor(service)) yield* paces.all();
     }
   }
 
-  #of(service: string): EnginePaces {
+  #getOrCreate(service: string): EnginePaces {
     const known = this.#byService.get(service);
     if (known !== undefined) return known;
     const line = this.#hasOwnLine ? new ReadSpeed(true) : this.#options.speedOf(service);
@@ -193,24 +198,24 @@
     return created;
   }
 
-  /** Whether paces are learnt by a line of their own, as they may not be in use. */
+  /** Whether paces are learnt with a line separate from the one that decisions use, since paces may not be in use. */
   get #hasOwnLine(): boolean {
     return !this.sharesLine;
   }
 
-  /** Decisions go by the line that belongs to the paces. */
+  /** Makes decisions use the line that was learnt together with the paces. */
   #useLine(service: string): void {
     const line = this.#byService.get(service)?.line;
     if (this.#hasOwnLine && line !== undefined) this.#options.speedOf(service).replaceLine(line);
   }
 
-  /** Passes on what can be true and is of listed engines; counts the rest. */
-  #takeUsable(
-    told: readonly ServicePaceSums[],
-    take: (paces: EnginePaces, usable: ServicePaceSums) => void,
+  /** Applies plausible entries of listed engines; returns the number of the others. */
+  #applyUsable(
+    received: readonly ServicePaceSums[],
+    apply: (paces: EnginePaces, usable: ServicePaceSums) => void,
   ): number {
     let ignored = 0;
-    for (const { service, line, engines } of told) {
+    for (const { service, line, engines } of received) {
       const usable = engines.filter(
         (sums) => isUsablePace(sums) && this.#options.serviceOf(sums.engineId) === service,
       );
@@ -218,7 +223,11 @@
       ignored += engines.length - usable.length + (line === undefined || isLineUsable ? 0 : 1);
       const isKnown = usable.length > 0 || this.#byService.has(service);
       if (!this.isOn || !isKnown) continue;
-      take(this.#of(service), { service, line: isLineUsable ? line : undefined, engines: usable });
+      apply(this.#getOrCreate(service), {
+        service,
+        line: isLineUsable ? line : undefined,
+        engines: usable,
+      });
       if (this.isUsedFor(service)) this.#useLine(service);
     }
     return ignored;
--- a/src/core/gateway/line-samples.ts
+++ b/src/core/gateway/line-samples.ts
@@ -1,7 +1,7 @@
-/** A line through weighted points, older ones fading: sums that several observers can add up. */
+/** A least-squares line through points with decaying weights, kept as sums, which several observers can add up. */
 
-/** Spread of the places of points, against their mean, below which they show no slope of their own. */
-const LEAST_SPREAD = 0.15;
+/** Standard deviation of the points' x, relative to their mean, below which they do not determine a slope. */
+const MIN_RELATIVE_STD_DEV = 0.15;
 
 /** Weighted sums of points. */
 export interface LineSums {
@@ -12,10 +12,10 @@
   readonly xy: number;
 }
 
-/** Sums of squares may be off by so much for rounding. */
-const ROUNDING = 1.001;
+/** Tolerance for rounding errors in the sums of squares. */
+const ROUNDING_TOLERANCE = 1.001;
 
-/** A line of least squares. */
+/** A least-squares line. */
 export interface Line {
   readonly slope: number;
   readonly offset: number;
@@ -23,12 +23,12 @@
 
 const NO_POINTS: LineSums = { weight: 0, x: 0, y: 0, xx: 0, xy: 0 };
 
-/** Points, summed up. */
+/** Accumulates points into sums. */
 export class LineSamples {
   readonly #decay: number;
   #sums = NO_POINTS;
 
-  /** @param decay what is left of a point's weight with each newer one of weight 1 */
+  /** @param decay factor that a newer point of weight 1 applies to a point's weight */
   constructor(decay: number) {
     this.#decay = decay;
   }
@@ -46,7 +46,7 @@
     this.merge({ weight, x: weight * x, y: weight * y, xx, xy });
   }
 
-  /** Adds points that were summed up elsewhere, as the newest. */
+  /** Adds points that were summed up elsewhere; they count as the newest. */
   merge(newer: LineSums): void {
     const left = this.#decay ** newer.weight;
     const older = this.#sums;
@@ -59,7 +59,6 @@
     };
   }
 
-  /** Takes sums in place of these. */
   replace(sums: LineSums): void {
     this.#sums = sums;
   }
@@ -68,22 +67,25 @@
     this.#sums = NO_POINTS;
   }
 
-  /** The line of least squares; through zero where the points are too much alike to show one. */
+  /**
+   * The least-squares line, or a line through the origin if the points are too close together to determine a slope, or
+   * give no positive slope and offset.
+   */
   fit(): Line {
     const { weight, x, y, xx, xy } = this.#sums;
     const meanX = x / weight;
     const meanY = y / weight;
     const variance = xx / weight - meanX * meanX;
     const slope = (xy / weight - meanX * meanY) / variance;
-    const isShown = variance > (LEAST_SPREAD * meanX) ** 2 && slope > 0;
+    const isDetermined = variance > (MIN_RELATIVE_STD_DEV * meanX) ** 2 && slope > 0;
     const offset = meanY - slope * meanX;
-    return isShown && offset > 0 ? { slope, offset } : { slope: meanY / meanX, offset: 0 };
+    return isDetermined && offset > 0 ? { slope, offset } : { slope: meanY / meanX, offset: 0 };
   }
 }
 
-/** Whether sums can come from points right of zero and above it. */
+/** Whether the sums can come from points with positive coordinates. */
 export function isPossibleLine({ weight, x, y, xx, xy }: LineSums): boolean {
   const isPositive = [weight, x, y, xx, xy].every((sum) => Number.isFinite(sum) && sum > 0);
-  // The mean of squares is never below the square of the mean, but for rounding.
-  return isPositive && (xx / weight) * ROUNDING >= (x / weight) ** 2;
+  // The mean of squares is at least the square of the mean, except for rounding.
+  return isPositive && (xx / weight) * ROUNDING_TOLERANCE >= (x / weight) ** 2;
 }
--- a/src/core/gateway/low-mean.ts
+++ b/src/core/gateway/low-mean.ts
@@ -1,9 +1,9 @@
-/** A smoothed time that leans to the shorter samples, as longer ones include waits for others. */
+/** A smoothed time that favours shorter samples, because longer ones include waits for other requests. */
 
 const SHORTER_WEIGHT = 0.3;
 const LONGER_WEIGHT = 0.03;
 
-/** The mean of an undisturbed time. */
+/** Smooths samples of a time toward its value without waits. */
 export class LowMean {
   #value: number | undefined;
 
--- a/src/core/gateway/pace-samples.ts
+++ b/src/core/gateway/pace-samples.ts
@@ -1,34 +1,38 @@
-/**
- * What was seen of one engine's pace: a mean of logarithms whose evidence fades, and the pace that is believed by it.
- */
+/** Samples of one engine's pace: a mean of logarithms whose evidence decays, and the pace that is estimated from it. */
 import { quantizedPace } from './home.js';
 
-/** What is left of a sample's weight with each newer one: machines are shared, and what they give changes. */
+/**
+ * Factor that each newer sample applies to a sample's weight. Machines are shared, so the speed that they deliver
+ * changes.
+ */
 const SAMPLE_DECAY = 0.95;
-/** A sample of this weight says as much as the belief that an engine is as the others. */
+/** Weight of the prior belief that an engine has the usual pace. */
 const PRIOR_WEIGHT = 0.5;
-/** An engine that is believed to be slow is sent little: what was seen of it long ago must not keep it so. */
+/**
+ * Half-life of evidence. An engine that is estimated to be slow is sent little, so old samples must not keep the
+ * estimate low.
+ */
 const HALF_LIFE_MS = 30_000;
-/** Beyond this a figure is nonsense, not a pace. */
-const MOST_LOG_PACE = Math.log(8);
-/** Logarithms below this are chance, however many samples there are: the reads of one engine differ by more. */
+/** Largest plausible log pace, in either direction. */
+const MAX_LOG_PACE = Math.log(8);
+/** Log paces below this count as chance regardless of the number of samples: reads of one engine vary by more. */
 const CHANCE_LOG_PACE = 0.07;
-/** By chance alone one sample, or a mean of so many, is off by so much more. */
+/** Further deviation by chance of one sample's log pace; a mean over samples has it divided by their weight. */
 const CHANCE_LOG_OF_SAMPLE = 0.3;
 
-/** What was seen of a pace. */
+/** Evidence for a pace. */
 export interface ObservedPace {
   /** Mean logarithm of the pace. */
   readonly logPace: number;
   readonly weight: number;
 }
 
-/** The mean of the engines' logarithms, by what was seen of each. */
+/** The mean of the engines' log paces, weighted by the evidence for each. */
 export class WeightedMean {
   #weight = 0;
   #logSum = 0;
 
-  /** 0 while there is none. */
+  /** 0 while there is no evidence. */
   get value(): number {
     return this.#weight > 0 ? this.#logSum / this.#weight : 0;
   }
@@ -49,12 +53,12 @@
   }
 }
 
-/** Samples of one engine, older ones fading. */
+/** Samples of one engine, with decaying weights. */
 export class PaceSamples implements ObservedPace {
   #weight = 0;
   #logSum = 0;
   #atMs = 0;
-  /** As they are used, worked out when something is learnt. */
+  /** Current estimates, updated by `updatePace`. */
   pace = 1;
   quantizedPace = 1;
 
@@ -90,11 +94,11 @@
     this.#atMs = Math.max(this.#atMs, nowMs);
   }
 
-  /** Works the pace out against the mean of all engines. */
+  /** Recomputes the pace relative to the mean of all engines. */
   updatePace(meanLog: number): void {
     const share = this.#weight / (this.#weight + PRIOR_WEIGHT);
     const chance = CHANCE_LOG_PACE + CHANCE_LOG_OF_SAMPLE / (this.#weight + PRIOR_WEIGHT);
-    this.pace = Math.exp(clampLogPace(withoutChance(share * (this.logPace - meanLog), chance)));
+    this.pace = Math.exp(clampLogPace(suppressChance(share * (this.logPace - meanLog), chance)));
     this.quantizedPace = quantizedPace(this.pace, this.quantizedPace);
   }
 
@@ -103,14 +107,14 @@
   }
 }
 
-/** None up to what chance makes, and all of it from twice that on, without a jump between. */
-function withoutChance(logPace: number, chance: number): number {
+/** Returns 0 up to the deviation by chance and the full value from twice that on, with a linear ramp between. */
+function suppressChance(logPace: number, chance: number): number {
   const size = Math.abs(logPace);
   if (size >= 2 * chance) return logPace;
   return Math.sign(logPace) * Math.max(0, 2 * (size - chance));
 }
 
-/** Within what can be a pace. */
+/** Limits a log pace to the plausible range. */
 export function clampLogPace(logPace: number): number {
-  return Math.min(MOST_LOG_PACE, Math.max(-MOST_LOG_PACE, logPace));
+  return Math.min(MAX_LOG_PACE, Math.max(-MAX_LOG_PACE, logPace));
 }
--- a/test/gateway/engine-paces.test.ts
+++ b/test/gateway/engine-paces.test.ts
@@ -1,4 +1,6 @@
-/** Each engine's pace is learnt, and decisions count engines by it; equal engines are decided on as one pace. */
+/**
+ * Tests that each engine's pace is learnt and used in decisions, and that equal engines are treated as having one pace.
+ */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import fc from 'fast-check';
@@ -19,36 +21,36 @@
 } from '../../src/core/gateway/index.js';
 import { rankByRendezvous } from '../../src/core/gateway/rendezvous.js';
 import { FleetView } from '../../src/shell/gateway/fleet-view.js';
-import { type PlannedRead, playUnlikeEngines, seededRandom } from './support/unlike-engines.js';
+import { type PlannedRead, seededRandom, simulateEngines } from './support/unlike-engines.js';
 
 const SPEEDS = Array.from({ length: 12 }, (_, place) => [0.7, 0.7, 1.7][place % 3] ?? 1);
-const LEARNT_AFTER = 400;
+const WARM_UP_READS = 400;
 const SEEDS = [1, 2, 3, 4, 5];
 
-/** Prompts come this far apart on average: engines are taken up to three quarters, or nearly all the time. */
+/** Mean time between prompts: engines are busy for up to three quarters of the time, or nearly all of it. */
 const GAPS_MS = { usual: 17, busy: 15 } as const;
 
-function play(
+function simulate(
   seed: number,
   hasPaces: boolean,
   load: keyof typeof GAPS_MS = 'usual',
 ): readonly PlannedRead[] {
-  const moments = { slowShare: 0.15, slowFactor: 2.5 };
+  const slowdowns = { slowShare: 0.15, slowFactor: 2.5 };
   const prompts = { gapMs: GAPS_MS[load], prompts: 1_600 };
-  const options = { speeds: SPEEDS, hasPaces, seed, ...moments, ...prompts };
-  return playUnlikeEngines(options).slice(LEARNT_AFTER);
+  const options = { speeds: SPEEDS, hasPaces, seed, ...slowdowns, ...prompts };
+  return simulateEngines(options).slice(WARM_UP_READS);
 }
 
 function meanOf(numbers: readonly number[]): number {
   return numbers.reduce((sum, number) => sum + number, 0) / numbers.length;
 }
 
-/** Expected against seen, by engine. */
+/** Ratio of the expected to the observed mean read time, by engine. */
 function ratiosOf(reads: readonly PlannedRead[]): readonly number[] {
   return SPEEDS.map((_, engine) => {
     const own = reads.filter((read) => read.engine === engine);
     const expectedMs = meanOf(own.map((read) => read.expectedMs));
-    return expectedMs / meanOf(own.map((read) => read.seenMs));
+    return expectedMs / meanOf(own.map((read) => read.observedMs));
   });
 }
 
@@ -56,31 +58,46 @@
   return [...numbers].sort((left, right) => left - right)[Math.floor(numbers.length / 2)] ?? 0;
 }
 
-function medianMiss(reads: readonly PlannedRead[]): number {
-  return medianOf(reads.map(({ expectedMs, seenMs }) => Math.abs(expectedMs - seenMs) / seenMs));
+function medianRelativeError(reads: readonly PlannedRead[]): number {
+  return medianOf(
+    reads.map(({ expectedMs, observedMs }) => Math.abs(expectedMs - observedMs) / observedMs),
+  );
 }
 
-/** The time that the busiest engine is taken up, against the mean. */
-function busiest(reads: readonly PlannedRead[]): number {
+/** Busy time of the busiest engine, relative to the mean of all engines. */
+function busiestRatio(reads: readonly PlannedRead[]): number {
   const busyMs = SPEEDS.map((_, engine) =>
     reads.reduce((sum, read) => sum + (read.engine === engine ? read.usualMs : 0), 0),
   );
   return Math.max(...busyMs) / meanOf(busyMs);
 }
 
-test('engines of unlike speed, each slow at moments, are expected as they are and share the work by pace', () => {
+test('engines of different speeds with temporary slowdowns get accurate estimates and share the work by pace', () => {
   for (const seed of SEEDS) {
-    const reads = play(seed, true);
-    assert.ok(medianMiss(reads) <= 0.2, `seed ${seed}: missed by ${medianMiss(reads)}`);
-    const mostTaken = busiest(play(seed, true, 'busy'));
-    assert.ok(mostTaken <= 1.3, `seed ${seed}: busiest ${mostTaken}`);
+    const reads = simulate(seed, true);
+    assert.ok(
+      medianRelativeError(reads) <= 0.2,
+      `seed ${seed}: median relative error ${medianRelativeError(reads)}`,
+    );
+    const busiestWhenBusy = busiestRatio(simulate(seed, true, 'busy'));
+    assert.ok(
+      busiestWhenBusy <= 1.3,
+      `seed ${seed}: busiest engine ${busiestWhenBusy} times the mean`,
+    );
     const ratios = ratiosOf(reads);
     for (const ratio of ratios) assert.ok(ratio > 0.6 && ratio < 1.5, `seed ${seed}: ${ratio}`);
-    const before = play(seed, false);
-    assert.ok(medianMiss(before) > 0.25, 'one pace for all misses them');
-    assert.ok(medianOf(ratiosOf(before)) < 0.6, 'most engines are slower than that pace');
-    const seenMs = (played: readonly PlannedRead[]) => meanOf(played.map((read) => read.seenMs));
-    assert.ok(seenMs(reads) < seenMs(before), `seed ${seed}: no sooner read`);
+    const baseline = simulate(seed, false);
+    assert.ok(
+      medianRelativeError(baseline) > 0.25,
+      'one pace for all engines gives wrong estimates',
+    );
+    assert.ok(medianOf(ratiosOf(baseline)) < 0.6, 'most engines are slower than the common pace');
+    const observedMs = (played: readonly PlannedRead[]) =>
+      meanOf(played.map((read) => read.observedMs));
+    assert.ok(
+      observedMs(reads) < observedMs(baseline),
+      `seed ${seed}: mean read time is no shorter`,
+    );
   }
 });
 
@@ -93,7 +110,7 @@
   engine(`e${place}`, { stage: place < 6 ? 'prefill' : 'decode' }),
 );
 
-test('equal engines come to one pace, and each plan to what it is without paces', () => {
+test('equal engines converge to one pace, and each plan equals the plan without paces', () => {
   const random = seededRandom(8);
   const speed = new ReadSpeed(true);
   const alone = new ReadSpeed(true);
@@ -102,7 +119,7 @@
   const load = new EngineLoad();
   for (let sample = 0; sample < 2_000; sample += 1) {
     const tokens = 500 + Math.floor(random() * 12_000);
-    // As long as the last one, a little more, or with a wait that nobody knew of.
+    // The usual time, up to a tenth more, or with an unknown wait.
     const elapsedMs = (5 + tokens / 40) * (1 + 0.1 * random()) + (random() < 0.1 ? 300 : 0);
     const { id } = ENGINES[Math.floor(random() * 6)] ?? engine('');
     paces.learnPrefill(id, tokens, { elapsedMs, waitMs: 0 }, sample);
@@ -139,12 +156,15 @@
       plan(),
     );
   }
-  const missedMs = Math.abs(speed.prefillMs(9_000) - alone.prefillMs(9_000));
-  assert.ok(missedMs < 0.02 * alone.prefillMs(9_000), 'the line is the one learnt without paces');
+  const differenceMs = Math.abs(speed.prefillMs(9_000) - alone.prefillMs(9_000));
+  assert.ok(
+    differenceMs < 0.02 * alone.prefillMs(9_000),
+    'the line matches the one learnt without paces',
+  );
 });
 
-/** Samples of a pace, as they are seen against a line that is known. */
-function learnt(samples: readonly number[], nowMs = 0): EnginePaces {
+/** Learns the given paces of engine `e` against a known line and four engines of the usual pace. */
+function learnPaces(samples: readonly number[], nowMs = 0): EnginePaces {
   const speed = new ReadSpeed(true);
   for (let sample = 1; sample < 30; sample += 1) speed.learnPrefill(sample * 300, sample * 6);
   const paces = new EnginePaces(speed);
@@ -157,7 +177,7 @@
   return paces;
 }
 
-test('the line and the paces do not drift away together, though reads often take longer than they should', () => {
+test('the line and the paces do not drift together when reads often take longer than predicted', () => {
   const random = seededRandom(12);
   const speed = new ReadSpeed(true);
   const paces = new EnginePaces(speed);
@@ -174,37 +194,37 @@
     const ratio = (believedMs * factor) / trueMs;
     assert.ok(ratio > 0.9 && ratio < 1.6, `engine ${place}: ${ratio}`);
   });
-  const paceOfAll = SPEEDS.map((_, place) => Math.log(paces.paceOf(`e${place}`)));
-  assert.ok(Math.abs(meanOf(paceOfAll)) < 0.15, 'the usual pace is their mean');
+  const logPaces = SPEEDS.map((_, place) => Math.log(paces.paceOf(`e${place}`)));
+  assert.ok(Math.abs(meanOf(logPaces)) < 0.15, 'the mean log pace is near that of the usual pace');
 });
 
-test('few samples say little, many say what they are, and all of it fades with age', () => {
-  assert.equal(learnt([]).paceOf('e'), 1);
-  const few = learnt([1.7]).paceOf('e');
+test('a pace is near the usual one after one sample, near its true value after many, and decays with age', () => {
+  assert.equal(learnPaces([]).paceOf('e'), 1);
+  const few = learnPaces([1.7]).paceOf('e');
   assert.ok(few > 1 && few < 1.4, `${few}`);
-  const paces = learnt(Array.from({ length: 30 }, () => 1.7));
-  // The usual pace is the mean of the five, a little above that of four of them.
+  const paces = learnPaces(Array.from({ length: 30 }, () => 1.7));
+  // The usual pace is the mean of all five engines, a little above that of the other four.
   const ratio = paces.paceOf('e') / paces.paceOf('usual-1');
   assert.ok(ratio > 1.4 && ratio < 1.8, `${ratio}`);
   paces.refresh(3_600_000);
-  assert.ok(paces.paceOf('e') < 1.1, 'an hour later it is nearly the usual one');
+  assert.ok(paces.paceOf('e') < 1.1, 'an hour later the pace is close to the usual one');
   paces.forget('e');
   assert.equal(paces.paceOf('e'), 1);
 });
 
-test('an engine that waits now and then, or is slow for a moment, keeps its pace', () => {
+test('occasional waits or temporary slowdowns do not change the pace of an engine', () => {
   const random = seededRandom(3);
   const samples = Array.from({ length: 120 }, () => (random() < 0.15 ? 0.4 : 1));
-  assert.equal(learnt(samples).paceOf('e'), 1);
+  assert.equal(learnPaces(samples).paceOf('e'), 1);
 });
 
-test('an engine that has become slow for good is known to be', () => {
+test('a permanent slowdown lowers the pace of an engine', () => {
   const samples = Array.from({ length: 240 }, (_, sample) => (sample < 40 ? 1 : 0.5));
-  const pace = learnt(samples).paceOf('e');
+  const pace = learnPaces(samples).paceOf('e');
   assert.ok(pace < 0.72, `${pace}`);
 });
 
-test('whatever is seen, a pace is finite and within bounds', () => {
+test('a pace is finite and within bounds for arbitrary samples', () => {
   const sample = fc.record({
     tokens: fc.double(),
     elapsedMs: fc.double(),
@@ -212,7 +232,7 @@
   });
   fc.assert(
     fc.property(fc.array(sample, { maxLength: 40 }), (samples) => {
-      const paces = learnt([1, 1, 1]);
+      const paces = learnPaces([1, 1, 1]);
       samples.forEach(({ tokens, ...read }, place) => {
         paces.learnPrefill('e', tokens, read, place);
       });
@@ -223,10 +243,10 @@
   );
 });
 
-test('the first token shows the pace of an engine that generates, and nothing where all take as long', () => {
-  const paces = learnt([]);
+test('first tokens reveal a slower decode engine, and no differences among engines that take equally long', () => {
+  const paces = learnPaces([]);
   for (let round = 0; round < 60; round += 1) {
-    // All take half as long again as the line says, and one of them twice that.
+    // All take half again as long as the line predicts, and one of them twice that.
     for (const id of ['a', 'b', 'c', 'd']) {
       paces.learnDecode(id, 1_000, id === 'd' ? 120 : 60, true, round);
     }
@@ -236,7 +256,7 @@
   assert.ok(paces.paceOf('d') < 0.8, `${paces.paceOf('d')}`);
 });
 
-test('the home of a part is as before where paces are equal, whatever they are', () => {
+test('equal paces of any value leave the preferred engine of each part to rendezvous hashing alone', () => {
   const ids = ENGINES.map(({ id }) => id);
   for (let part = 0; part < 300; part += 1) {
     const first = rankByRendezvous(`part-${part}`, ids)[0];
@@ -245,7 +265,7 @@
   }
 });
 
-test('a slower engine is the home of far fewer parts, and the others keep those that they had', () => {
+test('a slower engine is preferred for far fewer parts, and the other engines keep theirs', () => {
   const paceOf = (id: string) => (id === 'e0' ? 0.5 : 1);
   const counts = new Map<string, number>();
   for (let part = 0; part < 6_000; part += 1) {
@@ -259,7 +279,7 @@
   assert.ok(ratio > 0.09 && ratio < 0.17, `${ratio}`);
 });
 
-test('small changes of an engine’s pace move no part', () => {
+test('small changes of the pace do not change the quantized pace', () => {
   let current = 1;
   for (const pace of [0.8, 1.2, 0.65, 1.5, 1]) {
     current = quantizedPace(pace, current);
@@ -271,7 +291,7 @@
   assert.equal(quantizedPace(0.9, current), 1);
 });
 
-test('a split is judged by the pace of its engines: fast ones that read need no more beside them', () => {
+test('stage changes take paces into account: fast prefill engines need no additional ones', () => {
   const engines = ENGINES.map((one, place) =>
     engine(one.id, { stage: place < 4 ? 'prefill' : 'decode' }),
   );
@@ -300,7 +320,7 @@
   return { speed, paces: new FleetPaces({ use, speedOf: () => speed, serviceOf }) };
 }
 
-/** Engines of the usual pace, which others differ from. */
+/** Engines of the usual pace, against which others differ. */
 const USUAL = Array.from({ length: 9 }, (_, place) => ({
   engineId: `e${10 + place}`,
   logPace: 0,
@@ -308,16 +328,16 @@
 }));
 const LINE = { weight: 10, x: 90_000, y: 1_800, xx: 900_000_000, xy: 18_000_000 };
 
-function told(
+function estimatesOf(
   engines: ServicePaceSums['engines'],
   line?: ServicePaceSums['line'],
 ): ServicePaceSums {
   return { service: 's', line, engines };
 }
 
-test('nonsense and engines that are not listed are ignored and counted; the rest is taken', () => {
+test('implausible entries and unlisted engines are ignored and counted; the other entries are applied', () => {
   const { paces, speed } = fleetPaces();
-  const nonsense = [
+  const implausible = [
     { engineId: 'e1', logPace: Number.NaN, weight: 5 },
     { engineId: 'e1', logPace: -40, weight: 5 },
     { engineId: 'e1', logPace: 0.5, weight: -1 },
@@ -325,27 +345,30 @@
     { engineId: 'e1', logPace: Number.POSITIVE_INFINITY, weight: 1 },
     { engineId: 'unknown', logPace: 0.5, weight: 5 },
   ];
-  assert.equal(paces.applyKnown([told(nonsense, { ...LINE, y: -5 })], 0), 7);
-  assert.equal(paces.addObserved([told(nonsense, { ...LINE, weight: Number.NaN })], true, 0), 7);
+  assert.equal(paces.applyKnown([estimatesOf(implausible, { ...LINE, y: -5 })], 0), 7);
+  assert.equal(
+    paces.addObserved([estimatesOf(implausible, { ...LINE, weight: Number.NaN })], true, 0),
+    7,
+  );
   assert.deepEqual([paces.paceOf('e1'), paces.paceOf('unknown'), speed.isLearnt], [1, 1, false]);
   assert.deepEqual(paces.unadvertised(40), []);
   const good = { engineId: 'e2', logPace: Math.log(1.7), weight: 15 };
-  assert.equal(paces.applyKnown([told([...nonsense, ...USUAL, good], LINE)], 0), 6);
+  assert.equal(paces.applyKnown([estimatesOf([...implausible, ...USUAL, good], LINE)], 0), 6);
   assert.ok(Math.abs(paces.paceOf('e2') - 1.6) < 0.15, `${paces.paceOf('e2')}`);
   assert.equal(speed.prefillMs(9_000), 180);
 });
 
-test('a relay’s word counts for more than what one daemon saw, but not that of one that has just begun', () => {
+test('the estimates of a relay replace own ones, except when their weight is too small', () => {
   const { paces } = fleetPaces();
   const first = { engineId: 'e1', logPace: Math.log(1.7), weight: 16 };
-  paces.applyKnown([told([...USUAL, first], LINE)], 0);
-  paces.applyKnown([told([{ engineId: 'e1', logPace: Math.log(0.5), weight: 1 }])], 0);
+  paces.applyKnown([estimatesOf([...USUAL, first], LINE)], 0);
+  paces.applyKnown([estimatesOf([{ engineId: 'e1', logPace: Math.log(0.5), weight: 1 }])], 0);
   assert.ok(paces.paceOf('e1') > 1.4);
-  paces.applyKnown([told([{ engineId: 'e1', logPace: Math.log(0.6), weight: 16 }])], 0);
+  paces.applyKnown([estimatesOf([{ engineId: 'e1', logPace: Math.log(0.6), weight: 16 }])], 0);
   assert.ok(paces.paceOf('e1') < 0.7);
 });
 
-test('what was seen is told once, and a change of belief is given once', () => {
+test('observations are advertised once, and a changed pace is returned once', () => {
   const { paces } = fleetPaces();
   for (let sample = 0; sample < 40; sample += 1) {
     const server = { id: sample % 2 === 0 ? 'e1' : 'e2', service: 's' };
@@ -363,38 +386,38 @@
   assert.equal(paces.paceOf('e1'), 1);
 });
 
-test('an operator is shown the engines that differ most, and no more than there is room for', () => {
+test('the engines whose paces differ most are returned, up to the given number', () => {
   const { paces } = fleetPaces();
-  const unlike = [0.9, -0.7, 0.5].map((logPace, place) => ({
+  const deviating = [0.9, -0.7, 0.5].map((logPace, place) => ({
     engineId: `e${place}`,
     logPace,
     weight: 16,
   }));
-  paces.applyKnown([told([...USUAL, ...unlike], LINE)], 0);
+  paces.applyKnown([estimatesOf([...USUAL, ...deviating], LINE)], 0);
   assert.deepEqual([...paces.largestDeviations(2).keys()], ['e0', 'e1']);
   assert.deepEqual([...paces.largestDeviations(99).keys()], ['e0', 'e1', 'e2']);
 });
 
-test('switched off, all engines have one pace, whatever is seen and told', () => {
+test('with paces disabled, all engines have one pace whatever is observed or received', () => {
   const { paces, speed } = fleetPaces(false);
-  const before = new ReadSpeed();
+  const baseline = new ReadSpeed();
   for (let sample = 1; sample < 40; sample += 1) {
     const elapsedMs = sample % 2 === 0 ? 90 : 180;
     const server = { id: `e${sample % 2}`, service: 's' };
     paces.learnPrefill(server, sample * 100, { elapsedMs, waitMs: 20 }, sample);
-    before.learnPrefill(sample * 100, elapsedMs);
+    baseline.learnPrefill(sample * 100, elapsedMs);
     paces.learnDecode(server, sample * 10, elapsedMs, true, sample);
-    before.learnDecode(sample * 10, elapsedMs);
+    baseline.learnDecode(sample * 10, elapsedMs);
   }
-  paces.applyKnown([told([{ engineId: 'e1', logPace: 0.5, weight: 16 }], LINE)], 0);
+  paces.applyKnown([estimatesOf([{ engineId: 'e1', logPace: 0.5, weight: 16 }], LINE)], 0);
   assert.equal(paces.paceOf('e1'), 1);
   assert.deepEqual(
     [speed.prefillMs(7_000), speed.decodeMs(700)],
-    [before.prefillMs(7_000), before.decodeMs(700)],
+    [baseline.prefillMs(7_000), baseline.decodeMs(700)],
   );
 });
 
-test('the settings switch paces off for all that a daemon decides', () => {
+test('the setting enginePaces enables or disables paces in the fleet view', () => {
   const options = { ratio: 0.2, slack: 50 };
   for (const enginePaces of ['always', 'never'] as const) {
     const fleet = new FleetView(options, undefined, { enginePaces, waiting: true });
@@ -403,12 +426,16 @@
     );
     fleet.directory.replaceAll(servers);
     const fast = { engineId: 'e1', logPace: Math.log(2), weight: 16 };
-    fleet.paces.applyKnown([told([...USUAL, fast], LINE)], 0);
+    fleet.paces.applyKnown([estimatesOf([...USUAL, fast], LINE)], 0);
     assert.equal(fleet.paceOf('e1') > 1.7, enginePaces === 'always');
     assert.equal(fleet.paceOf('not listed'), 1);
     const change = fleet.directory.replaceAll([]);
     fleet.forgetEnded(change);
     fleet.directory.replaceAll(servers);
-    assert.equal(fleet.paceOf('e1'), 1, 'another life has its own pace');
+    assert.equal(
+      fleet.paceOf('e1'),
+      1,
+      'a removed engine that is listed again starts from the usual pace',
+    );
   }
 });
--- a/test/gateway/support/unlike-engines.ts
+++ b/test/gateway/support/unlike-engines.ts
@@ -1,6 +1,7 @@
 /**
- * A fleet of engines that read prompts one after another, each at its own speed and each slow for a moment now and
- * then, and one daemon that plans by the pure decisions and learns from what it sees. Virtual time, fixed seeds.
+ * Simulates a fleet of engines in virtual time with fixed seeds. Engines read prompts one after another, each at its
+ * own speed and with temporary slowdowns; one daemon plans by the pure decisions and learns from the read times that it
+ * observes.
  */
 import {
   EngineLoad,
@@ -13,42 +14,42 @@
   type ServerRecord,
 } from '../../../src/core/gateway/index.js';
 
-/** Tokens that an engine of the usual speed reads in a millisecond; the daemon is told nothing of it. */
+/** Tokens that an engine of the usual speed reads per millisecond; the daemon does not know it. */
 const TOKENS_PER_MS = 50;
-/** An engine answers so long after it has read, whatever the prompt, at the usual speed. */
+/** Time from the end of a read to the answer at the usual speed, for any prompt. */
 const OVERHEAD_MS = 6;
-/** Moments in which an engine may be slow are so long. */
-const MOMENT_MS = 600;
+/** Length of the periods in which an engine is either slow or not. */
+const SLOWDOWN_PERIOD_MS = 600;
 const FREE_WAIT_SHARE = 0.25;
 
-export interface UnlikeEnginesOptions {
-  /** Against the usual one. */
+export interface EngineSimulationOptions {
+  /** Relative to the usual speed. */
   readonly speeds: readonly number[];
-  /** Part of the moments in which an engine is slow, and how much longer everything takes in them. */
+  /** Share of the periods in which an engine is slow, and the factor by which work then takes longer. */
   readonly slowShare: number;
   readonly slowFactor: number;
-  /** Milliseconds between two prompts, on average. */
+  /** Mean time between two prompts. */
   readonly gapMs: number;
   readonly prompts: number;
   readonly hasPaces: boolean;
   readonly seed: number;
 }
 
-/** One prompt as it was planned and as it came out. */
+/** The expected and the actual read of one prompt. */
 export interface PlannedRead {
   readonly engine: number;
   readonly expectedMs: number;
-  readonly seenMs: number;
+  readonly observedMs: number;
   readonly usualMs: number;
 }
 
-interface UnderWay extends PlannedRead {
+interface ReadInProgress extends PlannedRead {
   readonly endsAtMs: number;
   readonly finish: (nowMs: number) => void;
 }
 
-/** Plays prompts and gives them in the order of their sending. */
-export function playUnlikeEngines(options: UnlikeEnginesOptions): readonly PlannedRead[] {
+/** Simulates the prompts and returns their reads in the order of sending. */
+export function simulateEngines(options: EngineSimulationOptions): readonly PlannedRead[] {
   const { speeds, gapMs, prompts, hasPaces } = options;
   const random = seededRandom(options.seed);
   const engines = speeds.map((_, place) => engineAt(place));
@@ -56,26 +57,26 @@
   speed.setInitialEstimate(9_000, 500);
   const paces = new EnginePaces(speed);
   const loads = new Map(engines.map(({ id }) => [id, new EngineLoad()]));
-  const taken = new EngineLoad();
-  // The engine that generates is full, so that every prompt is read apart.
-  taken.begin({ urgency: 'in-time', readMs: 1e9, waitMs: 0 }, 0);
+  const full = new EngineLoad();
+  // The decode engine is full, so that every prompt is read by a prefill engine.
+  full.begin({ urgency: 'in-time', readMs: 1e9, waitMs: 0 }, 0);
   const healths = new Map(engines.map(({ id }) => [id, new ServerHealth()]));
   const prefixIndex = new PrefixCacheIndex();
   const peerLoads = new PeerLoads();
   const freeAtMs = speeds.map(() => 0);
-  const isSlow = momentsOf(options);
+  const isSlow = slowPeriods(options);
   const reads: PlannedRead[] = [];
-  let underWay: UnderWay[] = [];
+  let inProgress: ReadInProgress[] = [];
   let nowMs = 0;
   for (let turn = 0; turn < prompts; turn += 1) {
     nowMs += -Math.log(1 - random()) * gapMs;
-    for (const read of underWay.filter(({ endsAtMs }) => endsAtMs <= nowMs)) {
+    for (const read of inProgress.filter(({ endsAtMs }) => endsAtMs <= nowMs)) {
       read.finish(read.endsAtMs);
     }
-    underWay = underWay.filter(({ endsAtMs }) => endsAtMs > nowMs);
+    inProgress = inProgress.filter(({ endsAtMs }) => endsAtMs > nowMs);
     const tokens = 1_500 + Math.floor(random() * 12_000);
     const plan = planModelRequest({
-      candidates: [...engines, GENERATING],
+      candidates: [...engines, DECODE_ENGINE],
       excludedIds: new Set(),
       description: {
         attemptId: `x${turn}`,
@@ -96,9 +97,9 @@
       linkMbps: 1_000_000,
       healthOf: (id) => healths.get(id) ?? new ServerHealth(),
       peerLoads,
-      loadOf: (id) => loads.get(id) ?? taken,
+      loadOf: (id) => loads.get(id) ?? full,
     });
-    if (plan?.kind !== 'prefill') throw new Error('every prompt is read apart here');
+    if (plan?.kind !== 'prefill') throw new Error('expected a plan with a separate prefill engine');
     const { server } = plan.prefill;
     const engine = engines.indexOf(server);
     const usualMs = (OVERHEAD_MS + tokens / TOKENS_PER_MS) / (speeds[engine] ?? 1);
@@ -122,36 +123,36 @@
     const read = {
       engine,
       expectedMs: plan.read.waitMs + plan.read.readMs,
-      seenMs: endsAtMs - sentMs,
+      observedMs: endsAtMs - sentMs,
       usualMs,
     };
     reads.push(read);
-    underWay.push({ ...read, endsAtMs, finish });
+    inProgress.push({ ...read, endsAtMs, finish });
   }
   return reads;
 }
 
-/** Work that takes so long at the usual speed ends later when moments of slowness fall into it. */
+/** The end of work of `workMs` without slowdowns, extended by the slow periods that it runs through. */
 function endOf(beginsMs: number, workMs: number, factorAt: (atMs: number) => number): number {
   let atMs = beginsMs;
   let leftMs = workMs;
   for (;;) {
     const factor = factorAt(atMs);
-    const momentEndMs = (Math.floor(atMs / MOMENT_MS) + 1) * MOMENT_MS;
-    if (atMs + leftMs * factor <= momentEndMs) return atMs + leftMs * factor;
-    leftMs -= (momentEndMs - atMs) / factor;
-    atMs = momentEndMs;
+    const periodEndMs = (Math.floor(atMs / SLOWDOWN_PERIOD_MS) + 1) * SLOWDOWN_PERIOD_MS;
+    if (atMs + leftMs * factor <= periodEndMs) return atMs + leftMs * factor;
+    leftMs -= (periodEndMs - atMs) / factor;
+    atMs = periodEndMs;
   }
 }
 
-function momentsOf({ slowShare, seed }: UnlikeEnginesOptions) {
+function slowPeriods({ slowShare, seed }: EngineSimulationOptions) {
   return (engine: number, atMs: number): boolean => {
-    const moment = Math.floor(atMs / MOMENT_MS);
-    return seededRandom(seed * 7_919 + engine * 104_729 + moment * 1_299_709)() < slowShare;
+    const period = Math.floor(atMs / SLOWDOWN_PERIOD_MS);
+    return seededRandom(seed * 7_919 + engine * 104_729 + period * 1_299_709)() < slowShare;
   };
 }
 
-/** Numbers from 0 to 1, the same for the same seed. */
+/** Returns a generator of numbers from 0 to 1 that is determined by the seed. */
 export function seededRandom(seed: number): () => number {
   let state = (seed ^ 0x9e3779b9) >>> 0;
   return () => {
@@ -162,7 +163,7 @@
   };
 }
 
-const GENERATING: ServerRecord = { ...engineAt(999), id: 'generating', stage: 'decode' };
+const DECODE_ENGINE: ServerRecord = { ...engineAt(999), id: 'generating', stage: 'decode' };
 
 function engineAt(place: number): ServerRecord {
   return {
--- a/test/gateway/unlike-paces.test.ts
+++ b/test/gateway/unlike-paces.test.ts
@@ -1,7 +1,7 @@
 /**
- * Paces of equal engines were believed from waits that nobody had told of: work went to and fro between engines that
- * were as fast as each other, and callers were served worse than with one pace for all. Paces count in decisions only
- * once engines are shown to be unlike, and no more once they are alike again.
+ * Guards against paces that waits alone produce: unreported waits gave equal engines different paces, work shifted back
+ * and forth between them, and callers were served worse than with one pace for all. Paces must count in decisions only
+ * while engines are shown to be heterogeneous.
  */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
@@ -19,8 +19,8 @@
   return { speed, paces };
 }
 
-/** What others know of engines of the given paces, in turn. */
-function toldOf(paces: readonly number[]) {
+/** Estimates of other daemons for engines that have the given paces in turn. */
+function estimatesOf(paces: readonly number[]) {
   const engines = Array.from({ length: ENGINES }, (_, place) => ({
     engineId: `e${place}`,
     logPace: Math.log(paces[place % paces.length] ?? 1),
@@ -29,21 +29,21 @@
   return { service: SERVICE, line: LINE, engines };
 }
 
-test('engines that differ as waits make them differ are decided on as one pace', () => {
+test('paces that differ no more than waits explain are not used in decisions', () => {
   const { speed, paces } = fleetPaces();
-  paces.applyKnown([toldOf([1.25, 0.85, 1, 1.1, 0.9])], 0);
+  paces.applyKnown([estimatesOf([1.25, 0.85, 1, 1.1, 0.9])], 0);
   paces.refresh(LATER_MS);
   assert.equal(paces.isUsedFor(SERVICE), false);
   assert.equal(paces.pacesOf(SERVICE)('e0'), 1);
   assert.equal(paces.quantizedPacesOf(SERVICE)('e0'), 1);
   assert.deepEqual(paces.takeChanges(10), []);
-  assert.equal(speed.isLearnt, false, "the line of others is not this daemon's");
+  assert.equal(speed.isLearnt, false, "the received line does not replace this daemon's own");
 });
 
-test('while they are alike a read teaches the line as if there were no paces', () => {
+test('while engines are homogeneous, the line is learnt from reads as without paces', () => {
   const { speed, paces } = fleetPaces();
   const alone = new ReadSpeed();
-  paces.applyKnown([toldOf([1.25, 0.85, 1, 1.1, 0.9])], 0);
+  paces.applyKnown([estimatesOf([1.25, 0.85, 1, 1.1, 0.9])], 0);
   for (let turn = 0; turn < 20; turn += 1) {
     const [tokens, elapsedMs] = [2_000 + 400 * turn, 60 + 9 * turn];
     const server = { id: `e${turn % ENGINES}`, service: SERVICE };
@@ -53,30 +53,30 @@
   assert.equal(speed.prefillMs(9_000), alone.prefillMs(9_000));
 });
 
-test('engines of unlike machines are decided on by their paces, and by the line that belongs to these', () => {
+test('decisions on heterogeneous engines use their paces and the line learnt with them', () => {
   const { speed, paces } = fleetPaces();
-  const told = toldOf([0.7, 0.7, 1.7]);
-  paces.applyKnown([told], 0);
+  const estimates = estimatesOf([0.7, 0.7, 1.7]);
+  paces.applyKnown([estimates], 0);
   paces.refresh(LATER_MS);
-  paces.applyKnown([told], LATER_MS);
+  paces.applyKnown([estimates], LATER_MS);
   assert.equal(paces.isUsedFor(SERVICE), true);
   assert.ok(paces.pacesOf(SERVICE)('e2') > 1.5);
   assert.ok(paces.pacesOf(SERVICE)('e0') < 0.8);
   assert.equal(speed.isLearnt, true);
 });
 
-test('once they are alike again there is one pace again', () => {
+test('paces are no longer used once engines are homogeneous again', () => {
   const { paces } = fleetPaces();
-  paces.applyKnown([toldOf([0.7, 0.7, 1.7])], 0);
+  paces.applyKnown([estimatesOf([0.7, 0.7, 1.7])], 0);
   paces.refresh(LATER_MS);
-  paces.applyKnown([toldOf([1])], LATER_MS);
+  paces.applyKnown([estimatesOf([1])], LATER_MS);
   paces.refresh(2 * LATER_MS);
   assert.equal(paces.isUsedFor(SERVICE), false);
 });
 
-test('a few engines that were seen say nothing of how unlike they all are', () => {
+test('three observed engines are too few to count the fleet as heterogeneous', () => {
   const { paces } = fleetPaces();
-  const { engines, ...rest } = toldOf([0.7, 0.7, 1.7]);
+  const { engines, ...rest } = estimatesOf([0.7, 0.7, 1.7]);
   paces.applyKnown([{ ...rest, engines: engines.slice(0, 3) }], 0);
   paces.refresh(LATER_MS);
   assert.equal(paces.isUsedFor(SERVICE), false);
