--- a/src/core/gateway/peer-load.ts
+++ b/src/core/gateway/peer-load.ts
@@ -1,6 +1,6 @@
 /**
- * What other daemons have told of their own work at engines. Each tells its whole state, so a lost
- * message is made good by the next; what is not renewed fades and is dropped.
+ * The work at engines that other daemons have advertised. Each message carries a daemon's complete state, so the next
+ * one makes up for a lost one; work that is not renewed runs down with time and is dropped.
  */
 
 import type { Urgency } from './engine-load.js';
@@ -8,55 +8,60 @@
 import type { ReachabilityNotice } from './reach-notices.js';
 import { addDemands, type ServiceDemand } from './stage-demand.js';
 
-/** A daemon that has told nothing for this long counts as having nothing. */
-const SILENT_AFTER_MS = 4_000;
-/** A relay's sums that are older give way to what single daemons told. */
+/** A daemon that has sent nothing for this long counts as having no work. */
+const REPORT_VALID_MS = 4_000;
+/** Maximum age of a relay's sums; older ones are replaced by the reports of single daemons. */
 const SUMS_VALID_MS = 2_500;
-/** Reports are turned round at most this often, unless one comes; dropped ones wait so long. */
+/**
+ * The index of reports by engine is rebuilt when a report arrives, and otherwise after this time; an expired report
+ * stays in it until then.
+ */
 const INDEX_VALID_MS = 250;
 const NO_WORK: readonly ReceivedWork[] = [];
 
 /** One daemon's work at one engine. */
 export interface EngineWork {
   readonly engineId: string;
-  /** Expected time of the prompts it waits for that can be in time. */
+  /** Expected read time of its queued prompts that can still be answered within their target. */
   readonly pendingMs: number;
-  /** Expected time of those that will be late, which are read after all others. */
+  /** Expected read time of its queued prompts that will miss their target; engines read them after all others. */
   readonly lateMs: number;
-  /** Its streams that run there. */
+  /** Number of its streams that run there. */
   readonly running: number;
 }
 
-/** What a daemon tells the others. */
+/** What a daemon advertises to the others. */
 export interface LoadReport {
   readonly daemon: string;
-  /** Another with each start. */
+  /** Different for each start of the daemon. */
   readonly incarnation: number;
-  /** Grows with each report of a life. */
+  /** Increases with each report of an incarnation. */
   readonly sequence: number;
-  /** Only engines where it has work. */
+  /** Only engines at which it has work. */
   readonly work: readonly EngineWork[];
-  /** Reads of shared parts that it began since the last report. */
+  /** Reads of shared prompt parts that it began since its last report. */
   readonly reads: readonly ReadNotice[];
-  /** What it was asked for lately. */
+  /** The demand that its callers created recently. */
   readonly demand: readonly ServiceDemand[];
-  /** Servers that it found silent, or back, since the last report. */
+  /** Servers that it found unreachable, or reachable again, since its last report. */
   readonly reach: readonly ReachabilityNotice[];
 }
 
-/** Sums told by the relay of a zone: over all daemons to its zone, over its zone to the other relays. */
+/**
+ * Sums that the relay of a zone sends: those over all daemons to its own zone, those over its zone to the other relays.
+ */
 export interface LoadSums {
   readonly relay: string;
   readonly incarnation: number;
   readonly sequence: number;
-  /** Whether engines that are left out have no work; otherwise they are as told before. */
+  /** Whether engines that are left out have no work; otherwise their last advertised work still holds. */
   readonly isComplete: boolean;
   readonly work: readonly EngineWork[];
-  /** Reads that daemons told of since the last sums. */
+  /** Reads of shared prompt parts that daemons reported since the last sums. */
   readonly reads: readonly ReadNotice[];
-  /** What the same daemons were asked for lately. */
+  /** The recent demand of the callers of the same daemons. */
   readonly demand: readonly ServiceDemand[];
-  /** Servers that daemons found silent, or back, since the last sums. */
+  /** Servers that daemons found unreachable, or reachable again, since the last sums. */
   readonly reach: readonly ReachabilityNotice[];
 }
 
@@ -82,44 +87,44 @@
   readonly byEngine: Map<string, EngineWork>;
 }
 
-/** What is known of the work of other daemons. */
+/** The known work of other daemons. */
 export class PeerLoads {
   readonly #byDaemon = new Map<string, ReceivedReport>();
   #sums: ReceivedSums | undefined;
   readonly #zoneSums = new Map<string, ReceivedSums>();
   #reportIndex: ReportIndex | undefined;
   #busySinceMs: number | undefined = Number.NEGATIVE_INFINITY;
-  #hasHeardDemand = false;
+  #hasReceivedDemand = false;
 
-  /** Takes a report unless a newer one of the same life is known. */
+  /** Applies a report unless a newer one of the same incarnation is known. */
   take(report: LoadReport, nowMs: number): void {
     const known = this.#byDaemon.get(report.daemon)?.report;
-    const isSameLife = known?.incarnation === report.incarnation;
-    if (known !== undefined && isSameLife && known.sequence >= report.sequence) return;
+    const isSameRun = known?.incarnation === report.incarnation;
+    if (known !== undefined && isSameRun && known.sequence >= report.sequence) return;
     const byEngine = new Map(report.work.map((work) => [work.engineId, work]));
     this.#byDaemon.set(report.daemon, { report, atMs: nowMs, byEngine });
-    this.#noteDemand(report.demand, nowMs);
+    this.#recordDemand(report.demand, nowMs);
     this.#reportIndex = undefined;
   }
 
   /**
-   * Takes a relay's sums, which hold this daemon's own work as well.
-   * @param ownWork this daemon's work, to be taken off
+   * Applies a relay's sums, which include this daemon's own work.
+   * @param ownWork this daemon's work, to be subtracted
    */
   applySums(sums: LoadSums, ownWork: readonly EngineWork[], nowMs: number): void {
     this.#sums = merged(this.#sums, sums, ownWork, nowMs);
     if (sums.demand.length === 0) this.#busySinceMs = undefined;
-    this.#noteDemand(sums.demand, nowMs);
+    this.#recordDemand(sums.demand, nowMs);
   }
 
-  /** Takes the sums of another zone, as this daemon is the relay of its own. */
+  /** Applies the sums of another zone, if this daemon is the relay of its own. */
   applyZoneSums(zone: string, sums: LoadSums, nowMs: number): void {
     this.#zoneSums.set(zone, merged(this.#zoneSums.get(zone), sums, [], nowMs));
-    this.#noteDemand(sums.demand, nowMs);
+    this.#recordDemand(sums.demand, nowMs);
     this.#reportIndex = undefined;
   }
 
-  /** A server has started again: what was told of its work is over. */
+  /** Drops the advertised work of a server that has restarted. */
   forget(engineId: string): void {
     this.#sums?.byEngine.delete(engineId);
     for (const { byEngine } of this.#zoneSums.values()) byEngine.delete(engineId);
@@ -127,7 +132,7 @@
     this.#reportIndex = undefined;
   }
 
-  /** How long a new prompt waits for those of other daemons. */
+  /** Expected wait of a new prompt for the prompts of other daemons. */
   waitMs(engineId: string, urgency: Urgency, nowMs: number): number {
     let totalMs = 0;
     for (const { work, atMs } of this.#workAt(engineId, nowMs)) {
@@ -145,7 +150,7 @@
     return total;
   }
 
-  /** The sums of what single daemons told and of this daemon's own work, for other relays. */
+  /** The sums of this daemon's own work and the reports of single daemons, for the other relays. */
   zoneTotals(ownWork: readonly EngineWork[], nowMs: number): readonly EngineWork[] {
     const totals = new Map<string, EngineWork>();
     for (const { byEngine, atMs } of this.#recent(nowMs)) {
@@ -155,7 +160,7 @@
     return [...totals.values()];
   }
 
-  /** The same with the sums of the other zones, for the own zone. */
+  /** The same plus the sums of the other zones, for the own zone. */
   totals(ownWork: readonly EngineWork[], nowMs: number): readonly EngineWork[] {
     const totals = new Map<string, EngineWork>();
     for (const work of this.zoneTotals(ownWork, nowMs)) addWork(totals, work);
@@ -165,12 +170,12 @@
     return [...totals.values()];
   }
 
-  /** What the daemons were asked for lately that this one hears by themselves, and itself. */
+  /** The recent demand at this daemon and at the daemons whose reports it receives directly. */
   zoneDemand(own: readonly ServiceDemand[], nowMs: number): readonly ServiceDemand[] {
     return addDemands([...own, ...this.#recent(nowMs).flatMap(({ report }) => report.demand)]);
   }
 
-  /** What all daemons were asked for lately, as far as it is known here. */
+  /** The recent demand at all daemons, as far as it is known here. */
   totalDemand(own: readonly ServiceDemand[], nowMs: number): readonly ServiceDemand[] {
     const sums = this.#sums;
     if (sums !== undefined && nowMs - sums.atMs <= SUMS_VALID_MS) return sums.sums.demand;
@@ -179,7 +184,7 @@
     return addDemands([...this.zoneDemand(own, nowMs), ...ofOthers]);
   }
 
-  /** Whether anything is known of the work of others. */
+  /** Whether any recent information on the work of other daemons is known. */
   hasReceived(nowMs: number): boolean {
     const sums = this.#sums;
     const hasSums = sums !== undefined && nowMs - sums.atMs <= SUMS_VALID_MS;
@@ -187,14 +192,17 @@
   }
 
   /**
-   * For how long the others have had requests: Infinity where that began before this daemon heard of them, undefined
+   * For how long other daemons have had requests: Infinity if they already had some at the first report, undefined
    * while they have none.
    */
   busyForMs(nowMs: number): number | undefined {
     return this.#busySinceMs === undefined ? undefined : nowMs - this.#busySinceMs;
   }
 
-  /** Age of what a relay, or the relays of the other zones, told of all daemons; undefined where none did. */
+  /**
+   * Age of the newest sums from the own zone's relay or, at a relay, from those of other zones; undefined without valid
+   * sums.
+   */
   sumsAgeMs(nowMs: number): number | undefined {
     const received = this.#sums === undefined ? [] : [this.#sums];
     const agesMs = [...received, ...this.#zoneSums.values()].map(({ atMs }) => nowMs - atMs);
@@ -202,7 +210,7 @@
     return validMs.length === 0 ? undefined : Math.min(...validMs);
   }
 
-  /** How old the newest that was told of the others' work is; infinite where nothing was. */
+  /** Age of the newest information on other daemons' work; infinite if there is none. */
   newestAgeMs(nowMs: number): number {
     const sums = this.#sums;
     if (sums !== undefined && nowMs - sums.atMs <= SUMS_VALID_MS) return nowMs - sums.atMs;
@@ -212,16 +220,16 @@
     );
   }
 
-  /** Daemons heard of lately. */
+  /** Number of daemons with a recent report. */
   count(nowMs: number): number {
     return this.#recent(nowMs).length;
   }
 
-  /** Others that are not asked for anything at first show the moment at which they are. */
-  #noteDemand(demand: readonly ServiceDemand[], nowMs: number): void {
+  /** Dates the start of the others' demand. It is known only if the first reports show no demand. */
+  #recordDemand(demand: readonly ServiceDemand[], nowMs: number): void {
     if (demand.length > 0) this.#busySinceMs ??= nowMs;
-    else if (!this.#hasHeardDemand) this.#busySinceMs = undefined;
-    if (demand.length > 0) this.#hasHeardDemand = true;
+    else if (!this.#hasReceivedDemand) this.#busySinceMs = undefined;
+    if (demand.length > 0) this.#hasReceivedDemand = true;
   }
 
   #workAt(engineId: string, nowMs: number): readonly ReceivedWork[] {
@@ -233,15 +241,15 @@
     return this.#indexOfReports(nowMs).get(engineId) ?? NO_WORK;
   }
 
-  /** What single daemons told, by engine: a plan asks for all engines, so it is turned round once. */
+  /** Indexes the reports of single daemons by engine. The index is reused, since a plan looks up all engines. */
   #indexOfReports(nowMs: number): ReadonlyMap<string, readonly ReceivedWork[]> {
     const known = this.#reportIndex;
     if (known !== undefined && nowMs - known.atMs < INDEX_VALID_MS) return known.byEngine;
     const byEngine = new Map<string, ReceivedWork[]>();
-    const told = this.#recent(nowMs).flatMap((report) =>
+    const reported = this.#recent(nowMs).flatMap((report) =>
       [...report.byEngine.values()].map((work) => ({ work, atMs: report.atMs })),
     );
-    for (const received of [...told, ...this.#otherZones(nowMs)]) {
+    for (const received of [...reported, ...this.#otherZones(nowMs)]) {
       const entries = byEngine.get(received.work.engineId);
       if (entries === undefined) byEngine.set(received.work.engineId, [received]);
       else entries.push(received);
@@ -259,24 +267,23 @@
   #recent(nowMs: number): readonly ReceivedReport[] {
     const recent: ReceivedReport[] = [];
     for (const [daemon, received] of this.#byDaemon) {
-      if (nowMs - received.atMs <= SILENT_AFTER_MS) recent.push(received);
+      if (nowMs - received.atMs <= REPORT_VALID_MS) recent.push(received);
       else this.#byDaemon.delete(daemon);
     }
     return recent;
   }
 }
 
-/** Sums as they are known with newer ones, less the own work that those hold; older ones change nothing. */
+/** Merges newer sums, less the own work that they include, into the known ones. Older sums change nothing. */
 function merged(
   known: ReceivedSums | undefined,
   sums: LoadSums,
   ownWork: readonly EngineWork[],
   nowMs: number,
 ): ReceivedSums {
-  const isSameLife =
-    known?.sums.relay === sums.relay && known.sums.incarnation === sums.incarnation;
-  if (known !== undefined && isSameLife && known.sums.sequence >= sums.sequence) return known;
-  const keepsOthers = isSameLife && !sums.isComplete && known !== undefined;
+  const isSameRun = known?.sums.relay === sums.relay && known.sums.incarnation === sums.incarnation;
+  if (known !== undefined && isSameRun && known.sums.sequence >= sums.sequence) return known;
+  const keepsOthers = isSameRun && !sums.isComplete && known !== undefined;
   const byEngine = keepsOthers ? known.byEngine : new Map<string, ReceivedWork>();
   const own = new Map(ownWork.map((work) => [work.engineId, work]));
   for (const total of sums.work) {
@@ -286,7 +293,7 @@
   return { sums, atMs: nowMs, byEngine };
 }
 
-/** What is left of work after a time in which the engine worked at it, late prompts last. */
+/** The work that is left after a time in which the engine processed it, late prompts last. */
 function workLeft(work: EngineWork, elapsedMs: number): EngineWork {
   const pendingMs = pendingLeftMs(work, elapsedMs);
   return { ...work, pendingMs, lateMs: lateLeftMs(work, elapsedMs) };
@@ -301,7 +308,7 @@
   return Math.max(0, lateMs - spareMs);
 }
 
-/** Adds one entry to sums by engine. */
+/** Adds one entry to the sums by engine. */
 function addWork(totals: Map<string, EngineWork>, work: EngineWork): void {
   const known = totals.get(work.engineId);
   totals.set(work.engineId, {
--- a/src/core/gateway/recent-sends.ts
+++ b/src/core/gateway/recent-sends.ts
@@ -1,10 +1,10 @@
 /**
- * The requests that this daemon sent to each server lately without a permit. Where a server turns out to have named a
- * limit, they count towards it.
+ * Counts the recent requests that this daemon sent to each server without a permit. If a server turns out to have
+ * reported a limit, they count towards it.
  */
 import { LEDGER_SPAN_MS, type TimedCount } from './limit-ledger.js';
 
-/** Sends within this time are counted as one figure, at its end. */
+/** Sends within this time are counted as one entry, dated to its end. */
 const BUCKET_MS = 250;
 
 interface Bucket {
@@ -31,14 +31,14 @@
     this.#buckets.set(serverId, recent);
   }
 
-  /** What was sent within the span that counts, by age. */
+  /** The sends within the ledger's span, with their times. */
   of(serverId: string, nowMs: number): readonly TimedCount[] {
     const buckets = this.#buckets.get(serverId) ?? [];
     const recent = buckets.filter((bucket) => isRecent(bucket, nowMs));
     return recent.map(({ endMs, count }) => ({ atMs: Math.min(endMs, nowMs), count }));
   }
 
-  /** Servers that were sent nothing lately, among them those that are gone. */
+  /** Drops servers without recent sends, including removed ones. */
   #dropOld(nowMs: number): void {
     this.#droppedAtMs = nowMs;
     for (const [serverId, buckets] of this.#buckets) {
--- a/src/core/gateway/send-meter.ts
+++ b/src/core/gateway/send-meter.ts
@@ -1,29 +1,29 @@
 /**
- * Counts a request's arrivals at servers as a service's budget for repeats counts them: every arrival
- * beyond the first is a repeat, whether the server ran it, turned it away or broke it off. The first
- * reading of its prompt that a server takes up counts as none.
+ * Counts a request's arrivals at servers as the service's retry budget counts them: every arrival after the first is a
+ * repeat, whether the server ran the request, refused it or broke it off. The first time that a server has read the
+ * prompt does not count.
  *
- * A repeat is reserved before it is sent; what turns out to be none is given back.
+ * A repeat is reserved before it is sent, and returned to the budget if it turns out not to count.
  */
 import type { RetryBudget } from './retry-budget.js';
 
-/** What a send asks of a server. */
+/** What a send requests from a server. */
 export type SendStep = 'prefill' | 'run';
 
-/** A send under way. */
+/** A send in progress. */
 export interface MeteredSend {
   readonly step: SendStep;
-  /** Whether it took a repeat from the budget. */
+  /** Whether it reserved a repeat from the budget. */
   readonly isReserved: boolean;
 }
 
-/** How a send ended, as far as it is counted. */
+/** How a send ended, for counting. */
 export type SendEnd =
   /** Nothing reached the server. */
   | 'not-sent'
   /** The prompt was read. */
   | 'read'
-  /** It reached the server, whatever became of it. */
+  /** It reached the server, with any other outcome. */
   | 'arrived';
 
 /** The arrivals of one request. */
@@ -31,7 +31,7 @@
   #arrivals = 0;
   #hasRead = false;
 
-  /** To be called before a send; undefined where it would be a repeat that the budget has no room for. */
+  /** Must be called before a send; returns undefined if the send would be a repeat that exceeds the budget. */
   tryBegin(step: SendStep, budget: RetryBudget): MeteredSend | undefined {
     const isReserved = this.#arrivals > 0;
     if (isReserved && !budget.tryTake()) return undefined;
@@ -39,7 +39,7 @@
     return { step, isReserved };
   }
 
-  /** To be called once for each send that was begun. */
+  /** Must be called once for each send that was begun. */
   end(send: MeteredSend, end: SendEnd, budget: RetryBudget): void {
     switch (end) {
       case 'arrived':
--- a/src/core/gateway/sums-to-tell.ts
+++ b/src/core/gateway/sums-to-tell.ts
@@ -1,70 +1,71 @@
 /**
- * What a relay tells its zone: the sums as a whole now and then, and in between what has changed. Time passing is no
- * change, as whoever was told counts it too.
+ * Selects the sums that a relay advertises to its zone: complete sums at intervals, and changes in between. Work that
+ * runs down with time is no change, because receivers deduct the elapsed time themselves.
  *
- * More engines change at once than there are bytes for when a large fleet is busy. Then those are told of which what
- * was told before is furthest off, and the sums are not called whole: what is left out is as it was told, and its turn
- * comes. Sums that are called whole but lack a part would make engines look idle to every daemon of the zone.
+ * When a large fleet is busy, more engines change at once than a message has bytes for. Then the engines whose
+ * advertised work is most outdated go first, and the sums are not marked complete: engines that are left out keep their
+ * advertised work until their turn comes. Sums that are marked complete but lack engines would make these look idle to
+ * every daemon of the zone.
  */
 import type { EngineWork } from './peer-load.js';
 import { RELAY_REFRESH_MS } from './peer-roster.js';
 
-/** An engine's work that ends within so much of what was told before is not told again. */
+/** Work whose expected end has moved by no more than this is not advertised again. */
 const SAME_END_MS = 8;
 
-/** Sums to be told. */
+/** Sums to be advertised. */
 export interface AdvertisedSums {
-  /** Whether engines that are left out have no work; otherwise they are as told before. */
+  /** Whether engines that are left out have no work; otherwise their last advertised work still holds. */
   readonly isComplete: boolean;
   readonly work: readonly EngineWork[];
 }
 
-interface ToldWork {
+interface AdvertisedWork {
   readonly inTimeEndMs: number;
   readonly endMs: number;
   readonly running: number;
   readonly atMs: number;
 }
 
-/** A relay's memory of what it has told. */
+/** Remembers which work a relay has advertised, and selects what is due. */
 export class SumsAdvertiser {
-  readonly #told = new Map<string, ToldWork>();
-  #lastWholeMs = Number.NEGATIVE_INFINITY;
+  readonly #advertised = new Map<string, AdvertisedWork>();
+  #lastCompleteMs = Number.NEGATIVE_INFINITY;
 
   /**
-   * What is to be told now; it counts as told from here on.
-   * @param maxEntries how many engines there are bytes for
+   * The sums that are due now; they count as advertised from here on.
+   * @param maxEntries number of engines that the message has bytes for
    */
   next(
     totals: readonly EngineWork[],
     nowMs: number,
     maxEntries = Number.POSITIVE_INFINITY,
   ): AdvertisedSums {
-    const isDue = nowMs - this.#lastWholeMs >= RELAY_REFRESH_MS;
-    if (isDue && totals.length <= maxEntries) return this.#tellWhole(totals, nowMs);
+    const isDue = nowMs - this.#lastCompleteMs >= RELAY_REFRESH_MS;
+    if (isDue && totals.length <= maxEntries) return this.#completeSums(totals, nowMs);
     const changed = this.#changedSince(totals, isDue, nowMs);
-    const work = changed.length <= maxEntries ? changed : this.#furthestOff(changed, nowMs);
-    return { isComplete: false, work: this.#noteTold(work.slice(0, maxEntries), nowMs) };
+    const work = changed.length <= maxEntries ? changed : this.#byError(changed, nowMs);
+    return { isComplete: false, work: this.#markAdvertised(work.slice(0, maxEntries), nowMs) };
   }
 
-  #tellWhole(totals: readonly EngineWork[], nowMs: number): AdvertisedSums {
-    this.#lastWholeMs = nowMs;
-    this.#told.clear();
-    return { isComplete: true, work: this.#noteTold(totals, nowMs) };
+  #completeSums(totals: readonly EngineWork[], nowMs: number): AdvertisedSums {
+    this.#lastCompleteMs = nowMs;
+    this.#advertised.clear();
+    return { isComplete: true, work: this.#markAdvertised(totals, nowMs) };
   }
 
-  #noteTold(work: readonly EngineWork[], nowMs: number): readonly EngineWork[] {
+  #markAdvertised(work: readonly EngineWork[], nowMs: number): readonly EngineWork[] {
     for (const { engineId, pendingMs, lateMs, running } of work) {
       const inTimeEndMs = nowMs + pendingMs;
-      const told = { inTimeEndMs, endMs: inTimeEndMs + lateMs, running, atMs: nowMs };
-      this.#told.set(engineId, told);
+      const sent = { inTimeEndMs, endMs: inTimeEndMs + lateMs, running, atMs: nowMs };
+      this.#advertised.set(engineId, sent);
     }
     return work;
   }
 
   /**
-   * What differs from what was told, engines that have no work any more among it.
-   * @param isDue whether what was told long ago is to be told again, as it may have been lost
+   * Work that differs from the advertised work, including engines that have no work any more.
+   * @param isDue whether entries that were advertised long ago are due again, since their message may have been lost
    */
   #changedSince(
     totals: readonly EngineWork[],
@@ -73,47 +74,50 @@
   ): readonly EngineWork[] {
     const oldestMs = isDue ? nowMs - RELAY_REFRESH_MS : Number.NEGATIVE_INFINITY;
     const isKnown = (work: EngineWork) => {
-      const told = this.#told.get(work.engineId);
-      return told !== undefined && told.atMs > oldestMs && isAsTold(work, told, nowMs);
+      const sent = this.#advertised.get(work.engineId);
+      return sent !== undefined && sent.atMs > oldestMs && isAsSent(work, sent, nowMs);
     };
     const changed = totals.filter((work) => !isKnown(work));
     const present = new Set(totals.map(({ engineId }) => engineId));
-    for (const [engineId, told] of this.#told) {
+    for (const [engineId, sent] of this.#advertised) {
       const none = { engineId, pendingMs: 0, lateMs: 0, running: 0 };
-      if (!present.has(engineId) && !isAsTold(none, told, nowMs)) changed.push(none);
+      if (!present.has(engineId) && !isAsSent(none, sent, nowMs)) changed.push(none);
     }
     return changed;
   }
 
-  /** By the work that others are mistaken about; of equals, what was told longest ago. */
-  #furthestOff(changed: readonly EngineWork[], nowMs: number): readonly EngineWork[] {
+  /**
+   * Orders engines by the error of what receivers assume, largest first; of equal errors, the one advertised longest
+   * ago first.
+   */
+  #byError(changed: readonly EngineWork[], nowMs: number): readonly EngineWork[] {
     const ranked = changed.map((work) => {
-      const told = this.#told.get(work.engineId);
-      return { work, offMs: offMs(work, told, nowMs), atMs: told?.atMs ?? 0 };
+      const sent = this.#advertised.get(work.engineId);
+      return { work, errorMs: errorMs(work, sent, nowMs), atMs: sent?.atMs ?? 0 };
     });
-    ranked.sort((one, other) => other.offMs - one.offMs || one.atMs - other.atMs);
+    ranked.sort((one, other) => other.errorMs - one.errorMs || one.atMs - other.atMs);
     return ranked.map(({ work }) => work);
   }
 }
 
-/** How far the ends of an engine's work are from what was told. */
-function offMs(work: EngineWork, told: ToldWork | undefined, nowMs: number): number {
+/** Difference between the ends of an engine's work and the ends that were advertised. */
+function errorMs(work: EngineWork, sent: AdvertisedWork | undefined, nowMs: number): number {
   const inTimeEndMs = nowMs + work.pendingMs;
-  const toldInTimeMs = Math.max(nowMs, told?.inTimeEndMs ?? nowMs);
-  const toldEndMs = Math.max(nowMs, told?.endMs ?? nowMs);
-  return Math.abs(inTimeEndMs - toldInTimeMs) + Math.abs(inTimeEndMs + work.lateMs - toldEndMs);
+  const sentInTimeMs = Math.max(nowMs, sent?.inTimeEndMs ?? nowMs);
+  const sentEndMs = Math.max(nowMs, sent?.endMs ?? nowMs);
+  return Math.abs(inTimeEndMs - sentInTimeMs) + Math.abs(inTimeEndMs + work.lateMs - sentEndMs);
 }
 
-function isAsTold(work: EngineWork, told: ToldWork, nowMs: number): boolean {
+function isAsSent(work: EngineWork, sent: AdvertisedWork, nowMs: number): boolean {
   const inTimeEndMs = nowMs + work.pendingMs;
   const isSame =
-    isSameEnd(inTimeEndMs, told.inTimeEndMs, nowMs) &&
-    isSameEnd(inTimeEndMs + work.lateMs, told.endMs, nowMs);
-  return told.running === work.running && isSame;
+    isSameEnd(inTimeEndMs, sent.inTimeEndMs, nowMs) &&
+    isSameEnd(inTimeEndMs + work.lateMs, sent.endMs, nowMs);
+  return sent.running === work.running && isSame;
 }
 
-/** Ends that have passed are all the same. */
-function isSameEnd(endMs: number, toldEndMs: number, nowMs: number): boolean {
-  const isOver = endMs <= nowMs && toldEndMs <= nowMs;
-  return isOver || Math.abs(endMs - toldEndMs) <= SAME_END_MS;
+/** Compares two ends; ends in the past are all equal. */
+function isSameEnd(endMs: number, sentEndMs: number, nowMs: number): boolean {
+  const isOver = endMs <= nowMs && sentEndMs <= nowMs;
+  return isOver || Math.abs(endMs - sentEndMs) <= SAME_END_MS;
 }
--- a/src/core/gateway/web-server-load.ts
+++ b/src/core/gateway/web-server-load.ts
@@ -1,83 +1,84 @@
 /**
- * What a web server has from all daemons, as far as this one can know: by the server's own report while that is fresh,
- * else by what the other daemons told, else by this daemon's own calls alone.
+ * Estimates the calls that a web server has from all daemons: by the server's own report while that is fresh, otherwise
+ * by what the other daemons advertised, otherwise by this daemon's own calls alone.
  *
- * That matters where a service has fewer slots than there are daemons: each has less than one call there on average, and
- * its own calls tell it nothing. With more slots its own calls are a fair sample, exact and new, and do better.
+ * The calls of other daemons count where a service has fewer slots than there are daemons: each daemon then has less
+ * than one call running on average, and its own calls say little about the load. With more slots, its own calls are a
+ * fair sample that is exact and current, and decisions by them alone are better.
  *
- * The calls at a web server turn over within one call's time, so a count is worth the less the older it is: what it has
- * beyond the server's usual count has partly ended, and is expected to be gone in the end. Without that, all daemons
- * run after the same old figures, and do worse than by their own calls.
+ * The calls at a web server are replaced within about one response time, so a count loses value with age: its
+ * difference from the server's usual count decays and is expected to vanish. Without this decay all daemons follow the
+ * same outdated counts, and do worse than by their own calls.
  */
 
-/** A load as a server reports it with an answer. */
+/** The load that a server reports with an answer. */
 export interface LoadFigures {
-  /** Requests that run. */
+  /** Requests in progress. */
   readonly running: number;
   /** Requests that wait for a slot. */
   readonly waiting: number;
-  /** Requests that it runs at once. */
+  /** Requests that it runs at the same time. */
   readonly slots: number;
-  /** How long work takes there now, 1 is usual; undefined where it does not say. */
+  /** Current processing time relative to the usual one; undefined if the server does not report it. */
   readonly slowness: number | undefined;
 }
 
-/** Work expected at a web server. */
+/** The expected load of a web server. */
 export interface WebServerLoad {
-  /** Calls under way there, this daemon's own among them. */
+  /** Calls in progress there, including this daemon's own. */
   readonly calls: number;
-  /** By how many calls that is likely to be wrong; 0 where this daemon knows of its own calls only. */
+  /** Standard deviation of `calls`; 0 if this daemon knows of its own calls only. */
   readonly stdDev: number;
-  /** How long work takes there now, 1 is usual. */
+  /** Current processing time relative to the usual one. */
   readonly slowness: number;
 }
 
-/** What this daemon knows of a web server at the moment it chooses. */
+/** What this daemon knows of a web server when it chooses one. */
 export interface WebServerView {
   readonly ownCalls: number;
-  /** Calls of other daemons, as they told; undefined where they tell nothing of them. */
+  /** Calls that other daemons advertised; undefined if they advertise none for this service. */
   readonly advertisedCalls: number | undefined;
-  /** Smoothed time of its answers; undefined before the first. */
+  /** Smoothed response time; undefined before the first answer. */
   readonly responseMs: number | undefined;
-  /** Whether there are more daemons than slots, so that this one's own calls show little. */
+  /** Whether there are more daemons than slots, so that this daemon's own calls say little about the load. */
   readonly isCrowded: boolean;
 }
 
-/** How old what daemons told is on average: it is gathered at the daemon, and at the relays of one or two zones. */
-const TOLD_AGE_MS = 90;
-/** A report is looked at for this long; afterwards what others told is newer. */
+/** Average age of advertised counts, which are collected at the daemon and at the relays of one or two zones. */
+const ADVERTISED_AGE_MS = 90;
+/** A server's report is used for this long; after that, advertised counts are newer. */
 const REPORT_VALID_MS = 300;
-/** The usual count follows what was seen over this time: longer than a burst, shorter than a shift of callers. */
-const USUAL_SPAN_MS = 3_000;
-/** A usual count that nothing has renewed for this long is forgotten. */
+/** Time constant of the usual count: longer than a burst of calls, shorter than a shift of callers to other daemons. */
+const USUAL_TIME_CONSTANT_MS = 3_000;
+/** A usual count that has not been updated for this long is no longer used. */
 const USUAL_VALID_MS = 10_000;
 
-/** Calls of other daemons at a server, and when they were seen. */
-interface SeenCalls {
+/** Calls of other daemons at a server, with the time of the observation. */
+interface ObservedCalls {
   readonly calls: number;
   readonly atMs: number;
 }
 
-interface ServerBelief {
-  usual: SeenCalls;
-  report: (SeenCalls & { readonly slowness: number }) | undefined;
+interface ServerEstimate {
+  usual: ObservedCalls;
+  report: (ObservedCalls & { readonly slowness: number }) | undefined;
 }
 
-/** Beliefs on all web servers. */
+/** Load estimates for all web servers. */
 export class WebServerLoads {
-  readonly #byServer = new Map<string, ServerBelief>();
+  readonly #byServer = new Map<string, ServerEstimate>();
 
   /**
-   * A server reported its load.
-   * @param ownCalls calls of this daemon that were under way there
+   * Records a server's report of its load.
+   * @param ownCalls this daemon's calls in progress there
    */
   recordReport(serverId: string, figures: LoadFigures, ownCalls: number, nowMs: number): void {
     const calls = Math.max(0, figures.running + figures.waiting - ownCalls);
-    const belief = this.#see(serverId, calls, nowMs);
-    belief.report = { calls, atMs: nowMs, slowness: figures.slowness ?? 1 };
+    const entry = this.#recordCount(serverId, calls, nowMs);
+    entry.report = { calls, atMs: nowMs, slowness: figures.slowness ?? 1 };
   }
 
-  /** What is to be expected of a server now. */
+  /** Estimates a server's current load. */
   estimate(serverId: string, view: WebServerView, nowMs: number): WebServerLoad {
     const { ownCalls, advertisedCalls, responseMs, isCrowded } = view;
     const report = this.#freshReport(serverId, nowMs);
@@ -86,13 +87,13 @@
       const others = this.#othersAfter(serverId, report.calls, nowMs - report.atMs, responseMs);
       return { ...others, calls: ownCalls + others.calls, slowness: report.slowness };
     }
-    if (advertisedCalls !== undefined) this.#see(serverId, advertisedCalls, nowMs);
+    if (advertisedCalls !== undefined) this.#recordCount(serverId, advertisedCalls, nowMs);
     const usual = this.#usualOf(serverId, nowMs);
     if (usual === undefined) return { calls: ownCalls, stdDev: 0, slowness: 1 };
-    const isTold = advertisedCalls !== undefined;
-    const seen = advertisedCalls ?? usual;
-    const ageMs = isTold ? TOLD_AGE_MS : Number.POSITIVE_INFINITY;
-    const others = this.#othersAfter(serverId, seen, ageMs, responseMs);
+    const isAdvertised = advertisedCalls !== undefined;
+    const observed = advertisedCalls ?? usual;
+    const ageMs = isAdvertised ? ADVERTISED_AGE_MS : Number.POSITIVE_INFINITY;
+    const others = this.#othersAfter(serverId, observed, ageMs, responseMs);
     return { ...others, calls: ownCalls + others.calls, slowness: 1 };
   }
 
@@ -100,7 +101,7 @@
     this.#byServer.delete(serverId);
   }
 
-  #freshReport(serverId: string, nowMs: number): ServerBelief['report'] {
+  #freshReport(serverId: string, nowMs: number): ServerEstimate['report'] {
     const report = this.#byServer.get(serverId)?.report;
     return report !== undefined && nowMs - report.atMs <= REPORT_VALID_MS ? report : undefined;
   }
@@ -110,31 +111,32 @@
     return usual !== undefined && nowMs - usual.atMs <= USUAL_VALID_MS ? usual.calls : undefined;
   }
 
-  /** Takes a count into the usual one, the more the longer nothing was seen. */
-  #see(serverId: string, calls: number, nowMs: number): ServerBelief {
+  /** Updates the usual count; the new count weighs more the longer ago the last update was. */
+  #recordCount(serverId: string, calls: number, nowMs: number): ServerEstimate {
     const known = this.#byServer.get(serverId);
     if (known === undefined) {
-      const belief: ServerBelief = { usual: { calls, atMs: nowMs }, report: undefined };
-      this.#byServer.set(serverId, belief);
-      return belief;
+      const entry: ServerEstimate = { usual: { calls, atMs: nowMs }, report: undefined };
+      this.#byServer.set(serverId, entry);
+      return entry;
     }
     const { usual } = known;
-    const weight = 1 - Math.exp((usual.atMs - nowMs) / USUAL_SPAN_MS);
+    const weight = 1 - Math.exp((usual.atMs - nowMs) / USUAL_TIME_CONSTANT_MS);
     known.usual = { calls: usual.calls + weight * (calls - usual.calls), atMs: nowMs };
     return known;
   }
 
-  /** Calls of others a time after they were counted, where calls last so long on average. */
+  /** Expected calls of other daemons `ageMs` after they were counted, for calls that last `responseMs` on average. */
   #othersAfter(
     serverId: string,
-    seenCalls: number,
+    observedCalls: number,
     ageMs: number,
     responseMs: number | undefined,
   ): { readonly calls: number; readonly stdDev: number } {
-    const usual = this.#byServer.get(serverId)?.usual.calls ?? seenCalls;
-    const leftShare = responseMs === undefined ? 0 : Math.exp(-ageMs / Math.max(1, responseMs));
-    const calls = usual + (seenCalls - usual) * leftShare;
-    // The count of calls that come and go by chance varies by as much as their number.
-    return { calls, stdDev: Math.sqrt(Math.max(0, calls) * (1 - leftShare * leftShare)) };
+    const usual = this.#byServer.get(serverId)?.usual.calls ?? observedCalls;
+    const remainingShare =
+      responseMs === undefined ? 0 : Math.exp(-ageMs / Math.max(1, responseMs));
+    const calls = usual + (observedCalls - usual) * remainingShare;
+    // The number of calls that arrive and end at random has a variance equal to its mean.
+    return { calls, stdDev: Math.sqrt(Math.max(0, calls) * (1 - remainingShare * remainingShare)) };
   }
 }
--- a/test/gateway/sums-in-bounds.test.ts
+++ b/test/gateway/sums-in-bounds.test.ts
@@ -1,7 +1,8 @@
 /**
- * With 63 engines under load more changed in each 60 ms than a relay may send. What was not sent counted as told, and
- * sums that were told as a whole lost their second part: the engines in it looked idle to all daemons of the zone, which
- * sent their work there together. Half of the prompts of a fleet's first seconds so went to a few engines.
+ * Guards against busy engines that look idle. With 63 engines under load, more work changes within 60 ms than a relay
+ * may send. Once, changes that did not fit counted as advertised, and complete sums lost their second part: every
+ * daemon of the zone saw the engines in it as idle and sent its work there, so that half of the prompts of a fleet's
+ * first seconds went to a few engines.
  */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
@@ -16,15 +17,17 @@
 
 const ENGINES = 63;
 const TICK_MS = 90;
-/** As many as 4 KB a second leave for a message in this time, beside what else is told. */
-const MOST_ENTRIES = 12;
+/**
+ * Number of engines for which 4 KB per second leave bytes in a message at this interval, next to its other contents.
+ */
+const MAX_ENTRIES = 12;
 const IDLE = { lateMs: 0, running: 1 };
 
 function idAt(place: number): string {
   return `i-${(0x7f3a_0000 + place * 7919).toString(16)}`;
 }
 
-/** Each engine's work is another at each moment. */
+/** Every engine's work differs at every time. */
 function workAt(nowMs: number): EngineWork[] {
   return Array.from({ length: ENGINES }, (_, place) => ({
     engineId: idAt(place),
@@ -33,16 +36,16 @@
   }));
 }
 
-test('of more engines than there are bytes for, none looks idle while it is busy', () => {
+test('no busy engine looks idle when messages have bytes for fewer engines than change', () => {
   const sums = new SumsAdvertiser();
   const loads = new PeerLoads();
   const head = { relay: 'r', incarnation: 1, reads: [], reach: [], demand: [] };
   let sequence = 0;
   for (let nowMs = 0; nowMs <= 4_000; nowMs += TICK_MS) {
-    const told = sums.next(workAt(nowMs), nowMs, MOST_ENTRIES);
-    assert.ok(told.work.length <= MOST_ENTRIES);
+    const advertised = sums.next(workAt(nowMs), nowMs, MAX_ENTRIES);
+    assert.ok(advertised.work.length <= MAX_ENTRIES);
     sequence += 1;
-    loads.applySums({ ...head, ...told, sequence }, [], nowMs);
+    loads.applySums({ ...head, ...advertised, sequence }, [], nowMs);
     if (nowMs < 500) continue;
     for (const { engineId } of workAt(nowMs)) {
       assert.ok(loads.waitMs(engineId, 'in-time', nowMs) > 0, `${engineId} at ${nowMs} ms`);
@@ -50,17 +53,17 @@
   }
 });
 
-test('what there were no bytes for is not taken as told', () => {
+test('work that did not fit into a message does not count as advertised', () => {
   const sums = new SumsAdvertiser();
   const [first, second] = workAt(0);
   assert.ok(first !== undefined && second !== undefined);
-  const told = sums.next([first, second], 0, 1).work;
-  assert.equal(told.length, 1);
-  const left = [first, second].filter((work) => !told.includes(work));
+  const advertised = sums.next([first, second], 0, 1).work;
+  assert.equal(advertised.length, 1);
+  const left = [first, second].filter((work) => !advertised.includes(work));
   assert.deepEqual(sums.next([first, second], 1, 1).work, left);
 });
 
-test('the engines of which others are most mistaken come first', () => {
+test('engines whose advertised work is most outdated come first', () => {
   const sums = new SumsAdvertiser();
   const work = workAt(0);
   sums.next(work, 0);
@@ -72,19 +75,19 @@
   assert.deepEqual(sums.next([busier, busiest, ...others], 1, 1).work, [busier]);
 });
 
-test('what was told long ago is told again where the whole is too much, as it may have been lost', () => {
+test('entries advertised long ago are repeated when complete sums do not fit, as messages may be lost', () => {
   const sums = new SumsAdvertiser();
   const work = workAt(0).slice(0, 3);
   for (const nowMs of [0, 60, 120]) sums.next(work, nowMs, 1);
   const later = work.map((entry) => ({ ...entry, pendingMs: 0 }));
-  const told = new Set<string>();
+  const advertised = new Set<string>();
   for (let nowMs = 2_000; nowMs < 2_300; nowMs += TICK_MS) {
-    for (const { engineId } of sums.next(later, nowMs, 1).work) told.add(engineId);
+    for (const { engineId } of sums.next(later, nowMs, 1).work) advertised.add(engineId);
   }
-  assert.equal(told.size, 3);
+  assert.equal(advertised.size, 3);
 });
 
-test('a server is found by the short id of messages, until it is gone', () => {
+test('a server is found by its short id until it is removed', () => {
   const directory = new ServerDirectory();
   const servers = Array.from({ length: 820 }, (_, place) => serverOf(idAt(place)));
   directory.replaceAll(servers);
@@ -97,7 +100,7 @@
   assert.equal(directory.idOf(shortIdOf(first.id)), undefined);
 });
 
-test('a short id stands for itself, so that what is not listed here is passed on as it came', () => {
+test('the short id of a short id is the same, so that unlisted servers are relayed unchanged', () => {
   const short = shortIdOf(idAt(1));
   assert.equal(shortIdOf(short), short);
 });
--- a/test/gateway/sums-to-tell.test.ts
+++ b/test/gateway/sums-to-tell.test.ts
@@ -1,11 +1,11 @@
-/** What a relay tells its zone, and what it leaves out. */
+/** Tests which sums a relay advertises to its zone. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import { SumsAdvertiser } from '../../src/core/gateway/index.js';
 
 const WORK = { engineId: 'e', pendingMs: 500, lateMs: 0, running: 2 };
 
-test('the first sums are whole, then changes alone, and whole again after a time', () => {
+test('the first sums are complete, later ones hold only changes, and complete sums follow at intervals', () => {
   const sums = new SumsAdvertiser();
   assert.deepEqual(sums.next([WORK], 0), { isComplete: true, work: [WORK] });
   const other = { engineId: 'f', pendingMs: 100, lateMs: 0, running: 1 };
@@ -14,7 +14,7 @@
   assert.equal(sums.next([WORK], 1_000).isComplete, true);
 });
 
-test('time that passes is no change; more work, or another stream, is', () => {
+test('elapsed time is no change, but more work or another stream is', () => {
   const sums = new SumsAdvertiser();
   sums.next([WORK], 0);
   assert.deepEqual(sums.next([{ ...WORK, pendingMs: 300 }], 200).work, []);
@@ -24,7 +24,7 @@
   assert.deepEqual(sums.next([another], 300).work, [another]);
 });
 
-test('an engine that has no work any more is told once, with none', () => {
+test('an engine without work any more is advertised once, with no work', () => {
   const sums = new SumsAdvertiser();
   sums.next([WORK], 0);
   assert.deepEqual(sums.next([], 100).work, [
--- a/test/gateway/support/web-fleet.ts
+++ b/test/gateway/support/web-fleet.ts
@@ -1,6 +1,7 @@
 /**
- * Many daemons before few web servers, in virtual time: callers come in bursts and by uneven zones, what daemons have
- * under way goes to a relay and comes back in its sums, servers have few slots and turn calls away once their queue is full.
+ * Simulates many daemons with few web servers in virtual time. Callers arrive in bursts and unevenly over the zones;
+ * daemons report their calls to a relay and receive its sums; servers have few slots and refuse calls once their queue
+ * is full.
  */
 import { uniformFloat64 } from 'pure-rand/distribution/uniformFloat64';
 import { xoroshiro128plus } from 'pure-rand/generator/xoroshiro128plus';
@@ -15,41 +16,41 @@
 } from '../../../src/core/gateway/index.js';
 
 const ZONES = ['a', 'b', 'c'];
-/** As a relay gathers its sums. */
-const RELAY_GAP_MS = 60;
+/** Interval at which a relay sends its sums. */
+const RELAY_INTERVAL_MS = 60;
 const LINK_MS = 2;
 const NO_NOTICES = { reads: [], demand: [], reach: [] };
 
-/** What varies between runs. */
+/** Settings of a run. */
 export interface WebFleetOptions {
   readonly seed: number;
   readonly daemons: number;
   readonly slots: number;
   readonly queue: number;
   readonly workMs: number;
-  /** Of what the servers can do, over the whole run. */
+  /** Share of the servers' capacity that requests use over the whole run. */
   readonly utilisation: number;
-  /** Whether daemons tell each other of their calls. */
-  readonly isTold: boolean;
-  /** How long they gather changes. */
-  readonly daemonGapMs: number;
+  /** Whether daemons advertise their calls to each other. */
+  readonly isAdvertised: boolean;
+  /** How long a daemon collects changes before it sends them. */
+  readonly reportDelayMs: number;
   /** Whether servers report their load with their answers. */
-  readonly isReported: boolean;
-  /** How long work takes at each server against the usual. */
+  readonly isLoadReported: boolean;
+  /** Processing time at each server relative to the usual one. */
   readonly slowness: readonly [number, number, number];
   readonly spanMs: number;
 }
 
-/** What came of a run. */
+/** Result of a run. */
 export interface WebFleetOutcome {
   readonly requests: number;
-  /** Calls that a server turned away. */
-  readonly sheds: number;
-  /** Of those, calls that were turned away while another server had a free slot. */
-  readonly shedsWithRoom: number;
-  /** Requests that no server took. */
+  /** Calls that a server refused. */
+  readonly refusals: number;
+  /** Refused calls for which another server had a free slot. */
+  readonly refusalsWithFreeSlot: number;
+  /** Requests that every server refused. */
   readonly refused: number;
-  /** For a slot, of the calls that were served. */
+  /** Mean wait for a slot, over the calls that were served. */
   readonly meanWaitMs: number;
   readonly p95WaitMs: number;
 }
@@ -72,10 +73,10 @@
   readonly healths: Map<string, ServerHealth>;
   readonly peers: PeerLoads;
   readonly loads: WebServerLoads;
-  isTelling: boolean;
+  isReportPending: boolean;
 }
 
-/** Runs it. */
+/** Runs a simulation. */
 export function runWebFleet(options: WebFleetOptions): WebFleetOutcome {
   return new WebFleet(options).run();
 }
@@ -86,14 +87,14 @@
   readonly #events: Event[] = [];
   readonly #servers: readonly Server[];
   readonly #daemons: readonly Daemon[];
-  /** What the relay of each zone has heard. */
+  /** What the relay of each zone has received. */
   readonly #relays: ReadonlyMap<string, PeerLoads>;
   readonly #waitsMs: number[] = [];
   #nowMs = 0;
   #sequence = 0;
   #requests = 0;
-  #sheds = 0;
-  #shedsWithRoom = 0;
+  #refusals = 0;
+  #refusalsWithFreeSlot = 0;
   #refused = 0;
 
   constructor(options: WebFleetOptions) {
@@ -115,22 +116,22 @@
       running: 0,
       queue: [],
     }));
-    const zonesTold = options.isTold ? ZONES : [];
-    this.#relays = new Map(zonesTold.map((zone) => [zone, new PeerLoads()]));
+    const relayZones = options.isAdvertised ? ZONES : [];
+    this.#relays = new Map(relayZones.map((zone) => [zone, new PeerLoads()]));
     this.#daemons = Array.from({ length: options.daemons }, (_, index) => ({
       name: `front-${index}`,
       zone: ZONES[index % ZONES.length] ?? '',
       healths: new Map(this.#servers.map(({ record }) => [record.id, new ServerHealth()])),
       peers: new PeerLoads(),
       loads: new WebServerLoads(),
-      isTelling: false,
+      isReportPending: false,
     }));
   }
 
   run(): WebFleetOutcome {
     this.#arrive();
     for (const [index, zone] of ZONES.entries()) {
-      this.#after((RELAY_GAP_MS * index) / ZONES.length, () => this.#tellSums(zone));
+      this.#after((RELAY_INTERVAL_MS * index) / ZONES.length, () => this.#sendSums(zone));
     }
     for (let event = this.#take(); event !== undefined; event = this.#take()) {
       this.#nowMs = event.atMs;
@@ -139,15 +140,15 @@
     const waits = [...this.#waitsMs].sort((left, right) => left - right);
     return {
       requests: this.#requests,
-      sheds: this.#sheds,
-      shedsWithRoom: this.#shedsWithRoom,
+      refusals: this.#refusals,
+      refusalsWithFreeSlot: this.#refusalsWithFreeSlot,
       refused: this.#refused,
       meanWaitMs: waits.reduce((sum, wait) => sum + wait, 0) / Math.max(1, waits.length),
       p95WaitMs: waits[Math.floor(waits.length * 0.95)] ?? 0,
     };
   }
 
-  /** Most calls come in bursts of half a second, and the zones take turns at the larger part of them. */
+  /** Most calls arrive in bursts of half a second, and the zones take turns in receiving the larger share. */
   #arrive(): void {
     const { utilisation, workMs, slots, spanMs } = this.#options;
     const capacityPerMs = this.#servers.reduce(
@@ -176,7 +177,7 @@
     const healthOf = (id: string) => daemon.healths.get(id) ?? new ServerHealth();
     const loadOf = (id: string) => {
       const { openCalls: ownCalls, responseMs } = healthOf(id);
-      const advertisedCalls = this.#options.isTold
+      const advertisedCalls = this.#options.isAdvertised
         ? daemon.peers.running(id, this.#nowMs)
         : undefined;
       const isCrowded = this.#options.daemons > this.#options.slots * this.#servers.length;
@@ -193,7 +194,7 @@
       nowMs: this.#nowMs,
       entropy: this.#random(),
       healthOf,
-      loadOf: this.#options.isTold || this.#options.isReported ? loadOf : undefined,
+      loadOf: this.#options.isAdvertised || this.#options.isLoadReported ? loadOf : undefined,
     });
     const server = this.#servers.find((other) => other.record.id === record?.id);
     if (server === undefined) {
@@ -204,15 +205,15 @@
     const health = healthOf(server.record.id);
     const call = health.open(this.#nowMs);
     const sentMs = this.#nowMs;
-    this.#tellSoon(daemon);
+    this.#scheduleReport(daemon);
     const close = () => {
       health.close(call);
-      this.#tellSoon(daemon);
-      this.#noteReport(daemon, server);
+      this.#scheduleReport(daemon);
+      this.#recordReport(daemon, server);
     };
     this.#after(LINK_MS, () =>
       this.#serve(server, {
-        shed: () => {
+        refuse: () => {
           close();
           health.recordRefusal(this.#nowMs);
           this.#send(daemon, triedIds);
@@ -225,7 +226,7 @@
     );
   }
 
-  #serve(server: Server, call: { shed: () => void; done: () => void }): void {
+  #serve(server: Server, call: { refuse: () => void; done: () => void }): void {
     const { slots, queue } = this.#options;
     const arrivedMs = this.#nowMs;
     const begin = () => {
@@ -246,13 +247,13 @@
       server.queue.push(begin);
       return;
     }
-    this.#sheds += 1;
-    if (this.#servers.some(({ running }) => running < slots)) this.#shedsWithRoom += 1;
-    this.#after(LINK_MS, call.shed);
+    this.#refusals += 1;
+    if (this.#servers.some(({ running }) => running < slots)) this.#refusalsWithFreeSlot += 1;
+    this.#after(LINK_MS, call.refuse);
   }
 
-  #noteReport(daemon: Daemon, { record, running, queue }: Server): void {
-    if (!this.#options.isReported) return;
+  #recordReport(daemon: Daemon, { record, running, queue }: Server): void {
+    if (!this.#options.isLoadReported) return;
     const ownCalls = daemon.healths.get(record.id)?.openCalls ?? 0;
     const figures = { running, waiting: queue.length, slots: record.slots, slowness: undefined };
     daemon.loads.recordReport(record.id, figures, ownCalls, this.#nowMs);
@@ -264,13 +265,13 @@
     );
   }
 
-  /** Goes to the relay of the zone. */
-  #tellSoon(daemon: Daemon): void {
+  /** Sends the daemon's calls to the relay of its zone after a delay in which changes are collected. */
+  #scheduleReport(daemon: Daemon): void {
     const relay = this.#relays.get(daemon.zone);
-    if (relay === undefined || daemon.isTelling) return;
-    daemon.isTelling = true;
-    this.#after(this.#options.daemonGapMs, () => {
-      daemon.isTelling = false;
+    if (relay === undefined || daemon.isReportPending) return;
+    daemon.isReportPending = true;
+    this.#after(this.#options.reportDelayMs, () => {
+      daemon.isReportPending = false;
       this.#sequence += 1;
       const report = {
         daemon: daemon.name,
@@ -283,8 +284,8 @@
     });
   }
 
-  /** To the daemons of the zone all that is known, to the other relays what the zone has. */
-  #tellSums(zone: string): void {
+  /** Sends the sums over all zones to the daemons of the relay's zone, and the sums of the zone to the other relays. */
+  #sendSums(zone: string): void {
     const relay = this.#relays.get(zone);
     if (relay === undefined || this.#nowMs > this.#options.spanMs) return;
     const ofAll = this.#sums(zone, relay.totals([], this.#nowMs));
@@ -298,7 +299,7 @@
         if (otherZone !== zone) other.applyZoneSums(zone, ofZone, this.#nowMs);
       }
     });
-    this.#after(RELAY_GAP_MS, () => this.#tellSums(zone));
+    this.#after(RELAY_INTERVAL_MS, () => this.#sendSums(zone));
   }
 
   #sums(zone: string, work: readonly EngineWork[]): LoadSums {
@@ -314,7 +315,7 @@
     this.#events.splice(index, 0, event);
   }
 
-  /** The next event lies at the end. */
+  /** The next event is at the end. */
   #take(): Event | undefined {
     return this.#events.pop();
   }
--- a/test/gateway/web-server-load.test.ts
+++ b/test/gateway/web-server-load.test.ts
@@ -1,4 +1,7 @@
-/** Web servers that many daemons share: what is believed of their work, what they say of it, and the choice by it. */
+/**
+ * Tests web servers that many daemons share: the estimate of their load, the load that they report, and the choice of a
+ * server by it.
+ */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import { uniformFloat64 } from 'pure-rand/distribution/uniformFloat64';
@@ -34,7 +37,7 @@
 
 const SERVERS = [0, 1, 2].map(server);
 
-test('one daemon decides as by its own calls alone, whatever it has under way and has seen', () => {
+test('a single daemon chooses the same server with and without load estimates', () => {
   const generator = xoroshiro128plus(3);
   const random = () => uniformFloat64(generator);
   for (let turn = 0; turn < 500; turn += 1) {
@@ -60,9 +63,9 @@
       const view = { ownCalls, responseMs, isCrowded: turn % 2 === 0 };
       return loads.estimate(id, { ...view, advertisedCalls: turn % 4 === 0 ? 0 : undefined }, 50);
     };
-    const today = chooseWebServer(input);
+    const baseline = chooseWebServer(input);
     const now = chooseWebServer({ ...input, loadOf });
-    assert.equal(now?.id, today?.id, `turn ${turn}`);
+    assert.equal(now?.id, baseline?.id, `turn ${turn}`);
   }
 });
 
@@ -72,7 +75,7 @@
   return { running, waiting, slots: 6, slowness };
 }
 
-test('a fresh report counts before what others told, corrected for own calls since', () => {
+test('a fresh report takes precedence over advertised calls and is corrected for own calls since', () => {
   const loads = new WebServerLoads();
   loads.recordReport('w-0', figures(6, 4), 2, 0);
   const now = loads.estimate('w-0', { ...VIEW, ownCalls: 2, advertisedCalls: 1 }, 0);
@@ -82,22 +85,22 @@
   assert.ok(loads.estimate('w-0', { ...VIEW, ownCalls: 2, advertisedCalls: 1 }, 301).calls < 10);
 });
 
-test('a count is expected to come back to the usual one, and is the less certain the older it is', () => {
+test('with age, a count returns to the usual one and its standard deviation grows', () => {
   const loads = new WebServerLoads();
   for (let turn = 0; turn < 100; turn += 1) loads.recordReport('w-0', figures(2), 0, turn * 500);
   loads.recordReport('w-0', figures(6, 14), 0, 50_000);
   const at = (ageMs: number) => loads.estimate('w-0', VIEW, 50_000 + ageMs);
   assert.ok(at(0).calls > at(100).calls && at(100).calls > at(300).calls);
-  assert.ok(at(1_000).calls < 10, 'then the usual one is all there is');
-  assert.equal(at(20_000).calls, 0, 'in the end only own calls count');
+  assert.ok(at(1_000).calls < 10, 'after the report expires only the usual count is left');
+  assert.equal(at(20_000).calls, 0, 'after the usual count expires only own calls count');
   const steady = new WebServerLoads();
   for (let turn = 0; turn < 10; turn += 1) steady.recordReport('w-0', figures(6), 0, turn);
-  const spreadAt = (ageMs: number) => steady.estimate('w-0', VIEW, 9 + ageMs).stdDev;
-  assert.equal(spreadAt(0), 0);
-  assert.ok(spreadAt(300) > spreadAt(50) && spreadAt(50) > 0);
+  const stdDevAt = (ageMs: number) => steady.estimate('w-0', VIEW, 9 + ageMs).stdDev;
+  assert.equal(stdDevAt(0), 0);
+  assert.ok(stdDevAt(300) > stdDevAt(50) && stdDevAt(50) > 0);
 });
 
-test('how long work takes there counts while the report is fresh, in a fleet of any size', () => {
+test('a reported slowness is used while the report is fresh, in a fleet of any size', () => {
   for (const isCrowded of [true, false]) {
     const loads = new WebServerLoads();
     loads.recordReport('w-0', figures(1, 0, 2.5), 0, 0);
@@ -107,7 +110,7 @@
   }
 });
 
-test('with more slots than daemons own calls are all that counts', () => {
+test('with more slots than daemons only own calls count', () => {
   const loads = new WebServerLoads();
   loads.recordReport('w-0', figures(6, 20), 0, 0);
   const load = loads.estimate(
@@ -131,7 +134,7 @@
   })?.id;
 }
 
-test('what is certain is chosen by everyone, what is not by turns of chance', () => {
+test('the cheapest server is chosen if costs are exact; otherwise servers are drawn by their costs', () => {
   const calls = new Map([
     ['w-0', 5],
     ['w-1', 3],
@@ -147,7 +150,7 @@
   assert.ok(emptiest > middle && middle > fullest && fullest > 0, `${choices(1.5)}`);
 });
 
-test('a call that would wait counts the more the slower the server is', () => {
+test('a waiting call costs more at a slower server', () => {
   const loadOf = (id: string) => {
     const slowness = id === 'w-0' ? 2.5 : 1;
     return { calls: id === 'w-0' ? 11 : 12, stdDev: 0.001, slowness };
@@ -185,7 +188,7 @@
   `${'9'.repeat(5_000)},0,8`,
 ];
 
-test('a load is read as servers write it, and nothing else is', () => {
+test('a well-formed load header is parsed, and any other is unreadable', () => {
   const readLoad = (text: string) =>
     REQUEST_CODEC.readMarks(200, { 'x-attempt-id': '1', 'x-server-load': text }).load;
   for (const [text, expected] of READ_LOADS) {
@@ -195,7 +198,7 @@
   assert.equal(REQUEST_CODEC.readMarks(200, {}).load, undefined);
 });
 
-/** The work of one daemon of a large fleet, unless said otherwise. */
+/** The web work of one daemon of a large fleet, unless overridden. */
 function webWorkOf(fields: Partial<WebWorkOptions>): WebWork {
   return new WebWork({
     isEnabled: true,
@@ -208,8 +211,8 @@
   });
 }
 
-test('a daemon tells of its calls in a large fleet before few slots, and not where that is switched off', () => {
-  for (const [isEnabled, isLarge, daemons, isTold] of [
+test('calls are advertised in a large fleet with few slots, and not where that is disabled', () => {
+  for (const [isEnabled, isLarge, daemons, isAdvertised] of [
     [true, true, 83, true],
     [false, true, 83, false],
     [true, false, 12, false],
@@ -219,21 +222,21 @@
     fleet.directory.apply(SERVERS, []);
     fleet.setDaemonCount(daemons);
     fleet.healthOf('w-0').open(0);
-    let told = 0;
+    let advertisements = 0;
     const peers = () => ({
       scheduleUrgentReport: () => {
-        told += 1;
+        advertisements += 1;
       },
     });
     const work = webWorkOf({ isEnabled, fleet, roster: { isLarge }, peers });
     work.recordCall('s');
-    assert.equal(told, isTold ? 1 : 0);
-    assert.equal(work.own().length, isTold ? 1 : 0);
+    assert.equal(advertisements, isAdvertised ? 1 : 0);
+    assert.equal(work.own().length, isAdvertised ? 1 : 0);
     assert.equal(work.loadsOf('s') !== undefined, isEnabled);
   }
 });
 
-test('switched off, what servers say of their load is not heard', () => {
+test('with load estimates disabled, reports of servers are ignored', () => {
   const fleet = new FleetView({ ratio: 1, slack: 1 });
   fleet.directory.apply([server(0)], []);
   fleet.setDaemonCount(83);
@@ -244,33 +247,33 @@
   assert.equal(fleet.webLoadsOf('s', false, 0)('w-0').calls, 0);
 });
 
-test('a load that cannot be read changes nothing, is counted, and is said now and then', () => {
+test('an unreadable load changes nothing, is counted, and is logged at intervals', () => {
   const timers = new ManualTimers();
   const fleet = new FleetView({ ratio: 1, slack: 1 });
   fleet.directory.apply([server(0)], []);
   const lines: unknown[] = [];
   const log = { write: (event: unknown, fields?: object) => lines.push([event, fields]) };
-  const told = webWorkOf({ fleet, timers, log });
+  const work = webWorkOf({ fleet, timers, log });
   fleet.setDaemonCount(83);
   const expected = () => fleet.webLoadsOf('s', false, timers.nowMs())('w-0');
   const before = expected();
   for (let answer = 0; answer < 5; answer += 1) {
-    told.applyReportedLoad(server(0), { kind: 'unreadable', text: 'many' });
+    work.applyReportedLoad(server(0), { kind: 'unreadable', text: 'many' });
   }
   assert.deepEqual(expected(), before);
-  assert.equal(told.unreadableTotal, 5);
+  assert.equal(work.unreadableTotal, 5);
   const first = { server: 'w-0', told: 'many', unreadable: 1 };
   assert.deepEqual(lines, [[GATEWAY_EVENTS.toldLoadUnreadable, first]]);
   timers.advance(10_000);
-  told.applyReportedLoad(server(0), { kind: 'unreadable', text: 'many' });
+  work.applyReportedLoad(server(0), { kind: 'unreadable', text: 'many' });
   assert.equal(lines.length, 2);
-  told.applyReportedLoad(server(0), { kind: 'figures', figures: figures(6, 3) });
+  work.applyReportedLoad(server(0), { kind: 'figures', figures: figures(6, 3) });
   assert.equal(expected().calls, 9);
-  told.applyReportedLoad({ ...server(0), bornMs: 1 }, { kind: 'figures', figures: figures(0) });
-  assert.equal(expected().calls, 9, 'of another life');
+  work.applyReportedLoad({ ...server(0), bornMs: 1 }, { kind: 'figures', figures: figures(0) });
+  assert.equal(expected().calls, 9, 'a report of another boot is ignored');
 });
 
-test('daemons tell of their calls to web servers where those have fewer slots than there are daemons', () => {
+test('calls to web servers are advertised only if the servers have fewer slots than there are daemons', () => {
   const fleet = new FleetView({ ratio: 1, slack: 1 });
   const engine = { ...server(3), stage: 'decode', service: 't', slots: 1 } as const;
   fleet.directory.apply([...SERVERS, engine], []);
@@ -297,30 +300,30 @@
   queue: 24,
   workMs: 86,
   utilisation: 0.8,
-  isTold: true,
-  isReported: false,
-  daemonGapMs: 12,
+  isAdvertised: true,
+  isLoadReported: false,
+  reportDelayMs: 12,
   slowness: [1, 1, 1],
   spanMs: 30_000,
 };
 const SEEDS = [1, 2, 3, 4];
 
-/** Means over some seeds. */
+/** Mean outcome over all seeds. */
 function meanOf(fields: Partial<WebFleetOptions>): WebFleetOutcome {
   const runs = SEEDS.map((seed) => runWebFleet({ ...FLEET, ...fields, seed }));
   const mean = (pick: (run: WebFleetOutcome) => number) =>
     runs.reduce((sum, run) => sum + pick(run), 0) / runs.length;
   return {
     requests: mean((run) => run.requests),
-    sheds: mean((run) => run.sheds),
-    shedsWithRoom: mean((run) => run.shedsWithRoom),
+    refusals: mean((run) => run.refusals),
+    refusalsWithFreeSlot: mean((run) => run.refusalsWithFreeSlot),
     refused: mean((run) => run.refused),
     meanWaitMs: mean((run) => run.meanWaitMs),
     p95WaitMs: mean((run) => run.p95WaitMs),
   };
 }
 
-/** Servers as fast as each other, one of two and a half times the work, and of two paces. */
+/** Three servers of equal speed, one that takes two and a half times as long, and servers of two speeds. */
 const PACES = [
   [1, 1, 1],
   [2.5, 1, 1],
@@ -328,34 +331,35 @@
 ] as const;
 
 for (const slowness of PACES) {
-  test(`83 daemons before three servers of paces ${slowness} wait less by what all have there`, () => {
-    const own = meanOf({ slowness, isTold: false });
-    const told = meanOf({ slowness });
-    const both = meanOf({ slowness, isReported: true });
-    const figures = JSON.stringify({ own, told, both });
-    assert.ok(told.meanWaitMs < own.meanWaitMs, figures);
-    // A word of one server beside older figures of the others: no worse, within what four seeds differ by.
+  test(`83 daemons with three servers of slowness ${slowness} wait less if they know the calls of all`, () => {
+    const own = meanOf({ slowness, isAdvertised: false });
+    const advertised = meanOf({ slowness });
+    const both = meanOf({ slowness, isLoadReported: true });
+    const figures = JSON.stringify({ own, advertised, both });
+    assert.ok(advertised.meanWaitMs < own.meanWaitMs, figures);
+    // A fresh report of one server next to older figures of the others must be no worse, within the variation of four
+    // seeds.
     assert.ok(both.meanWaitMs < 1.03 * own.meanWaitMs, figures);
-    for (const { p95WaitMs, refused } of [told, both]) {
+    for (const { p95WaitMs, refused } of [advertised, both]) {
       assert.ok(p95WaitMs < own.p95WaitMs, figures);
       assert.ok(refused <= own.refused + 1, figures);
     }
     const calm = { slowness, utilisation: 0.6 };
-    const calmOwn = meanOf({ ...calm, isTold: false });
-    const calmTold = meanOf(calm);
-    const calmFigures = JSON.stringify({ calmOwn, calmTold });
-    assert.ok(calmTold.meanWaitMs < 0.9 * calmOwn.meanWaitMs, calmFigures);
+    const calmOwn = meanOf({ ...calm, isAdvertised: false });
+    const calmAdvertised = meanOf(calm);
+    const calmFigures = JSON.stringify({ calmOwn, calmAdvertised });
+    assert.ok(calmAdvertised.meanWaitMs < 0.9 * calmOwn.meanWaitMs, calmFigures);
   });
 }
 
-test('few daemons go by their own calls, whether servers report or not', () => {
-  const few = { daemons: 8, isTold: false };
-  assert.deepEqual(meanOf({ ...few, isReported: true }), meanOf(few));
+test('few daemons decide by their own calls, whether servers report their load or not', () => {
+  const few = { daemons: 8, isAdvertised: false };
+  assert.deepEqual(meanOf({ ...few, isLoadReported: true }), meanOf(few));
 });
 
-test('old figures would do harm: gathered for 90 ms, they are no better than own calls', () => {
-  const own = meanOf({ isTold: false });
-  const late = meanOf({ daemonGapMs: 90 });
+test('figures that daemons collect for 90 ms give longer waits than figures collected for 12 ms', () => {
+  const own = meanOf({ isAdvertised: false });
+  const late = meanOf({ reportDelayMs: 90 });
   const soon = meanOf({});
   assert.ok(soon.meanWaitMs < late.meanWaitMs, JSON.stringify({ own, late, soon }));
 });
