--- a/src/core/gateway/limit-permits.ts
+++ b/src/core/gateway/limit-permits.ts
@@ -1,15 +1,15 @@
 /**
- * What this daemon may send to servers that name a limit: permits that were granted to it, each good for one request
- * and for a short time, and when it may expect more.
+ * This daemon's permits for servers with a limit, each valid for one request and a short time, and the times at which
+ * more can be expected.
  */
 
 /**
- * A permit that is older is given back: what is granted has to reach the server soon, or requests bunch there. A daemon
- * with a few requests a second for the service still uses most of its permits.
+ * An older permit is returned: a granted request has to reach the server soon, or requests bunch there. Within this
+ * time, a daemon with a few requests per second for the service still uses most of its permits.
  */
 export const PERMIT_VALID_MS = 250;
 
-/** Granted requests that were not sent in time. */
+/** Permits that were not used in time. */
 export interface UnusedPermits {
   readonly serverId: string;
   readonly count: number;
@@ -17,76 +17,76 @@
   readonly granter: string;
 }
 
-/** A grant. */
+/** Permits of one grant. */
 export interface GrantedPermits {
   readonly count: number;
   readonly expiresAtMs: number;
   readonly granter: string;
 }
 
-interface Stock extends Omit<GrantedPermits, 'count'> {
+interface PermitBatch extends Omit<GrantedPermits, 'count'> {
   count: number;
 }
 
 /** The permits of a daemon. */
 export class LimitPermits {
-  readonly #stocks = new Map<string, Stock[]>();
-  readonly #roomAtMs = new Map<string, number>();
+  readonly #batches = new Map<string, PermitBatch[]>();
+  readonly #expectedAtMs = new Map<string, number>();
 
-  /** Takes a grant. */
+  /** Adds the permits of a grant. */
   add(serverId: string, granted: GrantedPermits): void {
-    const stocks = this.#stocks.get(serverId) ?? [];
-    stocks.push({ ...granted });
-    this.#stocks.set(serverId, stocks);
+    const batches = this.#batches.get(serverId) ?? [];
+    batches.push({ ...granted });
+    this.#batches.set(serverId, batches);
   }
 
   /** Requests that may be sent to a server now. */
   countFor(serverId: string, nowMs: number): number {
-    const stocks = this.#stocks.get(serverId) ?? [];
-    return stocks.reduce((sum, stock) => sum + (stock.expiresAtMs > nowMs ? stock.count : 0), 0);
+    const batches = this.#batches.get(serverId) ?? [];
+    return batches.reduce((sum, batch) => sum + (batch.expiresAtMs > nowMs ? batch.count : 0), 0);
   }
 
   /** Requests that may be sent now, to all servers. */
   count(nowMs: number): number {
-    return [...this.#stocks.keys()].reduce((sum, id) => sum + this.countFor(id, nowMs), 0);
+    return [...this.#batches.keys()].reduce((sum, id) => sum + this.countFor(id, nowMs), 0);
   }
 
-  /** Takes one for a request, and gives who granted it; undefined where there is none. */
+  /** Uses a permit for a request and returns its granter; undefined if there is no valid permit. */
   take(serverId: string, nowMs: number): Pick<GrantedPermits, 'granter'> | undefined {
-    const isUsable = ({ expiresAtMs, count }: Stock) => expiresAtMs > nowMs && count > 0;
-    const stock = this.#stocks.get(serverId)?.find(isUsable);
-    if (stock === undefined) return undefined;
-    stock.count -= 1;
-    return { granter: stock.granter };
+    const isUsable = ({ expiresAtMs, count }: PermitBatch) => expiresAtMs > nowMs && count > 0;
+    const batch = this.#batches.get(serverId)?.find(isUsable);
+    if (batch === undefined) return undefined;
+    batch.count -= 1;
+    return { granter: batch.granter };
   }
 
-  /** Takes out what is no longer valid. */
+  /** Removes and returns the permits that are no longer valid. */
   takeExpired(nowMs: number): readonly UnusedPermits[] {
     const unused: UnusedPermits[] = [];
-    for (const [serverId, stocks] of this.#stocks) {
-      for (const { expiresAtMs, count, granter } of stocks) {
+    for (const [serverId, batches] of this.#batches) {
+      for (const { expiresAtMs, count, granter } of batches) {
         if (expiresAtMs <= nowMs && count > 0) unused.push({ serverId, count, granter });
       }
-      const left = stocks.filter(({ expiresAtMs, count }) => expiresAtMs > nowMs && count > 0);
-      if (left.length === 0) this.#stocks.delete(serverId);
-      else this.#stocks.set(serverId, left);
+      const left = batches.filter(({ expiresAtMs, count }) => expiresAtMs > nowMs && count > 0);
+      if (left.length === 0) this.#batches.delete(serverId);
+      else this.#batches.set(serverId, left);
     }
     return unused;
   }
 
-  /** Notes when this daemon may expect a permit. */
+  /** Records when this daemon can expect a permit. */
   expectAt(serverId: string, atMs: number): void {
-    this.#roomAtMs.set(serverId, atMs);
+    this.#expectedAtMs.set(serverId, atMs);
   }
 
-  /** Until a permit may be expected; 0 where that is not known. */
+  /** Time until a permit can be expected; 0 if that is not known. */
   expectedInMs(serverId: string, nowMs: number): number {
-    return Math.max(0, (this.#roomAtMs.get(serverId) ?? nowMs) - nowMs);
+    return Math.max(0, (this.#expectedAtMs.get(serverId) ?? nowMs) - nowMs);
   }
 
-  /** A server has no limit any more, or is gone. */
+  /** Forgets a server that has no limit any more, or was removed. */
   forget(serverId: string): void {
-    this.#stocks.delete(serverId);
-    this.#roomAtMs.delete(serverId);
+    this.#batches.delete(serverId);
+    this.#expectedAtMs.delete(serverId);
   }
 }
--- a/src/core/gateway/named-limits.ts
+++ b/src/core/gateway/named-limits.ts
@@ -1,64 +1,68 @@
 /**
- * The limits that servers in need name in their answers: how many requests a second each takes from all daemons
- * together, for as long as it says so. A limit ends with an answer that names none and whose request was sent after
- * the last one that named it: an older answer that comes late says nothing of now. What other daemons tell counts by
- * its age, so that nothing old undoes what is newer.
+ * The limits that overloaded servers name in their answers: how many requests per second each accepts from all daemons
+ * together, for as long as it repeats the limit. A limit ends with an answer that names none and whose request was sent
+ * after the last answer that named the limit; a late answer to an earlier request does not show the current state.
+ * Limits that other daemons advertise carry the age of the server's report, so that an older report does not replace a
+ * newer one.
  */
 import type { ServerRecord } from './server-directory.js';
 
-/** A limit that moves by less with each answer is no news: what is granted goes by the newest one anyway. */
-const NEWS_SHARE = 0.1;
-/** So long an end is remembered against older word of the limit, which travels for less. */
-const END_KEPT_MS = 60_000;
+/** Smallest relative difference that counts as a change of a limit; grants follow the newest value in any case. */
+const MIN_CHANGE = 0.1;
 /**
- * A limit that nobody was told again for so long is not believed any more, whether its server is listed or not: while any
- * daemon has requests for it, one goes there every few seconds.
+ * Time for which the end of a limit is remembered, so that older advertisements do not bring it back; these arrive
+ * sooner.
  */
-const UNSAID_VALID_MS = 120_000;
+const ENDED_RETENTION_MS = 60_000;
+/**
+ * A limit that its server has not repeated for this long is dropped, whether the server is listed or not: while any
+ * daemon has requests for it, one is sent there every few seconds.
+ */
+const LIMIT_VALID_MS = 120_000;
 
-/** What an answer says of the limit of its server. */
+/** What an answer shows of its server's limit. */
 export type LimitReading =
   | { readonly kind: 'named'; readonly perSecond: number }
-  /** It names none; the attempt that it answers. */
+  /** It names none. `attemptId` is the attempt that it answers. */
   | { readonly kind: 'none'; readonly attemptId: string | undefined }
-  /** Not as servers write it: it neither names a limit nor ends one. */
+  /** The text is malformed: it neither sets a limit nor ends one. */
   | { readonly kind: 'unreadable'; readonly text: string }
-  /** Another server may have written it. */
+  /** The answer may come from another server. */
   | { readonly kind: 'unknown' };
 
-/** What was said of a limit by an answer that is sure to be the server's own. */
+/** A report on a limit in an answer that is certain to come from the server itself. */
 export type ReportedLimit = Extract<LimitReading, { kind: 'named' | 'none' }>;
 
-/** When the request of an answer was sent, and when its answer came. */
+/** When the request was sent, and when its answer arrived. */
 export interface AnswerTimes {
   readonly sentAtMs: number;
   readonly nowMs: number;
 }
 
-/** Another daemon's word on a server's limit. */
+/** A server's limit as another daemon advertises it. */
 export interface AdvertisedLimit {
-  /** Undefined where the server names none any more. */
+  /** Undefined if the server names none any more. */
   readonly perSecond: number | undefined;
-  /** How long ago the server said so; of an end, how long ago the request was sent whose answer showed it. */
+  /** Time since the server reported the limit; for an end, time since the request was sent whose answer showed it. */
   readonly reportedAgoMs: number;
 }
 
-/** What changed in what is known. */
+/** A change of a known limit. */
 export type LimitChange =
   | { readonly kind: 'named'; readonly perSecond: number }
   | { readonly kind: 'changed'; readonly perSecond: number; readonly before: number }
   | { readonly kind: 'ended'; readonly before: number };
 
-/** A limit that is in force as far as is known. */
+/** A limit that is in force as far as this daemon knows. */
 export interface NamedLimit {
   readonly perSecond: number;
-  /** What was told as news last. */
-  readonly noted: number;
-  /** When the server said it last, to whichever daemon. */
+  /** The value in the last change that was returned. */
+  readonly lastChange: number;
+  /** When the server last reported it, to any daemon. */
   readonly reportedAtMs: number;
-  /** When it became known here. */
+  /** When this daemon learnt of it. */
   readonly knownSinceMs: number;
-  /** Whether an answer to this daemon named it, and not only others told of it. */
+  /** Whether an answer to this daemon named it, instead of advertisements of other daemons alone. */
   readonly isHeard: boolean;
 }
 
@@ -68,27 +72,30 @@
   /** When limits ended, by server. */
   readonly #ends = new Map<string, number>();
 
-  /** Takes an answer's word; undefined where it changes nothing. The first one of its own is a change. */
+  /**
+   * Records the report of an answer to this daemon; returns undefined if nothing changes. The first such report counts
+   * as a change.
+   */
   recordReport(
     { id }: ServerRecord,
-    said: ReportedLimit,
+    report: ReportedLimit,
     times: AnswerTimes,
   ): LimitChange | undefined {
     this.#dropOld(times.nowMs);
     const known = this.#limits.get(id);
-    switch (said.kind) {
+    switch (report.kind) {
       case 'none':
         if (known === undefined || times.sentAtMs <= known.reportedAtMs) return undefined;
         return this.#end(id, known, times.sentAtMs);
       case 'named': {
         const { nowMs } = times;
-        const limit = { perSecond: said.perSecond, reportedAtMs: nowMs, isHeard: true };
+        const limit = { perSecond: report.perSecond, reportedAtMs: nowMs, isHeard: true };
         return this.#keep(id, limit, known?.isHeard !== true, nowMs);
       }
     }
   }
 
-  /** Takes another daemon's word; undefined where it changes nothing. */
+  /** Applies another daemon's advertisement; returns undefined if nothing changes. */
   applyAdvertised(
     id: string,
     { perSecond, reportedAgoMs }: AdvertisedLimit,
@@ -107,7 +114,7 @@
     return this.#keep(id, limit, known === undefined, nowMs);
   }
 
-  /** What this daemon can tell of a server's limit; undefined where it knows of none, in force or ended. */
+  /** What this daemon can advertise of a server's limit; undefined if it knows of none, in force or ended. */
   advertisementOf(id: string, nowMs: number): AdvertisedLimit | undefined {
     const known = this.#limits.get(id);
     if (known !== undefined) {
@@ -123,18 +130,18 @@
     return this.#limits.get(id);
   }
 
-  /** What others told of it can't be confirmed. */
+  /** Drops an advertised limit that cannot be confirmed. */
   forget(id: string): void {
     this.#limits.delete(id);
     this.#ends.delete(id);
   }
 
-  /** Servers that name a limit. */
+  /** Number of servers with a limit. */
   get count(): number {
     return this.#limits.size;
   }
 
-  /** @param isFirst whether it is news whatever was known before */
+  /** @param isFirst whether it counts as new regardless of what was known before */
   #keep(
     id: string,
     limit: Pick<NamedLimit, 'perSecond' | 'reportedAtMs' | 'isHeard'>,
@@ -145,12 +152,12 @@
     const known = this.#limits.get(id);
     const knownSinceMs = known?.knownSinceMs ?? nowMs;
     if (known === undefined || isFirst) {
-      this.#limits.set(id, { ...limit, noted: perSecond, knownSinceMs });
+      this.#limits.set(id, { ...limit, lastChange: perSecond, knownSinceMs });
       return { kind: 'named', perSecond };
     }
     const change = changeOf(known, perSecond);
-    const noted = change === undefined ? known.noted : perSecond;
-    this.#limits.set(id, { ...limit, noted, knownSinceMs });
+    const lastChange = change === undefined ? known.lastChange : perSecond;
+    this.#limits.set(id, { ...limit, lastChange, knownSinceMs });
     return change;
   }
 
@@ -160,18 +167,18 @@
     return { kind: 'ended', before: known.perSecond };
   }
 
-  /** There are never more entries than servers that said something lately. */
+  /** Drops old entries, so that there are never more than servers that reported recently. */
   #dropOld(nowMs: number): void {
     for (const [id, { reportedAtMs }] of this.#limits) {
-      if (nowMs - reportedAtMs > UNSAID_VALID_MS) this.#limits.delete(id);
+      if (nowMs - reportedAtMs > LIMIT_VALID_MS) this.#limits.delete(id);
     }
     for (const [id, atMs] of this.#ends) {
-      if (nowMs - atMs > END_KEPT_MS) this.#ends.delete(id);
+      if (nowMs - atMs > ENDED_RETENTION_MS) this.#ends.delete(id);
     }
   }
 }
 
 function changeOf(known: NamedLimit, perSecond: number): LimitChange | undefined {
-  if (Math.abs(perSecond - known.noted) <= NEWS_SHARE * known.noted) return undefined;
-  return { kind: 'changed', perSecond, before: known.noted };
+  if (Math.abs(perSecond - known.lastChange) <= MIN_CHANGE * known.lastChange) return undefined;
+  return { kind: 'changed', perSecond, before: known.lastChange };
 }
--- a/src/core/gateway/server-availability.ts
+++ b/src/core/gateway/server-availability.ts
@@ -1,179 +1,190 @@
 /**
- * What servers have said themselves, in their answers, of whether they take work: that they leave, or that they want
- * nothing from this daemon for a time. Both are facts, not suspicions: nothing is sent there, also where no other
- * server is left. Both are kept whatever the platform's list says meanwhile: a row may be read late, and may lapse and
- * come back while the store is out of reach. A leave ends with the life of the server that said it.
+ * Availability as servers report it in their answers: that they are leaving, or that they want no requests from this
+ * daemon for a back-off period. Both are facts, not suspicions, so nothing is sent there even if no other server is
+ * left. Both hold whatever the platform's list shows meanwhile: a row may be read late, and may lapse and reappear
+ * while the store is unreachable. A leave ends with the boot of the server that reported it.
  */
 import { isSameBoot, type ServerRecord } from './server-directory.js';
 
-/** A server that asks for more is tried again after this: one bad answer loses no server for good. */
-const LONGEST_REST_MS = 60_000;
 /**
- * A rest is lengthened by up to this part of it, by chance, so that daemons that were turned away together do not come
- * back together. It costs a twentieth of the rest on average.
+ * A server that requests a longer back-off is tried again after this time, so that one bad answer does not exclude it
+ * permanently.
  */
-const REST_SPREAD = 0.1;
+const MAX_BACK_OFF_MS = 60_000;
 /**
- * After a rest one request goes first, and no other until its answer has come or this time is over: who is turned away
- * is told at once, so one that has waited so long was taken in.
+ * A back-off is lengthened by a random share of up to this, so that daemons that were refused together do not return
+ * together. On average this costs a twentieth of the back-off.
+ */
+const BACK_OFF_JITTER = 0.1;
+/**
+ * After a back-off one request is sent as a trial, and no other until it is answered or this time is over: servers
+ * refuse at once, so a request that has waited this long was accepted.
  */
 const TRIAL_MS = 250;
 /**
- * A leave that was not said again for so long is not believed any more while the server is listed as ready: planned
- * stops are over well before, also where the store was away. A false one costs this daemon the server for so long.
+ * A leave that was not reported again for this long is ignored while the server is listed as ready: planned stops end
+ * well before, even if the store was unavailable. A false leave costs this daemon the server for this long.
  */
 const LEAVING_VALID_MS = 120_000;
-/** Times of day of machines differ; a start that is so much older than a word is sure to be the older of the two. */
+/**
+ * Clocks of machines differ; a boot that began longer than this before a report is certain to be older than the report.
+ */
 const CLOCK_MARGIN_MS = 1_000;
 
-/** A server's word on whether it takes work, as an answer of it tells. */
+/** A server's report in an answer of whether it accepts work. */
 export interface ReportedAvailability {
-  /** It takes no new work from anyone. */
+  /** It accepts no new work from any daemon. */
   readonly isLeaving: boolean;
-  /** It wants nothing from this daemon for so long; undefined where it asks for no rest. */
+  /** Time for which it wants no requests from this daemon; undefined if it requests no back-off. */
   readonly backOffMs: number | undefined;
 }
 
-/** A server wants rest; after it, a server is so too while one request tries it. */
-export interface Resting {
+/** The server is in a back-off period, or one request after the period is still on trial. */
+export interface BackingOff {
   readonly kind: 'resting';
   readonly toldAgoMs: number;
-  /** How much longer. */
+  /** The remaining time. */
   readonly forMs: number;
 }
 
-/** A server names a limit, and this daemon has no permit to send it a request now. */
+/** The server has a limit, and this daemon has no permit to send it a request now. */
 export interface AtLimit {
   readonly kind: 'at-limit';
   readonly toldAgoMs: number;
-  /** Until a permit may be expected. */
+  /** Time until a permit can be expected. */
   readonly forMs: number;
 }
 
-/** Why a server is to be sent no request of a caller, by its own word alone. */
-export type Unavailable = { readonly kind: 'leaving'; readonly toldAgoMs: number } | Resting;
+/** Why a server must not be sent callers' requests, by its own reports alone. */
+export type Unavailable = { readonly kind: 'leaving'; readonly toldAgoMs: number } | BackingOff;
 
-/** Whether a server is to be sent callers' requests. */
+/** Whether a server may be sent callers' requests. */
 export type Availability = { readonly kind: 'open' } | Unavailable;
 
-/** When something was told, and a number from 0 to 1 drawn for it. */
-export interface ToldAt {
+/** When a report arrived, and a random number from 0 to 1 for it. */
+export interface ReportContext {
   readonly nowMs: number;
-  /** The time of day, Unix milliseconds, which tells whose word it was; undefined where that is not known. */
+  /** Wall-clock time in Unix milliseconds, to tell which boot of the server sent the report; undefined if not known. */
   readonly unixMs?: number;
   readonly entropy: number;
 }
 
-interface Rest {
-  readonly toldAtMs: number;
+interface BackOff {
+  readonly reportedAtMs: number;
   readonly untilMs: number;
-  /** When the first request after it was sent; undefined before. */
+  /** When the trial request after it was sent; undefined before that. */
   readonly triedAtMs: number | undefined;
 }
 
 interface Leave {
   readonly server: ServerRecord;
-  readonly toldAtMs: number;
-  readonly toldUnixMs: number | undefined;
+  readonly reportedAtMs: number;
+  readonly reportedUnixMs: number | undefined;
 }
 
-/** Whether a server is to be sent a request now, the limits of servers counted. */
+/** Whether a server may be sent a request now, its limit included. */
 export type SendAvailability = Availability | AtLimit;
 
 const OPEN: Availability = { kind: 'open' };
 
-/** The word of servers on whether they take work. */
+/** The availability that servers have reported. */
 export class ServerAvailability {
-  /** By id. */
+  /** By server id. */
   readonly #leaves = new Map<string, Leave>();
   /**
-   * By address: what is sent to a server that has ended reaches the one that listens there now, and one that has
-   * just started again there may speak before the list shows it.
+   * By address: a request to a server that has ended reaches the server that listens there now, and one that has just
+   * restarted may report before the list shows the restart.
    */
-  readonly #rests = new Map<string, Rest>();
+  readonly #backOffs = new Map<string, BackOff>();
 
-  /** Takes an answer's word. @returns what it tells that was not known */
+  /**
+   * Records an answer's report.
+   * @returns what it reports that was not known
+   */
   take(
     server: ServerRecord,
     { isLeaving, backOffMs }: ReportedAvailability,
-    { nowMs, unixMs, entropy }: ToldAt,
+    { nowMs, unixMs, entropy }: ReportContext,
   ): readonly Unavailable[] {
     this.#dropOld(nowMs);
-    const news: Unavailable[] = [];
+    const added: Unavailable[] = [];
     if (isLeaving) {
-      if (this.#leaveOf(server, nowMs) === undefined) news.push({ kind: 'leaving', toldAgoMs: 0 });
-      this.#leaves.set(server.id, { server, toldAtMs: nowMs, toldUnixMs: unixMs });
+      if (this.#leaveOf(server, nowMs) === undefined) added.push({ kind: 'leaving', toldAgoMs: 0 });
+      this.#leaves.set(server.id, { server, reportedAtMs: nowMs, reportedUnixMs: unixMs });
     }
-    const askedMs = Math.min(LONGEST_REST_MS, backOffMs ?? 0);
-    if (askedMs > 0) {
-      const lengthenedMs = askedMs * (1 + REST_SPREAD * entropy);
-      // A shorter rest that is asked for meanwhile takes nothing off the one before.
-      const knownUntilMs = this.#rests.get(server.address)?.untilMs ?? 0;
+    const requestedMs = Math.min(MAX_BACK_OFF_MS, backOffMs ?? 0);
+    if (requestedMs > 0) {
+      const lengthenedMs = requestedMs * (1 + BACK_OFF_JITTER * entropy);
+      // A shorter back-off that is requested meanwhile does not shorten the current one.
+      const knownUntilMs = this.#backOffs.get(server.address)?.untilMs ?? 0;
       const untilMs = Math.max(nowMs + lengthenedMs, knownUntilMs);
-      const rest = { toldAtMs: nowMs, untilMs, triedAtMs: undefined };
-      this.#rests.set(server.address, rest);
-      news.push({ kind: 'resting', toldAgoMs: 0, forMs: untilMs - nowMs });
+      const backOff = { reportedAtMs: nowMs, untilMs, triedAtMs: undefined };
+      this.#backOffs.set(server.address, backOff);
+      added.push({ kind: 'resting', toldAgoMs: 0, forMs: untilMs - nowMs });
     }
-    return news;
+    return added;
   }
 
-  /** A caller's request is sent to a server; the first one after a rest tries it for the others. */
+  /** Records that a caller's request is sent to a server; the first one after a back-off is the trial. */
   recordSent(server: ServerRecord, nowMs: number): void {
-    const rest = this.#rests.get(server.address);
-    if (rest === undefined || rest.triedAtMs !== undefined) return;
-    this.#rests.set(server.address, { ...rest, triedAtMs: nowMs });
+    const backOff = this.#backOffs.get(server.address);
+    if (backOff === undefined || backOff.triedAtMs !== undefined) return;
+    this.#backOffs.set(server.address, { ...backOff, triedAtMs: nowMs });
   }
 
-  /** A caller's request that was sent at some time was answered without a word on rest. */
+  /** Records that a caller's request, sent at `sentAtMs`, was answered without a request for back-off. */
   recordAccepted(server: ServerRecord, sentAtMs: number): void {
-    const rest = this.#rests.get(server.address);
-    if (rest !== undefined && sentAtMs >= rest.untilMs) this.#rests.delete(server.address);
+    const backOff = this.#backOffs.get(server.address);
+    if (backOff !== undefined && sentAtMs >= backOff.untilMs) this.#backOffs.delete(server.address);
   }
 
-  /** What holds for a server now. */
+  /** The current availability of a server. */
   of(server: ServerRecord, nowMs: number): Availability {
     const leave = this.#leaveOf(server, nowMs);
-    if (leave !== undefined) return { kind: 'leaving', toldAgoMs: nowMs - leave.toldAtMs };
+    if (leave !== undefined) return { kind: 'leaving', toldAgoMs: nowMs - leave.reportedAtMs };
     return this.backOffOf(server, nowMs) ?? OPEN;
   }
 
-  /** The rest that a server wants now, also where it leaves; undefined where it wants none. */
-  backOffOf({ address }: ServerRecord, nowMs: number): Resting | undefined {
-    const rest = this.#rests.get(address);
-    if (rest === undefined) return undefined;
-    const forMs = endOf(rest) - nowMs;
-    return forMs > 0 ? { kind: 'resting', toldAgoMs: nowMs - rest.toldAtMs, forMs } : undefined;
+  /** The current back-off of a server, even if it is leaving; undefined if there is none. */
+  backOffOf({ address }: ServerRecord, nowMs: number): BackingOff | undefined {
+    const backOff = this.#backOffs.get(address);
+    if (backOff === undefined) return undefined;
+    const forMs = endOf(backOff) - nowMs;
+    return forMs > 0
+      ? { kind: 'resting', toldAgoMs: nowMs - backOff.reportedAtMs, forMs }
+      : undefined;
   }
 
   #leaveOf(server: ServerRecord, nowMs: number): Leave | undefined {
     const leave = this.#leaves.get(server.id);
-    if (leave === undefined || !wasSaidBy(leave, server)) return undefined;
-    return nowMs - leave.toldAtMs < LEAVING_VALID_MS ? leave : undefined;
+    if (leave === undefined || !wasReportedBy(leave, server)) return undefined;
+    return nowMs - leave.reportedAtMs < LEAVING_VALID_MS ? leave : undefined;
   }
 
-  /** What holds no more; so there are never more entries than servers that said something lately. */
+  /** Drops entries that no longer hold, so that there are never more than servers that reported recently. */
   #dropOld(nowMs: number): void {
-    for (const [id, { toldAtMs }] of this.#leaves) {
-      if (nowMs - toldAtMs >= LEAVING_VALID_MS) this.#leaves.delete(id);
+    for (const [id, { reportedAtMs }] of this.#leaves) {
+      if (nowMs - reportedAtMs >= LEAVING_VALID_MS) this.#leaves.delete(id);
     }
-    for (const [address, rest] of this.#rests) {
-      if (nowMs - rest.untilMs >= LONGEST_REST_MS) this.#rests.delete(address);
+    for (const [address, backOff] of this.#backOffs) {
+      if (nowMs - backOff.untilMs >= MAX_BACK_OFF_MS) this.#backOffs.delete(address);
     }
   }
 }
 
 /**
- * Whether a life of a server said that it leaves. One that has just started again may say so before the list shows its
- * start: then the word was heard well after that start, though the list still showed the life before.
+ * Whether this boot of a server reported that it is leaving. A server that has just restarted may report so before the
+ * list shows the restart: then the report arrived well after the new boot began, though the list still showed the
+ * previous one.
  */
-function wasSaidBy({ server, toldUnixMs }: Leave, life: ServerRecord): boolean {
-  if (isSameBoot(server, life)) return true;
-  const isSameServer = server.address === life.address && server.service === life.service;
-  if (!isSameServer || life.bornMs === undefined || toldUnixMs === undefined) return false;
-  return toldUnixMs - life.bornMs > CLOCK_MARGIN_MS;
+function wasReportedBy({ server, reportedUnixMs }: Leave, boot: ServerRecord): boolean {
+  if (isSameBoot(server, boot)) return true;
+  const isSameServer = server.address === boot.address && server.service === boot.service;
+  if (!isSameServer || boot.bornMs === undefined || reportedUnixMs === undefined) return false;
+  return reportedUnixMs - boot.bornMs > CLOCK_MARGIN_MS;
 }
 
-/** The end of a rest, or of the trial after it. */
-function endOf({ untilMs, triedAtMs }: Rest): number {
+/** The end of a back-off, or of the trial after it. */
+function endOf({ untilMs, triedAtMs }: BackOff): number {
   return triedAtMs === undefined ? untilMs : triedAtMs + TRIAL_MS;
 }
--- a/src/core/gateway/server-health.ts
+++ b/src/core/gateway/server-health.ts
@@ -1,51 +1,56 @@
 /**
- * What this daemon has seen of one server: how much it has there, and how its answers went. A server
- * that fails is passed over for a time that doubles with each failure in a row, then tried again.
+ * This daemon's own observations of one server: its open calls there, and how earlier ones ended. A server that fails
+ * is skipped for a time that doubles with each consecutive failure, then tried again.
  */
 
 import { MIN_UNREACHABLE_REPORTS, type ReachabilityNotice } from './reach-notices.js';
 
 const FIRST_EJECTION_MS = 400;
-const LONGEST_EJECTION_MS = 4_000;
-/** A server that turns calls away is given time to find room, longer with each in a row. */
-const FIRST_REST_MS = 100;
-const LONGEST_REST_MS = 1_600;
-/** How long a server is passed over that another daemon finds silent, unless that is told again. */
-const TOLD_SILENT_MS = 1_000;
+const MAX_EJECTION_MS = 4_000;
+/**
+ * Time for which a server that refuses calls is skipped, to let it free capacity; longer with each consecutive refusal.
+ */
+const FIRST_REFUSAL_SKIP_MS = 100;
+const MAX_REFUSAL_SKIP_MS = 1_600;
+/**
+ * Time for which another daemon's notice that a server is unreachable counts, and for which the server is skipped after
+ * the last such notice.
+ */
+const NOTICE_VALID_MS = 1_000;
 /** Weight of the newest outcome in the failure rate. */
 const FAILURE_WEIGHT = 0.12;
 /**
- * A server that owes its first byte for this long, beyond what was expected, is not given more
- * where there is a choice.
+ * Time beyond the expected one after which a first byte is overdue; the server is then given no further calls if there
+ * is another.
  */
-const SILENT_AFTER_MS = 400;
+const OVERDUE_AFTER_MS = 400;
 const EXPECTATION_FACTOR = 1;
-const MOST_EXPECTED_MS = 1_500;
+const MAX_EXPECTED_MS = 1_500;
 
 /** One call that a server has not answered yet. */
 export interface OpenCall {
-  /** Beyond this time it counts as owing its answer. */
-  readonly silentAtMs: number;
+  /** Time after which the answer is overdue. */
+  readonly overdueAtMs: number;
 }
 
 /** This daemon's own record of a server. */
 export class ServerHealth {
   readonly #openCalls = new Set<OpenCall>();
   #ejectedUntilMs = 0;
-  #restsUntilMs = 0;
-  #turnedAwayInARow = 0;
-  #failuresInARow = 0;
+  #refusalSkipUntilMs = 0;
+  #consecutiveRefusals = 0;
+  #consecutiveFailures = 0;
   #failureRate = 0;
   /** Whether the last attempt to connect was not answered at all. */
-  #isSilent = false;
-  /** The one call that finds out whether a silent server is back. */
+  #isConnectUnanswered = false;
+  /** The one call that tests whether a server that did not answer is reachable again. */
   #trial: OpenCall | undefined;
-  #toldSilentUntilMs = 0;
-  /** Daemons that found it silent, and when they said so. */
+  #unreachableUntilMs = 0;
+  /** Daemons that found it unreachable, with the time of their last notice. */
   readonly #witnesses = new Map<string, number>();
   #responseMs: number | undefined;
 
-  /** Calls that are under way. */
+  /** Number of calls in progress. */
   get openCalls(): number {
     return this.#openCalls.size;
   }
@@ -55,17 +60,17 @@
     return this.#failureRate;
   }
 
-  /** Smoothed time of good answers; undefined before the first. */
+  /** Smoothed response time of successful calls; undefined before the first. */
   get responseMs(): number | undefined {
     return this.#responseMs;
   }
 
-  /** @param expectedMs when the first byte is expected, where that is known */
+  /** @param expectedMs expected time until the first byte, if known */
   open(nowMs: number, expectedMs = 0): OpenCall {
-    const grantedMs = EXPECTATION_FACTOR * Math.min(MOST_EXPECTED_MS, Math.max(0, expectedMs));
-    const call = { silentAtMs: nowMs + SILENT_AFTER_MS + grantedMs };
+    const allowedMs = EXPECTATION_FACTOR * Math.min(MAX_EXPECTED_MS, Math.max(0, expectedMs));
+    const call = { overdueAtMs: nowMs + OVERDUE_AFTER_MS + allowedMs };
     this.#openCalls.add(call);
-    if (this.#isSilent) this.#trial ??= call;
+    if (this.#isConnectUnanswered) this.#trial ??= call;
     return call;
   }
 
@@ -74,91 +79,101 @@
     if (this.#trial === call) this.#trial = undefined;
   }
 
-  /** The server answered something. @returns whether it was taken to be silent until now */
+  /**
+   * Records that the server answered in any way.
+   * @returns whether its last connection attempt was unanswered until now
+   */
   recordReached(): boolean {
-    const wasSilent = this.#isSilent;
-    this.#isSilent = false;
+    const wasUnanswered = this.#isConnectUnanswered;
+    this.#isConnectUnanswered = false;
     this.#trial = undefined;
-    this.#toldSilentUntilMs = 0;
+    this.#unreachableUntilMs = 0;
     this.#witnesses.clear();
-    return wasSilent;
+    return wasUnanswered;
   }
 
-  /** An attempt to connect was not answered at all. */
+  /** Records that an attempt to connect was not answered at all. */
   recordSilent(nowMs: number): void {
     this.recordBroken(nowMs);
-    this.#isSilent = true;
+    this.#isConnectUnanswered = true;
   }
 
-  /** Another daemon found the server silent, or reached it again. */
+  /** Applies another daemon's notice that the server is unreachable, or reachable again. */
   applyReachNotice({ isReachable, by }: ReachabilityNotice, nowMs: number): void {
     if (isReachable) {
       if (this.recordReached()) this.#ejectedUntilMs = 0;
       return;
     }
     for (const [witness, atMs] of this.#witnesses) {
-      if (nowMs - atMs > TOLD_SILENT_MS) this.#witnesses.delete(witness);
+      if (nowMs - atMs > NOTICE_VALID_MS) this.#witnesses.delete(witness);
     }
     this.#witnesses.set(by, nowMs);
-    const witnesses = this.#witnesses.size + (this.#isSilent ? 1 : 0);
-    if (witnesses >= MIN_UNREACHABLE_REPORTS) this.#toldSilentUntilMs = nowMs + TOLD_SILENT_MS;
+    const witnesses = this.#witnesses.size + (this.#isConnectUnanswered ? 1 : 0);
+    if (witnesses >= MIN_UNREACHABLE_REPORTS) this.#unreachableUntilMs = nowMs + NOTICE_VALID_MS;
   }
 
-  /** Whether it answers no connection, as far as is known; it is tried by one call at a time. */
+  /** Whether it answers no connection, as far as is known; one call at a time tries it. */
   isUnreachable(nowMs: number): boolean {
-    if (nowMs < this.#toldSilentUntilMs) return true;
-    return this.#isSilent && (this.isEjected(nowMs) || this.#trial !== undefined);
+    if (nowMs < this.#unreachableUntilMs) return true;
+    return this.#isConnectUnanswered && (this.isEjected(nowMs) || this.#trial !== undefined);
   }
 
-  /** How much longer it is passed over, as far as is known. */
+  /** Remaining time for which it is skipped, as far as is known. */
   skippedForMs(nowMs: number): number {
-    const untilMs = Math.max(this.#ejectedUntilMs, this.#restsUntilMs, this.#toldSilentUntilMs);
+    const untilMs = Math.max(
+      this.#ejectedUntilMs,
+      this.#refusalSkipUntilMs,
+      this.#unreachableUntilMs,
+    );
     return Math.max(0, untilMs - nowMs);
   }
 
   recordSuccess(elapsedMs: number): void {
-    this.#failuresInARow = 0;
-    this.#turnedAwayInARow = 0;
+    this.#consecutiveFailures = 0;
+    this.#consecutiveRefusals = 0;
     this.#ejectedUntilMs = 0;
     this.#failureRate *= 1 - FAILURE_WEIGHT;
     this.#responseMs =
       this.#responseMs === undefined ? elapsedMs : 0.8 * this.#responseMs + 0.2 * elapsedMs;
   }
 
-  /** The server answered, but with a failure of its own; counted, without ejecting it. */
+  /** Records an error answer of the server; it raises the failure rate, but does not eject the server. */
   recordServerError(): void {
     this.#failureRate += (1 - this.#failureRate) * FAILURE_WEIGHT;
   }
 
-  /** The server did not run a call, and said so. Calls sent before it first did say no more than one. */
+  /**
+   * Records that the server refused a call without running it. Refusals that arrive while the server is skipped, for
+   * calls sent earlier, do not extend that time.
+   */
   recordRefusal(nowMs: number): void {
     this.recordServerError();
-    if (nowMs < this.#restsUntilMs) return;
-    const restMs = FIRST_REST_MS * 2 ** this.#turnedAwayInARow;
-    this.#restsUntilMs = nowMs + Math.min(LONGEST_REST_MS, restMs);
-    this.#turnedAwayInARow += 1;
+    if (nowMs < this.#refusalSkipUntilMs) return;
+    const skipMs = FIRST_REFUSAL_SKIP_MS * 2 ** this.#consecutiveRefusals;
+    this.#refusalSkipUntilMs = nowMs + Math.min(MAX_REFUSAL_SKIP_MS, skipMs);
+    this.#consecutiveRefusals += 1;
   }
 
-  /** The server could not be reached, broke off, or answered what is no answer. */
+  /** Records that the server could not be reached, broke off, or sent an invalid answer. */
   recordBroken(nowMs: number): void {
     this.recordServerError();
-    const ejectionMs = FIRST_EJECTION_MS * 2 ** this.#failuresInARow;
-    this.#ejectedUntilMs = nowMs + Math.min(LONGEST_EJECTION_MS, ejectionMs);
-    this.#failuresInARow += 1;
+    const ejectionMs = FIRST_EJECTION_MS * 2 ** this.#consecutiveFailures;
+    this.#ejectedUntilMs = nowMs + Math.min(MAX_EJECTION_MS, ejectionMs);
+    this.#consecutiveFailures += 1;
   }
 
-  /** Whether it is to be passed over where there is another. */
+  /** Whether it is skipped if there is another server. */
   isSuspect(nowMs: number): boolean {
-    return this.isEjected(nowMs) || nowMs < this.#restsUntilMs || this.#owesAnswer(nowMs);
+    return this.isEjected(nowMs) || nowMs < this.#refusalSkipUntilMs || this.#hasOverdueCall(nowMs);
   }
 
-  /** Whether it failed lately; one that is only slow is not. */
+  /** Whether it failed recently; a server that is only slow has not. */
   isEjected(nowMs: number): boolean {
     return nowMs < this.#ejectedUntilMs;
   }
 
-  #owesAnswer(nowMs: number): boolean {
-    for (const call of this.#openCalls) if (call.silentAtMs < nowMs) return true;
+  #hasOverdueCall(nowMs: number): boolean {
+    for (const call of this.#openCalls) if (call.overdueAtMs < nowMs) return true;
     return false;
   }
 }
--- a/test/gateway/named-limits.test.ts
+++ b/test/gateway/named-limits.test.ts
@@ -1,4 +1,4 @@
-/** What servers say of their limits, and what is believed of it. */
+/** Tests how limits that servers report are read, and when they are in force. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import { REQUEST_CODEC } from '../../platform/request-codec.js';
@@ -31,7 +31,7 @@
   ['1.2000000000000002', { kind: 'named', perSecond: 1.2000000000000002 }],
   ['3, 1.5', { kind: 'named', perSecond: 1.5 }],
 ] as const) {
-  test(`read: ${text}`, () => {
+  test(`a well-formed limit is read: ${text}`, () => {
     assert.deepEqual(REQUEST_CODEC.readLimit(200, { 'server-limit': text }), expected);
   });
 }
@@ -49,21 +49,21 @@
   '1,',
   '2 3',
 ]) {
-  test(`unreadable: ${text.slice(0, 12)}`, () => {
-    const said = REQUEST_CODEC.readLimit(200, { 'server-limit': text });
-    assert.equal(said.kind, 'unreadable');
-    assert.ok(said.kind === 'unreadable' && said.text.length <= 64);
+  test(`a malformed limit is unreadable: ${text.slice(0, 12)}`, () => {
+    const reading = REQUEST_CODEC.readLimit(200, { 'server-limit': text });
+    assert.equal(reading.kind, 'unreadable');
+    assert.ok(reading.kind === 'unreadable' && reading.text.length <= 64);
   });
 }
 
-test('an answer of another server says nothing, one without the field says so', () => {
+test('an answer with 421 gives no limit information, and one without the header names no limit', () => {
   assert.deepEqual(REQUEST_CODEC.readLimit(421, { 'server-limit': '2' }), { kind: 'unknown' });
   assert.deepEqual(REQUEST_CODEC.readLimit(421, {}), { kind: 'unknown' });
   const none = REQUEST_CODEC.readLimit(200, { 'x-attempt-id': 'a' });
   assert.deepEqual(none, { kind: 'none', attemptId: 'a' });
 });
 
-test('a limit holds until an answer to a later request names none', () => {
+test('a limit stays in force until an answer to a later request names none', () => {
   const limits = new NamedLimits();
   assert.equal(limits.recordReport(SERVER, named(2), { sentAtMs: 0, nowMs: 100 })?.kind, 'named');
   assert.equal(limits.recordReport(SERVER, NONE, { sentAtMs: 90, nowMs: 300 }), undefined);
@@ -76,7 +76,7 @@
   assert.equal(limits.of('i-1'), undefined);
 });
 
-test('what others tell counts by its age, and the first answer of its own is news', () => {
+test('advertisements count by their age, and the first report to the daemon itself counts as a change', () => {
   const limits = new NamedLimits();
   assert.equal(
     limits.applyAdvertised('i-1', { perSecond: 2, reportedAgoMs: 10 }, 1_000)?.kind,
@@ -107,7 +107,7 @@
   );
 });
 
-test('a limit that moves a little with each answer is no news, and the newest one is told on', () => {
+test('small differences of a limit are no change, but the newest value is advertised', () => {
   const limits = new NamedLimits();
   limits.recordReport(SERVER, named(10), { sentAtMs: 0, nowMs: 10 });
   for (const [nowMs, perSecond] of [
