--- a/src/core/gateway/choose-engine.ts
+++ b/src/core/gateway/choose-engine.ts
@@ -1,6 +1,7 @@
 /**
- * Plans a model request: read the prompt at a prefill engine and go on at a decode engine, or let a
- * decode engine read it by itself. Each way is priced by the expected time to the first event.
+ * Chooses the engines for a model request: either a prefill engine reads the prompt (computes its KV
+ * cache) and a decode engine continues from there, or one decode engine reads the prompt and generates.
+ * Each option is priced by the expected time to the first event, in milliseconds.
  */
 import { sharedPart } from './description.js';
 import type { EngineChoiceInput } from './engine-choice-input.js';
@@ -22,29 +23,32 @@
 import type { EngineStage, ServerRecord } from './server-directory.js';
 import { drawSpread, type Spread, type SpreadWork, usefulSpread } from './spread-choice.js';
 
-/** A part that nobody keeps is read at its home, unless that waits longer than this part of its reading. */
-const HOME_SHARE = 0.25;
-/** Homes of a part while nobody has told anything; each reads the part, so they are few. */
-const HOMES_AT_START = 4;
-/** About what a prompt has that an engine that generates reads by itself; longer ones are read apart. */
+/**
+ * The preferred engine of a shared prompt part that no engine has cached gets a bonus of this share of the
+ * part's read time: requests go there unless its wait exceeds that at other engines by more than the bonus.
+ */
+const PREFERENCE_BONUS_SHARE = 0.25;
+/** Preferred engines of a part while no daemon has reported work yet; each reads the part, so there are few. */
+const PREFERRED_ENGINES_AT_START = 4;
+/** Typical length of a prompt that a decode engine reads itself; longer ones go to prefill engines. */
 const SHORT_PROMPT_TOKENS = 500;
 
-/** Read at one engine, go on at another. */
+/** Reading the prompt at a prefill engine, before a decode engine continues. */
 export interface PrefillStep {
   readonly server: ServerRecord;
-  /** Tokens that are not kept there and have to be read. */
+  /** Tokens of the prompt that are not cached at the engine and have to be read. */
   readonly missingTokens: number;
-  /** An engine that keeps more of the prompt, to take it from. */
+  /** Engine that has more of the prompt cached, to fetch the KV cache from. */
   readonly fetchFrom: ServerRecord | undefined;
 }
 
-/** How a model request is to be run. */
+/** How a model request is run. */
 export type EnginePlan =
   | {
       readonly kind: 'prefill';
       readonly prefill: PrefillStep;
       readonly read: ExpectedRead;
-      /** Until the first token. */
+      /** Time to the first token. */
       readonly expectedMs: number;
       readonly isSpread: boolean;
     }
@@ -55,83 +59,84 @@
       readonly fetchFrom: ServerRecord | undefined;
       readonly missingTokens: number;
       readonly expectedMs: number;
-      /** Whether another engine would have been taken by the sums alone. */
+      /** Whether spreading chose an engine other than the cheapest one. */
       readonly isSpread: boolean;
     };
 
-/** What reading the prompt at an engine costs, whatever waits there. */
-interface Reader {
+/** What reading the prompt at one engine costs, without the prompts queued there. */
+interface ReadOption {
   readonly server: ServerRecord;
   readonly missingTokens: number;
   readonly fetchFrom: ServerRecord | undefined;
   readonly readMs: number;
-  /** Reading all of it: where that takes longer, others send less. */
-  readonly wholeReadMs: number;
+  /** Time to read the prompt with nothing cached: other daemons send less where that takes longer. */
+  readonly fullReadMs: number;
   readonly slotMs: number;
-  /** What speaks against it whatever the prompt: full slots, failures. */
-  readonly standingMs: number;
-  /** What else speaks against it: others that it holds up, another zone. */
+  /** Cost of the engine's state, for any prompt: occupied slots, failures. */
+  readonly engineCostMs: number;
+  /** Other costs: the delay to other prompts, a call to another zone. */
   readonly otherCostMs: number;
-  /** What speaks for the home of a part that it does not keep yet. */
+  /** Deducted at the preferred engine of a shared part, while it has nothing of the prompt cached. */
   readonly preferenceBonusMs: number;
 }
 
-/** The engines that may read the prompt, worked out once for both urgencies. */
-interface Readers {
-  readonly prefill: readonly Reader[];
-  readonly decode: readonly Reader[];
-  /** Until the memory has moved and a run has a slot. */
+/** The engines that can read the prompt; computed once for both urgencies. */
+interface ReadOptions {
+  readonly prefill: readonly ReadOption[];
+  readonly decode: readonly ReadOption[];
+  /** Time to transfer the KV cache to a decode engine and get a slot there. */
   readonly handOverMs: number;
 }
 
 interface ReadEstimate {
-  readonly reader: Reader;
+  readonly option: ReadOption;
   readonly read: ExpectedRead;
   readonly costMs: number;
-  /** When a prompt that begins with nothing kept would be read there, as all daemons see it. */
+  /** Time until a prompt with nothing cached would be read there, as every daemon computes it. */
   readonly loadMs: number;
   readonly preferenceBonusMs: number;
 }
 
-/** The shared part of the prompt, and where it is read first. */
-interface HomePart {
-  readonly home: ServerRecord | undefined;
+/** The shared part of the prompt and its preferred engine. */
+interface SharedPartPreference {
+  readonly engine: ServerRecord | undefined;
   readonly tokens: number;
 }
 
 /**
- * The best way to run a model request; undefined when no engine that generates is left. What can be in
- * time waits only for its like; what cannot goes after all others, wherever it waits least for all.
+ * The cheapest way to run a model request; undefined when no decode engine is left. A request that can meet
+ * its latency target queues only behind others that can. One that cannot queues behind all prompts, so it is
+ * planned again for the engine where that wait is shortest.
  */
 export function planModelRequest(input: EngineChoiceInput): EnginePlan | undefined {
-  const readers = readersOf(input);
-  const plan = planAs('in-time', readers, input);
+  const options = readOptionsOf(input);
+  const plan = planWithUrgency('in-time', options, input);
   if (plan === undefined || plan.expectedMs <= input.latencyBudgetMs) return plan;
-  return planAs('late', readers, input);
+  return planWithUrgency('late', options, input);
 }
 
-function planAs(
+function planWithUrgency(
   urgency: Urgency,
-  readers: Readers,
+  options: ReadOptions,
   input: EngineChoiceInput,
 ): EnginePlan | undefined {
-  const direct = bestReader(readers.decode, urgency, input);
-  const prefill = bestReader(readers.prefill, urgency, input);
+  const direct = cheapestEstimate(options.decode, urgency, input);
+  const prefill = cheapestEstimate(options.prefill, urgency, input);
   if (direct === undefined) return undefined;
-  const { handOverMs } = readers;
+  const { handOverMs } = options;
   if (prefill !== undefined && prefill.costMs + handOverMs < direct.costMs) {
-    const { reader, read } = spreadReader(prefill, readers.prefill, handOverMs, input);
-    const { server, missingTokens, fetchFrom } = reader;
+    const { option, read } = spreadEstimate(prefill, options.prefill, handOverMs, input);
+    const { server, missingTokens, fetchFrom } = option;
     return {
       kind: 'prefill',
       read,
       expectedMs: read.waitMs + read.readMs + handOverMs,
       prefill: { server, missingTokens, fetchFrom },
-      isSpread: reader !== prefill.reader,
+      isSpread: option !== prefill.option,
     };
   }
-  const { reader, read } = spreadReader(direct, readers.decode, 0, input);
-  const { server, missingTokens, fetchFrom } = reader;
+  const { option, read } = spreadEstimate(direct, options.decode, 0, input);
+  const { server, missingTokens, fetchFrom } = option;
   return {
     kind: 'direct',
     server,
@@ -139,26 +144,26 @@
     missingTokens,
     read,
     expectedMs: read.waitMs + read.readMs,
-    isSpread: reader !== direct.reader,
+    isSpread: option !== direct.option,
   };
 }
 
-/** The engine that goes on from a prompt read at `source`. */
+/** The decode engine that continues from a prompt read at `source`. */
 export function chooseDecodeEngine(
   input: EngineChoiceInput,
   source: ServerRecord,
 ): ServerRecord | undefined {
   const estimates = enginesOf(input, 'decode').map((server) => {
-    const moveCost = server.zone === source.zone ? 0 : OTHER_ZONE_COST_MS;
+    const zoneCost = server.zone === source.zone ? 0 : OTHER_ZONE_COST_MS;
     const pace = paceAt(server, input);
     const runs = runsAt(server, input);
-    const waitsMs = waitMs(server, 'in-time', input) + slotWaitMs(server, runs, pace, input);
-    const longerMs = input.speed.handOverMs * (1 / pace - 1);
-    const loadMs = waitsMs + occupancyCostMs(server, runs, input) + healthCostMs(server, input);
+    const totalWaitMs = waitMs(server, 'in-time', input) + slotWaitMs(server, runs, pace, input);
+    const extraHandOverMs = input.speed.handOverMs * (1 / pace - 1);
+    const loadMs = totalWaitMs + occupancyCostMs(server, runs, input) + healthCostMs(server, input);
     return {
       server,
       loadMs,
-      costMs: moveCost + longerMs + loadMs + zoneCostMs(server, input),
+      costMs: zoneCost + extraHandOverMs + loadMs + zoneCostMs(server, input),
       preferenceBonusMs: 0,
     };
   });
@@ -168,23 +173,23 @@
   return drawSpread(estimates, spreadWork(best.server, 'decode', 0, spread, input))?.server;
 }
 
-/** The reader to take in place of the best by the sums, where others take that one too. */
-function spreadReader(
+/** One of the nearly cheapest engines, drawn where other daemons are likely to choose the same cheapest one. */
+function spreadEstimate(
   best: ReadEstimate,
-  readers: readonly Reader[],
+  options: readonly ReadOption[],
   handOverMs: number,
   input: EngineChoiceInput,
 ): ReadEstimate {
   const spread = usefulSpread(input.spread);
   if (spread === undefined) return best;
   const { urgency, readMs } = best.read;
-  const mostMs = input.latencyBudgetMs - handOverMs;
-  const isInTime = ({ read }: ReadEstimate) => read.waitMs + read.readMs <= mostMs;
-  const estimates = readers.map((reader) => estimateOf(reader, urgency, input));
-  const equals = isInTime(best) ? estimates.filter(isInTime) : estimates;
-  const { server } = best.reader;
+  const readBudgetMs = input.latencyBudgetMs - handOverMs;
+  const isInTime = ({ read }: ReadEstimate) => read.waitMs + read.readMs <= readBudgetMs;
+  const estimates = options.map((option) => estimateOf(option, urgency, input));
+  const eligible = isInTime(best) ? estimates.filter(isInTime) : estimates;
+  const { server } = best.option;
   const stage = server.stage === 'decode' ? 'decode' : 'prefill';
-  return drawSpread(equals, spreadWork(server, stage, readMs, spread, input)) ?? best;
+  return drawSpread(eligible, spreadWork(server, stage, readMs, spread, input)) ?? best;
 }
 
 function spreadWork(
@@ -199,110 +204,121 @@
   return { spread, stage, readMs, shortReadMs, runMs };
 }
 
-function estimateOf(reader: Reader, urgency: Urgency, input: EngineChoiceInput): ReadEstimate {
-  const waitsMs = waitMs(reader.server, urgency, input) + reader.slotMs;
-  const { readMs, standingMs, otherCostMs, preferenceBonusMs } = reader;
-  const loadMs = waitsMs + standingMs;
+function estimateOf(option: ReadOption, urgency: Urgency, input: EngineChoiceInput): ReadEstimate {
+  const totalWaitMs = waitMs(option.server, urgency, input) + option.slotMs;
+  const { readMs, engineCostMs, otherCostMs, preferenceBonusMs } = option;
+  const loadMs = totalWaitMs + engineCostMs;
   return {
-    reader,
-    read: { urgency, readMs, waitMs: waitsMs },
+    option,
+    read: { urgency, readMs, waitMs: totalWaitMs },
     costMs: loadMs + readMs + otherCostMs - preferenceBonusMs,
-    loadMs: loadMs + reader.wholeReadMs,
+    loadMs: loadMs + option.fullReadMs,
     preferenceBonusMs,
   };
 }
 
-function bestReader(
-  readers: readonly Reader[],
+function cheapestEstimate(
+  options: readonly ReadOption[],
   urgency: Urgency,
   input: EngineChoiceInput,
 ): ReadEstimate | undefined {
   let best: ReadEstimate | undefined;
-  for (const reader of readers) {
-    const estimate = estimateOf(reader, urgency, input);
+  for (const option of options) {
+    const estimate = estimateOf(option, urgency, input);
     if (best === undefined || estimate.costMs < best.costMs) best = estimate;
   }
   return best;
 }
 
-function readersOf(input: EngineChoiceInput): Readers {
-  const donors = bestKvSources(input);
-  const decode = readersOfStage('decode', donors, input);
+function readOptionsOf(input: EngineChoiceInput): ReadOptions {
+  const sources = bestKvSources(input);
+  const decode = readOptionsOfStage('decode', sources, input);
   const slotsMs = decode.map(({ slotMs }) => slotMs);
-  const leastSlotMs = slotsMs.length === 0 ? 0 : Math.min(...slotsMs);
+  const minSlotMs = slotsMs.length === 0 ? 0 : Math.min(...slotsMs);
   return {
     decode,
-    prefill: readersOfStage('prefill', donors, input),
-    handOverMs: input.speed.handOverMs + leastSlotMs,
+    prefill: readOptionsOfStage('prefill', sources, input),
+    handOverMs: input.speed.handOverMs + minSlotMs,
   };
 }
 
-function readersOfStage(
+function readOptionsOfStage(
   stage: EngineStage,
-  donors: readonly KvSource[],
+  sources: readonly KvSource[],
   input: EngineChoiceInput,
-): readonly Reader[] {
+): readonly ReadOption[] {
   const servers = enginesOf(input, stage);
   const shared = sharedPart(input.description.promptParts);
-  const home = shared === undefined ? undefined : homeNow(shared.id, servers, input);
-  const homePart = { home, tokens: shared?.tokens ?? 0 };
-  return servers.map((server) => readerAt(server, stage, donors, homePart, input));
+  const engine =
+    shared === undefined ? undefined : currentPreferredEngine(shared.id, servers, input);
+  const preference = { engine, tokens: shared?.tokens ?? 0 };
+  return servers.map((server) => readOptionAt(server, stage, sources, preference, input));
 }
 
-/** Before anyone has told of any work, a part has some homes, so that no engine gets what all begin with. */
-function homeNow(
+/**
+ * The preferred engine of a part. Before any daemon has reported work, one of several is picked at random:
+ * with a single one, all daemons would send their first prompts of that part to the same engine.
+ */
+function currentPreferredEngine(
   partId: string,
   servers: readonly ServerRecord[],
   { spread, quantizedPaceOf }: EngineChoiceInput,
 ): ServerRecord | undefined {
   if (spread?.unseen.kind !== 'by-daemons')
     return preferredEngineOf(partId, servers, quantizedPaceOf);
-  const place = Math.floor(spread.entropy * HOMES_AT_START);
-  return preferredEngineOf(`${place} ${partId}`, servers, quantizedPaceOf);
+  const index = Math.floor(spread.entropy * PREFERRED_ENGINES_AT_START);
+  return preferredEngineOf(`${index} ${partId}`, servers, quantizedPaceOf);
 }
 
-function readerAt(
+function readOptionAt(
   server: ServerRecord,
   stage: EngineStage,
-  donors: readonly KvSource[],
-  homePart: HomePart,
+  sources: readonly KvSource[],
+  preference: SharedPartPreference,
   input: EngineChoiceInput,
-): Reader {
+): ReadOption {
   const { description, prefixIndex, nowMs, speed } = input;
-  const kept = prefixIndex.cachedTokens(server.id, description.promptParts, nowMs);
-  const donor = kvSourceFor(server, kept, donors);
-  const fetched = donor === undefined ? 0 : donor.cachedTokens - kept;
-  const missingTokens = Math.max(1, description.promptTokens - kept - fetched);
-  const fetchMs = donor === undefined ? 0 : kvTransferMs(fetched, input);
+  const cached = prefixIndex.cachedTokens(server.id, description.promptParts, nowMs);
+  const kvSource = kvSourceFor(server, cached, sources);
+  const fetchedTokens = kvSource === undefined ? 0 : kvSource.cachedTokens - cached;
+  const missingTokens = Math.max(1, description.promptTokens - cached - fetchedTokens);
+  const fetchMs = kvSource === undefined ? 0 : kvTransferMs(fetchedTokens, input);
   const pace = paceAt(server, input);
   const runs = runsAt(server, input);
-  const aloneMs = readAloneMs(stage, missingTokens, pace, speed);
-  const delayMs = stage === 'decode' ? delayOfOthersMs(missingTokens, pace, input) : 0;
-  const isHome = server === homePart.home && kept === 0;
-  const bonusMs = isHome ? (HOME_SHARE * speed.prefillBusyMs(homePart.tokens)) / pace : 0;
+  const unqueuedMs = unqueuedReadMs(stage, missingTokens, pace, speed);
+  const delayMs = stage === 'decode' ? delayToOthersMs(missingTokens, pace, input) : 0;
+  const isPreferred = server === preference.engine && cached === 0;
+  const bonusMs = isPreferred
+    ? (PREFERENCE_BONUS_SHARE * speed.prefillBusyMs(preference.tokens)) / pace
+    : 0;
   return {
     server,
     missingTokens,
-    fetchFrom: donor?.server,
-    readMs: aloneMs + fetchMs,
-    wholeReadMs: readAloneMs(stage, description.promptTokens, pace, speed),
+    fetchFrom: kvSource?.server,
+    readMs: unqueuedMs + fetchMs,
+    fullReadMs: unqueuedReadMs(stage, description.promptTokens, pace, speed),
     slotMs: stage === 'decode' ? slotWaitMs(server, runs, pace, input) : 0,
-    standingMs: occupancyCostMs(server, runs, input) + healthCostMs(server, input),
+    engineCostMs: occupancyCostMs(server, runs, input) + healthCostMs(server, input),
     otherCostMs: delayMs + zoneCostMs(server, input),
     preferenceBonusMs: bonusMs,
   };
 }
 
-/** Reading at an engine of a pace, nothing waiting before it. */
-function readAloneMs(stage: EngineStage, tokens: number, pace: number, speed: ReadSpeed): number {
-  const usualMs = stage === 'prefill' ? speed.prefillMs(tokens) : speed.decodeMs(tokens);
-  return usualMs / pace;
+/** Read time at an engine of the given pace with an empty queue. */
+function unqueuedReadMs(
+  stage: EngineStage,
+  tokens: number,
+  pace: number,
+  speed: ReadSpeed,
+): number {
+  const normalMs = stage === 'prefill' ? speed.prefillMs(tokens) : speed.decodeMs(tokens);
+  return normalMs / pace;
 }
 
-/** What short prompts wait for a read at a decode engine: half of it, for each that comes meanwhile. */
-function delayOfOthersMs(missingTokens: number, pace: number, input: EngineChoiceInput): number {
+/** Total wait that a read causes to short prompts at a decode engine: each that arrives meanwhile waits half of it on average. */
+function delayToOthersMs(missingTokens: number, pace: number, input: EngineChoiceInput): number {
   const busyMs = input.speed.decodeBusyMs(missingTokens) / pace;
-  // A faster engine gets as many more.
+  // Engines receive short prompts in proportion to their pace.
   return (input.shortReadsPerMs * pace * busyMs * busyMs) / 2;
 }
 
--- a/src/core/gateway/description.ts
+++ b/src/core/gateway/description.ts
@@ -1,39 +1,39 @@
 /**
- * What a caller states of a request beside its opaque body. Nothing here is read from the body.
+ * What a caller states about a request in addition to its opaque body. None of it is read from the body.
  */
 
-/** A part of a prompt, in order; equal ids are equal text, which engines may keep. */
+/** A part of a prompt, in order; parts with equal ids have equal text, which engines may have cached. */
 export interface PromptPart {
   readonly id: string;
   readonly tokens: number;
 }
 
-/** A described request. */
+/** The caller's description of a request. */
 export interface RequestDescription {
-  /** Chosen by the caller, new with each of its attempts. */
+  /** Chosen by the caller, unique to each of its attempts. */
   readonly attemptId: string;
-  /** How long the caller waits; undefined when it does not say. */
+  /** How long the caller waits; undefined if not stated. */
   readonly deadlineMs: number | undefined;
   readonly promptParts: readonly PromptPart[];
   readonly promptTokens: number;
   readonly maxOutputTokens: number;
 }
 
-/** Tokens of the leading parts that `cachedTokens` says are kept, in order until the first that is not. */
+/** Length of the cached prefix: the cached tokens of the leading parts, up to and including the first incomplete one. */
 export function cachedPrefixTokens(
   parts: readonly PromptPart[],
   cachedTokens: (partId: string) => number,
 ): number {
   let total = 0;
   for (const part of parts) {
-    const kept = Math.min(part.tokens, cachedTokens(part.id));
-    total += kept;
-    if (kept < part.tokens) break;
+    const cached = Math.min(part.tokens, cachedTokens(part.id));
+    total += cached;
+    if (cached < part.tokens) break;
   }
   return total;
 }
 
-/** The longest part that other requests may have too: any but the last, which is the request's own. */
+/** The longest part that other requests may share: any but the last, which is the request's own. */
 export function sharedPart(parts: readonly PromptPart[]): PromptPart | undefined {
   let longest: PromptPart | undefined;
   for (const part of parts.slice(0, -1)) {
--- a/src/core/gateway/engine-choice-input.ts
+++ b/src/core/gateway/engine-choice-input.ts
@@ -1,4 +1,4 @@
-/** What a model request's engines are chosen from: the candidates, and what is believed of each. */
+/** Input to the engine choice for a model request: the candidates and this daemon's estimates of each. */
 import type { RequestDescription } from './description.js';
 import type { EngineLoad, Urgency } from './engine-load.js';
 import type { PeerLoads } from './peer-load.js';
@@ -8,7 +8,7 @@
 import type { ServerHealth } from './server-health.js';
 import type { Spread } from './spread-choice.js';
 
-/** What the plan is made from. */
+/** Input to `planModelRequest` and `chooseDecodeEngine`. */
 export interface EngineChoiceInput {
   readonly candidates: readonly ServerRecord[];
   readonly excludedIds: ReadonlySet<string>;
@@ -17,21 +17,21 @@
   readonly nowMs: number;
   readonly prefixIndex: PrefixCacheIndex;
   readonly speed: ReadSpeed;
-  /** An engine's pace against the usual one; left out where all have one pace. */
+  /** An engine's pace relative to the fleet's typical one; omitted where all engines have the same pace. */
   paceOf?(id: string): number;
-  /** The pace by which an engine counts as the home of a shared part. */
+  /** An engine's pace rounded to a power of two, by which it is weighted as preferred engine of shared parts. */
   quantizedPaceOf?(id: string): number;
   readonly kvTokenBytes: number;
   readonly linkMbps: number;
-  /** Short prompts that a decode engine of the usual pace gets in a millisecond, from all daemons. */
+  /** Short prompts that a decode engine of typical pace receives per millisecond, from all daemons. */
   readonly shortReadsPerMs: number;
   healthOf(id: string): ServerHealth;
   readonly peerLoads: PeerLoads;
-  /** How long prompts of an urgency wait, against what the work that is known says. */
+  /** Ratio of the observed waits of prompts of an urgency to the waits computed from known work. */
   waitFactor(urgency: Urgency): number;
-  /** What is left of the time in which an answer is in time. */
+  /** What is left of the latency budget of the request. */
   readonly latencyBudgetMs: number;
   loadOf(id: string): EngineLoad;
-  /** Absent where daemons hear of each other's work at once, and where spreading is switched off. */
+  /** Undefined where daemons report their work to each other directly, and where spreading is disabled. */
   readonly spread?: Spread | undefined;
 }
--- a/src/core/gateway/engine-costs.ts
+++ b/src/core/gateway/engine-costs.ts
@@ -1,4 +1,4 @@
-/** What a prompt or a run has to expect at an engine: waits, by all daemons' work there, and what speaks against it. */
+/** Costs of sending a prompt or a run to an engine, in milliseconds: waits for the work of all daemons there, and penalties. */
 import type { EngineChoiceInput } from './engine-choice-input.js';
 import type { Urgency } from './engine-load.js';
 import type { ServerRecord } from './server-directory.js';
@@ -7,7 +7,7 @@
 const FAILURE_COST_MS = 400;
 export const OTHER_ZONE_COST_MS = 4;
 
-/** How long a prompt waits at an engine for those that are read before it. */
+/** How long a prompt waits at an engine for the prompts that are read before it. */
 export function waitMs(server: ServerRecord, urgency: Urgency, input: EngineChoiceInput): number {
   const { nowMs, peerLoads } = input;
   const load = input.loadOf(server.id);
@@ -17,19 +17,19 @@
   return knownMs * input.waitFactor(urgency) + load.excessMs(nowMs);
 }
 
-/** How much faster than usual an engine reads and steps. */
+/** An engine's pace relative to the fleet's typical one, for reading prompts and for decode steps. */
 export function paceAt(server: ServerRecord, input: EngineChoiceInput): number {
   return input.paceOf?.(server.id) ?? 1;
 }
 
-/** Runs of all daemons that were sent to an engine and have not ended. */
+/** Unfinished runs at an engine, from all daemons. */
 export function runsAt(server: ServerRecord, input: EngineChoiceInput): number {
   return input.loadOf(server.id).running + input.peerLoads.running(server.id, input.nowMs);
 }
 
 /**
- * How long a run waits for a slot: those beyond the slots go in as runs end.
- * @param runs those at the engine (`runsAt`)
+ * How long a new run waits for a slot: runs in excess of the slots start as others end.
+ * @param runs unfinished runs at the engine (`runsAt`)
  */
 export function slotWaitMs(
   server: ServerRecord,
@@ -42,14 +42,14 @@
   return (waiting * input.speed.runMs) / slots / pace;
 }
 
-/** A run takes a share of each step: the fuller the slots, the later the next token. */
+/** Delay that one run adds for every other run at a decode engine: each takes a share of each decode step. */
 export function runCostMs(server: ServerRecord, input: EngineChoiceInput): number {
   return input.speed.handOverMs / Math.max(1, server.slots);
 }
 
 /**
- * What the runs at an engine cost one more there.
- * @param runs those at the engine (`runsAt`)
+ * Delay that the runs at an engine add to one more run there.
+ * @param runs unfinished runs at the engine (`runsAt`)
  */
 export function occupancyCostMs(
   server: ServerRecord,
@@ -59,14 +59,14 @@
   return runs * runCostMs(server, input);
 }
 
-/** What speaks against an engine that failed, or owes an answer. */
+/** Penalty for an engine that failed recently or has an overdue answer. */
 export function healthCostMs(server: ServerRecord, input: EngineChoiceInput): number {
   const health = input.healthOf(server.id);
   const suspectMs = health.isSuspect(input.nowMs) ? SUSPECT_COST_MS : 0;
   return FAILURE_COST_MS * health.failureRate + suspectMs;
 }
 
-/** What a call to another zone takes. */
+/** Extra latency of a call to another zone. */
 export function zoneCostMs(server: ServerRecord, input: EngineChoiceInput): number {
   return server.zone === input.zone ? 0 : OTHER_ZONE_COST_MS;
 }
--- a/src/core/gateway/engine-load.ts
+++ b/src/core/gateway/engine-load.ts
@@ -1,54 +1,54 @@
 /**
- * What this daemon expects of one engine's time: the prompts it has waiting there, and how much longer
- * than expected recent prompts took, which shows the work that other daemons sent.
+ * This daemon's estimate of one engine's load: its own prompts queued there, and how much longer than
+ * expected recent prompts took, which shows work of other daemons that they have not reported.
  *
- * Prompts that can still be in time go before those that cannot, so a prompt that is in time waits for
- * its like only, and a late one for all.
+ * Engines read prompts that can meet their latency target before those that cannot. So a prompt that can
+ * waits only for others that can, and a late one waits for all.
  */
 
-/** How fast a belief about other daemons' work fades. */
+/** Half-life of the estimate of other daemons' unreported work. */
 const EXCESS_HALF_LIFE_MS = 400;
 const EXCESS_WEIGHT = 0.5;
-const MOST_EXCESS_MS = 3_000;
-/** A read that takes longer than expected still takes this part of what was expected of it. */
-const LEAST_LEFT_SHARE = 0.25;
+const MAX_EXCESS_MS = 3_000;
+/** A read counts as needing at least this share of its expected time until it has finished. */
+const MIN_REMAINING_SHARE = 0.25;
 
-/** Whether a request can still be answered within its target; engines take the others after these. */
+/** Whether a request can still meet its latency target; engines read late ones after the others. */
 export type Urgency = 'in-time' | 'late';
 
-/** What is expected of a read when it is sent. */
+/** The forecast for a read at the time it is sent. */
 export interface ExpectedRead {
   readonly urgency: Urgency;
-  /** The read itself. */
+  /** Duration of the read without the wait. */
   readonly readMs: number;
-  /** Before it is begun. */
+  /** Wait before the read starts. */
   readonly waitMs: number;
 }
 
-/** A prompt being read. */
+/** A read that was sent to the engine and has not finished. */
 export interface PendingRead extends ExpectedRead {
   readonly startedAtMs: number;
 }
 
-/** A late prompt that has begun is read to its end, so what comes after waits for it as for any. */
-function urgencyNow(read: PendingRead, nowMs: number): Urgency {
+/** Engines do not interrupt a read: once a late one has started, later prompts wait for it like for any other. */
+function effectiveUrgency(read: PendingRead, nowMs: number): Urgency {
   const hasBegun = nowMs >= read.startedAtMs + read.waitMs;
   return hasBegun ? 'in-time' : read.urgency;
 }
 
-/** Work at one engine as this daemon sees it. */
+/** Load of one engine as this daemon sees it. */
 export class EngineLoad {
   readonly #pending = new Set<PendingRead>();
   #excessMs = 0;
   #excessAtMs = 0;
   readonly #countsOverdue: boolean;
 
-  /** @param countsOverdue whether a read that should be over counts as one that has not begun */
+  /** @param countsOverdue whether a read past its expected end counts with its full time, as if it had not started */
   constructor(countsOverdue = false) {
     this.#countsOverdue = countsOverdue;
   }
 
-  /** Streams of this daemon that run there. */
+  /** Streams of this daemon that are running at the engine. */
   running = 0;
 
   begin(expected: ExpectedRead, nowMs: number): PendingRead {
@@ -57,42 +57,42 @@
     return read;
   }
 
-  /** The prompt was read. */
+  /** Records that the prompt was read. */
   finish(read: PendingRead, nowMs: number): void {
     this.#pending.delete(read);
     if (read.urgency === 'late') return;
     const observedMs = nowMs - read.startedAtMs - read.readMs - read.waitMs;
     const currentMs = this.excessMs(nowMs);
-    const clippedMs = Math.min(MOST_EXCESS_MS, Math.max(0, observedMs));
+    const clippedMs = Math.min(MAX_EXCESS_MS, Math.max(0, observedMs));
     this.#excessMs = currentMs + EXCESS_WEIGHT * (clippedMs - currentMs);
     this.#excessAtMs = nowMs;
   }
 
-  /** The read was given up; nothing is learnt from it. */
+  /** Removes a read that was cancelled or failed, without learning from its time. */
   abandon(read: PendingRead): void {
     this.#pending.delete(read);
   }
 
-  /** What is left of the prompts of one urgency that this daemon waits for. */
+  /** Remaining time of this daemon's pending reads of one urgency. */
   pendingMs(urgency: Urgency, nowMs: number): number {
-    let leftMs = 0;
+    let remainingMs = 0;
     for (const read of this.#pending) {
-      if (urgencyNow(read, nowMs) !== urgency) continue;
-      leftMs += this.#leftMs(read, nowMs);
+      if (effectiveUrgency(read, nowMs) !== urgency) continue;
+      remainingMs += this.#remainingMs(read, nowMs);
     }
-    return leftMs;
+    return remainingMs;
   }
 
-  #leftMs({ readMs, startedAtMs, waitMs }: PendingRead, nowMs: number): number {
+  #remainingMs({ readMs, startedAtMs, waitMs }: PendingRead, nowMs: number): number {
     const spentMs = Math.max(0, nowMs - startedAtMs - waitMs);
-    // It should be over: it waits for work that was not known when it was sent.
+    // Past its expected end: it is still queued, behind work that was not known when it was sent.
     if (this.#countsOverdue && spentMs > readMs) return readMs;
-    return Math.max(LEAST_LEFT_SHARE * readMs, readMs - spentMs);
+    return Math.max(MIN_REMAINING_SHARE * readMs, readMs - spentMs);
   }
 
-  /** The work of others, beyond what they tell. */
+  /** Estimated work of other daemons beyond what they have reported. */
   excessMs(nowMs: number): number {
-    // Most engines have none, and a plan asks all of them: a power costs more than the rest of the question.
+    // Every plan calls this for all engines and most have no excess: computing the power would dominate the cost.
     if (this.#excessMs === 0) return 0;
     return this.#excessMs * 0.5 ** ((nowMs - this.#excessAtMs) / EXCESS_HALF_LIFE_MS);
   }
--- a/src/core/gateway/explain-request.ts
+++ b/src/core/gateway/explain-request.ts
@@ -77,7 +77,7 @@
   const context = contextOf(ordered, ownLines, requestId);
   const sentences = [
     ...endSentences(ownLines),
-    ...roomSentences(ownLines),
+    ...admissionSentences(ownLines),
     ...planSentences(ownLines),
     ...attemptSentences(ownLines),
     ...contextSentences(context, ownLines),
@@ -148,7 +148,7 @@
   ];
 }
 
-function roomSentences(ownLines: readonly LogLine[]): readonly string[] {
+function admissionSentences(ownLines: readonly LogLine[]): readonly string[] {
   return ownLines.flatMap(({ event, fields }) => {
     const age = `by what others told ${fields.sumsAgeMs ?? '?'} ms before`;
     switch (event) {
@@ -215,12 +215,12 @@
   }
   for (const line of context) {
     if (!DAEMON_EVENTS.has(line.event)) continue;
-    sentences.push(`Its daemon, ${sideOf(line, ownLines)}: ${line.message}.`);
+    sentences.push(`Its daemon, ${relativeTimeOf(line, ownLines)}: ${line.message}.`);
   }
   return sentences;
 }
 
-function sideOf(line: LogLine, ownLines: readonly LogLine[]): string {
+function relativeTimeOf(line: LogLine, ownLines: readonly LogLine[]): string {
   const endMs = Math.max(...ownLines.map(({ timeMs }) => timeMs));
   const spanMs = Math.round(endMs - line.timeMs);
   return spanMs >= 0 ? `${spanMs} ms before its end` : `${-spanMs} ms after its end`;
--- a/src/core/gateway/home.ts
+++ b/src/core/gateway/home.ts
@@ -1,18 +1,21 @@
 /**
- * The engine where a shared part is read first. All that follow wait for that read, so slow engines are the home of few
- * parts; engines of one pace share them evenly, whatever that pace is.
+ * The preferred engine of a shared prompt part: where it is read first. All requests with the same part wait for that
+ * read, so slow engines are preferred for few parts. Engines of the same pace get equal numbers of parts.
  */
 import { rendezvousWeights } from './rendezvous.js';
 import type { ServerRecord } from './server-directory.js';
 
 /**
- * An engine of half the pace is the home of an eighth of the parts. Where it would be that of half as many, requests would
- * pass their home over for a faster engine, each for another one.
+ * Weight of an engine by its pace, as a power: an engine of half the pace is preferred for an eighth as many parts. With
+ * half as many, requests would skip their slow preferred engine, each for a different faster one.
  */
 const WEIGHT_EXPONENT = 3;
-/** Half a double is as near to the next. */
-const STAYING_DOUBLES = 0.7;
-/** One more than the highest weight. */
+/**
+ * Distance from the current quantized pace, in doublings, up to which it is kept. Half a doubling is equally near to the
+ * next value; the rest is hysteresis.
+ */
+const HYSTERESIS_DOUBLINGS = 0.7;
+/** One more than the highest rendezvous weight. */
 const WEIGHT_RANGE = 2 ** 32;
 
 interface Leader {
@@ -20,7 +23,7 @@
   readonly weight: number;
 }
 
-/** The home of a part, the same for all daemons that list the same engines and count them by the same paces. */
+/** The preferred engine of a part; the same at all daemons that have the same engines and quantized paces. */
 export function preferredEngineOf(
   partId: string,
   servers: readonly ServerRecord[],
@@ -34,29 +37,28 @@
     const leader = leaders.get(pace);
     if (leader === undefined || weight > leader.weight) leaders.set(pace, { server, weight });
   }
-  return firstOf(leaders)?.server;
+  return preferredAmong(leaders)?.server;
 }
 
-/** Engines of one pace go by their weights alone, so only the leaders of each pace are compared. */
-function firstOf(leaders: ReadonlyMap<number, Leader>): Leader | undefined {
-  let first: Leader | undefined;
-  let least = Number.POSITIVE_INFINITY;
+/** Among engines of one pace the highest weight wins, so only the leader of each pace is compared. */
+function preferredAmong(leaders: ReadonlyMap<number, Leader>): Leader | undefined {
+  let preferred: Leader | undefined;
+  let lowestCost = Number.POSITIVE_INFINITY;
   for (const [pace, leader] of leaders) {
     const cost = -Math.log((leader.weight + 0.5) / WEIGHT_RANGE) / pace ** WEIGHT_EXPONENT;
-    if (cost >= least) continue;
-    first = leader;
-    least = cost;
+    if (cost >= lowestCost) continue;
+    preferred = leader;
+    lowestCost = cost;
   }
-  return first;
+  return preferred;
 }
 
 /**
- * The pace by which an engine counts as a home: halves and doubles of the usual one, so that small changes of belief move
- * no part.
- * @param current by which it counts until now; it stays while the pace is not well nearer to another
+ * Rounds a pace to a power of two, so that small changes of the estimate do not change the preferred engine of a part.
+ * @param current the quantized pace until now; kept unless the pace is clearly nearer to another power of two
  */
 export function quantizedPace(pace: number, current: number): number {
-  const doubles = Math.log2(pace);
-  const isNear = Math.abs(doubles - Math.log2(current)) <= STAYING_DOUBLES;
-  return isNear ? current : 2 ** Math.round(doubles);
+  const log2Pace = Math.log2(pace);
+  const isNear = Math.abs(log2Pace - Math.log2(current)) <= HYSTERESIS_DOUBLINGS;
+  return isNear ? current : 2 ** Math.round(log2Pace);
 }
--- a/src/core/gateway/place-request.ts
+++ b/src/core/gateway/place-request.ts
@@ -1,100 +1,100 @@
 /**
- * Whether a request goes to a server now, waits at the daemon for room, or is refused before it is sent
- * anywhere. What can be in time goes, or waits while the servers hold what is more urgent. What cannot is
- * refused at once where it is late for want of room: sent all the same, it would take time from others, and
- * its caller may be in time with another try.
+ * Decides whether a request is sent to a server now, held at the daemon until a queue is short enough, or refused
+ * before it is sent. A request that can meet its latency target is sent, or held while the queues are too long for it
+ * or for more urgent requests. A request that is late because of the queues is refused at once: it would take engine
+ * time from others, while a retry by its caller may be in time.
  */
 import type { EnginePlan } from './choose-engine.js';
 
 /**
- * Of the time that a request can wait and be in time, this part at most is spent in a server's queue, where it
- * can't be ordered or refused any more. Under overload queues are as long as they may be, and each daemon knows
- * of the others' work late: a queue that took up all of it would make every other request late.
+ * Share of a request's slack (the time that it can wait and still be in time) that it may spend in a server's queue,
+ * where it can no longer be reordered or refused. Under overload queues grow to this limit, and daemons learn of each
+ * other's work with a delay: if queues took up the complete slack, about every other request would be late.
  */
-const QUEUED_SHARE = 0.3;
+const MAX_QUEUE_SHARE = 0.3;
 /**
- * Of the same time, the part that it may be held at the daemon: a refusal is worth the more to its caller the sooner it
- * comes. What both shares leave is for errors of the forecast.
+ * Share of a request's slack for which it may be held at the daemon. It is small because an early refusal is worth more
+ * to the caller than a late one. The rest of the slack covers forecast errors.
  */
 export const MAX_HOLD_SHARE = 0.25;
 
-/** What a forecast is judged by. */
+/** Input to `refusalOnArrival`. */
 export interface ArrivalInput {
   readonly plan: Pick<EnginePlan, 'expectedMs' | 'read'>;
-  /** Until the caller, or the route, gives up. */
+  /** Time until the caller's deadline or the route's timeout. */
   readonly remainingMs: number;
-  /** Within this an answer is in time. */
+  /** Time from arrival within which an answer counts as in time. */
   readonly latencyBudgetMs: number;
-  /** Whether the paces that the forecast is made from were seen, not supposed. */
+  /** Whether the forecast is based on observed engine times, not on the initial estimate. */
   readonly isLearnt: boolean;
-  /** Whether a server may have run it. */
+  /** Whether a server may already have run the request. */
   readonly mayHaveRun: boolean;
 }
 
-/** What a place is decided from. */
+/** Input to `placeRequest`. */
 export interface PlaceInput extends ArrivalInput {
-  /** What is left of the time in which an answer is in time. */
+  /** What is left of `latencyBudgetMs`. */
   readonly latencyBudgetLeftMs: number;
-  /** The least that a more urgent kind of request could wait and be in time; infinite where there is none. */
+  /** Shortest slack of the more urgent ranks (`UrgentSlack`); infinite if there are none. */
   readonly urgentSlackMs: number;
-  /** Whether others wait at this daemon for the same servers. */
+  /** Whether other requests for the same servers are held at this daemon. */
   readonly isContended: boolean;
 }
 
-/** A request that is not sent at all. */
+/** Refusal of a request that has not been sent. */
 export interface ArrivalRefusal {
-  /** When one like it could be answered in time, if nothing else came. */
+  /** Time after which a similar request could be answered in time if no others arrived. */
   readonly retryAfterMs: number;
 }
 
-/** What becomes of a request. */
+/** The decision for a request. */
 export type Placement =
-  /** There is room; `slackMs` is how long it could wait and be in time, undefined where it waits for nobody. */
+  /** Send now. `slackMs` is how long the request may still be held behind others; undefined if it must not be held. */
   | { readonly kind: 'go'; readonly slackMs: number | undefined }
-  /** Room is expected in time. */
+  /** Hold for at most `slackMs`; a queue is expected to be short enough in `roomInMs`. */
   | { readonly kind: 'wait'; readonly slackMs: number; readonly roomInMs: number }
   | {
       readonly kind: 'refuse';
-      /** `hopeless`: it would end after its caller has left; `overloaded`: it would make others late. */
+      /** `hopeless`: it would end after the caller's deadline; `overloaded`: it would make others late. */
       readonly reason: 'hopeless' | 'overloaded';
       readonly roomInMs: number;
     };
 
-/** The place of a request, by the best plan there is for it now. */
+/** Decides on a request by its best plan at the moment. */
 export function placeRequest(input: PlaceInput): Placement {
   const { plan, latencyBudgetLeftMs, urgentSlackMs } = input;
   if (!input.isLearnt || input.mayHaveRun) return { kind: 'go', slackMs: undefined };
   const { urgency, waitMs } = plan.read;
-  const wholeSlackMs = input.latencyBudgetMs - (plan.expectedMs - waitMs);
+  const totalSlackMs = input.latencyBudgetMs - (plan.expectedMs - waitMs);
   const heldMs = input.latencyBudgetMs - latencyBudgetLeftMs;
-  const heldShare = Math.min(MAX_HOLD_SHARE, heldMs / Math.max(1, wholeSlackMs));
-  // Who came first goes first over all daemons: the longer it was held, the longer a queue it may join.
-  const mostMs = (QUEUED_SHARE + heldShare) * Math.min(urgentSlackMs, wholeSlackMs);
-  const slackMs = MAX_HOLD_SHARE * wholeSlackMs - heldMs;
+  const heldShare = Math.min(MAX_HOLD_SHARE, heldMs / Math.max(1, totalSlackMs));
+  // Approximates first come, first served over all daemons: the longer a request was held, the longer a queue it may join.
+  const maxQueueMs = (MAX_QUEUE_SHARE + heldShare) * Math.min(urgentSlackMs, totalSlackMs);
+  const slackMs = MAX_HOLD_SHARE * totalSlackMs - heldMs;
   switch (urgency) {
     case 'in-time':
-      // What can't be held any more and has room goes past those that can.
-      if (waitMs <= mostMs) return { kind: 'go', slackMs: slackMs > 0 ? slackMs : undefined };
-      return { kind: 'wait', slackMs, roomInMs: waitMs - mostMs };
+      // A request that can't be held any longer overtakes those that can.
+      if (waitMs <= maxQueueMs) return { kind: 'go', slackMs: slackMs > 0 ? slackMs : undefined };
+      return { kind: 'wait', slackMs, roomInMs: waitMs - maxQueueMs };
     case 'late':
-      return placeLate(input, mostMs);
+      return placeLate(input, maxQueueMs);
   }
 }
 
-function placeLate(input: PlaceInput, mostMs: number): Placement {
+function placeLate(input: PlaceInput, maxQueueMs: number): Placement {
   const { plan, latencyBudgetMs, isContended } = input;
   const roomInMs = Math.max(0, plan.expectedMs - latencyBudgetMs);
   const hopeless = refusalOnArrival(input);
   if (hopeless !== undefined) return { kind: 'refuse', reason: 'hopeless', roomInMs };
-  // Late by itself, or as it was tried before, and not for want of room: it runs where it delays nobody.
-  const joinsMs =
-    mostMs > 0 ? mostMs : QUEUED_SHARE * Math.min(input.urgentSlackMs, latencyBudgetMs);
-  const hasRoom = plan.read.waitMs <= joinsMs;
-  if (hasRoom && !isContended) return { kind: 'go', slackMs: undefined };
+  // Late by its own duration or because of earlier attempts, not because of queues: it is sent where it delays no other.
+  const allowedQueueMs =
+    maxQueueMs > 0 ? maxQueueMs : MAX_QUEUE_SHARE * Math.min(input.urgentSlackMs, latencyBudgetMs);
+  const hasShortQueue = plan.read.waitMs <= allowedQueueMs;
+  if (hasShortQueue && !isContended) return { kind: 'go', slackMs: undefined };
   return { kind: 'refuse', reason: 'overloaded', roomInMs };
 }
 
-/** The refusal of what ends only after its caller has left; undefined where the request is to be sent. */
+/** Refuses a request that would end after its caller's deadline; undefined if the request should be sent. */
 export function refusalOnArrival(input: ArrivalInput): ArrivalRefusal | undefined {
   const { plan, remainingMs, latencyBudgetMs } = input;
   const isForecast = input.isLearnt && plan.read.urgency === 'late';
--- a/src/core/gateway/place-web-request.ts
+++ b/src/core/gateway/place-web-request.ts
@@ -1,40 +1,41 @@
 /**
- * Whether a request goes to a web server now or waits at the daemon for a moment. It goes where a slot is free,
- * as far as is known; where every server is full or has just turned calls away, it waits until the first of them
- * is expected to have room. What was held as long as it may be goes all the same: whether there is a place after
- * all is known best by the servers, and one that turns it away has not run it.
+ * Decides whether a request is sent to a web server now or held at the daemon. It is sent if a server is believed to
+ * have a free slot. If every server is full or has just rejected calls, it is held until the first one is expected to
+ * have a free slot. Once the maximum hold time is over it is sent anyway: only the servers know for certain whether
+ * they have a free slot, and one that rejects the request has not run it.
  */
 import { MAX_HOLD_SHARE, type Placement } from './place-request.js';
 import type { ServerRecord } from './server-directory.js';
 import type { ServerHealth } from './server-health.js';
 
-/** What the place is decided from. */
+/** Input to `placeWebRequest`. */
 export interface WebPlaceInput {
   readonly candidates: readonly ServerRecord[];
   readonly excludedIds: ReadonlySet<string>;
   readonly nowMs: number;
-  /** Within this an answer is in time. */
+  /** Time from arrival within which an answer counts as in time. */
   readonly latencyBudgetMs: number;
   readonly elapsedMs: number;
-  /** Whether a server may have run it. */
+  /** Whether a server may already have run the request. */
   readonly mayHaveRun: boolean;
   healthOf(id: string): ServerHealth;
-  /** Requests of other daemons at a server, as far as they tell. */
+  /** Requests that other daemons report to be running at a server. */
   othersRunning(id: string): number;
 }
 
-/** The place of a request to a web service. */
+/** Decides on a request to a web service. */
 export function placeWebRequest(input: WebPlaceInput): Placement {
-  const open = input.candidates.filter(({ id }) => !input.excludedIds.has(id));
-  const holdMs = MAX_HOLD_SHARE * (input.latencyBudgetMs - runMs(open, input)) - input.elapsedMs;
-  if (open.length === 0 || input.mayHaveRun || holdMs <= 0)
+  const eligible = input.candidates.filter(({ id }) => !input.excludedIds.has(id));
+  const holdMs =
+    MAX_HOLD_SHARE * (input.latencyBudgetMs - runMs(eligible, input)) - input.elapsedMs;
+  if (eligible.length === 0 || input.mayHaveRun || holdMs <= 0)
     return { kind: 'go', slackMs: undefined };
-  const roomInMs = Math.min(...open.map((server) => roomIn(server, input)));
+  const roomInMs = Math.min(...eligible.map((server) => timeToFreeSlotMs(server, input)));
   if (roomInMs <= 0) return { kind: 'go', slackMs: holdMs };
   return { kind: 'wait', slackMs: holdMs, roomInMs };
 }
 
-/** The time of an answer where nothing waits; 0 before one is known. */
+/** Shortest known response time of the servers; 0 before any is known. */
 function runMs(servers: readonly ServerRecord[], { healthOf }: WebPlaceInput): number {
   const known = servers
     .map(({ id }) => healthOf(id).responseMs ?? 0)
@@ -42,11 +43,11 @@
   return known.length === 0 ? 0 : Math.min(...known);
 }
 
-/** Until a server has a slot, as far as is known. */
-function roomIn({ id, slots }: ServerRecord, input: WebPlaceInput): number {
+/** Estimated time until a server has a free slot and accepts calls again. */
+function timeToFreeSlotMs({ id, slots }: ServerRecord, input: WebPlaceInput): number {
   const health = input.healthOf(id);
   const skippedForMs = health.skippedForMs(input.nowMs);
   const running = health.openCalls + input.othersRunning(id);
-  const beyond = Math.max(0, running + 1 - Math.max(1, slots));
-  return Math.max(skippedForMs, (beyond * (health.responseMs ?? 0)) / Math.max(1, slots));
+  const excess = Math.max(0, running + 1 - Math.max(1, slots));
+  return Math.max(skippedForMs, (excess * (health.responseMs ?? 0)) / Math.max(1, slots));
 }
--- a/src/core/gateway/plan-stages.ts
+++ b/src/core/gateway/plan-stages.ts
@@ -1,57 +1,58 @@
 /**
- * Decides when an engine changes its stage. Each stage has work for so many engines; the split is best
- * where the stage that is fuller for its kind of work is least full. An engine is away while it changes,
- * so one is moved at a time, a few where there are many, only when a stage is full, and only where that
- * relieves it well.
+ * Decides which engines switch between the prefill and the decode stage. The best split is the one with the
+ * lowest utilization of the busier stage, relative to the utilization that each stage can bear. An engine serves
+ * nothing while it switches, so engines switch one at a time (a few in a large fleet), only when a stage is
+ * overloaded, and only when that lowers its utilization enough.
  *
- * Engines fail together. So as many generate as leave one after the losses that are to be borne, in as many
- * zones as there are; and when none of them can be reached, several that read are ordered over at once,
- * whatever the work is. Reading needs no such care: engines that generate read as well.
+ * Engines fail together. So enough decode engines are kept that one is left after the tolerated losses, spread
+ * over all zones; and when no decode engine can be reached, several prefill engines are switched at once,
+ * whatever the load. The prefill stage needs no such reserve, as decode engines can read prompts too.
  *
- * While many engines are coming, after a loss, none is ordered over: it would be away for as long as those take to
- * boot, when every engine counts, and what they will do is part of the split. Those that leave are not in it.
+ * While many engines are starting, after a loss, none is switched: it would be out of service for as long as those
+ * take to boot, when every engine is needed, and they will change the split. Engines that are leaving do not
+ * count towards the split.
  */
 import type { EngineStage, ServerRecord } from './server-directory.js';
 
-/** Fewer requests say too little about the mix. */
-const LEAST_REQUESTS = 30;
-/** Parts of a stage's time below which work that comes unevenly still finds an engine free. */
-const FULL_SHARE = { prefill: 0.35, decode: 0.7 } as const;
-/** A move has to bring the fuller stage down at least to this part of what it was. */
-const RELIEF_SHARE = 0.85;
-/** Of many engines this part is ordered at once; half of what is wanted, as the demand may turn. */
-const MOST_AWAY_SHARE = 0.1;
-/** From this part of the engines that are there, those that are coming are waited for. */
-const MANY_COMING_SHARE = 0.1;
-/** The loss of one engine is to leave one of its stage, where there are this many in all. */
-const ENGINES_FOR_SPARES = 4;
-const ENGINES_WITH_SPARE = 2;
-/** So many engines that generate may go at once and leave one; without any, nothing is answered. */
-const LOSSES_TO_BEAR = 2;
-/** For that, a stage never keeps more than this part of all engines. */
-const MOST_SPARE_SHARE = 0.4;
+/** With fewer requests the mix of work is not known well enough. */
+const MIN_REQUESTS = 30;
+/** Utilization of a stage up to which bursts of requests still find a free engine. */
+const MAX_UTILIZATION = { prefill: 0.35, decode: 0.7 } as const;
+/** A switch has to lower the utilization of the busier stage to at most this share of what it was. */
+const MAX_RELIEVED_SHARE = 0.85;
+/** At most this share of all engines switches at once, and half of those wanted, as demand may change again. */
+const MAX_SWITCHING_SHARE = 0.1;
+/** When starting engines are at least this share of the present ones, no engine is switched until they have started. */
+const MANY_STARTING_SHARE = 0.1;
+/** From this number of engines on, each stage keeps a spare engine, so that it survives the loss of one. */
+const MIN_ENGINES_FOR_SPARE = 4;
+const STAGE_ENGINES_WITH_SPARE = 2;
+/** Simultaneous losses of decode engines that have to leave one: without any, no request is answered. */
+const TOLERATED_LOSSES = 2;
+/** The decode engines reserved for that are at most this share of all engines. */
+const MAX_SPARE_SHARE = 0.4;
 
-/** Work of a service, in engines of the usual pace that it keeps busy. */
+/** Work of a service, as the number of engines of typical pace that it keeps busy. */
 export interface StageNeed {
   readonly prefillEngines: number;
   readonly decodeEngines: number;
-  /** Requests that this was seen from. */
+  /** Number of requests that the estimate is based on. */
   readonly requests: number;
 }
 
-/** What the decision is made from. */
+/** Input to `planStageChanges`. */
 export interface StagePlanInput {
   readonly engines: readonly ServerRecord[];
   readonly need: StageNeed;
-  /** Engines under order or booting. */
+  /** Engines that are ordered or booting. */
   readonly startingEngines: number;
-  /** What an engine has under way; the one with least is moved. */
+  /** Work in progress at an engine; the least busy one is switched. */
   busyOf(engineId: string): number;
-  /** An engine's pace against the usual one; left out where all have one pace. */
+  /** An engine's pace relative to the typical one; omitted where all engines have the same pace. */
   paceOf?(engineId: string): number;
 }
 
-/** An engine that is to change its stage. */
+/** An engine that should switch its stage. */
 export interface StageChange {
   readonly engine: ServerRecord;
   readonly stage: EngineStage;
@@ -59,24 +60,27 @@
   readonly currentPrefill: number;
 }
 
-/** The next changes; none when the split is good enough. */
+/** The next switches; empty when the split is good enough. */
 export function planStageChanges(input: StagePlanInput): readonly StageChange[] {
   const { engines, need, startingEngines } = input;
   const total = engines.length;
-  if (need.requests < LEAST_REQUESTS || total < 3) return [];
-  if (startingEngines >= MANY_COMING_SHARE * total) return [];
+  if (need.requests < MIN_REQUESTS || total < 3) return [];
+  if (startingEngines >= MANY_STARTING_SHARE * total) return [];
   const currentPrefill = engines.filter((engine) => engine.stage === 'prefill').length;
-  const fullestWith = fullnessOf(input);
-  const wantedPrefill = bestPrefillCount(total, fullestWith);
-  const current = fullestWith(currentPrefill);
+  const peakUtilizationWith = peakUtilizationOf(input);
+  const wantedPrefill = bestPrefillCount(total, peakUtilizationWith);
+  const current = peakUtilizationWith(currentPrefill);
   if (wantedPrefill === currentPrefill || current < 1) return [];
-  if (fullestWith(wantedPrefill) > RELIEF_SHARE * current) return [];
+  if (peakUtilizationWith(wantedPrefill) > MAX_RELIEVED_SHARE * current) return [];
   const stage: EngineStage = wantedPrefill > currentPrefill ? 'prefill' : 'decode';
   const movable = engines.filter((engine) => engine.stage !== stage);
   const gap = Math.abs(wantedPrefill - currentPrefill);
-  const atOnce = Math.max(1, Math.min(Math.floor(total * MOST_AWAY_SHARE), Math.ceil(gap / 2)));
-  const count = Math.min(atOnce, movable.length - 1);
-  return leastMissedOf(movable, count, input).map((engine) => ({
+  const maxAtOnce = Math.max(
+    1,
+    Math.min(Math.floor(total * MAX_SWITCHING_SHARE), Math.ceil(gap / 2)),
+  );
+  const count = Math.min(maxAtOnce, movable.length - 1);
+  return pickLeastBusy(movable, count, input).map((engine) => ({
     engine,
     stage,
     wantedPrefill,
@@ -84,26 +88,30 @@
   }));
 }
 
-/** What a rescue is decided from. */
+/** Input to `planDecodeRecovery`. */
 export interface DecodeRecoveryInput extends Omit<StagePlanInput, 'need' | 'startingEngines'> {
-  /** Whether calls to an engine come through. */
+  /** Whether calls reach the engine. */
   isReachable(engineId: string): boolean;
 }
 
 /**
- * The changes that bring back a stage that generates when none of its engines can be reached: nothing is
- * answered without it. As many as may be lost and one, but never more than half of those that read.
+ * The switches that restore the decode stage when none of its engines can be reached, as no request is answered
+ * without it. Switches one engine more than the tolerated losses, but not more than
+ * half of the reachable prefill engines if there are several.
  */
 export function planDecodeRecovery(input: DecodeRecoveryInput): readonly StageChange[] {
   const { engines } = input;
   const reachable = engines.filter(({ id }) => input.isReachable(id));
-  const readers = reachable.filter(({ stage }) => stage === 'prefill');
-  const isLost = engines.length > 0 && reachable.every(({ stage }) => stage !== 'decode');
-  if (!isLost || readers.length === 0) return [];
-  const count = Math.max(1, Math.min(LOSSES_TO_BEAR + 1, Math.floor(readers.length / 2)));
+  const prefillReachable = reachable.filter(({ stage }) => stage === 'prefill');
+  const isDecodeLost = engines.length > 0 && reachable.every(({ stage }) => stage !== 'decode');
+  if (!isDecodeLost || prefillReachable.length === 0) return [];
+  const count = Math.max(
+    1,
+    Math.min(TOLERATED_LOSSES + 1, Math.floor(prefillReachable.length / 2)),
+  );
   const currentPrefill = engines.filter(({ stage }) => stage === 'prefill').length;
   const wantedPrefill = currentPrefill - count;
-  return leastMissedOf(readers, count, input).map((engine) => ({
+  return pickLeastBusy(prefillReachable, count, input).map((engine) => ({
     engine,
     stage: 'decode',
     wantedPrefill,
@@ -111,8 +119,8 @@
   }));
 }
 
-/** So many of the engines that may be moved, picked one after the other. */
-function leastMissedOf(
+/** Picks engines to switch one after the other, each by `leastBusyOfLargestZone` of those that are left. */
+function pickLeastBusy(
   movable: readonly ServerRecord[],
   count: number,
   input: Pick<StagePlanInput, 'busyOf'>,
@@ -120,53 +128,62 @@
   const picked: ServerRecord[] = [];
   while (picked.length < count) {
     const left = movable.filter((engine) => !picked.includes(engine));
-    picked.push(leastMissed(left, input));
+    picked.push(leastBusyOfLargestZone(left, input));
   }
   return picked;
 }
 
-/** Of the zone that has most of a stage's engines, the one with least to do. */
-function leastMissed(
+/** The least busy engine of the zone with the most movable engines, so that the stage stays spread over the zones. */
+function leastBusyOfLargestZone(
   movable: readonly ServerRecord[],
   { busyOf }: Pick<StagePlanInput, 'busyOf'>,
 ): ServerRecord {
   const countOf = (zone: string) => movable.filter((engine) => engine.zone === zone).length;
-  const most = Math.max(...movable.map(({ zone }) => countOf(zone)));
+  const largestCount = Math.max(...movable.map(({ zone }) => countOf(zone)));
   return movable
-    .filter(({ zone }) => countOf(zone) === most)
+    .filter(({ zone }) => countOf(zone) === largestCount)
     .reduce((least, candidate) => (busyOf(candidate.id) < busyOf(least.id) ? candidate : least));
 }
 
-/** Engines with which work that comes unevenly still finds one free in either stage. */
+/** Engines that the work needs for bursts to find a free one in either stage. */
 export function requiredEngines({ prefillEngines, decodeEngines }: StageNeed): number {
-  return Math.ceil(prefillEngines / FULL_SHARE.prefill + decodeEngines / FULL_SHARE.decode);
+  return Math.ceil(
+    prefillEngines / MAX_UTILIZATION.prefill + decodeEngines / MAX_UTILIZATION.decode,
+  );
 }
 
-function bestPrefillCount(total: number, fullestWith: (prefillCount: number) => number): number {
-  const least = total >= ENGINES_FOR_SPARES ? ENGINES_WITH_SPARE : 1;
-  const spared = Math.min(LOSSES_TO_BEAR + 1, Math.floor(total * MOST_SPARE_SHARE));
-  const most = total - Math.max(least, spared);
-  let best = least;
-  for (let count = least + 1; count <= most; count += 1) {
-    if (fullestWith(count) < fullestWith(best)) best = count;
+function bestPrefillCount(
+  total: number,
+  peakUtilizationWith: (prefillCount: number) => number,
+): number {
+  const minCount = total >= MIN_ENGINES_FOR_SPARE ? STAGE_ENGINES_WITH_SPARE : 1;
+  const reservedDecode = Math.min(TOLERATED_LOSSES + 1, Math.floor(total * MAX_SPARE_SHARE));
+  const maxCount = total - Math.max(minCount, reservedDecode);
+  let best = minCount;
+  for (let count = minCount + 1; count <= maxCount; count += 1) {
+    if (peakUtilizationWith(count) < peakUtilizationWith(best)) best = count;
   }
   return best;
 }
 
 /**
- * How full the fuller stage would be with so many engines that read; above 1 its work queues. Engines that
- * change their stage are taken to be of the mean pace of the stage that they come from.
+ * Relative utilization of the busier stage for a number of prefill engines; above 1 bursts queue. Engines that
+ * switch are assumed to have the mean pace of the stage that they leave.
  */
-function fullnessOf({ engines, need, paceOf }: StagePlanInput): (prefillCount: number) => number {
+function peakUtilizationOf({
+  engines,
+  need,
+  paceOf,
+}: StagePlanInput): (prefillCount: number) => number {
   const pacesOf = (stage: EngineStage) =>
     engines.filter((engine) => engine.stage === stage).map(({ id }) => paceOf?.(id) ?? 1);
-  const [reading, others] = [pacesOf('prefill'), pacesOf('decode')];
+  const [prefillPaces, decodePaces] = [pacesOf('prefill'), pacesOf('decode')];
   return (prefillCount) => {
-    const moved = prefillCount - reading.length;
-    const movedPace = moved * meanOf(moved > 0 ? others : reading);
-    const prefill = need.prefillEngines / Math.max(1, sumOf(reading) + movedPace);
-    const decode = need.decodeEngines / Math.max(1, sumOf(others) - movedPace);
-    return Math.max(prefill / FULL_SHARE.prefill, decode / FULL_SHARE.decode);
+    const moved = prefillCount - prefillPaces.length;
+    const movedPace = moved * meanOf(moved > 0 ? decodePaces : prefillPaces);
+    const prefill = need.prefillEngines / Math.max(1, sumOf(prefillPaces) + movedPace);
+    const decode = need.decodeEngines / Math.max(1, sumOf(decodePaces) - movedPace);
+    return Math.max(prefill / MAX_UTILIZATION.prefill, decode / MAX_UTILIZATION.decode);
   };
 }
 
--- a/src/core/gateway/prefix-knowledge.ts
+++ b/src/core/gateway/prefix-knowledge.ts
@@ -1,40 +1,40 @@
 /**
- * What each engine is believed to keep of prompts: from its own cache news, and from what this
- * daemon has seen read there. A belief without news behind it is dropped after a time.
+ * Index of the prompt parts that each engine is believed to have cached: from the engine's own cache events, and
+ * from the reads that this daemon sent there. Entries without a cache event behind them expire.
  */
 import { cachedPrefixTokens, type PromptPart } from './description.js';
 
-/** A belief from this daemon's own sends; an engine's news replaces it. */
+/** Lifetime of an entry from a read that this daemon sent; a cache event of the engine replaces it. */
 const UNCONFIRMED_TTL_MS = 20_000;
-/** A belief from news that another daemon passed on; the message that ends it may be lost. */
-const PASSED_ON_TTL_MS = 60_000;
-/** Beliefs kept for one engine; the oldest go first. */
+/** Lifetime of an entry from a cache event that another daemon relayed: the event that removes the part may be lost. */
+const RELAYED_TTL_MS = 60_000;
+/** Entries per engine; the oldest are evicted first. */
 const MAX_PARTS_OF_ENGINE = 4_096;
 
-/** A read that was begun counts as done for this much longer than it was expected to take. */
-const EXPECTED_TTL_MS = 4_000;
+/** How long the entry of an announced read is kept past the expected end of the read. */
+const EXPECTED_READ_GRACE_MS = 4_000;
 
-interface KeptPart {
+interface CachedPart {
   readonly tokens: number;
-  /** Infinity when the engine itself said so. */
+  /** Infinity when the engine itself reported the part. */
   readonly expiresAtMs: number;
-  /** From then on another engine can take it. */
+  /** When the part can be fetched by another engine. */
   readonly readyAtMs: number;
 }
 
-/** A part that an engine was asked to read. */
+/** Announces a read of a shared part that a daemon sent to an engine. */
 export interface ReadNotice {
   readonly engineId: string;
   readonly part: PromptPart;
-  /** When it is expected to be there. */
+  /** Expected time until the part is cached there. */
   readonly readyInMs: number;
 }
 
-/** Beliefs on all engines' caches. */
+/** What is believed to be cached at all engines. */
 export class PrefixCacheIndex {
-  readonly #byEngine = new Map<string, Map<string, KeptPart>>();
+  readonly #byEngine = new Map<string, Map<string, CachedPart>>();
 
-  /** The engine itself says how much of a part it keeps now; 0 when it gave the part up. */
+  /** Records the engine's own report of how many tokens of a part it has cached; 0 after an eviction. */
   confirm(engineId: string, partId: string, tokens: number): void {
     this.#store(engineId, partId, {
       tokens,
@@ -43,21 +43,21 @@
     });
   }
 
-  /** Another daemon passed the engine's cache news on. */
+  /** Records an engine's cache event that another daemon relayed. */
   confirmFromPeer(engineId: string, partId: string, tokens: number, nowMs: number): void {
     this.#store(engineId, partId, {
       tokens,
-      expiresAtMs: nowMs + PASSED_ON_TTL_MS,
+      expiresAtMs: nowMs + RELAYED_TTL_MS,
       readyAtMs: 0,
     });
   }
 
-  /** Tokens of a part that the engine is believed to keep, whatever comes before it. */
+  /** Tokens of a part that the engine is believed to have cached, regardless of the parts before it. */
   tokensOf(engineId: string, partId: string): number {
     return this.#byEngine.get(engineId)?.get(partId)?.tokens ?? 0;
   }
 
-  /** A prompt was read at, or moved to, the engine. */
+  /** Records that a prompt was read at the engine or its KV cache transferred there. */
   assume(engineId: string, parts: readonly PromptPart[], nowMs: number): void {
     for (const part of parts) {
       const known = this.#byEngine.get(engineId)?.get(part.id);
@@ -71,51 +71,52 @@
     }
   }
 
-  /** An engine begins to read a part: the next request for it need not read it again. */
+  /** Records that an engine is reading a part, so that following requests are sent there and do not read it again. */
   expectRead({ engineId, part, readyInMs }: ReadNotice, nowMs: number): void {
     const known = this.#byEngine.get(engineId)?.get(part.id);
     const isKnown = known !== undefined && known.expiresAtMs >= nowMs;
     if (isKnown && known.tokens >= part.tokens) return;
     const readyAtMs = nowMs + readyInMs;
-    const expiresAtMs = readyAtMs + EXPECTED_TTL_MS;
+    const expiresAtMs = readyAtMs + EXPECTED_READ_GRACE_MS;
     this.#store(engineId, part.id, { tokens: part.tokens, expiresAtMs, readyAtMs });
   }
 
-  /** Forgets an engine, or all that was known of its cache. */
+  /** Drops all entries of an engine. */
   forget(engineId: string): void {
     this.#byEngine.delete(engineId);
   }
 
-  /** Tokens of the prompt's beginning that the engine need not read. */
+  /** Length of the prompt's prefix that the engine does not have to read. */
   cachedTokens(engineId: string, parts: readonly PromptPart[], nowMs: number): number {
     return this.#tokens(engineId, parts, (part) => part.expiresAtMs >= nowMs);
   }
 
-  /** Tokens of the prompt's beginning that another engine can take from there now. */
+  /** Length of the prompt's prefix that another engine can fetch from there now. */
   transferableTokens(engineId: string, parts: readonly PromptPart[], nowMs: number): number {
-    const isThere = (part: KeptPart) => part.expiresAtMs >= nowMs && part.readyAtMs <= nowMs;
-    return this.#tokens(engineId, parts, isThere);
+    const isTransferable = (part: CachedPart) =>
+      part.expiresAtMs >= nowMs && part.readyAtMs <= nowMs;
+    return this.#tokens(engineId, parts, isTransferable);
   }
 
   #tokens(
     engineId: string,
     parts: readonly PromptPart[],
-    counts: (part: KeptPart) => boolean,
+    matches: (part: CachedPart) => boolean,
   ): number {
     const known = this.#byEngine.get(engineId);
     if (known === undefined) return 0;
     return cachedPrefixTokens(parts, (partId) => {
       const part = known.get(partId);
-      return part === undefined || !counts(part) ? 0 : part.tokens;
+      return part === undefined || !matches(part) ? 0 : part.tokens;
     });
   }
 
-  #store(engineId: string, partId: string, kept: KeptPart): void {
-    const parts = this.#byEngine.get(engineId) ?? new Map<string, KeptPart>();
+  #store(engineId: string, partId: string, cached: CachedPart): void {
+    const parts = this.#byEngine.get(engineId) ?? new Map<string, CachedPart>();
     this.#byEngine.set(engineId, parts);
     parts.delete(partId);
-    if (kept.tokens <= 0) return;
-    parts.set(partId, kept);
+    if (cached.tokens <= 0) return;
+    parts.set(partId, cached);
     if (parts.size <= MAX_PARTS_OF_ENGINE) return;
     const oldest = parts.keys().next();
     if (oldest.done !== true) parts.delete(oldest.value);
--- a/src/core/gateway/prompt-donors.ts
+++ b/src/core/gateway/prompt-donors.ts
@@ -1,27 +1,27 @@
-/** Engines that keep the beginning of a prompt, from which another takes it in place of reading it. */
+/** KV sources: engines that have a prompt's prefix cached, from which another engine fetches it instead of reading it. */
 import type { EngineTraits } from './configuration.js';
 import type { EngineChoiceInput } from './engine-choice-input.js';
 import type { ServerRecord } from './server-directory.js';
 
-/** Fewer missing tokens than this are not worth fetching from another engine. */
-const LEAST_FETCHED_TOKENS = 1_024;
+/** Fewer tokens than this are not worth fetching from another engine. */
+const MIN_FETCHED_TOKENS = 1_024;
 const BITS_PER_BYTE = 8;
 const BITS_PER_MEGABIT_MS = 1_000;
 
-/** An engine that keeps tokens of the prompt which others can take. */
+/** An engine with a cached prefix of the prompt that others can fetch. */
 export interface KvSource {
   readonly server: ServerRecord;
   readonly cachedTokens: number;
 }
 
-/** The two engines that keep most of the prompt: one for all others, and one for the first of them. */
+/** The two engines with the longest cached prefix: the first serves all others, the second serves the first. */
 export function bestKvSources(input: EngineChoiceInput): readonly KvSource[] {
   const { prefixIndex, description, nowMs } = input;
   let first: KvSource | undefined;
   let second: KvSource | undefined;
   for (const server of input.candidates) {
     const cachedTokens = prefixIndex.transferableTokens(server.id, description.promptParts, nowMs);
-    if (cachedTokens < LEAST_FETCHED_TOKENS || input.healthOf(server.id).isEjected(nowMs)) continue;
+    if (cachedTokens < MIN_FETCHED_TOKENS || input.healthOf(server.id).isEjected(nowMs)) continue;
     if (first === undefined || cachedTokens > first.cachedTokens) {
       second = first;
       first = { server, cachedTokens };
@@ -29,22 +29,22 @@
       second = { server, cachedTokens };
     }
   }
-  return [first, second].filter((donor) => donor !== undefined);
+  return [first, second].filter((kvSource) => kvSource !== undefined);
 }
 
-/** Another engine that keeps enough more of the prompt to be worth a move. */
+/** Another engine whose cached prefix is longer by enough to be worth a transfer. */
 export function kvSourceFor(
   server: ServerRecord,
   cachedTokens: number,
-  donors: readonly KvSource[],
+  sources: readonly KvSource[],
 ): KvSource | undefined {
-  const donor = donors.find((candidate) => candidate.server.id !== server.id);
-  if (donor === undefined || donor.cachedTokens - cachedTokens < LEAST_FETCHED_TOKENS)
+  const kvSource = sources.find((candidate) => candidate.server.id !== server.id);
+  if (kvSource === undefined || kvSource.cachedTokens - cachedTokens < MIN_FETCHED_TOKENS)
     return undefined;
-  return donor;
+  return kvSource;
 }
 
-/** How long the memory of so many tokens takes on an engine's link. */
+/** How long the KV cache of a number of tokens takes to transfer on an engine's link. */
 export function kvTransferMs(
   tokens: number,
   link: Pick<EngineTraits, 'kvTokenBytes' | 'linkMbps'>,
--- a/src/core/gateway/rank-shares.ts
+++ b/src/core/gateway/rank-shares.ts
@@ -1,66 +1,65 @@
 /**
- * How much of the work that waits at an engine is read before a prompt of some rank. Engines take prompts by
- * rank, but what daemons tell each other of their work has no ranks: this daemon's own sendings stand for those
- * of all, as callers are spread over the daemons.
+ * Estimates how much of the work queued at an engine is read before a prompt of a given rank. Engines read prompts by
+ * rank, but the daemons' load reports have no ranks. So the ranks of the requests that this daemon sent are taken as a
+ * sample of those of all daemons, as callers are distributed over the daemons.
  */
 
 import type { EnginePlan } from './choose-engine.js';
 
-/** The time over which what was sent fades to 1/e: some requests of each kind, at each of many daemons. */
-const FADE_MS = 10_000;
-/** Work that counts as sent at any rank before anything is known, in sendings of the newest one's size. */
-const UNKNOWN_SENDINGS = 1;
-/** More urgent prompts are taken to leave this part of an engine's time at least: what was sent is a small sample. */
-const LEAST_LEFT_SHARE = 0.5;
+/** Time in which the weight of sent work decays to 1/e; long enough for some requests of each rank at each of many daemons. */
+const DECAY_TIME_MS = 10_000;
+/** Prior: this many sends of the size of the latest one count towards every rank. */
+const PRIOR_SENDS = 1;
+/** More urgent prompts are assumed to leave at least this share of an engine's time, as the sample is small. */
+const MIN_REMAINING_SHARE = 0.5;
 
-/** The work that was sent lately to one service, by the operator's rank. */
+/** Work recently sent to one service, by the rank that the operator configured. */
 export class RankShares {
   readonly #workMs = new Map<number, number>();
   #totalMs = 0;
   #newestMs = 0;
   #atMs = 0;
 
-  /** A prompt was sent that takes so long to be read. */
+  /** Records a sent prompt and its expected read time. */
   recordRequest(rank: number, readMs: number, nowMs: number): void {
-    this.#fade(nowMs);
+    this.#decay(nowMs);
     this.#workMs.set(rank, (this.#workMs.get(rank) ?? 0) + readMs);
     this.#totalMs += readMs;
     this.#newestMs = readMs;
   }
 
   /**
-   * What the work that waits at an engine is multiplied by to have the wait of a prompt of this rank: less urgent
-   * work does not count, and more urgent work that comes meanwhile goes before it. 1 while nothing is known.
+   * Factor from the work queued at an engine to the wait of a prompt of this rank: less urgent work does not delay
+   * it, while more urgent work that arrives meanwhile is read first. 1 until something was sent.
    */
   waitFactor(rank: number): number {
-    let upToMs = 0;
-    let aboveMs = 0;
+    let upToRankMs = 0;
+    let moreUrgentMs = 0;
     for (const [other, workMs] of this.#workMs) {
-      if (other <= rank) upToMs += workMs;
-      if (other < rank) aboveMs += workMs;
+      if (other <= rank) upToRankMs += workMs;
+      if (other < rank) moreUrgentMs += workMs;
     }
-    const unknownMs = UNKNOWN_SENDINGS * this.#newestMs;
-    if (this.#totalMs + unknownMs <= 0) return 1;
-    const upToShare = (upToMs + unknownMs) / (this.#totalMs + unknownMs);
-    const leftShare = 1 - aboveMs / (this.#totalMs + unknownMs);
-    return upToShare / Math.max(LEAST_LEFT_SHARE, leftShare);
+    const priorMs = PRIOR_SENDS * this.#newestMs;
+    if (this.#totalMs + priorMs <= 0) return 1;
+    const upToRankShare = (upToRankMs + priorMs) / (this.#totalMs + priorMs);
+    const remainingShare = 1 - moreUrgentMs / (this.#totalMs + priorMs);
+    return upToRankShare / Math.max(MIN_REMAINING_SHARE, remainingShare);
   }
 
-  #fade(nowMs: number): void {
-    const kept = Math.exp(-Math.max(0, nowMs - this.#atMs) / FADE_MS);
+  #decay(nowMs: number): void {
+    const retained = Math.exp(-Math.max(0, nowMs - this.#atMs) / DECAY_TIME_MS);
     this.#atMs = nowMs;
     this.#totalMs = 0;
     for (const [rank, workMs] of this.#workMs) {
-      this.#workMs.set(rank, workMs * kept);
-      this.#totalMs += workMs * kept;
+      this.#workMs.set(rank, workMs * retained);
+      this.#totalMs += workMs * retained;
     }
   }
 }
 
 /**
- * A plan with the wait of a rank. Which engine is best is not asked again: the wait at each is longer or shorter
- * by the same factor.
- * @param latencyBudgetMs what is left of the time in which an answer is in time
+ * Adapts a plan to the wait of a rank. The engine stays the same, as the factor applies to the wait at every engine.
+ * @param latencyBudgetMs what is left of the request's latency budget
  */
 export function planAtRank(
   plan: EnginePlan,
--- a/src/core/gateway/read-speed.ts
+++ b/src/core/gateway/read-speed.ts
@@ -1,93 +1,93 @@
 /**
- * How long engines take to read prompts and to go on from a memory that is moved to them, learnt from
- * what this daemon sees. Nothing is known of an engine beforehand; until the first answer a prompt of a
- * usual size is supposed to be read within its target latency.
+ * How long engines take to read prompts (prefill) and to continue from a transferred KV cache, learnt from the times
+ * that this daemon observes. Nothing is known of the engines beforehand: until the first answer, a prompt of typical
+ * size is assumed to be read within its target latency.
  *
- * Reading takes an overhead and a time for each token: a line through the newest samples, in which
- * samples that waited for others count little. An engine that also generates reads at half the pace,
- * as the platform's pages say.
+ * A read takes a fixed overhead and a time per token: a line fitted through the most recent samples, in which samples
+ * that waited in a queue have little weight. A decode engine reads at half the pace of a prefill engine, as the
+ * platform's documentation states.
  */
 import { LineSamples, type LineSums } from './line-samples.js';
 import { LowMean } from './low-mean.js';
 
-/** Pace of an engine that also generates, against one that only reads (PROTOCOL.md, prefill and decode). */
+/** Pace at which a decode engine reads, relative to a prefill engine (PROTOCOL.md, prefill and decode). */
 const DECODE_PACE_RATIO = 0.5;
-/** What is left of a sample's weight with each newer one. */
+/** Factor by which each new sample reduces the weight of the older ones. */
 const SAMPLE_DECAY = 0.97;
-/** Times so much longer than the line says include a wait for others. */
+/** Samples longer than this many times the fitted time include a wait in the queue. */
 const QUEUED_FACTOR = 1.3;
 const QUEUED_WEIGHT = 0.1;
-/** Samples before the line is trusted to tell which ones waited. */
+/** Total weight of samples from which on the line is used to detect those that waited. */
 const TRUSTED_SAMPLES = 5;
-/** Part of the target that a hand-over is supposed to take before one is seen. */
-const SUPPOSED_HAND_OVER_SHARE = 0.1;
-/** The same of a line that all daemons learn together: they see as much in a moment as one in minutes. */
+/** Share of the target latency that a hand-over is assumed to take before the first one is observed. */
+const INITIAL_HAND_OVER_SHARE = 0.1;
+/** Decay factor for a line that all daemons learn together: they collect as many samples in a moment as one in minutes. */
 const SHARED_DECAY = 0.995;
 
-/** The pace of one service's engines. */
+/** The learnt times of one service's engines. */
 export class ReadSpeed {
   #msForToken: number | undefined;
   #overheadMs = 0;
-  #supposedHandOverMs = 0;
+  #initialHandOverMs = 0;
   readonly #samples: LineSamples;
   readonly #decodeOverheadMs = new LowMean();
   readonly #handOverMs = new LowMean();
   readonly #runs = new RunTimes();
 
-  /** @param isShared whether the line is learnt with other daemons */
+  /** @param isShared whether the line is learnt together with other daemons */
   constructor(isShared = false) {
     this.#samples = new LineSamples(isShared ? SHARED_DECAY : SAMPLE_DECAY);
   }
 
-  /** Whether enough was seen to tell which samples waited, or are another engine's pace. */
+  /** Whether there are enough samples to detect those that waited in a queue, or come from an engine of another pace. */
   get isTrusted(): boolean {
     return this.#samples.weight >= TRUSTED_SAMPLES;
   }
 
-  /** What the line is made of, to be told to other daemons. */
+  /** The sums that the line is fitted to, to be advertised to other daemons. */
   get line(): LineSums {
     return this.#samples.sums;
   }
 
-  /** Whether anything has been seen yet. */
+  /** Whether any sample has been observed yet. */
   get isLearnt(): boolean {
     return this.#samples.weight > 0;
   }
 
   /**
-   * Before anything is seen: a prompt of a usual size would be read within its target.
-   * @param usualTokens what an engine's memory holds for each of its slots
+   * Until the first sample: assumes that a prompt of typical size is read within its target latency.
+   * @param typicalTokens KV-cache capacity of an engine divided by its slots
    */
-  setInitialEstimate(usualTokens: number, targetMs: number): void {
-    if (this.#msForToken !== undefined || usualTokens <= 0) return;
-    this.#msForToken = targetMs / usualTokens;
-    this.#supposedHandOverMs = targetMs * SUPPOSED_HAND_OVER_SHARE;
+  setInitialEstimate(typicalTokens: number, targetMs: number): void {
+    if (this.#msForToken !== undefined || typicalTokens <= 0) return;
+    this.#msForToken = targetMs / typicalTokens;
+    this.#initialHandOverMs = targetMs * INITIAL_HAND_OVER_SHARE;
   }
 
   /**
-   * A prefill engine read so many tokens, nobody known waiting before them.
-   * @param pace the engine's own, against the usual one
-   * @returns the weight that the sample has; 0 where it was none
+   * Records a read of `tokens` at a prefill engine with no known queue before it.
+   * @param pace the engine's pace relative to the typical one
+   * @returns the weight given to the sample; 0 if it was unusable
    */
   learnPrefill(tokens: number, elapsedMs: number, pace = 1): number {
     if (tokens <= 0 || elapsedMs <= 0) return 0;
-    const usualMs = elapsedMs * pace;
-    const isQueued = this.isTrusted && usualMs > QUEUED_FACTOR * this.prefillMs(tokens);
+    const normalizedMs = elapsedMs * pace;
+    const isQueued = this.isTrusted && normalizedMs > QUEUED_FACTOR * this.prefillMs(tokens);
     const weight = isQueued ? QUEUED_WEIGHT : 1;
-    this.#samples.add(tokens, usualMs, weight);
+    this.#samples.add(tokens, normalizedMs, weight);
     this.#fit();
     return weight;
   }
 
-  /** Adds what other daemons have seen. */
-  addLine(seen: LineSums): void {
-    this.#samples.merge(seen);
+  /** Adds samples of other daemons. */
+  addLine(observed: LineSums): void {
+    this.#samples.merge(observed);
     this.#fit();
   }
 
-  /** Takes what many daemons know in place of what this one does. */
-  replaceLine(known: LineSums): void {
-    this.#samples.replace(known);
+  /** Replaces this daemon's samples by those that many daemons have collected. */
+  replaceLine(fleetSums: LineSums): void {
+    this.#samples.replace(fleetSums);
     this.#fit();
   }
 
@@ -98,60 +98,60 @@
   }
 
   /**
-   * A decode engine read so many tokens and began to generate.
-   * @param pace the engine's own, against the usual one
+   * Records a read of `tokens` at a decode engine, up to the first generated token.
+   * @param pace the engine's pace relative to the typical one
    */
   learnDecode(tokens: number, elapsedMs: number, pace = 1): void {
     this.#decodeOverheadMs.add(Math.max(0, elapsedMs * pace - this.decodeBusyMs(tokens)));
   }
 
-  /** A decode engine took a moved memory and began to generate. */
+  /** Records the time a decode engine took to fetch a KV cache and generate the first token. */
   learnHandOver(elapsedMs: number): void {
     this.#handOverMs.add(elapsedMs);
   }
 
-  /** A stream of at most so many tokens took this long from its head to its end. */
-  learnRun(mostTokens: number, elapsedMs: number): void {
-    this.#runs.add(mostTokens, elapsedMs);
+  /** Records the time from the head to the end of a stream whose request allowed `maxTokens` output tokens. */
+  learnRun(maxTokens: number, elapsedMs: number): void {
+    this.#runs.add(maxTokens, elapsedMs);
   }
 
-  /** Time in a slot for each of the tokens that a request asks for at most. */
+  /** Slot time of a run per token of the request's maximum output. */
   get tokenMs(): number {
     return this.#runs.msForToken;
   }
 
-  /** Time of a run in its slot, over all runs. */
+  /** Mean time that a run occupies its slot. */
   get runMs(): number {
     return this.#runs.meanMs;
   }
 
-  /** How long a prefill engine takes to answer. */
+  /** Time until a prefill engine with an empty queue has read the tokens, overhead included. */
   prefillMs(tokens: number): number {
     return this.#overheadMs + this.prefillBusyMs(tokens);
   }
 
-  /** How long a decode engine takes to its first token. */
+  /** Time until a decode engine with an empty queue has read the tokens and generates the first one. */
   decodeMs(tokens: number): number {
     return (this.#decodeOverheadMs.value ?? this.#overheadMs) + this.decodeBusyMs(tokens);
   }
 
-  /** From the end of reading until the first token at another engine. */
+  /** Time from the end of the read at one engine to the first token at another. */
   get handOverMs(): number {
-    return this.#handOverMs.value ?? this.#supposedHandOverMs;
+    return this.#handOverMs.value ?? this.#initialHandOverMs;
   }
 
-  /** How long a prefill engine is taken up. */
+  /** Time for which the read occupies a prefill engine. */
   prefillBusyMs(tokens: number): number {
     return tokens * (this.#msForToken ?? 0);
   }
 
-  /** How long a decode engine is taken up. */
+  /** Time for which the read occupies a decode engine. */
   decodeBusyMs(tokens: number): number {
     return this.prefillBusyMs(tokens) / DECODE_PACE_RATIO;
   }
 }
 
-/** Sums over the newest runs. Long runs count by their length, as they take up most of the slots. */
+/** Decaying sums over the most recent runs. Runs count by their length, as long ones occupy most of the slot time. */
 class RunTimes {
   #runs = 0;
   #tokens = 0;
--- a/src/core/gateway/spread-choice.ts
+++ b/src/core/gateway/spread-choice.ts
@@ -1,71 +1,72 @@
 /**
- * Spreads the work of daemons that decide by the same sums. All of them see the same engine wait least, and
- * what they have sent since the sums were taken shows nowhere yet. So that work is added to what is known,
- * as if it had been poured over the engines that wait least: those come out level, and one of the best is
- * drawn, the sooner the more it was below that level. Together the daemons fill the engines up evenly.
+ * Keeps daemons that decide by the same load reports from all choosing the same engine. All of them see the same
+ * engine as the least loaded, while the work that they sent since those reports is not visible yet. So the unseen work
+ * is estimated and added to the least loaded engines by water-filling, which brings them to one level. Among the
+ * engines that are then nearly cheapest, one is drawn at random, weighted by its headroom below the level. Together
+ * the daemons fill the engines evenly.
  */
 import type { EngineStage } from './server-directory.js';
 
-/** Costs that differ by less are as good as each other: what relays tell is no finer, and no caller sees it. */
-const NEAR_MS = 8;
-/** Work of fewer prompts than this is not worth a draw: the best engine is most likely still the best. */
-const LEAST_UNSEEN_PROMPTS = 0.5;
+/** Cost differences up to this are ignored: the sums of relays are no more precise, and no caller notices them. */
+const EQUAL_COST_MS = 8;
+/** With fewer unseen prompts than this, the cheapest engine most likely still is the cheapest. */
+const MIN_UNSEEN_PROMPTS = 0.5;
 
-/** What other daemons have sent since they told of their work. */
+/** Work that other daemons have sent and that is not in their load reports yet. */
 export type UnseenWork =
   | {
-      /** By the rate at which the fleet is asked. */
+      /** Estimated from the request rate of the fleet. */
       readonly kind: 'by-rate';
-      /** Time of engines that only read. */
+      /** Time of prefill engines. */
       readonly prefillMs: number;
       readonly prompts: number;
-      /** Those that engines that generate read by themselves. */
+      /** Prompts among them that decode engines read themselves. */
       readonly shortPrompts: number;
     }
   | {
-      /** Nobody has told anything yet: each of the others has sent about what this daemon sends now. */
+      /** No daemon has reported yet: each other daemon is assumed to have sent as much as this one sends now. */
       readonly kind: 'by-daemons';
       readonly daemons: number;
     };
 
-/** What a choice is spread by. */
+/** Parameters of a spread choice. */
 export interface Spread {
   readonly unseen: UnseenWork;
-  /** 0 to 1, evenly; another with each choice. */
+  /** Uniform random number from 0 to 1, drawn for each choice. */
   readonly entropy: number;
 }
 
-/** An engine as a choice sees it. */
+/** An engine that can be drawn. */
 export interface SpreadCandidate {
-  /** How long work waits there, as all daemons see it. */
+  /** Wait for new work at the engine, as every daemon computes it. */
   readonly loadMs: number;
-  /** What speaks against the engine in all, its load among it. */
+  /** Total cost of choosing the engine, its load included. */
   readonly costMs: number;
-  /** What is taken off the cost because all daemons send a part there that nobody keeps yet. */
+  /** Deducted from the cost at the preferred engine of a shared part that it has not cached yet. */
   readonly preferenceBonusMs: number;
 }
 
-/** What a choice adds to an engine. */
+/** The work that a choice adds to an engine. */
 export interface SpreadWork {
   readonly spread: Spread;
   readonly stage: EngineStage;
-  /** Reading the prompt. */
+  /** Read time of the prompt. */
   readonly readMs: number;
-  /** Reading one of the short prompts that engines that generate read by themselves. */
+  /** Read time of a typical short prompt at a decode engine. */
   readonly shortReadMs: number;
-  /** What a run costs others at an engine that generates. */
+  /** Delay that a run adds for other runs at a decode engine. */
   readonly runMs: number;
 }
 
-/** The spread where enough is unseen to change a choice. */
+/** The spread parameters if there is enough unseen work to change a choice; undefined otherwise. */
 export function usefulSpread(spread: Spread | undefined): Spread | undefined {
   if (spread === undefined) return undefined;
   const { unseen } = spread;
   const prompts = unseen.kind === 'by-rate' ? unseen.prompts : unseen.daemons;
-  return prompts >= LEAST_UNSEEN_PROMPTS ? spread : undefined;
+  return prompts >= MIN_UNSEEN_PROMPTS ? spread : undefined;
 }
 
-/** One of the best of some candidates; undefined when there is none. */
+/** Draws one of the nearly cheapest candidates; undefined when there are none. */
 export function drawSpread<T extends SpreadCandidate>(
   candidates: readonly T[],
   work: SpreadWork,
@@ -74,11 +75,11 @@
   const levelMs = levelOf(loadsMs, unseenMs(work));
   const costsMs = candidates.map((candidate) => costAtLevel(candidate, levelMs));
   const bestMs = Math.min(...costsMs);
-  const near = candidates.filter((_, place) => (costsMs[place] ?? 0) <= bestMs + NEAR_MS);
-  return drawByRoom(near, levelMs, work.spread.entropy);
+  const nearBest = candidates.filter((_, index) => (costsMs[index] ?? 0) <= bestMs + EQUAL_COST_MS);
+  return drawByHeadroom(nearBest, levelMs, work.spread.entropy);
 }
 
-/** The load to which work fills up the engines that have least; each round leaves out those that are above it. */
+/** Water-filling: the load of the least loaded engines after `workMs` is poured over them. Each round leaves out the engines above the level. */
 export function levelOf(loadsMs: readonly number[], workMs: number): number {
   let levelMs = Number.POSITIVE_INFINITY;
   for (;;) {
@@ -95,7 +96,7 @@
   }
 }
 
-/** Time of a stage's engines that is not seen yet. */
+/** Unseen work in time of the stage's engines. */
 function unseenMs({ spread: { unseen }, stage, readMs, shortReadMs, runMs }: SpreadWork): number {
   switch (unseen.kind) {
     case 'by-rate':
@@ -106,7 +107,7 @@
   }
 }
 
-/** A home that is above the level has no bonus: all daemons have sent enough there. */
+/** A preferred engine above the level gets no bonus: the daemons together have sent it enough already. */
 function costAtLevel(
   { costMs, loadMs, preferenceBonusMs }: SpreadCandidate,
   levelMs: number,
@@ -115,19 +116,19 @@
   return costMs + lostBonusMs + Math.max(0, levelMs - loadMs);
 }
 
-/** Draws by the room below the level; evenly where there is none. */
-function drawByRoom<T extends SpreadCandidate>(
+/** Draws a candidate with a probability proportional to its headroom below the level; uniformly where none has any. */
+function drawByHeadroom<T extends SpreadCandidate>(
   candidates: readonly T[],
   levelMs: number,
   entropy: number,
 ): T | undefined {
-  const roomOf = ({ loadMs }: T) => Math.max(0, levelMs - loadMs);
-  const total = candidates.reduce((sum, candidate) => sum + roomOf(candidate), 0);
-  let left = entropy * total;
+  const headroomOf = ({ loadMs }: T) => Math.max(0, levelMs - loadMs);
+  const total = candidates.reduce((sum, candidate) => sum + headroomOf(candidate), 0);
+  let remaining = entropy * total;
   for (const candidate of candidates) {
-    left -= roomOf(candidate);
-    if (left < 0) return candidate;
+    remaining -= headroomOf(candidate);
+    if (remaining < 0) return candidate;
   }
-  const place = Math.min(candidates.length - 1, Math.floor(entropy * candidates.length));
-  return candidates[place];
+  const index = Math.min(candidates.length - 1, Math.floor(entropy * candidates.length));
+  return candidates[index];
 }
--- a/src/core/gateway/stage-demand.ts
+++ b/src/core/gateway/stage-demand.ts
@@ -1,15 +1,15 @@
 /**
- * How much work of each kind a service's engines are asked for, as this daemon sees it: time of
- * engines that only read, and time of engines that generate.
+ * The demand on a service's engines as this daemon sees it, in engine time: of prefill engines and of
+ * decode engines.
  */
 
-/** The work of a request, in time of a whole engine. */
+/** The work of a request, as time of one engine that does nothing else. */
 export interface RequestWork {
   readonly prefillMs: number;
   readonly decodeMs: number;
 }
 
-/** What a request asks to be read. */
+/** Whether a request has a long prompt, read at a prefill engine, or a short one, read at a decode engine. */
 export type WorkSource = 'long-prompt' | 'short-prompt';
 
 interface TimedWork extends RequestWork {
@@ -17,19 +17,19 @@
   readonly atMs: number;
 }
 
-/** Work of a span of time. */
+/** Total work over a time span. */
 export interface DemandSums extends RequestWork {
   readonly requests: number;
-  /** Requests without a long prompt to read. */
+  /** Requests with a short prompt. */
   readonly shortRequests: number;
 }
 
-/** A service's demand as one daemon, or a zone, sees it over the newest span of time. */
+/** A service's demand as seen by one daemon or one zone, over the most recent time span. */
 export interface ServiceDemand extends DemandSums {
   readonly service: string;
 }
 
-/** Sums of demands, by service. */
+/** Adds up demands by service. */
 export function addDemands(demands: readonly ServiceDemand[]): readonly ServiceDemand[] {
   const totals = new Map<string, ServiceDemand>();
   for (const demand of demands) {
@@ -49,7 +49,7 @@
   };
 }
 
-/** Work over the newest span of time, its sums kept as entries come and go. */
+/** Work over the most recent time span; the sums are updated as entries are added and expire. */
 export class StageDemand {
   readonly #spanMs: number;
   readonly #entries: TimedWork[] = [];
@@ -66,9 +66,9 @@
     this.#add(source, work, 1);
   }
 
-  /** The sums over the span, and how many requests they are made of. */
+  /** Total work over the span, and the number of requests. */
   sums(nowMs: number): DemandSums {
-    this.#dropUntil(nowMs - this.#spanMs);
+    this.#dropBefore(nowMs - this.#spanMs);
     return {
       prefillMs: Math.max(0, this.#prefillMs),
       decodeMs: Math.max(0, this.#decodeMs),
@@ -77,11 +77,11 @@
     };
   }
 
-  #dropUntil(endMs: number): void {
-    const kept = this.#entries.findIndex(({ atMs }) => atMs > endMs);
-    const gone = this.#entries.splice(0, kept < 0 ? this.#entries.length : kept);
-    for (const entry of gone) this.#add(entry.source, entry, -1);
-    // What rounding has left behind goes with the last entry.
+  #dropBefore(endMs: number): void {
+    const firstRecent = this.#entries.findIndex(({ atMs }) => atMs > endMs);
+    const expired = this.#entries.splice(0, firstRecent < 0 ? this.#entries.length : firstRecent);
+    for (const entry of expired) this.#add(entry.source, entry, -1);
+    // Rounding errors of the running sums are cleared once no entry is left.
     if (this.#entries.length === 0) this.#prefillMs = this.#decodeMs = 0;
   }
 
--- a/src/core/gateway/stage-notices.ts
+++ b/src/core/gateway/stage-notices.ts
@@ -1,47 +1,47 @@
 /**
- * Engines that are changing their stage, as the daemon that orders them tells. The platform's list shows
- * a change only seconds after it began; until then the engine turns away what it is sent.
+ * Engines that are switching their stage, as advertised by the daemon that ordered the switch. The platform's server
+ * list shows a switch only seconds after it began; until then the engine rejects the requests that it is sent.
  *
- * A notice lapses unless it is told again, so an orderer that dies leaves no engine unused.
+ * A notice expires unless it is repeated, so that no engine stays unused when the ordering daemon dies.
  */
 import type { EngineStage, ServerRecord } from './server-directory.js';
 
-/** A change that is not told again within this time is forgotten. */
+/** A notice of a switch in progress expires unless it is repeated within this time. */
 const CHANGING_VALID_MS = 1_500;
-/** The list has shown a change that is over by then. */
+/** Lifetime of a notice of a finished switch: by then the server list shows the new stage. */
 const CHANGED_VALID_MS = 15_000;
 
-/** How far a change has come. */
+/** Progress of a switch. */
 export type StagePhase = 'changing' | 'changed';
 
-/** What an orderer tells of an engine. */
+/** The advertised switch of an engine. */
 export interface StageNotice {
   readonly engineId: string;
-  /** The stage that it was ordered to take. */
+  /** The stage that the engine was ordered to switch to. */
   readonly stage: EngineStage;
   readonly phase: StagePhase;
 }
 
-interface HeldNotice extends StageNotice {
+interface ActiveNotice extends StageNotice {
   readonly untilMs: number;
 }
 
-/** The notices that hold. */
+/** The notices that have not expired. */
 export class StageNotices {
-  readonly #held = new Map<string, HeldNotice>();
+  readonly #active = new Map<string, ActiveNotice>();
 
   take(notice: StageNotice, nowMs: number): void {
     const validMs = notice.phase === 'changing' ? CHANGING_VALID_MS : CHANGED_VALID_MS;
-    this.#held.set(notice.engineId, { ...notice, untilMs: nowMs + validMs });
+    this.#active.set(notice.engineId, { ...notice, untilMs: nowMs + validMs });
   }
 
   forget(engineId: string): void {
-    this.#held.delete(engineId);
+    this.#active.delete(engineId);
   }
 
-  /** Engines that take work now, in the stage that they have now. */
+  /** Engines that accept work now, with their current stage. */
   usable(engines: readonly ServerRecord[], nowMs: number): ServerRecord[] {
-    if (this.#held.size === 0) return [...engines];
+    if (this.#active.size === 0) return [...engines];
     return engines.flatMap((engine) => {
       const notice = this.#noticeOf(engine, nowMs);
       if (notice === undefined) return [engine];
@@ -49,7 +49,7 @@
     });
   }
 
-  /** All engines, in the stage that they have or are about to have. */
+  /** All engines, with the stage that they have or are switching to. */
   expected(engines: readonly ServerRecord[], nowMs: number): ServerRecord[] {
     return engines.map((engine) => {
       const notice = this.#noticeOf(engine, nowMs);
@@ -57,10 +57,10 @@
     });
   }
 
-  #noticeOf(engine: ServerRecord, nowMs: number): HeldNotice | undefined {
-    const notice = this.#held.get(engine.id);
+  #noticeOf(engine: ServerRecord, nowMs: number): ActiveNotice | undefined {
+    const notice = this.#active.get(engine.id);
     if (notice === undefined || nowMs <= notice.untilMs) return notice;
-    this.#held.delete(engine.id);
+    this.#active.delete(engine.id);
     return undefined;
   }
 }
--- a/src/core/gateway/unseen-work.ts
+++ b/src/core/gateway/unseen-work.ts
@@ -1,31 +1,31 @@
 /**
- * What other daemons have sent since they told of their work: by the rate at which the fleet is asked, over the time
- * that a change takes until it shows here.
+ * Estimates the unseen work: what other daemons have sent and not yet reported. It is the request rate of the fleet
+ * times the delay until sent work is known to this daemon.
  */
 import { MAX_DIRECT_DAEMONS } from './peer-roster.js';
 import type { UnseenWork } from './spread-choice.js';
 import type { DemandSums } from './stage-demand.js';
 
-/** A change is told within this time: a daemon collects its changes, and a relay what its zone tells. */
+/** Delay of a load report: daemons batch their changes, and relays batch the reports of their zone. */
 export const ADVERTISE_DELAY_MS = 100;
 
-/** What is known of a fleet's work. */
+/** Input to `unseenWork`. */
 export interface UnseenWorkInput {
-  /** Daemons of the last list, this one counted; undefined until one was read. */
+  /** Daemons in the most recent member list, including this one; undefined until a list was read. */
   readonly daemons: number | undefined;
-  /** Daemons heard of lately by themselves. */
+  /** Daemons that recently reported to this one directly. */
   readonly reportingDaemons: number;
-  /** Age of what is known of all daemons; undefined while nothing is. */
+  /** Age of the most recent sums over all daemons; undefined before any arrived. */
   readonly knownAgeMs: number | undefined;
   readonly own: DemandSums;
   readonly all: DemandSums;
-  /** The time over which both are counted. */
+  /** Time span that both demands cover. */
   readonly spanMs: number;
-  /** Since the fleet began to be asked for anything; undefined while nobody tells that it is. */
+  /** Time since the fleet began to receive requests; undefined while no daemon reports any. */
   readonly busyForMs: number | undefined;
 }
 
-/** The work that does not show yet; undefined in a fleet whose daemons tell each other at once. */
+/** The unseen work; undefined in a small fleet, where every daemon reports to all others directly. */
 export function unseenWork(input: UnseenWorkInput): UnseenWork | undefined {
   const { daemons, reportingDaemons, knownAgeMs, own, all, spanMs, busyForMs } = input;
   if (daemons === undefined || daemons <= MAX_DIRECT_DAEMONS) return undefined;
@@ -34,8 +34,8 @@
   }
   if (busyForMs === undefined) return { kind: 'by-daemons', daemons: daemons - 1 };
   const unseenMs = knownAgeMs + ADVERTISE_DELAY_MS;
-  const toldSpanMs = Math.min(spanMs, Math.max(ADVERTISE_DELAY_MS, busyForMs));
-  const share = unseenMs / toldSpanMs;
+  const advertisedSpanMs = Math.min(spanMs, Math.max(ADVERTISE_DELAY_MS, busyForMs));
+  const share = unseenMs / advertisedSpanMs;
   const ofOthers = (total: number, ownPart: number) => Math.max(0, total - ownPart) * share;
   return {
     kind: 'by-rate',
--- a/src/core/gateway/urgent-slack.ts
+++ b/src/core/gateway/urgent-slack.ts
@@ -1,45 +1,45 @@
 /**
- * How long the more urgent kinds of request of a service can wait and be in time, learnt from those that came
- * lately. What is less urgent is sent only where that is left, so that an urgent request that comes next finds
- * room, and no less urgent kind is served more.
+ * How long the more urgent requests of a service can wait and still meet their target, learnt from recent requests by
+ * rank. Less urgent requests are sent only to queues shorter than that, so that the next urgent request can still be
+ * answered in time and no rank is served better than a more urgent one.
  */
 
-/** A kind that has not come for this long holds nothing back any more. */
-const KIND_KEPT_MS = 10_000;
+/** A rank without requests for this long no longer limits the less urgent ones. */
+const RANK_RETENTION_MS = 10_000;
 const NEWEST_WEIGHT = 0.2;
 
-interface KindSlack {
+interface RankSlack {
   readonly slackMs: number;
   readonly atMs: number;
 }
 
-/** The kinds of one service, by the operator's rank. */
+/** Slack of the requests of one service, by the rank that the operator configured. */
 export class UrgentSlack {
-  readonly #kinds = new Map<number, KindSlack>();
+  readonly #byRank = new Map<number, RankSlack>();
 
   /**
-   * A request of this rank came.
-   * @param slackMs how long it could have waited; at most 0 where it can't be in time at all
+   * Records the arrival of a request.
+   * @param slackMs how long it can wait and still be in time; 0 or less if it would be late without any wait
    */
   recordRequest(rank: number, slackMs: number, nowMs: number): void {
     const known = this.#recent(rank, nowMs);
     const current = known?.slackMs ?? slackMs;
-    this.#kinds.set(rank, { slackMs: current + NEWEST_WEIGHT * (slackMs - current), atMs: nowMs });
+    this.#byRank.set(rank, { slackMs: current + NEWEST_WEIGHT * (slackMs - current), atMs: nowMs });
   }
 
-  /** The least that a more urgent kind can wait; infinite for the most urgent. */
+  /** The shortest slack of the more urgent ranks; infinite if there are none. */
   minSlackMs(rank: number, nowMs: number): number {
     let minSlackMs = Number.POSITIVE_INFINITY;
-    for (const [other, { slackMs }] of this.#kinds) {
-      // What can't be in time even where nothing waits is not helped by an empty server.
+    for (const [other, { slackMs }] of this.#byRank) {
+      // Requests that are late even at an idle server gain nothing from a shorter queue.
       if (other >= rank || slackMs <= 0 || this.#recent(other, nowMs) === undefined) continue;
       minSlackMs = Math.min(minSlackMs, slackMs);
     }
     return minSlackMs;
   }
 
-  #recent(rank: number, nowMs: number): KindSlack | undefined {
-    const known = this.#kinds.get(rank);
-    return known === undefined || nowMs - known.atMs > KIND_KEPT_MS ? undefined : known;
+  #recent(rank: number, nowMs: number): RankSlack | undefined {
+    const known = this.#byRank.get(rank);
+    return known === undefined || nowMs - known.atMs > RANK_RETENTION_MS ? undefined : known;
   }
 }
