--- a/src/core/gateway/explain-request.ts
+++ b/src/core/gateway/explain-request.ts
@@ -1,21 +1,21 @@
 /**
- * Explains one request from the log lines of gateways: what was decided for it, from what, how it
- * ended, and what else happened to the servers it met and to what its daemon believed.
+ * Explains one request from the log lines of gateways: what was decided for it and on which figures, how it
+ * ended, and which other events of that time concern its servers or its daemon.
  */
 import { GATEWAY_EVENTS } from '../logging/catalogue/gateway.js';
 import type { LogFields } from '../logging/log-event.js';
 
-/** What happened this long before or after the request's own lines may have to do with it. */
+/** Events up to this long before or after the request's own lines may be related to it. */
 const CONTEXT_MS = 3_000;
-/** A step that took so many times what was expected is named as the cause of lateness. */
+/** A first event that took more than this many times its forecast, and `LATE_MS` longer, is reported as late. */
 const LATE_FACTOR = 2;
 const LATE_MS = 100;
 
 /** One line of a gateway's log. */
 export interface LogLine {
-  /** The log or machine that it came from. */
+  /** The log or machine that the line came from. */
   readonly source: string;
-  /** Milliseconds since the epoch. */
+  /** Milliseconds since the Unix epoch. */
   readonly timeMs: number;
   /** Number of the event. */
   readonly event: number;
@@ -23,14 +23,14 @@
   readonly fields: LogFields;
 }
 
-/** What the lines say of a request. */
+/** The explanation of a request from its log lines. */
 export interface RequestExplanation {
   readonly isFound: boolean;
-  /** The cause in words, the most telling first. */
+  /** The explanation in words; the end of the request comes first. */
   readonly sentences: readonly string[];
-  /** The request's own lines, in order of time. */
+  /** The request's own lines, ordered by time. */
   readonly ownLines: readonly LogLine[];
-  /** Other lines of that time that concern its servers or its daemon's beliefs. */
+  /** Other lines of that time that concern its servers or its daemon. */
   readonly context: readonly LogLine[];
 }
 
@@ -46,7 +46,7 @@
   dropped: GATEWAY_EVENTS.linesDropped.number,
 } as const;
 
-/** Events of a daemon's own that bear on all its requests. */
+/** Events of a daemon that affect all its requests. */
 const DAEMON_EVENTS: ReadonlySet<number> = new Set(
   [
     GATEWAY_EVENTS.started,
@@ -61,13 +61,13 @@
   ].map(({ number }) => number),
 );
 
-/** Whether a line may be needed to explain a request; others need not be kept. */
+/** Whether a line may be needed to explain a request; all others can be discarded. */
 export function mayExplain(line: LogLine, requestId: string): boolean {
   if (line.fields.request === requestId || DAEMON_EVENTS.has(line.event)) return true;
   return line.fields.server !== undefined && line.event !== NUMBERS.planChosen;
 }
 
-/** @param lines those for which `mayExplain` holds, in any order */
+/** @param lines the lines for which `mayExplain` is true, in any order */
 export function explainRequest(lines: readonly LogLine[], requestId: string): RequestExplanation {
   const ordered = [...lines].sort((left, right) => left.timeMs - right.timeMs);
   const ownLines = ordered.filter((line) => line.fields.request === requestId);
@@ -90,9 +90,9 @@
     .filter(({ event }) => event === NUMBERS.dropped)
     .reduce((sum, { fields }) => sum + numberOf(fields.lines), 0);
   const first =
-    'No line names this request: it did not reach these gateways, or its lines are missing.';
+    'No log line has this request id: the request did not reach these gateways, or its lines are missing.';
   if (dropped === 0) return [first];
-  return [first, `${dropped} lines were left out over the budget (event ${NUMBERS.dropped}).`];
+  return [first, `${dropped} lines were dropped by the log rate limit (event ${NUMBERS.dropped}).`];
 }
 
 function contextOf(
@@ -119,7 +119,8 @@
   const end = ownLines.find(({ event }) =>
     [NUMBERS.ended, NUMBERS.refused, NUMBERS.failed].some((number) => number === event),
   );
-  if (end === undefined) return ['It has no end in these lines: it was under way when they stop.'];
+  if (end === undefined)
+    return ['These lines do not contain its end: it was still running when they stop.'];
   const { fields } = end;
   const after = `after ${numberOf(fields.elapsedMs)} ms, under configuration ${fields.configurationVersion ?? '?'}`;
   switch (end.event) {
@@ -144,23 +145,23 @@
   const afterMs = firstEventMs - prefillMs;
   if (prefillMs === 0) return [`Its first event came after ${firstEventMs} ms.`];
   return [
-    `Its first event came after ${firstEventMs} ms: ${prefillMs} ms until the prompt was read, ${afterMs} ms from there.`,
+    `Its first event came after ${firstEventMs} ms: ${prefillMs} ms until the prompt was read, then ${afterMs} ms.`,
   ];
 }
 
 function admissionSentences(ownLines: readonly LogLine[]): readonly string[] {
   return ownLines.flatMap(({ event, fields }) => {
-    const age = `by what others told ${fields.sumsAgeMs ?? '?'} ms before`;
+    const age = `by load reports ${fields.sumsAgeMs ?? '?'} ms old`;
     switch (event) {
       case NUMBERS.waits:
         return [
-          `It waited here for room, behind ${fields.behind} of its route: room was expected in ${fields.roomInMs} ms, ${age}.`,
+          `It was held at the daemon behind ${fields.behind} requests of its route: free capacity was expected in ${fields.roomInMs} ms, ${age}.`,
         ];
       case NUMBERS.waited:
-        return [`It had waited ${fields.waitedMs} ms for room.`];
+        return [`It was held for ${fields.waitedMs} ms.`];
       case NUMBERS.turnedAway:
         return [
-          `Turned away for want of room (${fields.reason}) after ${fields.waitedMs ?? 0} ms, ${age}; its caller was told to come back in ${fields.retryAfterMs} ms.`,
+          `Refused for lack of capacity (${fields.reason}) after ${fields.waitedMs ?? 0} ms, ${age}; its caller was told to retry after ${fields.retryAfterMs} ms.`,
         ];
       default:
         return [];
@@ -172,9 +173,9 @@
   const plans = ownLines.filter(({ event }) => event === NUMBERS.planChosen);
   const end = ownLines.find(({ event }) => event === NUMBERS.ended);
   const sentences = plans.map(({ fields }) => {
-    const way = fields.way === 'prefill' ? 'read apart' : 'read where it generates';
-    const source = fields.fetchFrom === '' ? '' : `, a part taken from ${fields.fetchFrom}`;
-    return `Planned to be ${way} at ${fields.server}: ${fields.missing} of ${fields.promptLength} tokens missing, ${fields.expectedMs} ms expected${source}.`;
+    const way = fields.way === 'prefill' ? 'a separate prefill' : 'prefill and decode';
+    const source = fields.fetchFrom === '' ? '' : `, KV cache fetched from ${fields.fetchFrom}`;
+    return `Planned ${way} at ${fields.server}: ${fields.missing} of ${fields.promptLength} tokens not cached, ${fields.expectedMs} ms expected${source}.`;
   });
   const expectedMs = numberOf(plans.at(-1)?.fields.expectedMs);
   const tookMs = numberOf(end?.fields.firstEventMs);
@@ -191,9 +192,9 @@
   return ownLines
     .filter(({ event }) => event === NUMBERS.attemptFailed)
     .map(({ fields }) => {
-      const what = fields.step === 'prefill' ? 'Reading' : 'Running';
+      const what = fields.step === 'prefill' ? 'Prefill' : 'Running';
       const why = fields.reason === '' ? `status ${fields.status}` : fields.reason;
-      return `${what} at ${fields.server} (${fields.zone}) failed after ${fields.elapsedMs} ms: ${fields.result}, ${why}; ${fields.failureRate} of its recent calls from there failed.`;
+      return `${what} at ${fields.server} (${fields.zone}) failed after ${fields.elapsedMs} ms: ${fields.result}, ${why}; the failure rate of recent calls to it was ${fields.failureRate}.`;
     });
 }
 
@@ -209,7 +210,7 @@
     if (failed.length > 0) {
       const sources = new Set(failed.map(({ source }) => source)).size;
       sentences.push(
-        `${failed.length} other attempts at ${server} failed around that time, seen by ${sources} daemons.`,
+        `${failed.length} other attempts at ${server} failed around that time, at ${sources} daemons.`,
       );
     }
   }
--- a/test/gateway/explain-request.test.ts
+++ b/test/gateway/explain-request.test.ts
@@ -1,4 +1,4 @@
-/** Explaining a request from log lines, and the command that does so from files. */
+/** Explanation of a request from log lines, and the `trace` command that reads them from files. */
 import assert from 'node:assert/strict';
 import { mkdtemp, rm, writeFile } from 'node:fs/promises';
 import { tmpdir } from 'node:os';
@@ -26,7 +26,7 @@
   fetchFrom: '',
 });
 
-test('a late stream: which step took longer than expected, and where', () => {
+test('for a late stream, the explanation names the step that took longer than expected and its engine', () => {
   const end = line(GATEWAY_EVENTS.requestEnded, 1_640, {
     ...END,
     request: ID,
@@ -40,13 +40,13 @@
   assert.equal(isFound, true);
   assert.deepEqual(sentences, [
     'Ended after 640 ms, under configuration 8: answered, status 200 from generator.',
-    'Its first event came after 630 ms: 615 ms until the prompt was read, 15 ms from there.',
-    'Planned to be read apart at reader: 4719 of 4719 tokens missing, 126 ms expected.',
+    'Its first event came after 630 ms: 615 ms until the prompt was read, then 15 ms.',
+    'Planned a separate prefill at reader: 4719 of 4719 tokens not cached, 126 ms expected.',
     'That is 504 ms more than expected: work at reader that this daemon did not know of, or a slow engine.',
   ]);
 });
 
-test('a refusal: each server that turned it down, and what others saw of them', () => {
+test('for a refused request, the explanation names each failed attempt and failures of other requests at that server', () => {
   const attempt = { server: 's1', zone: 'z', step: 'run', result: 'not-sent', status: 0 };
   const seen = { reason: 'connecting took too long', elapsedMs: 220, failureRate: 0.4 };
   const own = line(GATEWAY_EVENTS.attemptFailed, 1_000, { ...attempt, ...seen, request: ID });
@@ -61,11 +61,11 @@
   const { sentences, context } = explainRequest([own, end, ...others], ID);
   assert.match(sentences[0] ?? '', /^Refused after 640 ms.*has not run\.$/);
   assert.match(sentences[1] ?? '', /^Running at s1 \(z\) failed after 220 ms: not-sent/);
-  assert.equal(sentences[2], '2 other attempts at s1 failed around that time, seen by 2 daemons.');
+  assert.equal(sentences[2], '2 other attempts at s1 failed around that time, at 2 daemons.');
   assert.equal(context.length, 2);
 });
 
-test('a refusal for want of room: how long it waited, behind whom, and what its caller was told', () => {
+test('for a request refused for lack of capacity, the explanation states its wait, the queue and the retry time', () => {
   const own = { request: ID, sumsAgeMs: 80 };
   const waits = line(GATEWAY_EVENTS.requestWaits, 1_000, { ...own, behind: 2, roomInMs: 60 });
   const away = line(GATEWAY_EVENTS.requestTurnedAway, 1_090, {
@@ -75,12 +75,12 @@
     retryAfterMs: 300,
   });
   assert.deepEqual(explainRequest([waits, away], ID).sentences.slice(1), [
-    'It waited here for room, behind 2 of its route: room was expected in 60 ms, by what others told 80 ms before.',
-    'Turned away for want of room (no room came) after 90 ms, by what others told 80 ms before; its caller was told to come back in 300 ms.',
+    'It was held at the daemon behind 2 requests of its route: free capacity was expected in 60 ms, by load reports 80 ms old.',
+    'Refused for lack of capacity (no room came) after 90 ms, by load reports 80 ms old; its caller was told to retry after 300 ms.',
   ]);
 });
 
-test('a failure under a configuration that had just changed says so, other daemons do not count', () => {
+test('a configuration change at the same daemon shortly before a failure is named, one at another daemon is not', () => {
   const changed = line(GATEWAY_EVENTS.configurationInForce, 900, { configurationVersion: 8 });
   const elsewhere = line(GATEWAY_EVENTS.configurationInForce, 900, {}, 'b');
   const longAgo = line(GATEWAY_EVENTS.watchLost, -60_000, {});
@@ -97,14 +97,14 @@
   ]);
 });
 
-test('an unknown id is told as such, with the lines that were left out', () => {
+test('for an unknown request id, the explanation says so and how many log lines were dropped', () => {
   const dropped = line(GATEWAY_EVENTS.linesDropped, 900, { lines: 12 });
   const { isFound, sentences } = explainRequest([dropped], ID);
   assert.equal(isFound, false);
-  assert.match(sentences[1] ?? '', /^12 lines were left out/);
+  assert.match(sentences[1] ?? '', /^12 lines were dropped by the log rate limit/);
 });
 
-test('the command reads files, takes a prefix as the daemon, and passes over what is no line', async () => {
+test('the command reads log files, takes a prefix of a line as the daemon name and skips other text', async () => {
   const folder = await mkdtemp(join(tmpdir(), 'threadfork-trace-'));
   const file = join(folder, 'a.log');
   const fields = { ...END, request: ID, reason: 'out of time' };
--- a/test/gateway/place-web-request.test.ts
+++ b/test/gateway/place-web-request.test.ts
@@ -1,4 +1,4 @@
-/** Who goes to a web server now and who waits a moment. */
+/** Which requests are sent to a web server at once and which are held. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import {
@@ -15,7 +15,7 @@
   return { ...PROTOTYPE, id, isSpot: false, stage: undefined } as ServerRecord;
 }
 
-/** Two servers of two slots, with so many requests of others at each. */
+/** Two servers of two slots, each with `othersRunning` requests of other daemons. */
 function input(othersRunning: number, fields: Partial<WebPlaceInput> = {}): WebPlaceInput {
   const healths = new Map(['i-1', 'i-2'].map((id) => [id, new ServerHealth()]));
   for (const health of healths.values()) health.recordSuccess(100);
@@ -32,25 +32,25 @@
   };
 }
 
-test('it goes where a slot is free', () => {
+test('a request is sent when a slot is free', () => {
   assert.deepEqual(placeWebRequest(input(1)), { kind: 'go', slackMs: 100 });
 });
 
-test('where all slots are taken it waits until the first is expected to be free', () => {
+test('when all slots are taken a request is held until the first is expected to be free', () => {
   assert.deepEqual(placeWebRequest(input(3)), { kind: 'wait', slackMs: 100, roomInMs: 100 });
 });
 
-test('servers that turned calls away are waited for, and one that did not is asked', () => {
-  const resting = input(0);
-  resting.healthOf('i-1').recordRefusal(NOW_MS);
-  assert.equal(placeWebRequest(resting).kind, 'go');
-  resting.healthOf('i-2').recordRefusal(NOW_MS);
-  assert.deepEqual(placeWebRequest(resting), { kind: 'wait', slackMs: 100, roomInMs: 100 });
+test('a request is held when all servers have rejected calls, and sent while one has not', () => {
+  const backingOff = input(0);
+  backingOff.healthOf('i-1').recordRefusal(NOW_MS);
+  assert.equal(placeWebRequest(backingOff).kind, 'go');
+  backingOff.healthOf('i-2').recordRefusal(NOW_MS);
+  assert.deepEqual(placeWebRequest(backingOff), { kind: 'wait', slackMs: 100, roomInMs: 100 });
 });
 
-test('nobody is held for longer than a quarter of what it can wait, nor when it may have run', () => {
-  const goes = { kind: 'go', slackMs: undefined } as const;
-  assert.deepEqual(placeWebRequest(input(3, { elapsedMs: 100 })), goes);
-  assert.deepEqual(placeWebRequest(input(3, { mayHaveRun: true })), goes);
-  assert.deepEqual(placeWebRequest(input(3, { excludedIds: new Set(['i-1', 'i-2']) })), goes);
+test('a request is held for at most a quarter of its slack, and not when it may have run', () => {
+  const sentNow = { kind: 'go', slackMs: undefined } as const;
+  assert.deepEqual(placeWebRequest(input(3, { elapsedMs: 100 })), sentNow);
+  assert.deepEqual(placeWebRequest(input(3, { mayHaveRun: true })), sentNow);
+  assert.deepEqual(placeWebRequest(input(3, { excludedIds: new Set(['i-1', 'i-2']) })), sentNow);
 });
--- a/test/gateway/plan-stages.test.ts
+++ b/test/gateway/plan-stages.test.ts
@@ -1,4 +1,4 @@
-/** The split of engines: follows the work, one engine at a time, and not for little. */
+/** The split of engines between stages follows the work, one engine at a time and not for small gains. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import fc from 'fast-check';
@@ -29,7 +29,7 @@
 
 const busyOf = (id: string) => (id === 'e5' ? 0 : 1);
 
-/** Moves engines until the plan is content. */
+/** Applies the planned switches until there are none, and returns the number of prefill engines. */
 function settle(total: number, prefill: number, wanted: StageNeed): number {
   let fleet = engines(total, prefill);
   for (let moves = 0; moves <= total; moves += 1) {
@@ -43,10 +43,10 @@
     const stage: EngineStage = change.stage;
     fleet = fleet.map((engine) => (engine.id === change.engine.id ? { ...engine, stage } : engine));
   }
-  throw new Error('the split does not settle');
+  throw new Error('the split did not settle');
 }
 
-test('the least busy engine is moved to the stage whose work piles up', () => {
+test('the least busy engine is switched to the overloaded stage', () => {
   const change = planStageChanges({
     engines: engines(8, 2),
     need: need(2, 0.2),
@@ -56,18 +56,18 @@
   assert.deepEqual([change?.engine.id, change?.stage, change?.wantedPrefill], ['e5', 'prefill', 5]);
 });
 
-test('nearly all engines read where nearly all work is reading, but three of many generate', () => {
+test('nearly all engines become prefill engines when nearly all work is prefill, but three of many stay decode', () => {
   assert.equal(settle(8, 3, need(6, 0.05)), 5);
   assert.ok(settle(40, 20, need(60, 0.05)) <= 37);
   assert.equal(settle(5, 2, need(6, 0.05)), 3);
   assert.equal(settle(3, 1, need(2, 0.05)), 2);
 });
 
-test('the split goes back when the mix turns', () => {
+test('the split follows when the mix of work reverses', () => {
   assert.equal(settle(8, 6, need(0.2, 5)), 2);
 });
 
-test('nothing is moved for few requests, for engines that are idle enough, or for a small relief', () => {
+test('no engine is switched for few requests, below full utilization, or for a small relief', () => {
   const plan = (total: number, prefill: number, wanted: StageNeed) =>
     planStageChanges({
       engines: engines(total, prefill),
@@ -81,7 +81,7 @@
   assert.equal(plan(2, 1, need(6, 0.2)), undefined);
 });
 
-test('whatever the work, the split settles, and each stage keeps an engine', () => {
+test('for any work the split settles and each stage keeps an engine', () => {
   const work = fc.double({ min: 0, max: 60, noNaN: true });
   fc.assert(
     fc.property(fc.integer({ min: 3, max: 41 }), fc.nat(40), work, work, (total, from, a, b) => {
@@ -93,7 +93,7 @@
   );
 });
 
-test('work that varies by a seventh round its mean moves an engine once at most', () => {
+test('work that varies within a seventh around its mean causes at most one switch', () => {
   const variation = fc.array(fc.double({ min: 0.93, max: 1.07, noNaN: true }), { minLength: 40 });
   fc.assert(
     fc.property(variation, (factors) => {
@@ -120,24 +120,24 @@
 
 const allIdle = { startingEngines: 0, busyOf: () => 0 };
 
-test('whatever two engines are lost, one that generates is left, where the split has settled', () => {
+test('with the settled split, a decode engine is left after the loss of any two engines', () => {
   for (const total of [8, 13, 40, 55]) {
     const decodeEngines = total - settle(total, 4, need(total, 0.05));
     assert.ok(decodeEngines - 2 >= 1, `${decodeEngines} of ${total} generate`);
   }
 });
 
-test('after a loss no engine is ordered over while those that replace the lost ones are coming', () => {
+test('after a loss no engine is switched while many replacements are starting', () => {
   const left = engines(14, 5);
   const plan = (startingEngines: number) =>
     planStageChanges({ engines: left, need: need(4.6, 2), startingEngines, busyOf: () => 0 });
   assert.deepEqual(plan(28), []);
   assert.deepEqual(plan(2), []);
-  assert.ok(plan(1).length > 0, 'one does not make the split');
+  assert.ok(plan(1).length > 0, 'one starting engine does not prevent a switch');
   assert.ok(plan(0).length > 0);
 });
 
-test('however few are left, some of each stage stay', () => {
+test('after any losses each stage keeps an engine', () => {
   for (let prefill = 1; prefill < 5; prefill += 1) {
     const left = engines(5, prefill);
     for (const wanted of [need(40, 0.1), need(0.1, 40)]) {
@@ -148,7 +148,7 @@
   }
 });
 
-test('an engine is taken from the zone that has most of its stage, so that a zone may be lost', () => {
+test('an engine is switched in the zone with the most engines of its stage, so that the stage survives the loss of a zone', () => {
   const zones = ['a', 'a', 'b', 'b', 'b', 'c', 'c', 'c'];
   const fleet = engines(8, 1).map((engine, index) => ({ ...engine, zone: zones[index] ?? '' }));
   const change = planStageChanges({ engines: fleet, need: need(6, 0.05), ...allIdle })[0];
@@ -156,7 +156,7 @@
   assert.ok(['b', 'c'].includes(change.engine.zone));
 });
 
-test('when no engine that generates can be reached, several that read are ordered over at once', () => {
+test('when no decode engine is reachable, several prefill engines are switched at once', () => {
   const fleet = engines(8, 6);
   const lost = new Set(['e6', 'e7']);
   const rescue = (isReachable: (id: string) => boolean) =>
@@ -176,7 +176,7 @@
   assert.deepEqual(
     rescue(() => false),
     [],
-    'what cannot be reached cannot be ordered',
+    'unreachable engines cannot be ordered',
   );
   const crashed = fleet.filter(({ id }) => !lost.has(id));
   assert.equal(
@@ -185,7 +185,7 @@
   );
 });
 
-test('of many engines a few are moved at once, and one at a time near the end', () => {
+test('in a large fleet several engines are switched at once, in a small one a single engine', () => {
   const plan = (prefill: number) =>
     planStageChanges({ engines: engines(44, prefill), need: need(30, 2), ...allIdle });
   assert.equal(plan(10).length, 4);
--- a/test/gateway/prefix-knowledge.test.ts
+++ b/test/gateway/prefix-knowledge.test.ts
@@ -1,4 +1,4 @@
-/** What engines are believed to keep. */
+/** The index of prompt parts that engines are believed to have cached. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import { PrefixCacheIndex } from '../../src/core/gateway/index.js';
@@ -7,7 +7,7 @@
 const OWN = { id: 'own', tokens: 500 };
 const PARTS = [SHARED, OWN];
 
-test('a read that was begun counts at its engine at once, for others when it is done', () => {
+test('an announced read counts as cached at its engine at once, and as transferable when it is expected to be done', () => {
   const prefixIndex = new PrefixCacheIndex();
   prefixIndex.expectRead({ engineId: 'e', part: SHARED, readyInMs: 150 }, 1_000);
   assert.equal(prefixIndex.cachedTokens('e', PARTS, 1_000), 9_000);
@@ -15,13 +15,13 @@
   assert.equal(prefixIndex.transferableTokens('e', PARTS, 1_150), 9_000);
 });
 
-test('a read that nobody confirms is forgotten soon', () => {
+test('the entry of an announced read expires unless the read is confirmed', () => {
   const prefixIndex = new PrefixCacheIndex();
   prefixIndex.expectRead({ engineId: 'e', part: SHARED, readyInMs: 150 }, 1_000);
   assert.equal(prefixIndex.cachedTokens('e', PARTS, 6_000), 0);
 });
 
-test("an engine's own word is not replaced by an expectation", () => {
+test("an engine's own report is not replaced by an announced read", () => {
   const prefixIndex = new PrefixCacheIndex();
   prefixIndex.confirm('e', SHARED.id, SHARED.tokens);
   prefixIndex.expectRead({ engineId: 'e', part: SHARED, readyInMs: 150 }, 1_000);
@@ -29,7 +29,7 @@
   assert.equal(prefixIndex.cachedTokens('e', PARTS, 1_000_000), 9_000);
 });
 
-test('a read that is done replaces its expectation, and news that it is given up end it', () => {
+test('a finished read replaces its announcement, and the report of an eviction removes the entry', () => {
   const prefixIndex = new PrefixCacheIndex();
   prefixIndex.expectRead({ engineId: 'e', part: SHARED, readyInMs: 5_000 }, 1_000);
   prefixIndex.assume('e', [SHARED], 1_200);
@@ -38,7 +38,7 @@
   assert.equal(prefixIndex.cachedTokens('e', PARTS, 1_200), 0);
 });
 
-test('what another daemon passed on is believed for a time', () => {
+test('a cache event relayed by another daemon expires', () => {
   const prefixIndex = new PrefixCacheIndex();
   prefixIndex.confirmFromPeer('e', SHARED.id, SHARED.tokens, 1_000);
   assert.equal(prefixIndex.transferableTokens('e', PARTS, 30_000), 9_000);
--- a/test/gateway/read-speed.test.ts
+++ b/test/gateway/read-speed.test.ts
@@ -1,10 +1,10 @@
-/** Engines' paces are learnt: whatever they are, the forecast comes to them from what is seen. */
+/** Read times are learnt from samples, whatever the speed of the engines is. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import fc from 'fast-check';
 import { ReadSpeed } from '../../src/core/gateway/index.js';
 
-test('before anything is seen a prompt is supposed to be read within its target', () => {
+test('before the first sample, a prompt of typical size is expected to be read within its target', () => {
   const speed = new ReadSpeed();
   speed.setInitialEstimate(9_000, 200);
   speed.setInitialEstimate(9_000, 999);
@@ -13,7 +13,7 @@
   assert.equal(speed.handOverMs, 20);
 });
 
-test('any pace and overhead is learnt within a tenth, though every fourth prompt waits for others', () => {
+test('any speed and overhead is learnt to within a tenth, although every fourth prompt waits in a queue', () => {
   const pace = fc.double({ min: 5, max: 900, noNaN: true });
   const overhead = fc.double({ min: 0, max: 30, noNaN: true });
   const prompts = fc.array(fc.integer({ min: 300, max: 18_000 }), {
@@ -36,7 +36,7 @@
   );
 });
 
-test('an engine that also generates reads at half the pace, with an overhead of its own', () => {
+test('a decode engine is expected to read at half the pace of a prefill engine, with its own overhead', () => {
   const speed = new ReadSpeed();
   for (let sample = 1; sample < 50; sample += 1) speed.learnPrefill(sample * 200, sample * 2);
   for (let sample = 0; sample < 50; sample += 1) speed.learnDecode(200, 11);
@@ -44,20 +44,20 @@
   assert.ok(Math.abs(speed.decodeMs(10_200) - 211) < 2);
 });
 
-test('the time of a hand-over leans to the undisturbed ones', () => {
+test('the learnt hand-over time is close to that of undisturbed hand-overs', () => {
   const speed = new ReadSpeed();
   for (let sample = 0; sample < 60; sample += 1) speed.learnHandOver(sample % 3 === 0 ? 60 : 9);
   assert.ok(speed.handOverMs >= 9 && speed.handOverMs < 16);
 });
 
-test('prompts that are all alike show no overhead of their own', () => {
+test('from prompts of equal length no overhead is derived', () => {
   const speed = new ReadSpeed();
   for (let sample = 0; sample < 30; sample += 1) speed.learnPrefill(1_000, 20);
   assert.ok(Math.abs(speed.prefillMs(1_000) - 20) < 0.01);
   assert.ok(Math.abs(speed.prefillMs(2_000) - 40) < 0.01);
 });
 
-test('long runs decide on the time of a token, however many short ones there are', () => {
+test('the learnt time per token is that of long runs, even among many short ones', () => {
   const speed = new ReadSpeed();
   for (let round = 0; round < 40; round += 1) {
     speed.learnRun(5_000, 4_000);
--- a/test/gateway/stage-notices.test.ts
+++ b/test/gateway/stage-notices.test.ts
@@ -1,4 +1,4 @@
-/** Notices on engines that change their stage: they hold while they are told, and no longer. */
+/** Notices of engines that switch their stage apply while they are repeated, and expire otherwise. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import { type ServerRecord, StageNotices } from '../../src/core/gateway/index.js';
@@ -14,7 +14,7 @@
   stage: 'decode',
 };
 
-test('an engine that changes gets no work, and then work of its new stage before the list shows it', () => {
+test('an engine gets no work while it switches, and work of its new stage before the server list shows it', () => {
   const notices = new StageNotices();
   notices.take({ engineId: 'e1', stage: 'prefill', phase: 'changing' }, 0);
   assert.deepEqual(notices.usable([ENGINE], 100), []);
@@ -23,7 +23,7 @@
   assert.equal(notices.usable([ENGINE], 1_100)[0]?.stage, 'prefill');
 });
 
-test('a notice whose orderer fell silent leaves the engine as it is listed', () => {
+test('when the ordering daemon stops repeating a notice, the engine is used in its listed stage again', () => {
   const notices = new StageNotices();
   notices.take({ engineId: 'e1', stage: 'prefill', phase: 'changing' }, 0);
   assert.equal(notices.usable([ENGINE], 1_600)[0]?.stage, 'decode');
