--- a/test/gateway/choices.test.ts
+++ b/test/gateway/choices.test.ts
@@ -1,4 +1,4 @@
-/** The choices made for each request: routes, budgets, servers, engines, stages, priorities. */
+/** The choices made for each request: route, service, server, engine, and what they are based on. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import {
@@ -48,7 +48,7 @@
   };
 }
 
-/** Health by server, made when first asked for. */
+/** Health by server, created on first use. */
 function healths(): (id: string) => ServerHealth {
   const known = new Map<string, ServerHealth>();
   return (id) => {
@@ -58,7 +58,7 @@
   };
 }
 
-test('of the routes for a host the longest prefix counts', () => {
+test('of the routes for a host, the one with the longest matching prefix is used', () => {
   const table = new RouteTable([ROUTE, { ...ROUTE, name: 'longer', pathPrefix: '/x/y/' }]);
   assert.equal(table.find('A.example:80', '/x/y/z?q=/x/')?.name, 'longer');
   assert.equal(table.find('a.example', '/x/z')?.name, 'r');
@@ -66,7 +66,7 @@
   assert.equal(table.find('b.example', '/x/z'), undefined);
 });
 
-test('traffic is split by weight, and a weight of nothing gets nothing', () => {
+test('traffic is split by weight, and a service of weight 0 gets none', () => {
   const splitter = new TrafficSplitter();
   const traffic = [
     { service: 'a', weight: 90 },
@@ -81,7 +81,7 @@
   assert.deepEqual(Object.fromEntries(counts), { a: 90, b: 10 });
 });
 
-test('a reused address is another server with nothing carried over', () => {
+test('a new server id at a reused address replaces the former server', () => {
   const directory = new ServerDirectory();
   directory.apply([server('i-1')], []);
   const change = directory.replaceAll([server('i-2')]);
@@ -91,7 +91,7 @@
   );
 });
 
-test('a server that failed is passed over until its ejection ends', () => {
+test('a server that failed is skipped until its ejection ends', () => {
   const healthOf = healths();
   healthOf('i-1').recordBroken(0);
   const choose = (nowMs: number) =>
@@ -108,13 +108,13 @@
   assert.equal(choose(500), 'i-1');
 });
 
-test('a server that turned a call away rests, longer each time in a row, and not for calls sent before', () => {
+test('a server that rejected a call backs off, longer after each rejection in a row, but not for calls sent before', () => {
   const health = new ServerHealth();
   health.recordRefusal(0);
   health.recordRefusal(1);
   assert.equal(health.isSuspect(50), true);
   assert.equal(health.isSuspect(150), false);
-  assert.equal(health.isEjected(50), false, 'what it keeps can still be taken from it');
+  assert.equal(health.isEjected(50), false, 'its cached parts can still be fetched');
   health.recordRefusal(150);
   assert.equal(health.isSuspect(300), true);
   health.recordSuccess(10);
@@ -123,7 +123,7 @@
   assert.equal(health.isSuspect(1_150), false);
 });
 
-test('a server that owes an answer for long is passed over', () => {
+test('a server with an overdue answer is suspect until the call is closed', () => {
   const health = new ServerHealth();
   const open = health.open(0);
   assert.equal(health.isSuspect(100), false);
@@ -176,7 +176,7 @@
   };
 }
 
-test('a long prompt that nobody keeps is read at its home', () => {
+test('a long prompt that no engine has cached is read at the preferred engine of its shared part', () => {
   const input = engineInput();
   const plan = planModelRequest(input);
   const prefillEngines = input.candidates.filter((engine) => engine.stage === 'prefill');
@@ -187,7 +187,7 @@
   );
 });
 
-test('all daemons that list the same engines agree on a home, in any order', () => {
+test('the preferred engine of a part does not depend on the order of the engines, and all engines are preferred for some', () => {
   const engines = ['a', 'b', 'c', 'd'].map((id) => server(id));
   const homes = new Set<string | undefined>();
   for (let part = 0; part < 64; part += 1) {
@@ -198,7 +198,7 @@
   assert.equal(homes.size, 4);
 });
 
-test('an engine that is free takes a kept part from one that is busy', () => {
+test('a free engine reads the prompt and fetches the shared part from the busy engine that has it cached', () => {
   const input = engineInput();
   input.prefixIndex.confirm('p1', 'shared', 13_000);
   input.loadOf('p1').begin({ urgency: 'in-time', readMs: 2_000, waitMs: 0 }, 1_000);
@@ -210,7 +210,7 @@
   assert.equal(plan.prefill.missingTokens, 4_000);
 });
 
-test('a decode engine whose slots are all taken is passed over for one with a free slot', () => {
+test('a decode engine without a free slot is skipped for one in another zone that has one', () => {
   const decode = [server('d1', { stage: 'decode' }), server('d2', { stage: 'decode', zone: 'b' })];
   const input = engineInput({ candidates: decode });
   for (let run = 0; run < 20; run += 1) input.speed.learnRun(1_000, 4_000);
@@ -220,40 +220,43 @@
   input.loadOf('d2').running = 6;
   const waiting = planModelRequest(input);
   assert.equal(waiting?.kind === 'direct' ? waiting.server.id : '', 'd1');
-  assert.ok((waiting?.read.waitMs ?? 0) >= 1_000, 'it waits until one of four runs has ended');
+  assert.ok(
+    (waiting?.read.waitMs ?? 0) >= 1_000,
+    'the wait lasts until one of four runs has ended',
+  );
 });
 
-test('without a prefill engine a decode engine reads by itself, and without one there is no plan', () => {
+test('without a prefill engine a decode engine reads the prompt itself; without a decode engine there is no plan', () => {
   const decode = [server('d1', { stage: 'decode' })];
   assert.equal(planModelRequest(engineInput({ candidates: decode }))?.kind, 'direct');
   const prefill = [server('p1', { stage: 'prefill' })];
   assert.equal(planModelRequest(engineInput({ candidates: prefill })), undefined);
 });
 
-test('kept parts count in order, up to the first that is not whole', () => {
-  const kept = new Map([
+test('cached parts count in order, up to and including the first incomplete one', () => {
+  const cached = new Map([
     ['a', 10],
     ['b', 5],
     ['c', 10],
   ]);
   const parts = ['a', 'b', 'c'].map((id) => ({ id, tokens: 10 }));
   assert.equal(
-    cachedPrefixTokens(parts, (id) => kept.get(id) ?? 0),
+    cachedPrefixTokens(parts, (id) => cached.get(id) ?? 0),
     15,
   );
 });
 
-test('a belief of our own fades, the word of the engine itself does not', () => {
+test('an entry from an own read expires, a report of the engine itself does not', () => {
   const prefixIndex = new PrefixCacheIndex();
   prefixIndex.assume('e', [{ id: 'a', tokens: 10 }], 0);
   prefixIndex.confirm('e', 'b', 10);
-  const kept = (id: string) => prefixIndex.cachedTokens('e', [{ id, tokens: 10 }], 60_000);
-  assert.deepEqual([kept('a'), kept('b')], [0, 10]);
+  const cached = (id: string) => prefixIndex.cachedTokens('e', [{ id, tokens: 10 }], 60_000);
+  assert.deepEqual([cached('a'), cached('b')], [0, 10]);
   prefixIndex.confirm('e', 'b', 0);
-  assert.equal(kept('b'), 0);
+  assert.equal(cached('b'), 0);
 });
 
-test('a prompt that took longer than expected shows the work of others, for a while', () => {
+test('a read that took longer than expected raises the estimate of unreported work, which decays', () => {
   const load = new EngineLoad();
   const read = load.begin({ urgency: 'in-time', readMs: 100, waitMs: 0 }, 0);
   load.finish(read, 700);
@@ -261,7 +264,7 @@
   assert.ok(load.excessMs(5_000) < 5);
 });
 
-test('a stream is cut at whole events only, and the last whole id is known', () => {
+test('a stream is cut at complete events only, and the id of the last complete one is known', () => {
   const splitter = new EventSplitter();
   assert.equal(splitter.push(Buffer.from('id: 1\ndata: a\n')).length, 0);
   assert.equal(splitter.push(Buffer.from('\nid: 2\nda')).toString(), 'id: 1\ndata: a\n\n');
@@ -271,7 +274,7 @@
   assert.equal(splitter.lastEventId, '2');
 });
 
-test('a call that is expected to take long makes no suspect of its server until then', () => {
+test('a server is not suspect before the expected time of a long call has passed', () => {
   const health = new ServerHealth();
   health.open(0, 600);
   assert.equal(health.isSuspect(900), false);
@@ -279,7 +282,7 @@
   assert.equal(health.isEjected(1_001), false);
 });
 
-test('a server that never answers is suspect at some time, whatever was expected of it', () => {
+test('a server that never answers becomes suspect, however long its call was expected to take', () => {
   const health = new ServerHealth();
   health.open(0, 60_000);
   assert.equal(health.isSuspect(2_000), true);
--- a/test/gateway/overload-replay.test.ts
+++ b/test/gateway/overload-replay.test.ts
@@ -1,6 +1,7 @@
 /**
- * A heavy load replayed over the decisions of a fleet of daemons, whose sums of each other are old: goodput
- * stays flat when demand passes what the engines can read, and when a third of the engines is lost.
+ * Replays a heavy load through the decisions of a fleet of daemons that know each other's load with a delay. Guards
+ * against a collapse of goodput when demand exceeds what the engines can read, or when a third of the engines is
+ * lost: without the waiting room at the daemons, the engines' queues grow until many requests are late.
  */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
@@ -26,27 +27,30 @@
 const SUMS_EVERY_MS = 100;
 const WARM_UP_MS = 4_000;
 const END_MS = 18_000;
-const PATIENCE_MS = 5_000;
-/** What is said of a loss is said of the seconds from one after it. */
+const CALLER_TIMEOUT_MS = 5_000;
+/** Goodput after the loss is measured from one second after it. */
 const LOST_AT_MS = 7_000;
-const SEEN_AFTER_LOSS_MS = 8_000;
+const AFTER_LOSS_FROM_MS = 8_000;
 
-interface Kind {
+interface RequestKind {
   readonly rank: number;
   readonly readMs: number;
   readonly targetMs: number;
 }
 
-const KINDS: readonly Kind[] = [
+const REQUEST_KINDS: readonly RequestKind[] = [
   { rank: 0, readMs: 30, targetMs: 410 },
   { rank: 1, readMs: 120, targetMs: 520 },
   { rank: 2, readMs: 200, targetMs: 1_230 },
 ];
-const MEAN_READ_MS = KINDS.reduce((sum, { readMs }) => sum + readMs / KINDS.length, 0);
+const MEAN_READ_MS = REQUEST_KINDS.reduce(
+  (sum, { readMs }) => sum + readMs / REQUEST_KINDS.length,
+  0,
+);
 
 interface Job {
   readonly id: string;
-  readonly kind: Kind;
+  readonly kind: RequestKind;
   readonly arrivedAtMs: number;
   readonly isRetry: boolean;
 }
@@ -54,10 +58,10 @@
 interface Queued {
   readonly job: Job;
   readonly priority: number;
-  readonly ended: () => void;
+  readonly onRead: () => void;
 }
 
-/** Reads one prompt after the other, by priority. */
+/** An engine that reads one prompt after the other, by priority. */
 class FakeEngine {
   readonly #queue: Queued[] = [];
   #isBusy = false;
@@ -75,18 +79,18 @@
     this.#queue.sort((left, right) => left.priority - right.priority);
     const next = this.#queue.shift();
     if (next === undefined) return;
-    // Its caller has left: an engine is told, and takes the next.
-    const isLeft = this.clock.now > next.job.arrivedAtMs + PATIENCE_MS;
+    // The caller has left: the engine is notified and continues with the next prompt.
+    const hasCallerLeft = this.clock.now > next.job.arrivedAtMs + CALLER_TIMEOUT_MS;
     this.#isBusy = true;
-    this.clock.at(this.clock.now + (isLeft ? 0 : next.job.kind.readMs), () => {
+    this.clock.at(this.clock.now + (hasCallerLeft ? 0 : next.job.kind.readMs), () => {
       this.#isBusy = false;
-      if (!this.isLost && !isLeft) next.ended();
+      if (!this.isLost && !hasCallerLeft) next.onRead();
       this.#next();
     });
   }
 }
 
-/** One daemon: its own work, what it hears of the others', and who waits. */
+/** One daemon: its own load, the received load of the others, and its held requests. */
 class FakeDaemon {
   readonly loads: readonly EngineLoad[];
   readonly peers = new PeerLoads();
@@ -96,49 +100,49 @@
   readonly retries = new RetryLine();
   readonly waiting = new Map<string, Job>();
 
-  constructor(hasRoom: boolean) {
-    this.loads = Array.from({ length: ENGINES }, () => new EngineLoad(hasRoom));
+  constructor(usesWaitingRoom: boolean) {
+    this.loads = Array.from({ length: ENGINES }, () => new EngineLoad(usesWaitingRoom));
   }
 }
 
-/** What a replay gives. */
+/** The result of a replay. */
 interface Replay {
-  /** Reading that was answered in time, by the second of its answer. */
+  /** Read time of the requests answered in time, by the second of the answer. */
   readonly goodMsBySecond: readonly number[];
-  /** Of each rank, the part of first tries that was answered in time. */
+  /** By rank, the share of first attempts that were answered in time. */
   readonly inTimeShares: readonly number[];
 }
 
-/** Plays a load, against what the engines can read, on a fleet. */
+/** Replays a load on a fleet; `load` is the demand relative to what the engines can read. */
 function replay(
   load: number,
-  hasRoom: boolean,
+  usesWaitingRoom: boolean,
   seed: number,
   lostAtMs = Number.POSITIVE_INFINITY,
 ): Replay {
   const clock = new VirtualClock();
   const random = new Random(seed);
   const engines = Array.from({ length: ENGINES }, () => new FakeEngine(clock));
-  const daemons = Array.from({ length: DAEMONS }, () => new FakeDaemon(hasRoom));
-  const goodMsBySecond = new Array<number>((END_MS + PATIENCE_MS) / 1_000 + 1).fill(0);
-  const asked = [0, 0, 0];
+  const daemons = Array.from({ length: DAEMONS }, () => new FakeDaemon(usesWaitingRoom));
+  const goodMsBySecond = new Array<number>((END_MS + CALLER_TIMEOUT_MS) / 1_000 + 1).fill(0);
+  const arrived = [0, 0, 0];
   const inTime = [0, 0, 0];
   let count = 0;
   let sequence = 0;
 
   const bestRead = (daemon: FakeDaemon, job: Job): { engine: number; input: PlaceInput } => {
-    const left = [...engines.keys()].filter((index) => engines[index]?.isLost !== true);
-    // Of two, as daemons that decide by the same old sums must not all choose the same.
-    const [one = 0, two = 0] = [random.unit(), random.unit()].map(
-      (unit) => left[Math.floor(unit * left.length)],
+    const available = [...engines.keys()].filter((index) => engines[index]?.isLost !== true);
+    // The better of two random engines: daemons with the same delayed sums must not all choose the same one.
+    const [firstPick = 0, secondPick = 0] = [random.unit(), random.unit()].map(
+      (unit) => available[Math.floor(unit * available.length)],
     );
     const waitAt = (engine: number) => {
       const own = daemon.loads[engine];
       const ownMs = (own?.pendingMs('in-time', clock.now) ?? 0) + (own?.excessMs(clock.now) ?? 0);
       const knownMs = ownMs + daemon.peers.waitMs(`e${engine}`, 'in-time', clock.now);
-      return knownMs * (hasRoom ? daemon.shares.waitFactor(job.kind.rank) : 1);
+      return knownMs * (usesWaitingRoom ? daemon.shares.waitFactor(job.kind.rank) : 1);
     };
-    const engine = waitAt(two) < waitAt(one) ? two : one;
+    const engine = waitAt(secondPick) < waitAt(firstPick) ? secondPick : firstPick;
     const waitMs = waitAt(engine);
     const { readMs, targetMs, rank } = job.kind;
     const leftMs = 0.9 * targetMs - (clock.now - job.arrivedAtMs);
@@ -146,7 +150,7 @@
     const urgency = expectedMs <= leftMs ? 'in-time' : 'late';
     const input: PlaceInput = {
       plan: { expectedMs, read: { urgency, readMs, waitMs } },
-      remainingMs: job.arrivedAtMs + PATIENCE_MS - clock.now,
+      remainingMs: job.arrivedAtMs + CALLER_TIMEOUT_MS - clock.now,
       latencyBudgetMs: 0.9 * targetMs,
       latencyBudgetLeftMs: leftMs,
       urgentSlackMs: daemon.slacks.minSlackMs(rank, clock.now),
@@ -164,16 +168,16 @@
     daemon.shares.recordRequest(rank, readMs, clock.now);
     const readShareOfTarget = readMs / targetMs;
     const priority = promptPriority({ rank, urgency: expected.urgency, readShareOfTarget });
-    const ended = () => {
+    const onRead = () => {
       if (read !== undefined) own?.finish(read, clock.now);
-      if (clock.now - job.arrivedAtMs <= targetMs) credit(job);
-      turn(daemon);
+      if (clock.now - job.arrivedAtMs <= targetMs) countInTime(job);
+      admitWaiting(daemon);
     };
-    engines[engine]?.send({ job, priority, ended });
+    engines[engine]?.send({ job, priority, onRead });
   };
 
-  /** An answer in time of this try's start. */
-  const credit = ({ kind, arrivedAtMs, isRetry }: Job) => {
+  /** Counts an answer within the target, measured from the start of this attempt. */
+  const countInTime = ({ kind, arrivedAtMs, isRetry }: Job) => {
     const second = Math.floor(clock.now / 1_000);
     goodMsBySecond[second] = (goodMsBySecond[second] ?? 0) + kind.readMs;
     if (arrivedAtMs < WARM_UP_MS || isRetry) return;
@@ -182,20 +186,20 @@
 
   const refuse = (daemon: FakeDaemon, job: Job, roomInMs: number) => {
     if (job.isRetry) return;
-    const retryAfterMs = hasRoom
+    const retryAfterMs = usesWaitingRoom
       ? daemon.retries.promise({
           nowMs: clock.now,
           roomInMs,
           spacingMs: (job.kind.readMs * DAEMONS) / ENGINES,
-          mostMs: PATIENCE_MS - (clock.now - job.arrivedAtMs),
+          mostMs: CALLER_TIMEOUT_MS - (clock.now - job.arrivedAtMs),
           entropy: random.unit(),
         })
       : roomInMs;
-    const waitMs = Math.min(retryAfterMs, PATIENCE_MS / 3);
+    const waitMs = Math.min(retryAfterMs, CALLER_TIMEOUT_MS / 3);
     clock.at(clock.now + waitMs, () => arrive({ ...job, arrivedAtMs: clock.now, isRetry: true }));
   };
 
-  const turn = (daemon: FakeDaemon) => {
+  const admitWaiting = (daemon: FakeDaemon) => {
     for (const { description, fault } of daemon.room.expired(clock.now)) {
       const job = daemon.waiting.get(description.id);
       daemon.waiting.delete(description.id);
@@ -221,7 +225,7 @@
     const daemon = daemons[random.integer(0, DAEMONS - 1)];
     if (daemon === undefined) return;
     const { engine, input } = bestRead(daemon, job);
-    if (!hasRoom) {
+    if (!usesWaitingRoom) {
       const refusal = refusalOnArrival(input);
       if (refusal === undefined) send(daemon, job, engine, input.plan.read);
       else refuse(daemon, job, refusal.retryAfterMs);
@@ -262,8 +266,8 @@
       running: 0,
     }));
 
-  /** What a relay tells every daemon of the work of all. */
-  const tell = () => {
+  /** A relay sends the sums over all daemons to every daemon. */
+  const broadcastSums = () => {
     sequence += 1;
     const works = daemons.map(workOf);
     const sum = (engine: number, field: 'pendingMs' | 'lateMs') =>
@@ -275,79 +279,91 @@
       running: 0,
     }));
     const sums = { relay: 'd0', incarnation: 1, sequence, isComplete: true, work };
-    const told = { ...sums, reads: [], reach: [], demand: [] };
+    const message = { ...sums, reads: [], reach: [], demand: [] };
     for (const [index, daemon] of daemons.entries()) {
-      daemon.peers.applySums(told, works[index] ?? [], clock.now);
-      turn(daemon);
+      daemon.peers.applySums(message, works[index] ?? [], clock.now);
+      admitWaiting(daemon);
     }
-    clock.at(clock.now + SUMS_EVERY_MS, tell);
+    clock.at(clock.now + SUMS_EVERY_MS, broadcastSums);
   };
 
   const next = () => {
-    const kind = KINDS[count % KINDS.length];
+    const kind = REQUEST_KINDS[count % REQUEST_KINDS.length];
     count += 1;
     if (kind !== undefined && clock.now < END_MS) {
-      if (clock.now >= WARM_UP_MS) asked[kind.rank] = (asked[kind.rank] ?? 0) + 1;
+      if (clock.now >= WARM_UP_MS) arrived[kind.rank] = (arrived[kind.rank] ?? 0) + 1;
       arrive({ id: `j${count}`, kind, arrivedAtMs: clock.now, isRetry: false });
     }
     clock.at(clock.now + random.exponential((load * ENGINES) / MEAN_READ_MS), next);
   };
-  clock.at(0, tell);
+  clock.at(0, broadcastSums);
   clock.at(0, next);
   clock.at(lostAtMs, () => {
     for (const engine of engines.slice(0, ENGINES / 3)) engine.isLost = true;
   });
-  clock.runUntil(END_MS + PATIENCE_MS);
-  return { goodMsBySecond, inTimeShares: asked.map((all, rank) => (inTime[rank] ?? 0) / all) };
+  clock.runUntil(END_MS + CALLER_TIMEOUT_MS);
+  return { goodMsBySecond, inTimeShares: arrived.map((all, rank) => (inTime[rank] ?? 0) / all) };
 }
 
-/** Work answered in time, in engines that it kept busy. */
+/** Work answered in time, as the number of engines that it kept busy. */
 function goodput({ goodMsBySecond }: Replay, fromMs = WARM_UP_MS): number {
   const seconds = goodMsBySecond.slice(fromMs / 1_000, END_MS / 1_000);
   return seconds.reduce((sum, goodMs) => sum + goodMs, 0) / (END_MS - fromMs);
 }
 
-test('goodput stays flat at 1.5 and 2 times what the engines can read; without a room it falls', () => {
+test('goodput stays flat at 1.5 and 2 times the engine capacity; without the waiting room it falls', () => {
   for (const seed of SEEDS) {
     const full = goodput(replay(1, true, seed));
     for (const load of [1.5, 2]) {
-      const over = goodput(replay(load, true, seed));
-      assert.ok(over >= 0.9 * full, `${over} at ${load}, ${full} at 1, seed ${seed}`);
-      const before = goodput(replay(load, false, seed));
-      assert.ok(before < 0.6 * full, `${before} at ${load} without a room, seed ${seed}`);
+      const overloaded = goodput(replay(load, true, seed));
+      assert.ok(
+        overloaded >= 0.9 * full,
+        `goodput ${overloaded} at load ${load}, ${full} at load 1, seed ${seed}`,
+      );
+      const withoutRoom = goodput(replay(load, false, seed));
+      assert.ok(
+        withoutRoom < 0.6 * full,
+        `goodput ${withoutRoom} at load ${load} without a waiting room, seed ${seed}`,
+      );
     }
   }
 });
 
-test('within a second of the loss of a third of the engines the others do what they can', () => {
+test('one second after the loss of a third of the engines the others are used to at least nine tenths', () => {
   for (const seed of SEEDS) {
-    const left = (2 / 3) * goodput(replay(1, true, seed));
-    const after = goodput(replay(1, true, seed, LOST_AT_MS), SEEN_AFTER_LOSS_MS);
-    assert.ok(after >= 0.9 * left, `${after} of ${left}, seed ${seed}`);
-    const before = goodput(replay(1, false, seed, LOST_AT_MS), SEEN_AFTER_LOSS_MS);
-    assert.ok(before < 0.9 * left, `${before} of ${left} without a room, seed ${seed}`);
+    const expectedGoodput = (2 / 3) * goodput(replay(1, true, seed));
+    const after = goodput(replay(1, true, seed, LOST_AT_MS), AFTER_LOSS_FROM_MS);
+    assert.ok(
+      after >= 0.9 * expectedGoodput,
+      `goodput ${after}, expected ${expectedGoodput}, seed ${seed}`,
+    );
+    const withoutRoom = goodput(replay(1, false, seed, LOST_AT_MS), AFTER_LOSS_FROM_MS);
+    assert.ok(
+      withoutRoom < 0.9 * expectedGoodput,
+      `goodput ${withoutRoom} of ${expectedGoodput} without a waiting room, seed ${seed}`,
+    );
   }
 });
 
-test('no kind is served more than a more urgent one, and the most urgent keeps being served', () => {
+test('under overload no rank is served better than a more urgent one, and the most urgent is still served', () => {
   for (const seed of SEEDS) {
     for (const load of [1, 1.5, 2]) {
       const [urgent = 0, middle = 0, least = 0] = replay(load, true, seed).inTimeShares;
-      assert.ok(urgent >= 0.9, `${urgent} at ${load}, seed ${seed}`);
+      assert.ok(urgent >= 0.9, `in time: ${urgent} at load ${load}, seed ${seed}`);
       assert.ok(
         urgent >= middle - 0.05 && middle >= least - 0.05,
-        `${middle}, ${least} at ${load}`,
+        `less urgent ranks in time: ${middle}, ${least} at load ${load}`,
       );
     }
   }
 });
 
-test('with room for all, each is served with a room as without', () => {
+test('below the engine capacity nearly every request is answered in time with the waiting room', () => {
   for (const seed of SEEDS) {
     const { inTimeShares } = replay(0.6, true, seed);
     assert.ok(
       inTimeShares.every((share) => share >= 0.98),
-      `${inTimeShares}, seed ${seed}`,
+      `in time by rank: ${inTimeShares}, seed ${seed}`,
     );
   }
 });
--- a/test/gateway/place-request.test.ts
+++ b/test/gateway/place-request.test.ts
@@ -1,4 +1,4 @@
-/** Who goes, waits or is refused, by forecasts. */
+/** Which requests are sent, held or refused by their forecasts. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import fc from 'fast-check';
@@ -16,7 +16,7 @@
 
 const READ_MS = 90;
 
-/** A request that was just taken, with a target of 450 ms. */
+/** A request that has just arrived, with a latency budget of 450 ms. */
 function input(queueMs: number, fields: Partial<PlaceInput> = {}): PlaceInput {
   const expectedMs = queueMs + READ_MS;
   const urgency = expectedMs <= 450 ? 'in-time' : 'late';
@@ -33,42 +33,42 @@
   };
 }
 
-test('what can be in time goes, and says how long it could be held', () => {
+test('a request that can be in time is sent, with the time for which it could be held', () => {
   assert.deepEqual(placeRequest(input(100)), { kind: 'go', slackMs: 90 });
 });
 
-test('what would join a queue of more than its part of its slack waits until that is shorter', () => {
+test('a request is held while the queue exceeds the share of its slack allowed for queues', () => {
   const placement = placeRequest(input(200));
   assert.deepEqual(placement, { kind: 'wait', slackMs: 90, roomInMs: 92 });
 });
 
-test('what would leave more urgent requests no time waits until the queue is short enough', () => {
+test('a request is held while the queue would make more urgent requests late', () => {
   const placement = placeRequest(input(100, { urgentSlackMs: 240 }));
   assert.deepEqual(placement, { kind: 'wait', slackMs: 90, roomInMs: 28 });
 });
 
-test('the time at the door counts: who was held may join a longer queue, and is held no longer than it may be', () => {
+test('a request that was held may join a longer queue, and its remaining hold time is shorter', () => {
   const placement = placeRequest(input(200, { latencyBudgetLeftMs: 414 }));
   assert.ok(placement.kind === 'wait');
   assert.equal(placement.slackMs, 54);
   assert.ok(Math.abs(placement.roomInMs - 56) < 0.01);
 });
 
-test('what is late for want of room is refused, with the time until there is room', () => {
+test('a request that is late because of the queue is refused, with the time until the queue is short enough', () => {
   const placement = placeRequest(input(600));
   assert.deepEqual(placement, { kind: 'refuse', reason: 'overloaded', roomInMs: 240 });
   const hopeless = placeRequest(input(600, { remainingMs: 650 }));
   assert.deepEqual(hopeless, { kind: 'refuse', reason: 'hopeless', roomInMs: 240 });
 });
 
-test('what is late by itself runs where nobody is held up by it, and not while others wait', () => {
+test('a request that is late by its own read time is sent to an idle engine, but not while others are held', () => {
   const late = { plan: { expectedMs: 500, read: { urgency: 'late', readMs: 500, waitMs: 0 } } };
   const alone = input(0, late as Partial<PlaceInput>);
   assert.deepEqual(placeRequest(alone), { kind: 'go', slackMs: undefined });
   assert.equal(placeRequest({ ...alone, isContended: true }).kind, 'refuse');
 });
 
-test('what is late as it was tried before goes where there is room, and not into a long queue', () => {
+test('a request that is late because of earlier attempts is sent to an idle engine, but not into a long queue', () => {
   const tried = { latencyBudgetLeftMs: -100 };
   const plan = (waitMs: number) =>
     ({ expectedMs: 90 + waitMs, read: { urgency: 'late', readMs: 90, waitMs } }) as const;
@@ -76,18 +76,18 @@
   assert.equal(placeRequest(input(0, { ...tried, plan: plan(300) })).kind, 'refuse');
 });
 
-test('what has room and can not be held any more goes past those that wait', () => {
+test('a request that can not be held any longer overtakes held ones if the queue is short enough', () => {
   const placement = placeRequest(input(100, { latencyBudgetLeftMs: 300, isContended: true }));
   assert.deepEqual(placement, { kind: 'go', slackMs: undefined });
 });
 
-test('a request that may have run goes, and so does one by paces that nobody has seen', () => {
+test('a request is sent whatever its forecast if it may have run, or if no engine times have been observed', () => {
   for (const fields of [{ mayHaveRun: true }, { isLearnt: false }]) {
     assert.deepEqual(placeRequest(input(60_000, fields)), { kind: 'go', slackMs: undefined });
   }
 });
 
-test('with room for all kinds each request goes as it did without a room, whatever its forecast', () => {
+test('while queues are short enough for all ranks, every request is sent and none held or refused', () => {
   const urgent = 300;
   const slacks = new UrgentSlack();
   slacks.recordRequest(0, urgent, 0);
@@ -102,7 +102,7 @@
   );
 });
 
-test('recorded requests go with a room as they did without, those too that were late by themselves', () => {
+test('recorded requests at an underloaded fleet are all sent, including those late by their own read time', () => {
   const slacks = new UrgentSlack();
   for (const [index, recorded] of RECORDED_FORECASTS.entries()) {
     const { rank, targetMs, queueMs, expectedMs } = recorded;
@@ -121,7 +121,7 @@
   }
 });
 
-test('what urgent kinds can wait binds the less urgent ones while they come', () => {
+test('the slack of a rank limits the less urgent ranks until its requests stop coming', () => {
   const slacks = new UrgentSlack();
   slacks.recordRequest(1, 400, 0);
   assert.equal(slacks.minSlackMs(2, 5_000), 400);
@@ -129,13 +129,13 @@
   assert.equal(slacks.minSlackMs(2, 11_000), Number.POSITIVE_INFINITY);
 });
 
-test('an urgent kind that can not be in time at all holds nobody back', () => {
+test('an urgent rank that is late without any wait does not limit others', () => {
   const slacks = new UrgentSlack();
   slacks.recordRequest(0, -50, 0);
   assert.equal(slacks.minSlackMs(2, 1), Number.POSITIVE_INFINITY);
 });
 
-test('the wait of a rank counts what is read before it, and what comes meanwhile', () => {
+test('the wait factor of a rank covers queued work that is read first and more urgent work that arrives meanwhile', () => {
   const shares = new RankShares();
   assert.equal(shares.waitFactor(0), 1);
   for (let count = 0; count < 100; count += 1) {
@@ -146,7 +146,7 @@
   assert.ok(Math.abs(shares.waitFactor(1) - 2) < 0.05);
 });
 
-test('a plan at a rank keeps its engine and its run; what becomes of its wait says whether it is in time', () => {
+test('a plan adapted to a rank keeps its engine, and its urgency follows from the changed wait', () => {
   const read = { urgency: 'late', readMs: 60, waitMs: 400 } as const;
   const plan = { kind: 'direct', expectedMs: 490, read } as EnginePlan;
   const urgent = planAtRank(plan, 0.25, 200);
@@ -156,7 +156,7 @@
   assert.deepEqual(planAtRank(plan, 1, 200), plan);
 });
 
-test('a read that should be over counts as one that has not begun, where that is asked for', () => {
+test('an overdue read counts with its full time if countsOverdue is set', () => {
   for (const [countsOverdue, leftMs] of [
     [true, 40],
     [false, 10],
--- a/test/gateway/plan-stages.test.ts
+++ b/test/gateway/plan-stages.test.ts
@@ -67,7 +67,7 @@
   assert.equal(settle(8, 6, need(0.2, 5)), 2);
 });
 
-test('no engine is switched for few requests, below full utilization, or for a small relief', () => {
+test('no engine is switched for few requests, with capacity to spare, for a small relief, or in a fleet of two', () => {
   const plan = (total: number, prefill: number, wanted: StageNeed) =>
     planStageChanges({
       engines: engines(total, prefill),
@@ -137,7 +137,7 @@
   assert.ok(plan(0).length > 0);
 });
 
-test('after any losses each stage keeps an engine', () => {
+test('in a small fleet each stage keeps an engine, whatever the work', () => {
   for (let prefill = 1; prefill < 5; prefill += 1) {
     const left = engines(5, prefill);
     for (const wanted of [need(40, 0.1), need(0.1, 40)]) {
--- a/test/gateway/spread.test.ts
+++ b/test/gateway/spread.test.ts
@@ -1,4 +1,7 @@
-/** Daemons that decide by the same sums: evenly spread work, shared parts read once, and no change where all shows. */
+/**
+ * Daemons that decide by the same delayed load sums must not all choose the same engine: work is spread evenly, shared
+ * parts are not read more often, and choices do not change where no work is unseen.
+ */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import fc from 'fast-check';
@@ -21,12 +24,12 @@
 import { busiestToMean, replaySpread, type SpreadScenario } from './support/spread-replay.js';
 
 const SEEDS = [1, 2, 3, 4];
-/** Beyond chance: each engine gets so many prompts in a second that chance alone stays below this. */
-const MOST_UNEVEN = 1.3;
+/** Load of the busiest engine relative to the mean. Random variation alone stays below this, as each engine gets many prompts a second. */
+const MAX_UNEVENNESS = 1.3;
 const FIRST_SECOND = [0, 1_000] as const;
-const LATER = [1_000, 4_000] as const;
+const AFTER_FIRST_SECOND = [1_000, 4_000] as const;
 
-/** Two thirds of what the engines can read. */
+/** Demand of two thirds of what the engines can read. */
 const LOADED: SpreadScenario = {
   seed: 1,
   daemons: 83,
@@ -38,8 +41,8 @@
   isSpreading: true,
   prefillTokensPerMs: 51,
 };
-/** Many prompts, so that the first second has enough of them to be even. */
-const FIRST: SpreadScenario = {
+/** A scenario with enough prompts in the first second to measure how evenly they are spread. */
+const STARTUP: SpreadScenario = {
   ...LOADED,
   requestsPerSecond: 2_000,
   prefillTokensPerMs: 180,
@@ -64,33 +67,36 @@
   );
 }
 
-test('equal engines get equal work from the first second of a fleet', () => {
-  const measured = unevenness(FIRST, FIRST_SECOND);
-  assert.ok(measured <= MOST_UNEVEN, `the busiest had ${measured} times the mean`);
-  const unspread = unevenness({ ...FIRST, isSpreading: false }, FIRST_SECOND);
-  assert.ok(unspread > MOST_UNEVEN, 'the load is one that herds');
+test('equal engines get equal work from the first second after the start of a fleet', () => {
+  const measured = unevenness(STARTUP, FIRST_SECOND);
+  assert.ok(measured <= MAX_UNEVENNESS, `the busiest engine had ${measured} times the mean`);
+  const unspread = unevenness({ ...STARTUP, isSpreading: false }, FIRST_SECOND);
+  assert.ok(unspread > MAX_UNEVENNESS, 'without spreading, this load is uneven');
 });
 
-test('under load the work stays even, and neither parts are read nor runs moved more often', () => {
+test('under load the work stays even without more reads of shared parts or more hand-overs', () => {
   const spread = replayAll(LOADED);
   const herding = replayAll({ ...LOADED, isSpreading: false });
   const measured = meanOf(
-    spread.map(({ arrivals }) => busiestToMean(arrivals, 'prefill', 21, LATER)),
+    spread.map(({ arrivals }) => busiestToMean(arrivals, 'prefill', 21, AFTER_FIRST_SECOND)),
   );
-  assert.ok(measured <= MOST_UNEVEN, `the busiest had ${measured} times the mean`);
+  assert.ok(measured <= MAX_UNEVENNESS, `the busiest engine had ${measured} times the mean`);
   const sum = (outcomes: typeof spread, key: 'sharedReadTokens' | 'handOvers') =>
     outcomes.reduce((total, outcome) => total + outcome[key], 0);
-  const most = 1.03;
-  assert.ok(sum(spread, 'sharedReadTokens') <= most * sum(herding, 'sharedReadTokens'));
-  assert.ok(sum(spread, 'handOvers') <= most * sum(herding, 'handOvers'));
+  const maxRatio = 1.03;
+  assert.ok(sum(spread, 'sharedReadTokens') <= maxRatio * sum(herding, 'sharedReadTokens'));
+  assert.ok(sum(spread, 'handOvers') <= maxRatio * sum(herding, 'handOvers'));
   const slowest = (outcomes: typeof spread) => {
     const times = outcomes.flatMap(({ firstTokens }) => firstTokens.map(({ tookMs }) => tookMs));
     return times.sort((left, right) => left - right)[Math.floor(0.99 * times.length)] ?? 0;
   };
-  assert.ok(slowest(spread) < slowest(herding), 'the slowest first tokens come sooner');
+  assert.ok(
+    slowest(spread) < slowest(herding),
+    'the 99th percentile of the time to the first token is lower with spreading',
+  );
 });
 
-test('the level takes exactly the work that is poured over the lowest', () => {
+test('raising the least loaded engines to the level takes exactly the given work', () => {
   const loads = fc.array(fc.double({ min: 0, max: 5_000, noNaN: true }), { minLength: 1 });
   fc.assert(
     fc.property(loads, fc.double({ min: 1, max: 100_000, noNaN: true }), (loadsMs, workMs) => {
@@ -119,23 +125,23 @@
   return drawSpread(candidates, work)?.id;
 }
 
-test('engines are drawn by their room below the level, and those above it are left alone', () => {
+test('engines are drawn in proportion to their headroom below the level, and never above it', () => {
   const engines = [candidate('a', 0), candidate('b', 100), candidate('c', 2_000)];
-  const draws = Array.from({ length: 100 }, (_, place) => drawn(engines, place / 100));
+  const draws = Array.from({ length: 100 }, (_, index) => drawn(engines, index / 100));
   const count = (id: string) => draws.filter((draw) => draw === id).length;
   assert.deepEqual([count('a'), count('b'), count('c')], [63, 37, 0]);
   assert.equal(drawn([], 0.5), undefined);
 });
 
-test('an engine that keeps the part has its prompts while it is below the level', () => {
-  const keeper = candidate('keeper', 90, 90);
+test('an engine that has the part cached gets all its prompts while it is below the level', () => {
+  const cachingEngine = candidate('keeper', 90, 90);
   const others = ['a', 'b', 'c'].map((id) => candidate(id, 0, 30));
-  for (let place = 0; place < 20; place += 1) {
-    assert.equal(drawn([keeper, ...others], place / 20), 'keeper');
+  for (let index = 0; index < 20; index += 1) {
+    assert.equal(drawn([cachingEngine, ...others], index / 20), 'keeper');
   }
 });
 
-test('a home that is above the level has no bonus any more', () => {
+test('a preferred engine above the level gets no bonus', () => {
   const home = candidate('home', 500, 150, 350);
   const others = ['a', 'b'].map((id) => candidate(id, 0, 200));
   assert.notEqual(drawn([home, ...others], 0.9), 'home');
@@ -152,9 +158,13 @@
   busyForMs: Number.POSITIVE_INFINITY,
 };
 
-test('what is unseen follows from rate and age, and before anything is told from the daemons', () => {
+test('unseen work is derived from request rate and report age, and from the number of daemons before any report', () => {
   assert.equal(unseenWork({ ...KNOWN, daemons: undefined }), undefined);
-  assert.equal(unseenWork({ ...KNOWN, daemons: 12 }), undefined, 'these tell each other at once');
+  assert.equal(
+    unseenWork({ ...KNOWN, daemons: 12 }),
+    undefined,
+    'in a small fleet daemons report to each other directly',
+  );
   const known = unseenWork(KNOWN);
   assert.deepEqual(
     known?.kind === 'by-rate' ? [known.prefillMs, known.prompts].map(Math.round) : [],
@@ -170,7 +180,7 @@
   assert.deepEqual(unseenWork(withoutRelay), { kind: 'by-daemons', daemons: 52 });
 });
 
-test('a follower knows since when the others are asked, a new one of a busy fleet does not', () => {
+test('a daemon knows since when the others have had requests, unless they had some before its start', () => {
   const demand = [{ service: 'm', ...DEMAND }];
   const sums = { relay: 'r', incarnation: 1, isComplete: true, work: [], reads: [], reach: [] };
   const loads = new PeerLoads();
@@ -180,7 +190,7 @@
   loads.applySums({ ...sums, sequence: 2, demand }, [], 100);
   loads.applySums({ ...sums, sequence: 3, demand }, [], 200);
   assert.deepEqual([loads.busyForMs(250), loads.sumsAgeMs(250)], [150, 50]);
-  assert.equal(loads.sumsAgeMs(9_000), undefined, 'a relay that fell silent');
+  assert.equal(loads.sumsAgeMs(9_000), undefined, 'the sums of a silent relay expire');
   const late = new PeerLoads();
   late.applySums({ ...sums, sequence: 4, demand }, [], 100);
   assert.equal(late.busyForMs(200), Number.POSITIVE_INFINITY);
@@ -191,11 +201,11 @@
   return { ...head, slots: 64, state: 'ready', isSpot: false };
 }
 
-/** A moment as a daemon saw it: loads, what is kept, and the prompt. */
+/** Random inputs of a choice: loads, the engine that has the shared part cached, and the prompt. */
 const moments = fc.record({
   loads: fc.array(fc.nat(800), { minLength: 8, maxLength: 8 }),
   running: fc.array(fc.nat(70), { minLength: 8, maxLength: 8 }),
-  keeper: fc.nat(7),
+  cachingEngine: fc.nat(7),
   sharedTokens: fc.nat(8_000),
   ownTokens: fc.integer({ min: 1, max: 6_000 }),
   entropy: fc.double({ min: 0, max: 1, noNaN: true, maxExcluded: true }),
@@ -204,14 +214,14 @@
 type Moment = typeof moments extends fc.Arbitrary<infer T> ? T : never;
 
 function inputOf(moment: Moment, unseen: UnseenWork | undefined): EngineChoiceInput {
-  const candidates = moment.loads.map((_, place) =>
-    engine(`e-${place}`, place < 4 ? 'prefill' : 'decode', `zone-${place % 2}`),
+  const candidates = moment.loads.map((_, index) =>
+    engine(`e-${index}`, index < 4 ? 'prefill' : 'decode', `zone-${index % 2}`),
   );
   const loads = new Map(candidates.map(({ id }) => [id, new EngineLoad()]));
-  for (const [place, { id }] of candidates.entries()) {
+  for (const [index, { id }] of candidates.entries()) {
     const load = loads.get(id) ?? new EngineLoad();
-    load.begin({ urgency: 'in-time', readMs: moment.loads[place] ?? 0, waitMs: 0 }, 0);
-    load.running = moment.running[place] ?? 0;
+    load.begin({ urgency: 'in-time', readMs: moment.loads[index] ?? 0, waitMs: 0 }, 0);
+    load.running = moment.running[index] ?? 0;
   }
   const promptParts = [
     { id: 'shared', tokens: moment.sharedTokens },
@@ -221,7 +231,7 @@
   const speed = new ReadSpeed();
   speed.setInitialEstimate(7_000, 600);
   const prefixIndex = new PrefixCacheIndex();
-  prefixIndex.confirm(`e-${moment.keeper}`, 'shared', moment.sharedTokens);
+  prefixIndex.confirm(`e-${moment.cachingEngine}`, 'shared', moment.sharedTokens);
   const health = new ServerHealth();
   const described = { attemptId: 'x', deadlineMs: 5_000, maxOutputTokens: 100 };
   return {
@@ -244,40 +254,44 @@
   };
 }
 
-/** A plan without the engine, as a different one may have been drawn. */
-function promiseOf(plan: EnginePlan | undefined) {
+/** The parts of a plan that do not depend on the drawn engine. */
+function stageAndUrgencyOf(plan: EnginePlan | undefined) {
   return { way: plan?.kind, urgency: plan?.read.urgency };
 }
 
-test('where next to nothing is unseen, each decision is the one made by the sums alone', () => {
+test('with almost no unseen work, each choice is the same as without spreading', () => {
   const nothing: UnseenWork = { kind: 'by-rate', prefillMs: 10, prompts: 0.4, shortPrompts: 0 };
   fc.assert(
     fc.property(moments, (moment) => {
-      const plain = inputOf(moment, undefined);
-      const fresh = inputOf(moment, nothing);
-      assert.deepEqual(planModelRequest(fresh), planModelRequest(plain));
-      const [source] = plain.candidates;
+      const withoutSpread = inputOf(moment, undefined);
+      const withLittleUnseen = inputOf(moment, nothing);
+      assert.deepEqual(planModelRequest(withLittleUnseen), planModelRequest(withoutSpread));
+      const [source] = withoutSpread.candidates;
       if (source === undefined) return;
-      assert.deepEqual(chooseDecodeEngine(fresh, source), chooseDecodeEngine(plain, source));
+      assert.deepEqual(
+        chooseDecodeEngine(withLittleUnseen, source),
+        chooseDecodeEngine(withoutSpread, source),
+      );
     }),
     { seed: 11, numRuns: 300 },
   );
 });
 
-test('a spread choice goes the same way as the unspread one, and is in time where that is', () => {
+test('a spread choice has the same kind and urgency as the unspread one, and is in time if that is', () => {
   fc.assert(
     fc.property(moments, (moment) => {
-      const plain = planModelRequest(inputOf(moment, undefined));
+      const withoutSpread = planModelRequest(inputOf(moment, undefined));
       const spread = planModelRequest(inputOf(moment, BY_RATE));
-      assert.deepEqual(promiseOf(spread), promiseOf(plain));
-      if (plain === undefined || spread === undefined || plain.expectedMs > 540) return;
+      assert.deepEqual(stageAndUrgencyOf(spread), stageAndUrgencyOf(withoutSpread));
+      if (withoutSpread === undefined || spread === undefined || withoutSpread.expectedMs > 540)
+        return;
       assert.ok(spread.expectedMs <= 540);
     }),
     { seed: 12, numRuns: 300 },
   );
 });
 
-test('the gauge says how much more waits at the busiest engine than on the mean', () => {
+test('busiestToMean is the queued work of the busiest engine relative to the mean', () => {
   const fleet = new FleetView({ ratio: 0.2, slack: 50 });
   const services = new Map([['m', { name: 'm', engine: undefined, scaling: undefined }]]);
   const limits = { maxHeaderBytes: 1, maxBodyBytes: 1, headerTimeoutMs: 1, idleTimeoutMs: 1 };
--- a/test/gateway/support/recorded-forecasts.ts
+++ b/test/gateway/support/recorded-forecasts.ts
@@ -1,16 +1,16 @@
-/** Forecasts of model requests as gateways logged them (events 6034 and 6030) while there was room for all. */
+/** Forecasts of model requests as gateways logged them (events 6034 and 6030) while the fleet was not overloaded. */
 
-/** One request's best plan. */
+/** Forecast of one request's best plan. */
 export interface RecordedForecast {
   readonly rank: number;
   readonly targetMs: number;
-  /** The wait at the engine. */
+  /** Expected wait in the engine's queue. */
   readonly queueMs: number;
-  /** Until the first token. */
+  /** Expected time to the first token. */
   readonly expectedMs: number;
 }
 
-/** In the order of their arrival. */
+/** The forecasts in order of arrival. */
 export const RECORDED_FORECASTS: readonly RecordedForecast[] = [
   { rank: 0, targetMs: 411, queueMs: 0, expectedMs: 140 },
   { rank: 0, targetMs: 411, queueMs: 0, expectedMs: 101 },
--- a/test/gateway/support/spread-replay.ts
+++ b/test/gateway/support/spread-replay.ts
@@ -1,6 +1,7 @@
 /**
- * Many daemons that plan with beliefs of their own and hear of each other through their zones' relays, late as over
- * the real ones, before engines that read one prompt after the other. Virtual time, seeded.
+ * Simulation of many daemons that plan with their own estimates and receive each other's load through the relays of
+ * their zones, with the delays of the real ones. Engines read one prompt after the other. Runs in virtual time with a
+ * seeded random generator.
  */
 import {
   chooseDecodeEngine,
@@ -21,22 +22,22 @@
 const SERVICE = 'm';
 const ZONES = 3;
 const TARGET_MS = 600;
-const USUAL_TOKENS = 7_000;
-/** Daemons are there before their callers. */
+const TYPICAL_TOKENS = 7_000;
+/** The daemons exchange load reports before the first request arrives. */
 const TRAFFIC_FROM_MS = 1_500;
-const COLLECT_MS = 90;
-const RELAY_GAP_MS = 60;
+const REPORT_DELAY_MS = 90;
+const RELAY_INTERVAL_MS = 60;
 const LINK_MS = 1;
 const HAND_OVER_MS = 12;
 const TOKEN_MS = 8;
 
-/** What is replayed. */
+/** Parameters of a replay. */
 export interface SpreadScenario {
   readonly seed: number;
   readonly daemons: number;
   readonly enginesOfStage: number;
   readonly requestsPerSecond: number;
-  /** Prompts of which half begin with one of these. */
+  /** Number of shared parts; half of the prompts begin with one of them. */
   readonly sharedParts: number;
   readonly sharedTokens: number;
   readonly durationMs: number;
@@ -44,25 +45,25 @@
   readonly prefillTokensPerMs: number;
 }
 
-/** A prompt, or a run, that was sent to an engine. */
+/** A prompt or run sent to an engine. */
 export interface Arrival {
   readonly atMs: number;
   readonly engineId: string;
   readonly stage: 'prefill' | 'decode';
 }
 
-/** What came out. */
+/** The result of a replay. */
 export interface SpreadOutcome {
   readonly arrivals: readonly Arrival[];
-  /** Until the first token, by the time of arrival. */
+  /** Time to the first token, by time of arrival. */
   readonly firstTokens: readonly { readonly atMs: number; readonly tookMs: number }[];
   readonly readTokens: number;
-  /** Tokens of shared parts that were read where they had not been. */
+  /** Tokens of shared parts read, each time at an engine that did not have the part cached. */
   readonly sharedReadTokens: number;
   readonly handOvers: number;
 }
 
-/** Work of the busiest engine of a stage against the mean's. */
+/** Prompts or runs at the busiest engine of a stage, relative to the mean over the stage. */
 export function busiestToMean(
   arrivals: readonly Arrival[],
   stage: Arrival['stage'],
@@ -84,7 +85,7 @@
   readonly zone: number;
   readonly fleet: FleetView;
   reads: ReadNotice[];
-  isTelling: boolean;
+  isReportScheduled: boolean;
   sequence: number;
 }
 
@@ -98,7 +99,7 @@
 
 interface Engine {
   freeAtMs: number;
-  readonly kept: Set<string>;
+  readonly cached: Set<string>;
 }
 
 /** Replays one scenario. */
@@ -125,8 +126,8 @@
     this.#scenario = scenario;
     this.#random = new Random(scenario.seed);
     this.#servers = serversOf(scenario.enginesOfStage);
-    for (const { id } of this.#servers) this.#engines.set(id, { freeAtMs: 0, kept: new Set() });
-    this.#daemons = Array.from({ length: scenario.daemons }, (_, place) => this.#daemon(place));
+    for (const { id } of this.#servers) this.#engines.set(id, { freeAtMs: 0, cached: new Set() });
+    this.#daemons = Array.from({ length: scenario.daemons }, (_, index) => this.#daemon(index));
     this.#relays = this.#daemons.slice(0, ZONES).map((daemon) => ({
       daemon,
       zoneSums: new SumsAdvertiser(),
@@ -138,7 +139,7 @@
 
   run(): SpreadOutcome {
     for (const relay of this.#relays) {
-      this.#clock.at(this.#random.unit() * RELAY_GAP_MS, () => this.#tellSums(relay));
+      this.#clock.at(this.#random.unit() * RELAY_INTERVAL_MS, () => this.#sendSums(relay));
     }
     this.#clock.at(TRAFFIC_FROM_MS, () => this.#arrive());
     this.#clock.runUntil(TRAFFIC_FROM_MS + this.#scenario.durationMs);
@@ -151,18 +152,18 @@
     };
   }
 
-  /** Since the first caller. */
+  /** Time since the first request could arrive. */
   get #trafficMs(): number {
     return this.#clock.now - TRAFFIC_FROM_MS;
   }
 
-  #daemon(place: number): Daemon {
+  #daemon(index: number): Daemon {
     const fleet = new FleetView({ ratio: 0.2, slack: 50 });
     fleet.directory.replaceAll(this.#servers);
     fleet.setDaemonCount(this.#scenario.daemons);
-    fleet.speedOf(SERVICE).setInitialEstimate(USUAL_TOKENS, TARGET_MS);
-    const told = { reads: [], isTelling: false, sequence: 0 };
-    return { name: `daemon-${place}`, zone: place % ZONES, fleet, ...told };
+    fleet.speedOf(SERVICE).setInitialEstimate(TYPICAL_TOKENS, TARGET_MS);
+    const initialState = { reads: [], isReportScheduled: false, sequence: 0 };
+    return { name: `daemon-${index}`, zone: index % ZONES, fleet, ...initialState };
   }
 
   #arrive(): void {
@@ -203,7 +204,7 @@
     const load = fleet.loadOf(server.id);
     const read = isPrefill ? load.begin(plan.read, sentMs) : undefined;
     if (!isPrefill) load.running += 1;
-    this.#noteChange(daemon);
+    this.#scheduleReport(daemon);
     this.#clock.at(sentMs + LINK_MS, () => {
       const doneMs = this.#read(server, promptParts, fetchFrom) + LINK_MS;
       this.#clock.at(doneMs, () => {
@@ -218,7 +219,7 @@
         if (plan.read.waitMs <= 0.25 * plan.read.readMs || !speed.isLearnt) {
           speed.learnPrefill(missingTokens, nowMs - sentMs);
         }
-        this.#noteChange(daemon);
+        this.#scheduleReport(daemon);
         this.#handOver(daemon, promptParts, server, sentMs);
       });
     });
@@ -234,7 +235,7 @@
     if (target === undefined) return;
     this.#handOvers += 1;
     daemon.fleet.loadOf(target.id).running += 1;
-    this.#noteChange(daemon);
+    this.#scheduleReport(daemon);
     this.#arrivals.push({ atMs: this.#trafficMs, engineId: target.id, stage: 'decode' });
     this.#clock.at(this.#clock.now + HAND_OVER_MS, () => {
       daemon.fleet.speedOf(SERVICE).learnHandOver(HAND_OVER_MS);
@@ -248,11 +249,11 @@
     this.#clock.at(this.#clock.now + runMs, () => {
       daemon.fleet.loadOf(server.id).running -= 1;
       daemon.fleet.speedOf(SERVICE).learnRun(100, runMs);
-      this.#noteChange(daemon);
+      this.#scheduleReport(daemon);
     });
   }
 
-  /** When an engine has read a prompt that comes now. */
+  /** Time at which an engine will have read a prompt that arrives now. */
   #read(
     { id, stage }: ServerRecord,
     parts: readonly PromptPart[],
@@ -266,12 +267,13 @@
       engineId: id,
       stage: stage === 'prefill' ? 'prefill' : 'decode',
     });
-    const fetched = fetchFrom === undefined ? undefined : this.#engines.get(fetchFrom.id)?.kept;
+    const sourceCache =
+      fetchFrom === undefined ? undefined : this.#engines.get(fetchFrom.id)?.cached;
     let tokens = 0;
     for (const part of parts) {
-      if (engine.kept.has(part.id)) continue;
-      engine.kept.add(part.id);
-      if (fetched?.has(part.id) === true) continue;
+      if (engine.cached.has(part.id)) continue;
+      engine.cached.add(part.id);
+      if (sourceCache?.has(part.id) === true) continue;
       tokens += part.tokens;
       if (part.id.startsWith('shared')) this.#sharedReadTokens += part.tokens;
     }
@@ -320,20 +322,20 @@
     daemon.reads.push(notice);
   }
 
-  #noteChange(daemon: Daemon): void {
-    if (daemon.isTelling) return;
-    daemon.isTelling = true;
-    this.#clock.at(this.#clock.now + COLLECT_MS, () => {
-      daemon.isTelling = false;
+  #scheduleReport(daemon: Daemon): void {
+    if (daemon.isReportScheduled) return;
+    daemon.isReportScheduled = true;
+    this.#clock.at(this.#clock.now + REPORT_DELAY_MS, () => {
+      daemon.isReportScheduled = false;
       const reads = daemon.reads.splice(0);
       const relay = this.#relays[daemon.zone];
       if (relay === undefined) return;
       if (relay.daemon === daemon) relay.zoneReads.push(...reads);
-      else this.#tellRelay(daemon, relay, reads);
+      else this.#sendReport(daemon, relay, reads);
     });
   }
 
-  #tellRelay(daemon: Daemon, relay: Relay, reads: readonly ReadNotice[]): void {
+  #sendReport(daemon: Daemon, relay: Relay, reads: readonly ReadNotice[]): void {
     const { name, fleet } = daemon;
     daemon.sequence += 1;
     const nowMs = this.#clock.now;
@@ -346,11 +348,11 @@
     this.#clock.at(nowMs + LINK_MS, () => {
       relay.daemon.fleet.peerLoads.take(report, this.#clock.now);
       relay.zoneReads.push(...reads);
-      this.#takeReads(relay.daemon, reads);
+      this.#applyReads(relay.daemon, reads);
     });
   }
 
-  #tellSums(relay: Relay): void {
+  #sendSums(relay: Relay): void {
     const nowMs = this.#clock.now;
     const { fleet, name, zone } = relay.daemon;
     const own = fleet.ownWork(nowMs);
@@ -369,20 +371,20 @@
         if (daemon.zone !== zone || daemon === relay.daemon) continue;
         const ownWork = daemon.fleet.ownWork(atMs);
         daemon.fleet.peerLoads.applySums({ ...head, ...all, reads, demand }, ownWork, atMs);
-        this.#takeReads(daemon, reads);
+        this.#applyReads(daemon, reads);
       }
       for (const other of this.#relays) {
         if (other === relay) continue;
         const sums = { ...head, ...ofZone, reads: zoneReads, demand: zoneDemand };
         other.daemon.fleet.peerLoads.applyZoneSums(`zone-${zone}`, sums, atMs);
         other.otherReads.push(...zoneReads);
-        this.#takeReads(other.daemon, zoneReads);
+        this.#applyReads(other.daemon, zoneReads);
       }
     });
-    this.#clock.at(nowMs + RELAY_GAP_MS, () => this.#tellSums(relay));
+    this.#clock.at(nowMs + RELAY_INTERVAL_MS, () => this.#sendSums(relay));
   }
 
-  #takeReads(daemon: Daemon, reads: readonly ReadNotice[]): void {
+  #applyReads(daemon: Daemon, reads: readonly ReadNotice[]): void {
     for (const read of reads) daemon.fleet.prefixIndex.expectRead(read, this.#clock.now);
   }
 }
@@ -390,11 +392,11 @@
 function serversOf(enginesOfStage: number): ServerRecord[] {
   const stages = ['prefill', 'decode'] as const;
   return stages.flatMap((stage) =>
-    Array.from({ length: enginesOfStage }, (_, place) => ({
-      id: `${stage}-${place}`,
+    Array.from({ length: enginesOfStage }, (_, index) => ({
+      id: `${stage}-${index}`,
       service: SERVICE,
       address: '127.0.0.1:1',
-      zone: `zone-${place % ZONES}`,
+      zone: `zone-${index % ZONES}`,
       slots: 64,
       state: 'ready' as const,
       isSpot: false,
