--- a/src/core/gateway/choose-engine.ts
+++ b/src/core/gateway/choose-engine.ts
@@ -315,7 +315,7 @@
   return normalMs / pace;
 }
 
-/** Total wait that a read causes to short prompts at a decode engine: each that arrives meanwhile waits half of it on average. */
+/** Total delay of short prompts by a read at a decode engine: each that arrives meanwhile waits half of it. */
 function delayToOthersMs(missingTokens: number, pace: number, input: EngineChoiceInput): number {
   const busyMs = input.speed.decodeBusyMs(missingTokens) / pace;
   // Engines receive short prompts in proportion to their pace.
--- a/src/core/gateway/description.ts
+++ b/src/core/gateway/description.ts
@@ -19,7 +19,7 @@
   readonly maxOutputTokens: number;
 }
 
-/** Length of the cached prefix: the cached tokens of the leading parts, up to and including the first incomplete one. */
+/** Length of the cached prefix: cached tokens of the leading parts, including the first incomplete one. */
 export function cachedPrefixTokens(
   parts: readonly PromptPart[],
   cachedTokens: (partId: string) => number,
--- a/src/core/gateway/engine-choice-input.ts
+++ b/src/core/gateway/engine-choice-input.ts
@@ -19,7 +19,7 @@
   readonly speed: ReadSpeed;
   /** An engine's pace relative to the fleet's typical one; omitted where all engines have the same pace. */
   paceOf?(id: string): number;
-  /** An engine's pace rounded to a power of two, by which it is weighted as preferred engine of shared parts. */
+  /** An engine's pace rounded to a power of two: its weight as preferred engine of shared parts. */
   quantizedPaceOf?(id: string): number;
   readonly kvTokenBytes: number;
   readonly linkMbps: number;
--- a/src/core/gateway/engine-costs.ts
+++ b/src/core/gateway/engine-costs.ts
@@ -1,4 +1,4 @@
-/** Costs of sending a prompt or a run to an engine, in milliseconds: waits for the work of all daemons there, and penalties. */
+/** Costs of sending work to an engine, in milliseconds: waits for the work of all daemons, and penalties. */
 import type { EngineChoiceInput } from './engine-choice-input.js';
 import type { Urgency } from './engine-load.js';
 import type { ServerRecord } from './server-directory.js';
--- a/src/core/gateway/engine-load.ts
+++ b/src/core/gateway/engine-load.ts
@@ -30,7 +30,7 @@
   readonly startedAtMs: number;
 }
 
-/** Engines do not interrupt a read: once a late one has started, later prompts wait for it like for any other. */
+/** Engines do not interrupt a read: once a late one has started, all later prompts wait for it. */
 function effectiveUrgency(read: PendingRead, nowMs: number): Urgency {
   const hasBegun = nowMs >= read.startedAtMs + read.waitMs;
   return hasBegun ? 'in-time' : read.urgency;
@@ -43,7 +43,7 @@
   #excessAtMs = 0;
   readonly #countsOverdue: boolean;
 
-  /** @param countsOverdue whether a read past its expected end counts with its full time, as if it had not started */
+  /** @param countsOverdue whether a read past its expected end counts as if it had not started */
   constructor(countsOverdue = false) {
     this.#countsOverdue = countsOverdue;
   }
--- a/src/core/gateway/explain-request.ts
+++ b/src/core/gateway/explain-request.ts
@@ -7,7 +7,7 @@
 
 /** Events up to this long before or after the request's own lines may be related to it. */
 const CONTEXT_MS = 3_000;
-/** A first event that took more than this many times its forecast, and `LATE_MS` longer, is reported as late. */
+/** A first event is reported as late beyond this multiple of its forecast and more than `LATE_MS` after it. */
 const LATE_FACTOR = 2;
 const LATE_MS = 100;
 
--- a/src/core/gateway/place-request.ts
+++ b/src/core/gateway/place-request.ts
@@ -49,7 +49,7 @@
 
 /** The decision for a request. */
 export type Placement =
-  /** Send now. `slackMs` is how long the request may still be held behind others; undefined if it must not be held. */
+  /** Send now. `slackMs` is how long it may still be held behind others; undefined if it must not be held. */
   | { readonly kind: 'go'; readonly slackMs: number | undefined }
   /** Hold for at most `slackMs`; a queue is expected to be short enough in `roomInMs`. */
   | { readonly kind: 'wait'; readonly slackMs: number; readonly roomInMs: number }
@@ -68,7 +68,8 @@
   const totalSlackMs = input.latencyBudgetMs - (plan.expectedMs - waitMs);
   const heldMs = input.latencyBudgetMs - latencyBudgetLeftMs;
   const heldShare = Math.min(MAX_HOLD_SHARE, heldMs / Math.max(1, totalSlackMs));
-  // Approximates first come, first served over all daemons: the longer a request was held, the longer a queue it may join.
+  // Approximates first come, first served over all daemons: the longer a request was held, the longer a queue
+  // it may join.
   const maxQueueMs = (MAX_QUEUE_SHARE + heldShare) * Math.min(urgentSlackMs, totalSlackMs);
   const slackMs = MAX_HOLD_SHARE * totalSlackMs - heldMs;
   switch (urgency) {
@@ -86,7 +87,7 @@
   const roomInMs = Math.max(0, plan.expectedMs - latencyBudgetMs);
   const hopeless = refusalOnArrival(input);
   if (hopeless !== undefined) return { kind: 'refuse', reason: 'hopeless', roomInMs };
-  // Late by its own duration or because of earlier attempts, not because of queues: it is sent where it delays no other.
+  // Late by its own duration or by earlier attempts, not because of queues: sent where it delays no other.
   const allowedQueueMs =
     maxQueueMs > 0 ? maxQueueMs : MAX_QUEUE_SHARE * Math.min(input.urgentSlackMs, latencyBudgetMs);
   const hasShortQueue = plan.read.waitMs <= allowedQueueMs;
--- a/src/core/gateway/plan-stages.ts
+++ b/src/core/gateway/plan-stages.ts
@@ -22,7 +22,7 @@
 const MAX_RELIEVED_SHARE = 0.85;
 /** At most this share of all engines switches at once, and half of those wanted, as demand may change again. */
 const MAX_SWITCHING_SHARE = 0.1;
-/** When starting engines are at least this share of the present ones, no engine is switched until they have started. */
+/** While starting engines are at least this share of the present ones, no engine is switched. */
 const MANY_STARTING_SHARE = 0.1;
 /** From this number of engines on, each stage keeps a spare engine, so that it survives the loss of one. */
 const MIN_ENGINES_FOR_SPARE = 4;
@@ -96,8 +96,8 @@
 
 /**
  * The switches that restore the decode stage when none of its engines can be reached, as no request is answered
- * without it. Switches one engine more than the tolerated losses, but not more than
- * half of the reachable prefill engines if there are several.
+ * without it. Switches one engine more than the tolerated losses, but at most half of the reachable prefill engines
+ * (one if there is only one).
  */
 export function planDecodeRecovery(input: DecodeRecoveryInput): readonly StageChange[] {
   const { engines } = input;
@@ -133,7 +133,7 @@
   return picked;
 }
 
-/** The least busy engine of the zone with the most movable engines, so that the stage stays spread over the zones. */
+/** The least busy engine of the zone with the most movable engines: the stage stays spread over zones. */
 function leastBusyOfLargestZone(
   movable: readonly ServerRecord[],
   { busyOf }: Pick<StagePlanInput, 'busyOf'>,
--- a/src/core/gateway/prefix-knowledge.ts
+++ b/src/core/gateway/prefix-knowledge.ts
@@ -6,7 +6,7 @@
 
 /** Lifetime of an entry from a read that this daemon sent; a cache event of the engine replaces it. */
 const UNCONFIRMED_TTL_MS = 20_000;
-/** Lifetime of an entry from a cache event that another daemon relayed: the event that removes the part may be lost. */
+/** Lifetime of an entry from a relayed cache event, as the event that removes the part may be lost. */
 const RELAYED_TTL_MS = 60_000;
 /** Entries per engine; the oldest are evicted first. */
 const MAX_PARTS_OF_ENGINE = 4_096;
@@ -71,7 +71,7 @@
     }
   }
 
-  /** Records that an engine is reading a part, so that following requests are sent there and do not read it again. */
+  /** Records that an engine is reading a part, so that following requests need not read it again. */
   expectRead({ engineId, part, readyInMs }: ReadNotice, nowMs: number): void {
     const known = this.#byEngine.get(engineId)?.get(part.id);
     const isKnown = known !== undefined && known.expiresAtMs >= nowMs;
--- a/src/core/gateway/prompt-donors.ts
+++ b/src/core/gateway/prompt-donors.ts
@@ -1,4 +1,4 @@
-/** KV sources: engines that have a prompt's prefix cached, from which another engine fetches it instead of reading it. */
+/** KV sources: engines with a cached prefix of a prompt, which another engine fetches instead of reading it. */
 import type { EngineTraits } from './configuration.js';
 import type { EngineChoiceInput } from './engine-choice-input.js';
 import type { ServerRecord } from './server-directory.js';
--- a/src/core/gateway/rank-shares.ts
+++ b/src/core/gateway/rank-shares.ts
@@ -6,7 +6,7 @@
 
 import type { EnginePlan } from './choose-engine.js';
 
-/** Time in which the weight of sent work decays to 1/e; long enough for some requests of each rank at each of many daemons. */
+/** Time in which sent work decays to 1/e: long enough for some requests of each rank at each of many daemons. */
 const DECAY_TIME_MS = 10_000;
 /** Prior: this many sends of the size of the latest one count towards every rank. */
 const PRIOR_SENDS = 1;
--- a/src/core/gateway/read-speed.ts
+++ b/src/core/gateway/read-speed.ts
@@ -21,7 +21,7 @@
 const TRUSTED_SAMPLES = 5;
 /** Share of the target latency that a hand-over is assumed to take before the first one is observed. */
 const INITIAL_HAND_OVER_SHARE = 0.1;
-/** Decay factor for a line that all daemons learn together: they collect as many samples in a moment as one in minutes. */
+/** Decay factor of a line learnt by all daemons, which collect in a moment what one collects in minutes. */
 const SHARED_DECAY = 0.995;
 
 /** The learnt times of one service's engines. */
@@ -39,7 +39,7 @@
     this.#samples = new LineSamples(isShared ? SHARED_DECAY : SAMPLE_DECAY);
   }
 
-  /** Whether there are enough samples to detect those that waited in a queue, or come from an engine of another pace. */
+  /** Whether there are enough samples to detect those that queued or come from an engine of another pace. */
   get isTrusted(): boolean {
     return this.#samples.weight >= TRUSTED_SAMPLES;
   }
@@ -151,7 +151,7 @@
   }
 }
 
-/** Decaying sums over the most recent runs. Runs count by their length, as long ones occupy most of the slot time. */
+/** Decaying sums over recent runs. Runs count by their length, as long ones occupy most of the slot time. */
 class RunTimes {
   #runs = 0;
   #tokens = 0;
--- a/src/core/gateway/rendezvous.ts
+++ b/src/core/gateway/rendezvous.ts
@@ -4,7 +4,7 @@
  */
 import { avalanche, EMPTY_HASH, hashText } from '../common/hash.js';
 
-/** Returns a function for the weight of a candidate for `key`; the key belongs to the candidate with the highest. */
+/** Returns the function that weighs candidates for `key`; the one with the highest weight has the key. */
 export function rendezvousWeights(key: string): (candidate: string) => number {
   const hashOfKey = hashText(EMPTY_HASH, key);
   return (candidate) => avalanche(hashText(hashOfKey, candidate).low);
--- a/src/core/gateway/spread-choice.ts
+++ b/src/core/gateway/spread-choice.ts
@@ -7,7 +7,7 @@
  */
 import type { EngineStage } from './server-directory.js';
 
-/** Cost differences up to this are ignored: the sums of relays are no more precise, and no caller notices them. */
+/** Cost differences up to this are ignored: load sums are no more precise, and callers do not notice them. */
 const EQUAL_COST_MS = 8;
 /** With fewer unseen prompts than this, the cheapest engine most likely still is the cheapest. */
 const MIN_UNSEEN_PROMPTS = 0.5;
@@ -24,7 +24,7 @@
       readonly shortPrompts: number;
     }
   | {
-      /** No daemon has reported yet: each other daemon is assumed to have sent as much as this one sends now. */
+      /** No daemon has reported yet: each is assumed to have sent as much as this one sends now. */
       readonly kind: 'by-daemons';
       readonly daemons: number;
     };
@@ -79,7 +79,10 @@
   return drawByHeadroom(nearBest, levelMs, work.spread.entropy);
 }
 
-/** Water-filling: the load of the least loaded engines after `workMs` is poured over them. Each round leaves out the engines above the level. */
+/**
+ * Water-filling: the load of the least loaded engines after `workMs` is poured over them. Each round leaves out
+ * the engines above the level.
+ */
 export function levelOf(loadsMs: readonly number[], workMs: number): number {
   let levelMs = Number.POSITIVE_INFINITY;
   for (;;) {
@@ -116,7 +119,7 @@
   return costMs + lostBonusMs + Math.max(0, levelMs - loadMs);
 }
 
-/** Draws a candidate with a probability proportional to its headroom below the level; uniformly where none has any. */
+/** Draws a candidate with probability proportional to its headroom below the level; uniformly if none has any. */
 function drawByHeadroom<T extends SpreadCandidate>(
   candidates: readonly T[],
   levelMs: number,
--- a/test/gateway/choices.test.ts
+++ b/test/gateway/choices.test.ts
@@ -189,13 +189,13 @@
 
 test('the preferred engine of a part does not depend on the order of the engines, and all engines are preferred for some', () => {
   const engines = ['a', 'b', 'c', 'd'].map((id) => server(id));
-  const homes = new Set<string | undefined>();
+  const preferredIds = new Set<string | undefined>();
   for (let part = 0; part < 64; part += 1) {
-    const home = preferredEngineOf(`part-${part}`, engines)?.id;
-    assert.equal(preferredEngineOf(`part-${part}`, [...engines].reverse())?.id, home);
-    homes.add(home);
+    const preferredId = preferredEngineOf(`part-${part}`, engines)?.id;
+    assert.equal(preferredEngineOf(`part-${part}`, [...engines].reverse())?.id, preferredId);
+    preferredIds.add(preferredId);
   }
-  assert.equal(homes.size, 4);
+  assert.equal(preferredIds.size, 4);
 });
 
 test('a free engine reads the prompt and fetches the shared part from the busy engine that has it cached', () => {
--- a/test/gateway/spread.test.ts
+++ b/test/gateway/spread.test.ts
@@ -24,7 +24,10 @@
 import { busiestToMean, replaySpread, type SpreadScenario } from './support/spread-replay.js';
 
 const SEEDS = [1, 2, 3, 4];
-/** Load of the busiest engine relative to the mean. Random variation alone stays below this, as each engine gets many prompts a second. */
+/**
+ * Load of the busiest engine relative to the mean. Random variation alone stays below this, as each engine gets
+ * many prompts a second.
+ */
 const MAX_UNEVENNESS = 1.3;
 const FIRST_SECOND = [0, 1_000] as const;
 const AFTER_FIRST_SECOND = [1_000, 4_000] as const;
@@ -142,9 +145,9 @@
 });
 
 test('a preferred engine above the level gets no bonus', () => {
-  const home = candidate('home', 500, 150, 350);
+  const preferred = candidate('home', 500, 150, 350);
   const others = ['a', 'b'].map((id) => candidate(id, 0, 200));
-  assert.notEqual(drawn([home, ...others], 0.9), 'home');
+  assert.notEqual(drawn([preferred, ...others], 0.9), 'home');
 });
 
 const DEMAND = { prefillMs: 600, decodeMs: 0, requests: 60, shortRequests: 6 };
--- a/test/gateway/support/recorded-forecasts.ts
+++ b/test/gateway/support/recorded-forecasts.ts
@@ -1,4 +1,4 @@
-/** Forecasts of model requests as gateways logged them (events 6034 and 6030) while the fleet was not overloaded. */
+/** Forecasts of model requests logged by gateways (events 6034 and 6030) while the fleet was not overloaded. */
 
 /** Forecast of one request's best plan. */
 export interface RecordedForecast {
