--- a/test/gateway/plan-stages.test.ts
+++ b/test/gateway/plan-stages.test.ts
@@ -93,7 +93,7 @@
   );
 });
 
-test('work that varies within a seventh around its mean causes at most one switch', () => {
+test('a mix of work that varies within a seventh around its mean causes at most one switch', () => {
   const variation = fc.array(fc.double({ min: 0.93, max: 1.07, noNaN: true }), { minLength: 40 });
   fc.assert(
     fc.property(variation, (factors) => {
