--- a/src/shell/gateway/attempt.ts
+++ b/src/shell/gateway/attempt.ts
@@ -1,6 +1,6 @@
 /**
- * One sending of a request to one server: the call, the check that the answer is this request's,
- * and what was seen of the server.
+ * One attempt of a request at one server: makes the call, checks that the answer belongs to this request, and records
+ * the outcome in the server's health.
  */
 import type {
   EngineTraits,
@@ -21,16 +21,16 @@
 import type { HeldBack, ServerCalls } from './server-calls.js';
 import type { WebWork } from './web-work.js';
 
-const FIRST_SERVER_ERROR = 500;
-/** Callers that were refused come back over this part of their wait more. */
-const RETRY_SPREAD = 0.5;
+const MIN_SERVER_ERROR_STATUS = 500;
+/** Random addition to `Retry-After`, as a share of it. */
+const RETRY_JITTER = 0.5;
 const NO_BUDGET_REASON = 'the retry budget is spent';
 
-/** What attempts need. */
+/** The parts of the gateway that attempts use. */
 export interface AttemptContext {
   readonly fleet: FleetView;
   readonly calls: Pick<ServerCalls, 'call'>;
-  /** Permits to send to servers that name a limit. */
+  /** Permits to send to servers that report a limit. */
   readonly limits: Pick<
     LimitCoordinator,
     | 'recordArrival'
@@ -41,17 +41,17 @@
     | 'returnPermits'
   >;
   readonly codec: RequestCodec;
-  /** Whether what other daemons have sent unseen counts in a choice. */
+  /** Whether the choice of a server allows for requests that other daemons sent but have not reported yet. */
   readonly isSpreading: boolean;
-  /** Where requests wait for room at servers. */
+  /** Admits, holds or refuses requests by the free capacity of the servers. */
   readonly admission: Pick<AdmissionGate, 'isOn' | 'admit' | 'waitingIn' | 'wake'>;
-  /** To be called when work on a long prompt begins or ends. */
+  /** Called when the prefill of a long prompt begins or ends. */
   readonly onLoadChange: () => void;
-  /** To be called when a shared part begins to be read, so that no other daemon has it read again. */
+  /** Called when the prefill of a shared prompt part begins, so that other daemons do not start the same prefill. */
   readonly noteRead: (read: ReadNotice) => void;
-  /** To be called when a server does not answer a connection, or does so again. */
+  /** Called when connecting to a server timed out, or when a server that had not answered does so again. */
   readonly advertiseReachability: (reach: Omit<ReachabilityNotice, 'by'>) => void;
-  /** What is known of requests that end servers. */
+  /** Finds and quarantines requests that make servers crash. */
   readonly crashes: Pick<
     CrashGuard,
     | 'isQuarantined'
@@ -61,11 +61,11 @@
     | 'refuse'
     | 'whenChecked'
   >;
-  /** To be called when a request began to run at a server, so long ago. */
+  /** Called when a request began to run at a server `agoMs` ago. */
   readonly recordRunStart: (exchange: Exchange, agoMs: number) => void;
-  /** Calls to web servers, and what they say of their load. */
+  /** Counts calls to web servers and takes in the load that they report. */
   readonly webWork: Pick<WebWork, 'recordCall' | 'loadsOf' | 'applyReportedLoad'>;
-  /** Where this daemon stands. */
+  /** The zone of this daemon. */
   readonly zone: string;
 }
 
@@ -78,25 +78,25 @@
   readonly memorySource: MemorySource | undefined;
   readonly fetchFrom: string | undefined;
   readonly resumeAfterEventId: string | undefined;
-  /** When the head of the answer is expected; 0 where nothing is known of that. */
+  /** Expected time until the response headers; 0 where unknown. */
   readonly expectedMs: number;
-  /** A permit was taken for it before, where its server names a limit. */
+  /** Whether a permit was already taken for this attempt, where the server reports a limit. */
   readonly hasPermit: boolean;
   readonly signal: AbortSignal;
 }
 
-/** How an attempt went until the head of an answer. */
+/** The result of an attempt up to the response headers. */
 export type AttemptResult =
   | { readonly kind: 'answered'; readonly attempt: AnsweredAttempt }
-  /** The server had no part in it. */
+  /** No byte of the request can have reached the server. */
   | { readonly kind: 'not-sent'; readonly reason: string; readonly connectTimedOut: boolean }
-  /** It would be a repeat, and the budget has no room for one; no server is worth another try. */
+  /** The attempt would be a retry and the retry budget is used up, so other servers are not tried either. */
   | { readonly kind: 'no-budget'; readonly reason: string }
-  /** Its server wants nothing: it was not sent. */
+  /** Not sent, as the server is leaving, backing off or at its limit. */
   | { readonly kind: 'held-back'; readonly reason: string }
-  /** The server says that it has not run it. */
+  /** The server's answer states that it did not run the request. */
   | { readonly kind: 'not-executed'; readonly status: number }
-  /** It may have run; there is no answer. */
+  /** The request may have run, but there is no usable answer. */
   | { readonly kind: 'broken'; readonly reason: string };
 
 type FailedCall = Exclude<AttemptResult, { kind: 'answered' | 'no-budget' | 'held-back' }>;
@@ -106,18 +106,18 @@
   | HeldBack
   | { readonly kind: 'answered'; readonly attempt: Omit<AnsweredAttempt, 'noteRead'> };
 
-/** An attempt whose answer has begun. */
+/** An attempt whose response headers have arrived. */
 export interface AnsweredAttempt {
   readonly server: ServerRecord;
   readonly answer: BackendAnswer;
   readonly isStamped: boolean;
-  /** Call when the body has ended well or not. */
+  /** Call when the body has ended, with its outcome. */
   readonly end: (outcome: AnswerOutcome) => void;
-  /** Call when the prompt was read and did not run. */
+  /** Call when a prefill-only attempt has succeeded; a request's first prefill takes nothing from the retry budget. */
   readonly noteRead: () => void;
 }
 
-/** Options that are the same for most attempts. */
+/** Attempt options with the usual defaults. */
 export function defaultAttemptOptions(server: ServerRecord, signal: AbortSignal): AttemptOptions {
   return {
     server,
@@ -133,7 +133,7 @@
   };
 }
 
-/** Sends a request to a server and waits for the head of its answer. */
+/** Sends a request to a server and waits for the response headers. */
 export async function sendAttempt(
   exchange: Exchange,
   context: AttemptContext,
@@ -161,14 +161,14 @@
   const startedAtMs = timers.nowMs();
   const open = health.open(startedAtMs, options.expectedMs);
   const isWebCall = options.server.stage === undefined;
-  const noteWebCall = () => {
+  const recordWebCall = () => {
     if (isWebCall) context.webWork.recordCall(options.server.service);
   };
   const close = () => {
     health.close(open);
-    noteWebCall();
+    recordWebCall();
   };
-  noteWebCall();
+  recordWebCall();
   const headers = context.codec.backendHeaders(withoutConnectionHeaders(request.rawHeaders), {
     serverId: options.server.id,
     deadlineMs: Math.max(1, Math.floor(exchange.remainingMs())),
@@ -200,7 +200,7 @@
   const failed = (failure: FailedCall): FailedCall => {
     close();
     if (!options.signal.aborted) {
-      noteFailure(exchange, context, options, { failure, health, elapsedMs: elapsedMs() });
+      recordFailure(exchange, context, options, { failure, health, elapsedMs: elapsedMs() });
     }
     return failure;
   };
@@ -245,7 +245,7 @@
   return { kind: 'answered', attempt };
 }
 
-/** Whether it is certain that a server has not run it. */
+/** Whether it is certain that the server did not run the request. */
 export function hasNotRun(result: Pick<AttemptResult, 'kind'>): boolean {
   switch (result.kind) {
     case 'not-sent':
@@ -259,22 +259,25 @@
   }
 }
 
-/** How the body of a server's answer ended, and what that says of the server. */
+/** How the body of a server's answer ended. */
 export type AnswerOutcome =
   | { readonly kind: 'good' }
-  /** A whole answer that tells a failure of the server's own. */
+  /** A complete answer with a 5xx status. */
   | { readonly kind: 'server-error' }
-  /** It broke off, or is no answer. */
+  /** The body broke off, or it is not a valid answer to this request. */
   | { readonly kind: 'bad'; readonly reason: string };
 
-/** Statuses that promise a caller that its request has not run; a server that ran it may send them. */
+/**
+ * Whether a status tells callers that the request has not run. A server that did run it may send one of these all the
+ * same, so they are not forwarded as they are.
+ */
 export function statusImpliesNotExecuted(status: number): boolean {
   return status === 408 || status === 421 || status === 429 || status === 503;
 }
 
-/** What a whole answer of this status says of its server. */
+/** The outcome of a complete answer with this status. */
 export function completeAnswerOutcome(status: number): AnswerOutcome {
-  return status >= FIRST_SERVER_ERROR ? { kind: 'server-error' } : { kind: 'good' };
+  return status >= MIN_SERVER_ERROR_STATUS ? { kind: 'server-error' } : { kind: 'good' };
 }
 
 function once(callback: (outcome: AnswerOutcome) => void): (outcome: AnswerOutcome) => void {
@@ -286,19 +289,19 @@
   };
 }
 
-/** A call that came to nothing. */
-interface NotedFailure {
+/** A failed attempt. */
+interface FailureDetails {
   readonly failure: FailedCall;
-  /** Of the life that it was sent to; the server may have started again since. */
+  /** The health of the boot that the request was sent to; the server may have restarted since. */
   readonly health: ServerHealth;
   readonly elapsedMs: number;
 }
 
-function noteFailure(
+function recordFailure(
   exchange: Exchange,
   context: AttemptContext,
   options: AttemptOptions,
-  { failure, health, elapsedMs }: NotedFailure,
+  { failure, health, elapsedMs }: FailureDetails,
 ): void {
   const { log, metrics, description, timers } = exchange.options;
   if (failure.kind === 'not-executed') health.recordRefusal(timers.nowMs());
@@ -325,12 +328,12 @@
   });
 }
 
-/** The traits of an exchange's service where it has engines. */
+/** The engine traits of the exchange's service; undefined for a service without engines. */
 export function engineTraits(exchange: Exchange): EngineTraits | undefined {
   return exchange.options.configuration.services.get(exchange.options.service)?.engine;
 }
 
-/** Refuses what no server takes, with what speaks against the servers there are. */
+/** Refuses a request that no server takes; logs how many servers are leaving, backing off or at their limit. */
 export function refuseUnavailable(
   exchange: Exchange,
   context: AttemptContext,
@@ -343,11 +346,11 @@
   exchange.refuse(reason, retryAfterMs(exchange, context), { leaving, resting, atLimit });
 }
 
-/** When a refused caller may come back: when a server that is passed over now is tried again. */
+/** `Retry-After` of a refusal: the time until a server that is skipped now is expected to be tried again. */
 function retryAfterMs(exchange: Exchange, { fleet }: AttemptContext): number {
   const { service, route, timers } = exchange.options;
   const expectedMs = fleet.roomExpectedInMs(service, timers.nowMs());
   const waitMs = expectedMs ?? route.targetLatencyMs;
-  // Spread, so that those who were refused together do not come back together.
-  return waitMs * (1 + RETRY_SPREAD * Math.random());
+  // Jitter keeps callers that were refused at the same time from retrying at the same time.
+  return waitMs * (1 + RETRY_JITTER * Math.random());
 }
--- a/src/shell/gateway/backend-connections.ts
+++ b/src/shell/gateway/backend-connections.ts
@@ -1,20 +1,20 @@
 /**
- * Connections to backends and the calls on them. Tells apart what decides whether a request may be
- * sent again: not a byte of it can have left, or it may have run.
+ * Connections to backends and the calls on them. A failed call reports whether the request may be sent again: either
+ * no byte of it can have been sent, or it may have run.
  *
- * Connections are kept for repeatable calls only, and dropped well before the time at which the
- * server says it closes them (RFC 9112 section 9.3): a kept one that closes under a request leaves
- * open whether it ran.
+ * Connections are reused for repeatable calls only, and closed well before the server's own keep-alive time-out
+ * (RFC 9112 section 9.3): when a reused connection closes while a request is sent on it, whether that request ran is
+ * unknown.
  */
 import http, { type ClientRequest, type IncomingMessage } from 'node:http';
 import { connect, type Socket } from 'node:net';
 import type { RawHeaders } from './ports.js';
 import type { TimerService } from './timer-service.js';
 
-/** Kept this much shorter than the server says. */
-const KEEP_MARGIN_MS = 1_000;
-const LONGEST_KEEP_MS = 8_000;
-/** A connection that is not up by then is not waited for. */
+/** Idle connections are closed this much before the server's keep-alive time-out. */
+const KEEP_ALIVE_MARGIN_MS = 1_000;
+const MAX_KEEP_ALIVE_MS = 8_000;
+/** Limit on establishing a connection. */
 export const CONNECT_TIMEOUT_MS = 220;
 
 /** One call to a backend. */
@@ -25,22 +25,22 @@
   readonly path: string;
   readonly headers: RawHeaders;
   readonly body: Buffer;
-  /** Whether a kept connection may be used and this one be kept. */
+  /** Whether an idle connection may be reused, and this one be kept for reuse. */
   readonly mayKeepConnection: boolean;
   readonly connectTimeoutMs: number;
-  /** Ends the call and its connection. */
+  /** Aborts the call and closes its connection. */
   readonly signal: AbortSignal;
 }
 
-/** How a call went until the head of an answer. */
+/** The result of a call up to the response headers. */
 export type CallResult =
   | { readonly kind: 'answered'; readonly answer: BackendAnswer }
-  /** No byte of the request can have left; `connectTimedOut` when connecting was not answered at all. */
+  /** No byte of the request can have been sent; `connectTimedOut` when the connection was neither accepted nor refused. */
   | { readonly kind: 'not-sent'; readonly reason: string; readonly connectTimedOut: boolean }
   /** The request may have run. */
   | { readonly kind: 'broken'; readonly reason: string };
 
-/** The head of an answer, and its body as it comes. */
+/** The head of an answer, and its body as a stream. */
 export class BackendAnswer {
   readonly message: IncomingMessage;
   readonly #request: ClientRequest;
@@ -49,7 +49,7 @@
   constructor(request: ClientRequest, message: IncomingMessage) {
     this.#request = request;
     this.message = message;
-    // node:http takes an answer without a length as whole when its connection is reset.
+    // node:http reports an answer without a length as complete when its connection is reset.
     request.on('error', () => {
       this.#isBroken = true;
     });
@@ -65,26 +65,26 @@
     return this.message.statusCode ?? 0;
   }
 
-  /** After the body's end: whether it came whole. */
+  /** After the end of the body: whether it arrived completely. */
   get isComplete(): boolean {
     return this.message.complete && !this.#isBroken;
   }
 
   /**
-   * Whether only the end of the connection ends it (RFC 9112 section 6.3, rule 8). Nobody can tell
-   * such an answer that was cut from a whole one.
+   * Whether only the close of the connection marks the end of the body (RFC 9112 section 6.3, rule 8). A truncated
+   * answer of this kind cannot be told from a complete one.
    */
   get isCloseDelimited(): boolean {
     const { headers } = this.message;
     return headers['content-length'] === undefined && headers['transfer-encoding'] === undefined;
   }
 
-  /** Closes the connection; the server sees the request as given up. */
+  /** Closes the connection; the server sees the request as aborted. */
   destroy(): void {
     this.#request.destroy();
   }
 
-  /** The whole body, or undefined when it broke off or is too large. */
+  /** The complete body, or undefined when it broke off or is too large. */
   collect(maxBytes: number): Promise<Buffer | undefined> {
     return new Promise((resolve) => {
       const chunks: Buffer[] = [];
@@ -100,8 +100,8 @@
   }
 }
 
-/** Keeps idle connections no longer than the server does. */
-class KeepingAgent extends http.Agent {
+/** Closes idle connections before the server does. */
+class KeepAliveAgent extends http.Agent {
   constructor() {
     super({ keepAlive: true, scheduling: 'lifo' });
   }
@@ -115,15 +115,15 @@
       String(socket._httpMessage?.res?.headers['keep-alive'] ?? ''),
     )?.[1];
     if (hint === undefined) return false;
-    const keepMs = Math.min(LONGEST_KEEP_MS, Number(hint) * 1_000 - KEEP_MARGIN_MS);
+    const keepMs = Math.min(MAX_KEEP_ALIVE_MS, Number(hint) * 1_000 - KEEP_ALIVE_MARGIN_MS);
     if (keepMs <= 0) return false;
     socket.setTimeout(keepMs);
-    // Bytes after a whole answer belong to no request.
+    // Bytes after a complete answer belong to no request.
     socket.once('data', destroySocket);
     return true;
   }
 
-  /** Called by node:http when a kept connection gets a request. */
+  /** Called by node:http when an idle connection is reused for a request. */
   override reuseSocket(socket: Socket, request: ClientRequest): void {
     super.reuseSocket(socket, request);
     socket.setTimeout(0);
@@ -131,7 +131,7 @@
   }
 }
 
-/** Every request names a host (RFC 9112 section 3.2); the product's own calls name the address. */
+/** Every request needs a Host header (RFC 9112 section 3.2); the gateway's own calls use the server's address. */
 function withHost(headers: RawHeaders, address: string): string[] {
   const isNamed = headers.some((name, index) => index % 2 === 0 && name.toLowerCase() === 'host');
   return isNamed ? [...headers] : ['Host', address, ...headers];
@@ -154,8 +154,8 @@
 export class BackendConnections {
   readonly #timers: TimerService;
   readonly #freshAgent = new http.Agent({ keepAlive: false });
-  readonly #keepingAgent = new KeepingAgent();
-  /** Connections opened since the start. */
+  readonly #keepAliveAgent = new KeepAliveAgent();
+  /** Connections opened since the process started. */
   openedTotal = 0;
 
   constructor(timers: TimerService) {
@@ -166,7 +166,7 @@
     return new Promise((resolve) => {
       if (call.signal.aborted) return resolve(notSent('given up', false));
       const request = this.#open(call);
-      let mayHaveLeft = false;
+      let mayHaveSent = false;
       let connectTimedOut = false;
       let isSettled = false;
       const settle = (result: CallResult) => {
@@ -178,24 +178,24 @@
       const abort = () => request.destroy();
       call.signal.addEventListener('abort', abort, { once: true });
       const cancelConnectTimer = this.#timers.after(call.connectTimeoutMs, () => {
-        connectTimedOut = !mayHaveLeft;
+        connectTimedOut = !mayHaveSent;
         if (connectTimedOut) request.destroy(new Error('connecting took too long'));
       });
       request.on('socket', (socket) => {
         if (!socket.connecting) {
-          mayHaveLeft = true;
+          mayHaveSent = true;
           return;
         }
         this.openedTotal += 1;
         socket.once('connect', () => {
-          mayHaveLeft = true;
+          mayHaveSent = true;
         });
       });
       request.on('response', (message) => {
         settle({ kind: 'answered', answer: new BackendAnswer(request, message) });
       });
       const fail = (reason: string) =>
-        settle(mayHaveLeft ? { kind: 'broken', reason } : notSent(reason, connectTimedOut));
+        settle(mayHaveSent ? { kind: 'broken', reason } : notSent(reason, connectTimedOut));
       request.on('error', (error) => fail(error.message));
       request.on('close', () => {
         call.signal.removeEventListener('abort', abort);
@@ -205,7 +205,7 @@
     });
   }
 
-  /** Whether nothing listens at IP:PORT any more; false where that is not certain. */
+  /** Whether IP:PORT refuses connections; false also when connecting timed out or failed in another way. */
   isRefused(address: string): Promise<boolean> {
     const { host, port } = endpointOf(address);
     return new Promise((resolve) => {
@@ -224,9 +224,9 @@
     });
   }
 
-  /** Closes what is kept. */
+  /** Closes idle connections. */
   close(): void {
-    this.#keepingAgent.destroy();
+    this.#keepAliveAgent.destroy();
     this.#freshAgent.destroy();
   }
 
@@ -236,7 +236,7 @@
       method: call.method,
       path: call.path,
       headers: withHost(call.headers, call.address),
-      agent: call.mayKeepConnection ? this.#keepingAgent : this.#freshAgent,
+      agent: call.mayKeepConnection ? this.#keepAliveAgent : this.#freshAgent,
     });
   }
 }
--- a/src/shell/gateway/byte-budget.ts
+++ b/src/shell/gateway/byte-budget.ts
@@ -1,15 +1,15 @@
-/** Bounds the bytes that are sent: a rate, and a burst that may go at once after a pause. */
+/** Limits the rate of bytes sent, with a burst after a pause. */
 import type { TimerService } from './timer-service.js';
 
 const MILLISECONDS_PER_SECOND = 1_000;
 
-/** What a budget allows. */
+/** The rate and burst of a budget. */
 export interface ByteBudgetLimits {
   readonly bytesPerSecond: number;
   readonly burstBytes: number;
 }
 
-/** A token bucket of bytes. */
+/** A token bucket that counts bytes. */
 export class ByteBudget {
   readonly #limits: ByteBudgetLimits;
   readonly #timers: Pick<TimerService, 'nowMs'>;
@@ -23,7 +23,7 @@
     this.#atMs = timers.nowMs();
   }
 
-  /** What may be sent at this moment. */
+  /** Bytes that may be sent now; negative after `take` overdrew the budget. */
   get availableBytes(): number {
     const nowMs = this.#timers.nowMs();
     const { bytesPerSecond, burstBytes } = this.#limits;
@@ -33,12 +33,12 @@
     return this.#bytes;
   }
 
-  /** Takes bytes that are sent in any case; what is lacking is made up before more is sent. */
+  /** Takes bytes that are sent in any case; the budget may go below zero and is refilled from there. */
   take(bytes: number): void {
     this.#bytes = this.availableBytes - bytes;
   }
 
-  /** Takes bytes from the budget if they are there. */
+  /** Takes bytes if the budget has that many; otherwise takes none and returns false. */
   tryTake(bytes: number): boolean {
     if (bytes > this.availableBytes) return false;
     this.#bytes -= bytes;
@@ -46,10 +46,10 @@
   }
 }
 
-/** UDP and IPv4 headers. */
+/** Size of the UDP and IPv4 headers. */
 const DATAGRAM_OVERHEAD_BYTES = 28;
 
-/** What a datagram takes of a link. */
+/** The bytes that a datagram takes on the network, with its headers. */
 export function datagramWireBytes(bytes: Buffer): number {
   return bytes.length + DATAGRAM_OVERHEAD_BYTES;
 }
--- a/src/shell/gateway/caller-listener.ts
+++ b/src/shell/gateway/caller-listener.ts
@@ -1,6 +1,6 @@
 /**
- * The callers' listener: reads requests within the configured limits, finds their route and hands
- * them on. Framing is checked by node:http (RFC 9112 section 6.3).
+ * The HTTP listener for callers: authenticates requests, reads them within the configured limits, finds their route
+ * and starts the exchange. node:http checks the framing (RFC 9112 section 6.3).
  */
 import { createHash } from 'node:crypto';
 import http, { type IncomingMessage, type Server, type ServerResponse } from 'node:http';
@@ -15,29 +15,29 @@
 import type { TimerService } from './timer-service.js';
 import { runWebExchange } from './whole-exchange.js';
 
-/** The parser's own bound; the configured one is checked on what was read. */
+/** Limit of the HTTP parser; the configured limit is checked after parsing. */
 const MAX_PARSED_HEADER_BYTES = 131_072;
 const HEADER_OVERHEAD_BYTES = 4;
 const MILLISECONDS_PER_SECOND = 1_000;
 const UNPREPARED_RETRY_AFTER_MS = 1_000;
 const CONNECTION_CHECK_MS = 1_000;
 const DEFAULT_IDLE_MS = 15_000;
-/** Enough to find the tenant that has a key, and too little to find the key. */
+/** Enough digits to find the tenant of a key in the log, and too few to recover the key. */
 const KEY_DIGEST_DIGITS = 8;
-/** A refusal for want of a key names how one is given (RFC 9110 section 11.6.1). */
+/** A 401 names the authentication scheme (RFC 9110 section 11.6.1). */
 const CHALLENGE = ['WWW-Authenticate', 'ApiKey'] as const;
 
-/** What a listener is built from. */
+/** Dependencies of the listener. */
 export interface CallerListenerOptions {
   readonly context: AttemptContext;
   readonly timers: TimerService;
   readonly log: GatewayLog;
   readonly metrics: GatewayMetrics;
-  /** How old the last look for a newer configuration is. */
+  /** Time since the last check for a newer configuration. */
   readonly configurationCheckAgeMs: () => number;
 }
 
-/** A request that has been read, with its route and whose it is. */
+/** A request that has been read, with its route and tenant. */
 interface AdmittedRequest {
   readonly request: IncomingMessage;
   readonly response: ServerResponse;
@@ -48,11 +48,11 @@
   readonly arrivedAtMs: number;
 }
 
-/** Takes callers' requests. */
+/** Accepts callers' requests. */
 export class CallerListener {
   readonly #options: CallerListenerOptions;
   readonly #server: Server;
-  /** When the requests under way are cut; undefined unless the daemon is stopping. */
+  /** When requests in flight are aborted; undefined unless the daemon is stopping. */
   #stopsAtMs: number | undefined;
   #inFlight = 0;
 
@@ -66,7 +66,7 @@
         connectionsCheckingInterval: CONNECTION_CHECK_MS,
       },
       (request, response) => {
-        void this.#take(request, response);
+        void this.#handle(request, response);
       },
     );
   }
@@ -80,18 +80,18 @@
     return this.#server;
   }
 
-  /** Takes the limits of a configuration for new connections. */
+  /** Applies the limits of a configuration to new connections. */
   applyLimits(limits: ConfigurationInForce['configuration']['limits']): void {
     this.#server.keepAliveTimeout = limits.idleTimeoutMs;
     this.#server.headersTimeout = limits.headerTimeoutMs;
   }
 
-  /** From now on answers ask callers to close their connections. */
+  /** From now on answers carry `Connection: close`. */
   beginStop(stopsAtMs: number): void {
     this.#stopsAtMs = stopsAtMs;
   }
 
-  async #take(request: IncomingMessage, response: ServerResponse): Promise<void> {
+  async #handle(request: IncomingMessage, response: ServerResponse): Promise<void> {
     this.#inFlight += 1;
     response.once('close', () => {
       this.#inFlight -= 1;
@@ -100,9 +100,10 @@
     const arrivedAtMs = this.#options.timers.nowMs();
     const { context } = this.#options;
     const { inForce } = context.fleet;
-    if (inForce === undefined) return this.#rejectYet(request, response, 'no configuration yet');
+    if (inForce === undefined)
+      return this.#rejectNotReady(request, response, 'no configuration yet');
     if (!context.crashes.isPrepared) {
-      return this.#rejectYet(request, response, 'this daemon has just started');
+      return this.#rejectNotReady(request, response, 'this daemon has just started');
     }
     const route = inForce.routes.find(request.headers.host ?? '', request.url ?? '/');
     if (route === undefined) return this.#rejectRoute(request, response, inForce);
@@ -115,10 +116,10 @@
     if (body === 'too-large') return this.#reject(request, response, 413, 'body too large', []);
     if (body === 'broken') return;
     const { tenant } = admission;
-    await this.#exchange({ request, response, inForce, route, tenant, body, arrivedAtMs });
+    await this.#runExchange({ request, response, inForce, route, tenant, body, arrivedAtMs });
   }
 
-  async #exchange(admitted: AdmittedRequest): Promise<void> {
+  async #runExchange(admitted: AdmittedRequest): Promise<void> {
     const { request, response, inForce, route, tenant, body, arrivedAtMs } = admitted;
     const { context, timers, log, metrics } = this.#options;
     const description = context.codec.describe(request.headers);
@@ -149,13 +150,13 @@
     else await runWebExchange(exchange, context);
   }
 
-  /** The daemon takes no requests yet. */
-  #rejectYet(request: IncomingMessage, response: ServerResponse, reason: string): void {
+  /** Rejects a request that came before the daemon is ready for requests. */
+  #rejectNotReady(request: IncomingMessage, response: ServerResponse, reason: string): void {
     const seconds = String(UNPREPARED_RETRY_AFTER_MS / MILLISECONDS_PER_SECOND);
     this.#reject(request, response, 503, reason, ['Retry-After', seconds]);
   }
 
-  /** Says which version knows no such route, and how old it is: another may have one. */
+  /** Logs the configuration version without a matching route and its age, as a newer version may have the route. */
   #rejectRoute(
     request: IncomingMessage,
     response: ServerResponse,
@@ -172,7 +173,7 @@
     this.#reject(request, response, 404, 'no such route', []);
   }
 
-  /** Says which key was not known by the beginning of its digest; the key itself is a secret. */
+  /** Logs the start of the unknown key's digest; the key itself is a secret. */
   #rejectKey(
     request: IncomingMessage,
     response: ServerResponse,
@@ -214,7 +215,7 @@
   return createHash('sha256').update(apiKey).digest('hex').slice(0, KEY_DIGEST_DIGITS);
 }
 
-/** The size of a request's headers as they were sent. */
+/** The size of a request's headers on the wire. */
 function headerBytes(request: IncomingMessage): number {
   let bytes = 0;
   for (const text of request.rawHeaders) bytes += text.length;
@@ -225,8 +226,8 @@
   request: IncomingMessage,
   maxBytes: number,
 ): Promise<Buffer | 'too-large' | 'broken'> {
-  const announced = Number(request.headers['content-length'] ?? 0);
-  if (announced > maxBytes) return Promise.resolve('too-large');
+  const declaredBytes = Number(request.headers['content-length'] ?? 0);
+  if (declaredBytes > maxBytes) return Promise.resolve('too-large');
   return new Promise((resolve) => {
     const chunks: Buffer[] = [];
     let length = 0;
--- a/src/shell/gateway/entry-of.ts
+++ b/src/shell/gateway/entry-of.ts
@@ -1,4 +1,4 @@
-/** A map's entry, created where there is none. */
+/** Returns the map's value for a key and creates it if there is none. */
 export function getOrCreate<Value>(
   map: Map<string, Value>,
   key: string,
--- a/src/shell/gateway/event-splitter.ts
+++ b/src/shell/gateway/event-splitter.ts
@@ -1,46 +1,47 @@
 /**
- * Cuts a stream into whole events (each ends with an empty line, as in the HTML standard's server-
- * sent events), so that a stream that breaks inside one can go on cleanly at another server.
+ * Splits a stream into complete server-sent events (each ends with an empty line, as in the HTML standard), so that a
+ * stream that breaks inside an event can be resumed at another server without a partial event.
  */
 
 const LINE_FEED = 0x0a;
 const CARRIAGE_RETURN = 0x0d;
 const EMPTY = Buffer.alloc(0);
 
-/** Collects bytes and gives back whole events. */
+/** Buffers bytes and returns complete events. */
 export class EventSplitter {
-  #rest: Buffer = EMPTY;
+  #partialEvent: Buffer = EMPTY;
   #lastEventId: string | undefined;
 
-  /** The id of the last whole event. */
+  /** The id of the last complete event. */
   get lastEventId(): string | undefined {
     return this.#lastEventId;
   }
 
-  /** The bytes up to the end of the last whole event; empty when there is none. */
+  /** Adds a chunk; returns the bytes up to the end of the last complete event, empty when there is none. */
   push(chunk: Buffer): Buffer {
-    const bytes = this.#rest.length === 0 ? chunk : Buffer.concat([this.#rest, chunk]);
+    const bytes =
+      this.#partialEvent.length === 0 ? chunk : Buffer.concat([this.#partialEvent, chunk]);
     const end = endOfLastEvent(bytes);
-    this.#rest = bytes.subarray(end);
-    const whole = bytes.subarray(0, end);
-    if (end > 0) this.#noteIds(whole);
-    return whole;
+    this.#partialEvent = bytes.subarray(end);
+    const complete = bytes.subarray(0, end);
+    if (end > 0) this.#recordIds(complete);
+    return complete;
   }
 
-  /** Drops what is not whole, before another server goes on. */
+  /** Discards an incomplete event before another server resumes the stream. */
   discardPartialEvent(): void {
-    this.#rest = EMPTY;
+    this.#partialEvent = EMPTY;
   }
 
-  /** The bytes after the last whole event, at the end of a whole stream. */
+  /** Takes the bytes after the last complete event, at the end of a complete stream. */
   takeRemainder(): Buffer {
-    const rest = this.#rest;
-    this.#rest = EMPTY;
-    return rest;
+    const remainder = this.#partialEvent;
+    this.#partialEvent = EMPTY;
+    return remainder;
   }
 
-  #noteIds(whole: Buffer): void {
-    const text = whole.toString('latin1');
+  #recordIds(complete: Buffer): void {
+    const text = complete.toString('latin1');
     for (const match of text.matchAll(/^id: ?(.*?)\r?$/gm)) this.#lastEventId = match[1];
   }
 }
--- a/src/shell/gateway/exchange.ts
+++ b/src/shell/gateway/exchange.ts
@@ -1,6 +1,6 @@
 /**
- * One caller's request from arrival to its one final answer: its limits in time, whether the caller
- * is still there, and the ways it can end.
+ * One caller's request from arrival to its single final answer: its deadline, whether the caller is still connected,
+ * and the ways it can end.
  */
 import type { IncomingMessage, ServerResponse } from 'node:http';
 import {
@@ -19,28 +19,28 @@
 
 const MILLISECONDS_PER_SECOND = 1_000;
 
-/** Why an exchange was ended from outside of its attempts. */
+/** Why an exchange was interrupted independently of its attempts. */
 export type Interruption = 'caller-gone' | 'out-of-time';
 
-/** A backend's answer that has been read to its end. */
+/** A backend's answer with its complete body. */
 export interface CompleteAnswer {
   readonly status: number;
   readonly headers: RawHeaders;
   readonly body: Buffer;
   readonly serverId: string;
-  /** Whether it had no end but that of its connection. */
+  /** Whether only the close of the connection marked the end of its body. */
   readonly isCloseDelimited: boolean;
 }
 
-/** What an exchange is built from. */
+/** The request and the dependencies of an exchange. */
 export interface ExchangeOptions {
   readonly request: IncomingMessage;
   readonly response: ServerResponse;
   readonly route: Route;
   readonly service: string;
-  /** Whose it is; undefined where requests need no key. */
+  /** The tenant of the API key; undefined where requests need no key. */
   readonly tenant: Tenant | undefined;
-  /** By tenant and route, 0 the most urgent. */
+  /** Priority class by tenant and route; 0 is the most urgent. */
   readonly rank: number;
   readonly configuration: GatewayConfiguration;
   readonly description: RequestDescription;
@@ -49,28 +49,28 @@
   readonly timers: TimerService;
   readonly log: GatewayLog;
   readonly metrics: GatewayMetrics;
-  /** Whether answers ask the caller to close its connection. */
+  /** When a stopping daemon aborts requests; unless undefined, answers carry `Connection: close`. */
   readonly stopsAtMs: () => number | undefined;
 }
 
-/** Times of a request's steps, as far as it has come. */
+/** Durations of a request's steps; undefined for steps that have not happened. */
 export interface StepTimes {
-  /** How long reading its prompt at another engine took. */
+  /** Duration of the prefill at a separate engine. */
   prefillMs: number | undefined;
-  /** From its arrival to the first event. */
+  /** From the request's arrival to the first event. */
   firstEventMs: number | undefined;
 }
 
-/** A caller's request under way. */
+/** A caller's request in flight. */
 export class Exchange {
   readonly options: ExchangeOptions;
-  /** When the caller, or the route, gives up on it. */
-  readonly endsAtMs: number;
-  /** Servers that have been sent it. */
+  /** The earlier of the caller's deadline and the route's time-out. */
+  readonly deadlineAtMs: number;
+  /** Servers that the request was sent to. */
   readonly triedServerIds = new Set<string>();
-  /** How long its steps took, for the line on its end. */
+  /** Durations for the log line at the end of the request. */
   readonly stepTimesMs: StepTimes = { prefillMs: undefined, firstEventMs: undefined };
-  /** Its arrivals at servers, for the budget of repeats. */
+  /** Counts the request's arrivals at servers for the retry budget. */
   readonly sends = new SendMeter();
   #openRuns = 0;
   #endedRuns = 0;
@@ -83,8 +83,8 @@
     this.options = options;
     const { route, description, arrivedAtMs, timers, response } = options;
     const allowedMs = Math.min(route.timeoutMs, description.deadlineMs ?? route.timeoutMs);
-    this.endsAtMs = arrivedAtMs + allowedMs;
-    this.#cancelTimer = timers.after(this.endsAtMs - timers.nowMs(), () =>
+    this.deadlineAtMs = arrivedAtMs + allowedMs;
+    this.#cancelTimer = timers.after(this.deadlineAtMs - timers.nowMs(), () =>
       this.#interrupt('out-of-time'),
     );
     response.once('close', () => {
@@ -93,28 +93,28 @@
     });
   }
 
-  /** Aborted when the caller left or the time is over. */
+  /** Aborted when the caller disconnected or the deadline has passed. */
   get signal(): AbortSignal {
     return this.#interrupted.signal;
   }
 
-  /** Servers that may have run it, for the route's bound on attempts. */
+  /** The number of sends that ran or may have run, which the route's attempts limit. */
   get runs(): number {
     return this.#openRuns + this.#endedRuns;
   }
 
-  /** Whether any server may have run it, or may be running it now. */
+  /** Whether any server may have run the request, or may be running it now. */
   get mayHaveRun(): boolean {
     return this.runs > 0;
   }
 
-  /** It is about to be sent to a server that would run it. */
+  /** Records that the request is about to be sent to a server that would run it. */
   beginRun(serverId: string): void {
     this.triedServerIds.add(serverId);
     this.#openRuns += 1;
   }
 
-  /** The sending is over; `hasNotRun` only when that is certain. */
+  /** Records the end of a send; `hasNotRun` only when it is certain that the server did not run the request. */
   endRun(hasNotRun: boolean): void {
     this.#openRuns -= 1;
     if (!hasNotRun) this.#endedRuns += 1;
@@ -125,35 +125,35 @@
   }
 
   remainingMs(): number {
-    return this.endsAtMs - this.options.timers.nowMs();
+    return this.deadlineAtMs - this.options.timers.nowMs();
   }
 
   elapsedMs(): number {
     return this.options.timers.nowMs() - this.options.arrivedAtMs;
   }
 
-  /** A backend's whole answer. */
+  /** Answers with a backend's complete answer. */
   answer(answer: CompleteAnswer): void {
     const { status, headers, body, serverId } = answer;
     const framing = answer.isCloseDelimited ? [] : ['Content-Length', String(body.length)];
-    if (answer.isCloseDelimited) this.#endByClose();
+    if (answer.isCloseDelimited) this.#delimitByClose();
     if (!this.#begin(status, [...headers, ...framing])) return;
     this.options.response.end(body);
     this.finish('answered', { status, server: serverId });
   }
 
   /**
-   * The head of a stream.
-   * @param isCloseDelimited whether the backend's answer has no end but that of its connection
+   * Sends the headers of a stream; false when the request is answered already or the caller has disconnected.
+   * @param isCloseDelimited whether only the close of the connection marks the end of the backend's answer
    */
   beginStream(status: number, headers: RawHeaders, isCloseDelimited: boolean): boolean {
-    if (isCloseDelimited) this.#endByClose();
+    if (isCloseDelimited) this.#delimitByClose();
     return this.#begin(status, headers);
   }
 
   /**
-   * Refuses with the promise that it has not run and never will; fails it where it may have run.
-   * @param details more to be said in the log
+   * Refuses with a 503, which promises that the request has not run and will not; fails it where it may have run.
+   * @param details further log fields
    */
   refuse(reason: string, retryAfterMs: number, details: LogFields = {}): void {
     if (this.mayHaveRun) {
@@ -161,7 +161,7 @@
       return;
     }
     const seconds = Math.max(0.05, retryAfterMs / MILLISECONDS_PER_SECOND).toFixed(2);
-    this.#answerOwn(503, reason, ['Retry-After', seconds]);
+    this.#answerText(503, reason, ['Retry-After', seconds]);
     this.#record('refused', reason);
     this.options.log.write(GATEWAY_EVENTS.requestRefused, {
       ...this.#fields(),
@@ -171,29 +171,29 @@
     });
   }
 
-  /** Ends it without a promise. */
+  /** Answers with an error that leaves open whether the request ran. */
   fail(status: 502 | 504, reason: string, details: LogFields = {}): void {
-    this.#answerOwn(status, reason, []);
+    this.#answerText(status, reason, []);
     this.#record('failed', reason);
     const fields = { ...this.#fields(), status, reason, ...details };
     this.options.log.write(GATEWAY_EVENTS.requestFailed, fields);
   }
 
-  /** Breaks off what has begun, visibly: an answer that ends early must not look whole. */
+  /** Aborts a response that has begun by closing its connection, so that a truncated answer does not look complete. */
   abortResponse(reason: string): void {
     this.options.response.destroy();
     this.#record('broken-off', reason);
     this.options.log.write(GATEWAY_EVENTS.requestFailed, { ...this.#fields(), reason });
   }
 
-  /** Says how it ended and stops its clock. */
+  /** Logs and counts the outcome and cancels the deadline timer. */
   finish(outcome: string, fields: Readonly<Record<string, string | number | boolean>>): void {
     this.#cancelTimer();
     this.#record(outcome, '');
     this.options.log.write(GATEWAY_EVENTS.requestEnded, { ...this.#fields(), outcome, ...fields });
   }
 
-  /** Ends it after an interruption, when no attempt is left to do so. */
+  /** Ends the exchange after an interruption. */
   endInterrupted(): void {
     if (this.#interruption === 'caller-gone') {
       this.finish('caller-gone', {});
@@ -204,8 +204,8 @@
     else this.refuse('out of time before it was sent', 0);
   }
 
-  /** The caller's answer gets no more of an end than the backend's had: it vouches for nothing. */
-  #endByClose(): void {
+  /** Sends neither a length nor chunks, so that the caller's answer does not look more reliably complete than the backend's. */
+  #delimitByClose(): void {
     const { response } = this.options;
     response.useChunkedEncodingByDefault = false;
     response.shouldKeepAlive = false;
@@ -220,7 +220,7 @@
     return true;
   }
 
-  #answerOwn(status: number, reason: string, headers: RawHeaders): void {
+  #answerText(status: number, reason: string, headers: RawHeaders): void {
     this.#cancelTimer();
     const body = Buffer.from(`${reason}\n`);
     const own = ['Content-Type', 'text/plain', 'Content-Length', String(body.length)];
--- a/src/shell/gateway/model-exchange.ts
+++ b/src/shell/gateway/model-exchange.ts
@@ -1,7 +1,7 @@
 /**
- * Requests to model engines: the prompt is read at one engine and goes on at another, or a decode
- * engine does both. Memory that is not used is freed. A stream that breaks goes on at another
- * engine where its route allows it, and otherwise ends visibly broken.
+ * Requests to model engines: one engine runs the prefill and another decodes, or a decode engine does both. KV memory
+ * that no engine decodes from is freed. A stream that breaks is resumed at another engine where its route allows it;
+ * otherwise the caller's connection is closed, so that the stream does not look complete.
  */
 import { type EnginePlan, isRepeatable, type ServerRecord } from '../../core/gateway/index.js';
 import { withoutConnectionHeaders } from '../http/headers.js';
@@ -25,9 +25,9 @@
 import { StreamRelay } from './stream-relay.js';
 
 const MAX_ERROR_BYTES = 1_048_576;
-/** Turned down or out of reach this often, a request is refused. */
-const MAX_TURNED_DOWN = 3;
-/** Another daemon takes the request at once. */
+/** A request is refused after more rejections and failed connections than this. */
+const MAX_REJECTIONS = 3;
+/** Short, as another daemon can take the request at once. */
 const STOPPING_RETRY_AFTER_MS = 50;
 
 /** Runs a model request to its final answer. */
@@ -35,7 +35,7 @@
   await new ModelRun(exchange, context).run();
 }
 
-/** What to do after a step. */
+/** Whether the request has ended or takes another step. */
 type NextStep = 'done' | 'again';
 
 class ModelRun {
@@ -44,7 +44,7 @@
   readonly #planner: ModelPlanner;
   readonly #relay: StreamRelay;
   readonly #isRepeatable: boolean;
-  #turnedDown = 0;
+  #rejections = 0;
   #prefillFailed = false;
   #way = 'direct';
   #lastReason = 'no engine';
@@ -70,7 +70,7 @@
     }
     let next = await this.#step();
     while (next === 'again') {
-      // Whether its last server ended decides whether another one may be lost to it.
+      // A request that crashed its last server may be quarantined, so the check of that server comes before the next one.
       await this.#context.crashes.whenChecked(this.#exchange);
       next = await this.#step();
     }
@@ -79,8 +79,8 @@
   async #step(): Promise<NextStep> {
     const exchange = this.#exchange;
     if (exchange.signal.aborted) return this.#endInterrupted();
-    if (!this.#mayRunOnceMore()) return this.#giveUp();
-    const plan = await this.#planWithRoom();
+    if (!this.#mayRunAgain()) return this.#giveUp();
+    const plan = await this.#planWhenAdmitted();
     if (plan === 'no-room') return exchange.signal.aborted ? this.#endInterrupted() : 'done';
     if (plan === undefined) return this.#giveUp();
     switch (plan.kind) {
@@ -91,39 +91,39 @@
     }
   }
 
-  /** The plan by which the request goes, once there is room and a permit; undefined when no engine is left. */
-  async #planWithRoom(): Promise<EnginePlan | 'no-room' | undefined> {
+  /** The plan to follow, once there is capacity and a permit; undefined when no engine is left. */
+  async #planWhenAdmitted(): Promise<EnginePlan | 'no-room' | undefined> {
     const { limits } = this.#context;
     for (;;) {
       const wanted = this.#planner.limitedChoice({ mayPrefill: !this.#prefillFailed });
       if (wanted.length > 0) await limits.requestPermits(wanted);
       if (this.#exchange.signal.aborted) return 'no-room';
-      const plan = await this.#planInRoom();
+      const plan = await this.#admitPlan();
       if (plan !== undefined) return plan;
       if (!(await limits.waitForPermit(permitWaitRequestOf(this.#exchange)))) return undefined;
     }
   }
 
-  async #planInRoom(): Promise<EnginePlan | 'no-room' | undefined> {
+  async #admitPlan(): Promise<EnginePlan | 'no-room' | undefined> {
     const exchange = this.#exchange;
     const { admission } = this.#context;
     const limits = { mayPrefill: !this.#prefillFailed };
-    if (!admission.isOn || exchange.isAnswered) return this.#planAtOnce(limits);
-    const ask = this.#planner.admissionCheck(limits);
-    if (ask === undefined) return undefined;
-    const leave = await admission.admit(exchange, ask);
-    if (leave === undefined) return 'no-room';
-    leave();
-    return exchange.signal.aborted ? 'no-room' : ask.plan();
+    if (!admission.isOn || exchange.isAnswered) return this.#planWithoutWaiting(limits);
+    const check = this.#planner.admissionCheck(limits);
+    if (check === undefined) return undefined;
+    const release = await admission.admit(exchange, check);
+    if (release === undefined) return 'no-room';
+    release();
+    return exchange.signal.aborted ? 'no-room' : check.plan();
   }
 
-  #planAtOnce(limits: PlanLimits): EnginePlan | 'no-room' | undefined {
+  #planWithoutWaiting(limits: PlanLimits): EnginePlan | 'no-room' | undefined {
     const exchange = this.#exchange;
     const plan = this.#planner.plan(limits);
     if (plan === undefined) return undefined;
-    const hopeless = this.#planner.refusalOf(plan);
-    if (hopeless === undefined || exchange.isAnswered) return plan;
-    exchange.refuse('no engine is expected to answer in time', hopeless.retryAfterMs);
+    const refusal = this.#planner.refusalOf(plan);
+    if (refusal === undefined || exchange.isAnswered) return plan;
+    exchange.refuse('no engine is expected to answer in time', refusal.retryAfterMs);
     return 'no-room';
   }
 
@@ -131,43 +131,43 @@
     this.#way = 'hand-over';
     const source = plan.prefill.server;
     const priority = this.#planner.priorityOf(plan);
-    const place = this.#holdPlace(source);
+    const permit = this.#reservePermit(source);
     const memory = await runPrefill(this.#exchange, this.#context, plan, priority);
     if (memory === undefined || memory === 'held-back') {
-      this.#context.limits.returnPermits(place);
-      // Another engine may read it as well where this one takes no more for now.
+      this.#context.limits.returnPermits(permit);
+      // When the prefill was only held back, another prefill engine may still take it.
       if (memory === undefined) this.#prefillFailed = true;
       this.#way = 'direct';
       return 'again';
     }
     if (this.#exchange.signal.aborted) {
-      this.#context.limits.returnPermits(place);
+      this.#context.limits.returnPermits(permit);
       this.#freeUnused(memory, plan);
       return this.#endInterrupted();
     }
-    const server = await this.#engineAfter(source, place);
+    const server = await this.#decodeEngineFor(source, permit);
     if (server === undefined || this.#context.crashes.isQuarantined(this.#exchange)) {
       this.#freeUnused(memory, plan);
       return this.#giveUp();
     }
-    return this.#run(server, memory, undefined, plan, server === place?.server);
+    return this.#run(server, memory, undefined, plan, server === permit?.server);
   }
 
-  #holdPlace(source: ServerRecord): PermitReservation | undefined {
+  #reservePermit(source: ServerRecord): PermitReservation | undefined {
     const { service } = this.#exchange.options;
     return this.#context.limits.reservePermit(service, () =>
       this.#planner.decodeEngineAfter(source),
     );
   }
 
-  /** The engine that goes on; the list, and the permits, may have changed while the prompt was read. */
-  async #engineAfter(
+  /** The decode engine after the prefill; the server list and the permits may have changed meanwhile. */
+  async #decodeEngineFor(
     source: ServerRecord,
-    place: PermitReservation | undefined,
+    permit: PermitReservation | undefined,
   ): Promise<ServerRecord | undefined> {
     const { limits } = this.#context;
-    if (place !== undefined && limits.isUsable(place)) return place.server;
-    limits.returnPermits(place);
+    if (permit !== undefined && limits.isUsable(permit)) return permit.server;
+    limits.returnPermits(permit);
     const wanted = this.#planner.limitedRunChoice(source, 'any');
     if (wanted.length > 0) await limits.requestPermits(wanted);
     const server = this.#planner.decodeEngineAfter(source);
@@ -176,7 +176,7 @@
     return mayTry ? this.#planner.decodeEngineAfter(source) : undefined;
   }
 
-  /** Lets an engine generate and passes its stream on. */
+  /** Sends the request to a decode engine and relays its stream. */
   async #run(
     server: ServerRecord,
     memorySource: MemorySource | undefined,
@@ -217,16 +217,16 @@
       return next;
     }
     load.running -= 1;
-    // It was not sent there: it may be once the engine takes more.
+    // The request was not sent to this engine, so it may be once the engine takes more.
     if (result.kind === 'held-back') exchange.triedServerIds.delete(server.id);
-    const other = this.#engineInstead(result, memorySource, plan);
-    if (other !== undefined) return this.#run(other, memorySource, undefined, plan);
+    const fallback = this.#fallbackEngine(result, memorySource, plan);
+    if (fallback !== undefined) return this.#run(fallback, memorySource, undefined, plan);
     this.#freeUnused(memorySource, plan);
     this.#lastReason = 'reason' in result ? result.reason : `status ${result.status}`;
     if (result.kind === 'no-budget') return this.#giveUp();
     if (result.kind === 'broken' || result.kind === 'held-back') return 'again';
-    this.#turnedDown += 1;
-    // The memory may be what could not be had: the next engine reads the prompt by itself.
+    this.#rejections += 1;
+    // Fetching the KV memory may be what failed, so the next engine runs the prefill itself.
     if (memorySource !== undefined) {
       this.#prefillFailed = true;
       exchange.triedServerIds.delete(server.id);
@@ -234,20 +234,20 @@
     return 'again';
   }
 
-  /** Memory that no engine has been asked for yet serves at another one as well. */
-  #engineInstead(
+  /** Another decode engine for the same KV memory, when the request did not reach the chosen one; undefined otherwise. */
+  #fallbackEngine(
     result: AttemptResult,
     memory: MemorySource | undefined,
     plan: EnginePlan,
   ): ServerRecord | undefined {
     const wasSent = result.kind !== 'not-sent' && result.kind !== 'held-back';
     if (wasSent || memory === undefined || plan.kind !== 'prefill') return undefined;
-    if (result.kind === 'not-sent') this.#turnedDown += 1;
-    if (this.#exchange.signal.aborted || !this.#mayRunOnceMore()) return undefined;
+    if (result.kind === 'not-sent') this.#rejections += 1;
+    if (this.#exchange.signal.aborted || !this.#mayRunAgain()) return undefined;
     return this.#planner.decodeEngineAfter(plan.prefill.server);
   }
 
-  /** Memory that was read for this request and that no engine goes on from. */
+  /** Frees the KV memory of a prefill that no engine decodes from. */
   #freeUnused(memory: MemorySource | undefined, plan: EnginePlan): void {
     if (memory === undefined || plan.kind !== 'prefill') return;
     freeKvMemory(this.#exchange, this.#context, memory, plan.prefill.server);
@@ -256,8 +256,8 @@
   async #relayAnswer(attempt: AnsweredAttempt): Promise<NextStep> {
     const exchange = this.#exchange;
     const { answer } = attempt;
-    if (answer.status < 200 || answer.status >= 300) return this.#passFailureOn(attempt);
-    // An engine answers with the first token, so the run has just begun.
+    if (answer.status < 200 || answer.status >= 300) return this.#forwardFailure(attempt);
+    // An engine sends the response headers with the first token, so the run has just begun.
     this.#context.recordRunStart(exchange, 0);
     if (!attempt.isStamped) {
       this.#lastReason = 'a success without a stamp';
@@ -285,8 +285,8 @@
     }
   }
 
-  /** The engine's own failure, which the caller gets unless another engine may try. */
-  async #passFailureOn(attempt: AnsweredAttempt): Promise<NextStep> {
+  /** Forwards an engine's error answer to the caller, unless another engine may try. */
+  async #forwardFailure(attempt: AnsweredAttempt): Promise<NextStep> {
     const { answer } = attempt;
     const body = await answer.collect(MAX_ERROR_BYTES);
     this.#lastReason = `status ${answer.status}`;
@@ -296,7 +296,7 @@
         : completeAnswerOutcome(answer.status),
     );
     if (this.#exchange.signal.aborted) return this.#endInterrupted();
-    const isFinal = !this.#mayRunOnceMore() && !this.#relay.hasBegun;
+    const isFinal = !this.#mayRunAgain() && !this.#relay.hasBegun;
     if (body === undefined || !isFinal || statusImpliesNotExecuted(answer.status)) return 'again';
     const headers = withoutConnectionHeaders(answer.message.rawHeaders);
     this.#exchange.answer({
@@ -309,11 +309,11 @@
     return 'done';
   }
 
-  #mayRunOnceMore(): boolean {
+  #mayRunAgain(): boolean {
     const exchange = this.#exchange;
     if (this.#context.crashes.isQuarantined(exchange)) return false;
     if (exchange.mayHaveRun && !this.#isRepeatable) return false;
-    if (this.#turnedDown > MAX_TURNED_DOWN) return false;
+    if (this.#rejections > MAX_REJECTIONS) return false;
     if (exchange.runs >= Math.max(1, exchange.options.route.attempts)) return false;
     return !this.#relay.hasBegun || this.#relay.lastEventId !== undefined;
   }
--- a/src/shell/gateway/model-room-ask.ts
+++ b/src/shell/gateway/model-room-ask.ts
@@ -1,4 +1,4 @@
-/** What a model request asks of the waiting room: its place by the best plan there is, planned anew each time. */
+/** The admission check of a model request: each check plans the request anew and decides by the best plan. */
 import {
   type EnginePlan,
   type Placement,
@@ -10,18 +10,18 @@
 import type { Exchange } from './exchange.js';
 import { type AdmissionCheck, roundedOrNull } from './room-ask.js';
 
-/** How the request is planned. */
+/** How the check plans the request. */
 export interface ModelAdmissionCheckOptions {
-  /** The plan that was made just now. */
+  /** The plan for the first check. */
   readonly first: EnginePlan;
-  /** Within this an answer is in time. */
+  /** An answer within this time of the arrival is in time. */
   readonly latencyBudgetMs: number;
-  /** Undefined where no engine is left. */
+  /** Plans the request anew; undefined where no engine is left. */
   replan(): EnginePlan | undefined;
   logPlan(plan: EnginePlan): void;
 }
 
-/** The ask of one request. */
+/** The admission check of one model request. */
 export class ModelAdmissionCheck implements AdmissionCheck {
   readonly lane: string;
   readonly costMs: number;
@@ -30,8 +30,8 @@
   readonly #exchange: Exchange;
   readonly #context: AttemptContext;
   readonly #options: ModelAdmissionCheckOptions;
-  #latest: EnginePlan;
-  #isFirst = true;
+  #latestPlan: EnginePlan;
+  #isFirstCheck = true;
 
   constructor(exchange: Exchange, context: AttemptContext, options: ModelAdmissionCheckOptions) {
     this.#exchange = exchange;
@@ -41,31 +41,31 @@
     const { first } = options;
     this.lane = `${service}/${route.name}`;
     this.costMs = first.read.readMs;
-    this.spacingMs = this.costMs * this.#daemonsForEachEngine();
-    this.#latest = this.#atRank(first);
-    this.#noteSlack(first);
+    this.spacingMs = this.costMs * this.#daemonsPerEngine();
+    this.#latestPlan = this.#atRank(first);
+    this.#recordSlack(first);
   }
 
-  place(): Placement {
-    const isFirst = this.#isFirst;
-    this.#isFirst = false;
+  decide(): Placement {
+    const isFirst = this.#isFirstCheck;
+    this.#isFirstCheck = false;
     if (!isFirst) {
       const plan = this.#options.replan();
-      // No engine takes work any more: it goes by its last plan, which fails, and is refused at once.
+      // No engine takes requests any more: the request is sent by its latest plan, fails and is refused without a wait.
       if (plan === undefined) return { kind: 'go', slackMs: undefined };
-      this.#latest = this.#atRank(plan);
+      this.#latestPlan = this.#atRank(plan);
     }
     const exchange = this.#exchange;
     const { rank, service } = exchange.options;
     const { fleet, admission } = this.#context;
     const { latencyBudgetMs } = this.#options;
     return placeRequest({
-      plan: this.#latest,
+      plan: this.#latestPlan,
       remainingMs: exchange.remainingMs(),
       latencyBudgetMs,
       latencyBudgetLeftMs: latencyBudgetMs - exchange.elapsedMs(),
       urgentSlackMs: fleet.slackOf(service).minSlackMs(rank, this.#nowMs()),
-      // Asked again it is its turn: those that wait are behind it.
+      // A later check means that it is this request's turn: the others of its lane are behind it.
       isContended: isFirst && admission.waitingIn(this.lane) > 0,
       isLearnt: fleet.speedOf(service).isLearnt,
       mayHaveRun: exchange.mayHaveRun,
@@ -76,7 +76,7 @@
     const nowMs = this.#nowMs();
     const { fleet } = this.#context;
     const { service, rank } = this.#exchange.options;
-    const { expectedMs, read } = this.#latest;
+    const { expectedMs, read } = this.#latestPlan;
     const urgentSlackMs = fleet.slackOf(service).minSlackMs(rank, nowMs);
     const sumsAgeMs = fleet.peerLoads.newestAgeMs(nowMs);
     return {
@@ -90,38 +90,38 @@
   }
 
   reserve(): () => void {
-    const plan = this.#latest;
+    const plan = this.#latestPlan;
     const server = plan.kind === 'direct' ? plan.server : plan.prefill.server;
     const load = this.#context.fleet.loadOf(server.id);
     const read = load.begin(plan.read, this.#nowMs());
     return () => load.abandon(read);
   }
 
-  /** The plan by which it goes; to be asked for once, when it is sent. */
+  /** The plan to send the request by; to be called once, when it is sent. */
   plan(): EnginePlan {
     const { service, rank } = this.#exchange.options;
-    this.#options.logPlan(this.#latest);
-    const { readMs } = this.#latest.read;
+    this.#options.logPlan(this.#latestPlan);
+    const { readMs } = this.#latestPlan.read;
     this.#context.fleet.rankSharesOf(service).recordRequest(rank, readMs, this.#nowMs());
-    return this.#latest;
+    return this.#latestPlan;
   }
 
-  /** The plan with the wait that a request of this rank has there. */
+  /** The plan with its expected wait scaled to the request's rank. */
   #atRank(plan: EnginePlan): EnginePlan {
     const { service, rank } = this.#exchange.options;
     const factor = this.#context.fleet.rankSharesOf(service).waitFactor(rank);
     return planAtRank(plan, factor, this.#options.latencyBudgetMs - this.#exchange.elapsedMs());
   }
 
-  /** How long a request of this kind could wait and be in time, for less urgent ones to leave it. */
-  #noteSlack({ read, expectedMs }: EnginePlan): void {
+  /** Records how long a request of this rank could wait and be in time, which limits what less urgent ones may take. */
+  #recordSlack({ read, expectedMs }: EnginePlan): void {
     const { service, rank } = this.#exchange.options;
     const slackMs = this.#options.latencyBudgetMs - (expectedMs - read.waitMs);
     this.#context.fleet.slackOf(service).recordRequest(rank, slackMs, this.#nowMs());
   }
 
-  /** Requests refused by all daemons come back to the same engines. */
-  #daemonsForEachEngine(): number {
+  /** Daemons per engine, as callers that other daemons refuse come back to the same engines. */
+  #daemonsPerEngine(): number {
     const { fleet } = this.#context;
     const engines = fleet.candidates(this.#exchange.options.service, this.#nowMs()).length;
     return (fleet.size.listed ?? 1) / Math.max(1, engines);
--- a/src/shell/gateway/prompt-reading.ts
+++ b/src/shell/gateway/prompt-reading.ts
@@ -1,6 +1,4 @@
-/**
- * Reading a prompt at an engine that only reads, and freeing the memory that nobody goes on from.
- */
+/** Runs the prefill of a prompt at a prefill engine, and frees KV memory that no engine decodes from. */
 import {
   type EnginePlan,
   type ExpectedRead,
@@ -14,18 +12,18 @@
 
 const MAX_ANSWER_BYTES = 65_536;
 const FREE_TIMEOUT_MS = 500;
-/** An engine is given up after this many times the expected time and a little more. */
-const PATIENCE_FACTOR = 4;
-const PATIENCE_MS = 500;
-/** A read that was expected to wait less than this part of its time shows the engine's pace. */
-const FREE_WAIT_SHARE = 0.25;
-/** Smaller parts are read sooner than they are told of. */
-const LEAST_TOLD_TOKENS = 1_024;
+/** A prefill times out after `TIMEOUT_FACTOR` times its expected duration plus `TIMEOUT_SLACK_MS`. */
+const TIMEOUT_FACTOR = 4;
+const TIMEOUT_SLACK_MS = 500;
+/** A prefill with an expected wait of at most this share of its duration is used to learn the engine's pace. */
+const MAX_WAIT_SHARE = 0.25;
+/** Prefills of smaller shared parts end before other daemons would receive the notice. */
+const MIN_ADVERTISED_TOKENS = 1_024;
 
-/** A plan by which one engine reads and another goes on. */
+/** A plan with the prefill at one engine and the decode at another. */
 export type PrefillPlan = Extract<EnginePlan, { kind: 'prefill' }>;
 
-/** Reads the prompt as planned; undefined when that did not come about, `held-back` when it was not sent. */
+/** Runs the prefill as planned; undefined when it failed, `held-back` when it was not sent. */
 export async function runPrefill(
   exchange: Exchange,
   context: AttemptContext,
@@ -40,17 +38,17 @@
   const startedAtMs = timers.nowMs();
   const read = load.begin(plan.read, startedAtMs);
   onLoadChange();
-  noteSharedRead(exchange, context, plan);
+  announceSharedRead(exchange, context, plan);
   const speed = fleet.speedOf(service);
   const isForecast = speed.isLearnt && urgency === 'in-time';
-  const patienceMs = isForecast
-    ? PATIENCE_MS + PATIENCE_FACTOR * plan.expectedMs
+  const timeoutMs = isForecast
+    ? TIMEOUT_SLACK_MS + TIMEOUT_FACTOR * plan.expectedMs
     : exchange.remainingMs();
-  let isGivenUp = false;
-  const memory = await callWithTimeout(timers, patienceMs, exchange.signal, async (signal) => {
-    const asked = await askToRead(exchange, context, plan, priority, signal);
-    isGivenUp = signal.aborted;
-    return asked;
+  let isAborted = false;
+  const memory = await callWithTimeout(timers, timeoutMs, exchange.signal, async (signal) => {
+    const prefilled = await requestPrefill(exchange, context, plan, priority, signal);
+    isAborted = signal.aborted;
+    return prefilled;
   });
   onLoadChange();
   const nowMs = timers.nowMs();
@@ -60,13 +58,13 @@
     return memory;
   }
   const isSuperseded = fleet.directory.isSuperseded(server);
-  // What a server has read is gone with its life.
+  // A server's KV memory is lost when it restarts.
   if (memory === undefined || isSuperseded) {
     load.abandon(read);
     context.admission.wake();
-    noteWait(exchange, context, plan, nowMs - startedAtMs);
-    const wasSilent = isGivenUp && !exchange.signal.aborted;
-    if (wasSilent && !isSuperseded) fleet.healthOf(server.id).recordBroken(nowMs);
+    recordWait(exchange, context, plan, nowMs - startedAtMs);
+    const hasTimedOut = isAborted && !exchange.signal.aborted;
+    if (hasTimedOut && !isSuperseded) fleet.healthOf(server.id).recordBroken(nowMs);
     return undefined;
   }
   load.finish(read, nowMs);
@@ -76,18 +74,18 @@
   if (hadShortQueue(plan.read) || !speed.isLearnt) {
     const { waitMs } = plan.read;
     fleet.paces.learnPrefill(server, missingTokens, { elapsedMs, waitMs }, nowMs);
-  } else noteWait(exchange, context, plan, elapsedMs);
+  } else recordWait(exchange, context, plan, elapsedMs);
   fleet.prefixIndex.assume(server.id, description.promptParts, nowMs);
   return memory;
 }
 
-/** Whether a read was expected to begin so soon that its time shows the engine's pace. */
+/** Whether a prefill was expected to start soon enough that its duration shows the engine's pace. */
 export function hadShortQueue({ waitMs, readMs }: ExpectedRead): boolean {
-  return waitMs <= FREE_WAIT_SHARE * readMs;
+  return waitMs <= MAX_WAIT_SHARE * readMs;
 }
 
-/** Learns how forecasts of waiting come out; a read that was given up waited at least so long. */
-function noteWait(
+/** Corrects the forecasts of waiting times; a prefill that failed counts as having waited until then. */
+function recordWait(
   exchange: Exchange,
   { fleet }: AttemptContext,
   { read, prefill }: PrefillPlan,
@@ -101,12 +99,12 @@
   scale.add(knownMs, Math.max(1, elapsedMs - read.readMs), nowMs);
 }
 
-/** Tells of a shared part that is not there yet, so that the next request for it follows. */
-function noteSharedRead(exchange: Exchange, context: AttemptContext, plan: PrefillPlan): void {
+/** Announces the prefill of a shared part that the engine has not cached, so that the next request for it goes there too. */
+function announceSharedRead(exchange: Exchange, context: AttemptContext, plan: PrefillPlan): void {
   const { server, missingTokens } = plan.prefill;
   const { description, timers } = exchange.options;
   const part = sharedPart(description.promptParts);
-  if (part === undefined || part.tokens < LEAST_TOLD_TOKENS) return;
+  if (part === undefined || part.tokens < MIN_ADVERTISED_TOKENS) return;
   const ownTokens = description.promptTokens - part.tokens;
   if (missingTokens <= ownTokens && plan.prefill.fetchFrom === undefined) return;
   const read = { engineId: server.id, part, readyInMs: plan.expectedMs };
@@ -114,7 +112,7 @@
   context.noteRead(read);
 }
 
-async function askToRead(
+async function requestPrefill(
   exchange: Exchange,
   context: AttemptContext,
   plan: PrefillPlan,
@@ -134,8 +132,8 @@
   if (result.kind !== 'answered') return undefined;
   const { answer, end, noteRead } = result.attempt;
   const body = await answer.collect(MAX_ANSWER_BYTES);
-  const isRead = body !== undefined && answer.status === 200;
-  const prefill = isRead ? context.codec.readPrefillAnswer(body) : undefined;
+  const hasSucceeded = body !== undefined && answer.status === 200;
+  const prefill = hasSucceeded ? context.codec.readPrefillAnswer(body) : undefined;
   if (prefill === undefined) {
     end({ kind: 'bad', reason: `no memory, status ${answer.status}` });
     return undefined;
@@ -145,7 +143,7 @@
   return { address: server.address, handle: prefill.handle };
 }
 
-/** Frees memory; whether that comes about is not waited for, as it lapses by itself. */
+/** Frees KV memory without waiting for the result, as the memory also expires at the engine. */
 export function freeKvMemory(
   exchange: Exchange,
   context: AttemptContext,
--- a/src/shell/gateway/request-log.ts
+++ b/src/shell/gateway/request-log.ts
@@ -1,6 +1,6 @@
 /**
- * The gateway's log: numbered events within a budget of lines a second. What is left out is counted
- * and said; a slow reader of the log never holds a request up.
+ * The gateway's log: numbered events, at most a set number of lines per second. Dropped lines are counted and the count
+ * is logged; a slow reader of the log never delays a request.
  */
 import { GATEWAY_EVENTS } from '../../core/logging/catalogue/gateway.js';
 import type { LogEvent, LogFields } from '../../core/logging/log-event.js';
@@ -9,7 +9,7 @@
 
 const WINDOW_MS = 1_000;
 
-/** Writes events of the gateway. */
+/** Writes the gateway's log events. */
 export class GatewayLog {
   readonly #logger: Logger;
   readonly #timers: TimerService;
@@ -17,7 +17,7 @@
   #windowStartMs = 0;
   #linesInWindow = 0;
   #dropped = 0;
-  /** Lines left out since the start. */
+  /** Lines dropped since the process started. */
   droppedTotal = 0;
 
   constructor(logger: Logger, timers: TimerService, maxLinesPerSecond: number) {
--- a/src/shell/gateway/request-room.ts
+++ b/src/shell/gateway/request-room.ts
@@ -1,7 +1,7 @@
 /**
- * Drives the waiting room of a daemon: asks for each request whether there is room now, lets it go, holds or
- * refuses it, and asks again when something has changed: a run or a read ended, other daemons' sums came, a
- * server was listed. Nothing here outlives a caller or a stop.
+ * Admission of requests to servers: runs the admission check of each request and admits, holds or refuses it. Requests
+ * that are held in the waiting room are checked again when something has changed: a run or a prefill ended, load sums
+ * of other daemons arrived, a server was listed. A held request ends when its caller disconnects or the daemon stops.
  */
 import { type RoomPlace, WaitingRoom } from '../../core/admission/index.js';
 import type { Placement } from '../../core/gateway/index.js';
@@ -13,41 +13,41 @@
 import { AdmissionRefusals } from './room-refusals.js';
 import type { CancelTimer, TimerService } from './timer-service.js';
 
-/** Room that is expected to come by itself is looked for no more often than this. */
-const LEAST_LOOK_MS = 10;
-/** Sums of other daemons come more often than this; without them it is looked again after so long. */
-const MOST_LOOK_MS = 100;
+/** Minimum interval between rechecks by timer. */
+const MIN_RECHECK_MS = 10;
+/** Maximum interval between rechecks; load sums of other daemons usually trigger one sooner. */
+const MAX_RECHECK_MS = 100;
 
 interface Waiter {
   readonly exchange: Exchange;
-  readonly ask: AdmissionCheck;
+  readonly check: AdmissionCheck;
   readonly place: RoomPlace;
-  readonly since: number;
-  /** By what was believed when it was last asked. */
+  readonly waitingSinceMs: number;
+  /** Result of the latest check. */
   placement: Placement;
-  readonly end: (leave: ReleaseReservation | undefined) => void;
+  readonly end: (release: ReleaseReservation | undefined) => void;
 }
 
-/** What a room is built from. */
+/** Dependencies of the admission gate. */
 export interface AdmissionGateOptions {
-  /** Whether requests wait and are refused here at all. */
+  /** Whether requests are held or refused here at all. */
   readonly isOn: boolean;
   readonly timers: TimerService;
   readonly log: Pick<GatewayLog, 'write'>;
   readonly metrics: Pick<GatewayMetrics, 'recordWait' | 'recordRoomRefusal'>;
 }
 
-/** The waiting room of a daemon. */
+/** Admits, holds or refuses the requests of a daemon. */
 export class AdmissionGate {
   readonly #options: AdmissionGateOptions;
-  readonly #room = new WaitingRoom();
+  readonly #waitingRoom = new WaitingRoom();
   readonly #waiters = new Map<string, Waiter>();
   readonly #refusals: AdmissionRefusals;
-  #entered = 0;
+  #lastEntryId = 0;
   #isStopping = false;
-  #isTurning = false;
-  #cancelLook: CancelTimer | undefined;
-  #lookAtMs = Number.POSITIVE_INFINITY;
+  #isAdmitting = false;
+  #cancelRecheck: CancelTimer | undefined;
+  #recheckAtMs = Number.POSITIVE_INFINITY;
 
   constructor(options: AdmissionGateOptions) {
     this.#options = options;
@@ -58,210 +58,216 @@
     return this.#options.isOn;
   }
 
-  /** Requests that wait. */
+  /** The number of requests that are held. */
   get waiting(): number {
-    return this.#room.waiting;
+    return this.#waitingRoom.waiting;
   }
 
-  /** Requests of a lane that wait. */
+  /** The number of requests of a lane that are held. */
   waitingIn(lane: string): number {
-    return this.#room.waitingIn(lane);
+    return this.#waitingRoom.waitingIn(lane);
   }
 
-  /** Lets a request pass, at once or when its turn comes; undefined when it was answered or is over. */
-  admit(exchange: Exchange, ask: AdmissionCheck): Promise<ReleaseReservation | undefined> {
-    const placement = ask.place();
+  /** Admits a request, at once or after a wait; undefined when it was refused or its caller's signal was aborted. */
+  admit(exchange: Exchange, check: AdmissionCheck): Promise<ReleaseReservation | undefined> {
+    const placement = check.decide();
     if (placement.kind === 'refuse') {
-      this.#refuse(exchange, ask, placement.reason, placement.roomInMs, 0);
+      this.#refuse(exchange, check, placement.reason, placement.roomInMs, 0);
       return Promise.resolve(undefined);
     }
-    if (placement.slackMs === undefined) return Promise.resolve(ask.reserve());
-    return this.#enter(exchange, ask, placement, placement.slackMs);
+    if (placement.slackMs === undefined) return Promise.resolve(check.reserve());
+    return this.#enqueue(exchange, check, placement, placement.slackMs);
   }
 
-  /** Something has changed: whoever has room now goes. */
+  /** Rechecks the held requests after a change and admits those for which there is capacity now. */
   wake(): void {
-    if (this.#isTurning || this.#waiters.size === 0) return;
-    this.#isTurning = true;
-    this.#endHolds();
-    this.#letGo();
-    this.#isTurning = false;
-    this.#planLook(MOST_LOOK_MS);
+    if (this.#isAdmitting || this.#waiters.size === 0) return;
+    this.#isAdmitting = true;
+    this.#endExpiredHolds();
+    this.#admitReady();
+    this.#isAdmitting = false;
+    this.#scheduleRecheck(MAX_RECHECK_MS);
   }
 
-  /** From now on nobody waits here: other daemons take them. */
+  /** Refuses all held requests, and later ones that would be held: their callers retry at other daemons. */
   beginStop(): void {
     this.#isStopping = true;
     for (const waiter of [...this.#waiters.values()]) {
-      this.#takeOut(waiter);
-      this.#refusals.refuseStopping(waiter.exchange, waiter.ask);
+      this.#remove(waiter);
+      this.#refusals.refuseStopping(waiter.exchange, waiter.check);
       waiter.end(undefined);
     }
   }
 
-  #enter(
+  #enqueue(
     exchange: Exchange,
-    ask: AdmissionCheck,
+    check: AdmissionCheck,
     placement: Exclude<Placement, { kind: 'refuse' }>,
     slackMs: number,
   ): Promise<ReleaseReservation | undefined> {
     const nowMs = this.#nowMs();
-    const place = this.#placeOf(exchange, ask, nowMs + slackMs);
+    const place = this.#placeOf(exchange, check, nowMs + slackMs);
     const hasCapacity = placement.kind === 'go';
-    const answer = this.#room.enter(place, { now: nowMs, hasCapacity });
+    const answer = this.#waitingRoom.enter(place, { now: nowMs, hasCapacity });
     switch (answer.kind) {
       case 'dispatch-now':
-        return Promise.resolve(ask.reserve());
+        return Promise.resolve(check.reserve());
       case 'refused': {
         const { code, retryAfterMs = 0 } = answer.fault;
-        this.#refuse(exchange, ask, code, retryAfterMs, 0);
+        this.#refuse(exchange, check, code, retryAfterMs, 0);
         return Promise.resolve(undefined);
       }
       case 'queued':
         break;
     }
     if (this.#isStopping) {
-      this.#room.leave(place, nowMs);
-      this.#refusals.refuseStopping(exchange, ask);
+      this.#waitingRoom.leave(place, nowMs);
+      this.#refusals.refuseStopping(exchange, check);
       return Promise.resolve(undefined);
     }
-    return this.#wait(exchange, ask, place, placement);
+    return this.#wait(exchange, check, place, placement);
   }
 
   #wait(
     exchange: Exchange,
-    ask: AdmissionCheck,
+    check: AdmissionCheck,
     place: RoomPlace,
     placement: Placement,
   ): Promise<ReleaseReservation | undefined> {
-    const since = this.#nowMs();
+    const waitingSinceMs = this.#nowMs();
     const roomInMs = placement.kind === 'wait' ? placement.roomInMs : 0;
     this.#options.log.write(GATEWAY_EVENTS.requestWaits, {
-      ...admissionLogFields(exchange, ask),
-      behind: this.#room.waitingIn(ask.lane) - 1,
+      ...admissionLogFields(exchange, check),
+      behind: this.#waitingRoom.waitingIn(check.lane) - 1,
       roomInMs: Math.round(roomInMs),
-      mostMs: Math.round(place.latestStartMs - since),
+      mostMs: Math.round(place.latestStartMs - waitingSinceMs),
     });
     return new Promise((resolve) => {
-      const leaveEarly = () => {
-        this.#takeOut(waiter);
+      const cancel = () => {
+        this.#remove(waiter);
         waiter.end(undefined);
       };
-      const end = (leave: ReleaseReservation | undefined) => {
-        exchange.signal.removeEventListener('abort', leaveEarly);
-        resolve(leave);
+      const end = (release: ReleaseReservation | undefined) => {
+        exchange.signal.removeEventListener('abort', cancel);
+        resolve(release);
       };
-      const waiter: Waiter = { exchange, ask, place, since, placement, end };
+      const waiter: Waiter = { exchange, check, place, waitingSinceMs, placement, end };
       this.#waiters.set(place.id, waiter);
-      exchange.signal.addEventListener('abort', leaveEarly, { once: true });
+      exchange.signal.addEventListener('abort', cancel, { once: true });
       if (roomInMs <= 0) this.wake();
-      this.#planLook(roomInMs);
+      this.#scheduleRecheck(roomInMs);
     });
   }
 
-  /** Ends the hold of those for which no room came. */
-  #endHolds(): void {
-    for (const { description, fault } of this.#room.expired(this.#nowMs())) {
+  /** Ends the hold of requests whose latest start has passed: admits or refuses them. */
+  #endExpiredHolds(): void {
+    for (const { description, fault } of this.#waitingRoom.expired(this.#nowMs())) {
       const waiter = this.#waiters.get(description.id);
       if (waiter === undefined) continue;
       this.#waiters.delete(description.id);
-      const { exchange, ask, since } = waiter;
-      const placement = ask.place();
-      if (ask.isSentAtHoldLimit || placement.kind === 'go') {
-        this.#letOneGo(waiter);
+      const { exchange, check, waitingSinceMs } = waiter;
+      const placement = check.decide();
+      if (check.isSentAtHoldLimit || placement.kind === 'go') {
+        this.#admitOne(waiter);
         continue;
       }
       const { roomInMs = fault.retryAfterMs ?? 0 } = placement;
-      this.#refuse(exchange, ask, 'no room came', roomInMs, this.#nowMs() - since);
+      this.#refuse(exchange, check, 'no room came', roomInMs, this.#nowMs() - waitingSinceMs);
       waiter.end(undefined);
     }
   }
 
-  #letGo(): void {
+  #admitReady(): void {
     for (;;) {
-      const next = this.#room.next(this.#nowMs(), (id) => this.#isWanted(id));
+      const next = this.#waitingRoom.next(this.#nowMs(), (id) => this.#isDecided(id));
       if (next === null) return;
       const waiter = this.#waiters.get(next.id);
       if (waiter === undefined) continue;
       this.#waiters.delete(next.id);
-      this.#answerTurn(waiter);
+      this.#handleTurn(waiter);
     }
   }
 
-  /** A request that is to be refused goes out too: its turn gives it its answer. */
-  #isWanted(id: string): boolean {
+  /** Checks a request whose turn it is; a refusal also takes it out of the waiting room. */
+  #isDecided(id: string): boolean {
     const waiter = this.#waiters.get(id);
     if (waiter === undefined) return true;
-    waiter.placement = waiter.ask.place();
+    waiter.placement = waiter.check.decide();
     return waiter.placement.kind !== 'wait';
   }
 
-  #answerTurn(waiter: Waiter): void {
-    const { exchange, ask, since, placement, end } = waiter;
+  #handleTurn(waiter: Waiter): void {
+    const { exchange, check, waitingSinceMs, placement, end } = waiter;
     if (placement.kind === 'refuse') {
-      this.#refuse(exchange, ask, placement.reason, placement.roomInMs, this.#nowMs() - since);
+      this.#refuse(
+        exchange,
+        check,
+        placement.reason,
+        placement.roomInMs,
+        this.#nowMs() - waitingSinceMs,
+      );
       end(undefined);
       return;
     }
-    this.#letOneGo(waiter);
+    this.#admitOne(waiter);
   }
 
-  #letOneGo({ exchange, ask, since, end }: Waiter): void {
-    const waitedMs = this.#nowMs() - since;
-    const fields = { ...admissionLogFields(exchange, ask), waitedMs: Math.round(waitedMs) };
+  #admitOne({ exchange, check, waitingSinceMs, end }: Waiter): void {
+    const waitedMs = this.#nowMs() - waitingSinceMs;
+    const fields = { ...admissionLogFields(exchange, check), waitedMs: Math.round(waitedMs) };
     this.#options.log.write(GATEWAY_EVENTS.requestWaited, fields);
     this.#options.metrics.recordWait(exchange.options.rank, waitedMs);
-    end(ask.reserve());
+    end(check.reserve());
   }
 
   #refuse(
     exchange: Exchange,
-    ask: AdmissionCheck,
+    check: AdmissionCheck,
     reason: string,
     roomInMs: number,
     waitedMs: number,
   ): void {
-    const behind = this.#room.waitingIn(ask.lane);
-    this.#refusals.refuse(exchange, ask, { reason, roomInMs, waitedMs, behind });
+    const behind = this.#waitingRoom.waitingIn(check.lane);
+    this.#refusals.refuse(exchange, check, { reason, roomInMs, waitedMs, behind });
   }
 
-  #takeOut({ place }: Waiter): void {
+  #remove({ place }: Waiter): void {
     this.#waiters.delete(place.id);
-    this.#room.leave(place, this.#nowMs());
+    this.#waitingRoom.leave(place, this.#nowMs());
   }
 
-  #placeOf(exchange: Exchange, ask: AdmissionCheck, latestStartMs: number): RoomPlace {
+  #placeOf(exchange: Exchange, check: AdmissionCheck, latestStartMs: number): RoomPlace {
     const { tenant, rank, arrivedAtMs } = exchange.options;
-    this.#entered += 1;
+    this.#lastEntryId += 1;
     return {
-      id: String(this.#entered),
-      lane: ask.lane,
+      id: String(this.#lastEntryId),
+      lane: check.lane,
       tenant: tenant?.name ?? '',
       rank,
-      // What cannot be in time never waits: `placeRequest` sends or refuses it at once.
+      // A request that cannot be answered in time is never held: `placeRequest` sends or refuses it at once.
       canBeInTime: true,
-      costMs: ask.costMs,
+      costMs: check.costMs,
       arrivedAtMs,
       latestStartMs,
     };
   }
 
-  /** The backstop: servers' queues grow shorter without telling it. */
-  #planLook(inMs: number): void {
+  /** Schedules a recheck by timer, since servers' queues get shorter without an event at this daemon. */
+  #scheduleRecheck(inMs: number): void {
     if (this.#waiters.size === 0) {
-      this.#cancelLook?.();
-      this.#lookAtMs = Number.POSITIVE_INFINITY;
+      this.#cancelRecheck?.();
+      this.#recheckAtMs = Number.POSITIVE_INFINITY;
       return;
     }
     const nowMs = this.#nowMs();
-    const latestMs = this.#room.nextLatestStart ?? Number.POSITIVE_INFINITY;
-    const wantedMs = Math.min(MOST_LOOK_MS, inMs, latestMs - nowMs);
-    const atMs = nowMs + Math.max(LEAST_LOOK_MS, wantedMs);
-    if (this.#lookAtMs > nowMs && this.#lookAtMs <= atMs) return;
-    this.#cancelLook?.();
-    this.#lookAtMs = atMs;
-    this.#cancelLook = this.#options.timers.after(atMs - nowMs, () => {
-      this.#lookAtMs = Number.POSITIVE_INFINITY;
+    const latestMs = this.#waitingRoom.nextLatestStart ?? Number.POSITIVE_INFINITY;
+    const wantedMs = Math.min(MAX_RECHECK_MS, inMs, latestMs - nowMs);
+    const atMs = nowMs + Math.max(MIN_RECHECK_MS, wantedMs);
+    if (this.#recheckAtMs > nowMs && this.#recheckAtMs <= atMs) return;
+    this.#cancelRecheck?.();
+    this.#recheckAtMs = atMs;
+    this.#cancelRecheck = this.#options.timers.after(atMs - nowMs, () => {
+      this.#recheckAtMs = Number.POSITIVE_INFINITY;
       this.wake();
     });
   }
--- a/src/shell/gateway/retry-turns.ts
+++ b/src/shell/gateway/retry-turns.ts
@@ -1,90 +1,91 @@
 /**
- * The retries of a daemon's watches. While the store answers none of them they take turns, so that it is asked as
- * seldom as by one alone; its first answer sends all of them on at once.
+ * The queue in which a daemon's store watches wait to retry. While the store answers none of them, the watches retry
+ * one at a time, so that the store gets no more calls than from a single watch; its first answer releases all of them
+ * at once.
  */
 import type { CancelTimer, TimerService } from './timer-service.js';
 
-/** A watch that waits for its turn. */
-interface Waiting {
-  /** From when it is the next one. */
+/** A watch that waits to retry. */
+interface WaitingWatch {
+  /** How long the watch waits once it is first in the queue. */
   readonly waitMs: number;
-  /** How long its call may take; the next turn is not given up for one that makes none. */
+  /** Time limit of its call; after that the next watch gets its turn, even if this one has made no call. */
   readonly callMs: number;
   readonly go: () => void;
 }
 
-/** Turns of the watches of one daemon. */
+/** The retry queue of one daemon's watches. */
 export class WatchRetryQueue {
   readonly #timers: Pick<TimerService, 'after'>;
-  #waiting: readonly Waiting[] = [];
-  /** Until the watch whose turn it is has said what came of its call. */
-  #cancelTaken: CancelTimer | undefined;
-  #cancelTurn: CancelTimer | undefined;
+  #waiting: readonly WaitingWatch[] = [];
+  /** Timer of the turn under way; undefined once its call has ended or timed out. */
+  #cancelCallTimer: CancelTimer | undefined;
+  #cancelWaitTimer: CancelTimer | undefined;
 
   constructor(timers: Pick<TimerService, 'after'>) {
     this.#timers = timers;
   }
 
-  /** Waits for a turn to call again, after a call that failed; the signal ends the wait at once. */
-  next({ waitMs, callMs }: Omit<Waiting, 'go'>, signal: AbortSignal): Promise<void> {
-    this.#release();
+  /** Waits for a turn to retry after a failed call; aborting the signal ends the wait at once. */
+  next({ waitMs, callMs }: Omit<WaitingWatch, 'go'>, signal: AbortSignal): Promise<void> {
+    this.#endTurn();
     return new Promise((resolve) => {
       const go = () => {
-        signal.removeEventListener('abort', leave);
+        signal.removeEventListener('abort', cancel);
         resolve();
       };
       const waiting = { waitMs, callMs, go };
-      const leave = () => {
+      const cancel = () => {
         this.#remove(waiting);
         resolve();
       };
       if (signal.aborted) return resolve();
-      signal.addEventListener('abort', leave, { once: true });
+      signal.addEventListener('abort', cancel, { once: true });
       this.#waiting = [...this.#waiting, waiting];
-      this.#arm();
+      this.#scheduleNext();
     });
   }
 
-  /** The store has answered one of the watches. */
+  /** Releases all watches, as the store has answered one of them. */
   recordStoreAnswer(): void {
-    this.#release();
-    this.#disarm();
-    const all = this.#waiting;
+    this.#endTurn();
+    this.#cancelNext();
+    const released = this.#waiting;
     this.#waiting = [];
-    for (const { go } of all) go();
+    for (const { go } of released) go();
   }
 
-  #remove(waiting: Waiting): void {
+  #remove(waiting: WaitingWatch): void {
     const wasNext = this.#waiting[0] === waiting;
     this.#waiting = this.#waiting.filter((other) => other !== waiting);
-    if (wasNext) this.#disarm();
-    this.#arm();
+    if (wasNext) this.#cancelNext();
+    this.#scheduleNext();
   }
 
-  /** Gives the next its turn after its wait, unless one has it. */
-  #arm(): void {
+  /** Starts the wait of the first watch in the queue, unless another watch has its turn. */
+  #scheduleNext(): void {
     const [first] = this.#waiting;
-    if (first === undefined || this.#cancelTaken !== undefined) return;
-    this.#cancelTurn ??= this.#timers.after(first.waitMs, () => this.#give(first));
+    if (first === undefined || this.#cancelCallTimer !== undefined) return;
+    this.#cancelWaitTimer ??= this.#timers.after(first.waitMs, () => this.#startTurn(first));
   }
 
-  #give({ callMs, go }: Waiting): void {
-    this.#cancelTurn = undefined;
+  #startTurn({ callMs, go }: WaitingWatch): void {
+    this.#cancelWaitTimer = undefined;
     this.#waiting = this.#waiting.slice(1);
-    this.#cancelTaken = this.#timers.after(callMs, () => {
-      this.#cancelTaken = undefined;
-      this.#arm();
+    this.#cancelCallTimer = this.#timers.after(callMs, () => {
+      this.#cancelCallTimer = undefined;
+      this.#scheduleNext();
     });
     go();
   }
 
-  #release(): void {
-    this.#cancelTaken?.();
-    this.#cancelTaken = undefined;
+  #endTurn(): void {
+    this.#cancelCallTimer?.();
+    this.#cancelCallTimer = undefined;
   }
 
-  #disarm(): void {
-    this.#cancelTurn?.();
-    this.#cancelTurn = undefined;
+  #cancelNext(): void {
+    this.#cancelWaitTimer?.();
+    this.#cancelWaitTimer = undefined;
   }
 }
--- a/src/shell/gateway/room-ask.ts
+++ b/src/shell/gateway/room-ask.ts
@@ -1,42 +1,45 @@
-/** What a request asks of the waiting room, and what the log says of it there. */
+/** The admission check of one request, and its log fields. */
 import type { Placement } from '../../core/gateway/index.js';
 import type { LogFields } from '../../core/logging/log-event.js';
 import type { Exchange } from './exchange.js';
 
-/** What a request asks of the room. */
+/** Decides whether one request is sent, held or refused. */
 export interface AdmissionCheck {
-  /** Requests that wait for the same servers and are alike. */
+  /** Requests of one lane wait for the same servers and are of one kind. */
   readonly lane: string;
-  /** The time of a server that it takes up. */
+  /** Server time that the request is expected to take. */
   readonly costMs: number;
-  /** What this daemon's part of the servers takes for one like it. */
+  /** Time that this daemon's share of the servers takes for one such request; spaces out the retries of refused callers. */
   readonly spacingMs: number;
-  /** Its place by what is believed now. */
-  place(): Placement;
-  /** Whether it is sent when it was held as long as it may be; it is refused otherwise. */
+  /** Decides by the current view of the servers. */
+  decide(): Placement;
+  /** Whether the request is sent, rather than refused, once it was held for the maximum time. */
   readonly isSentAtHoldLimit: boolean;
-  /** What the place was decided from, and how old that is. */
+  /** Log fields: what the decision was made from, and the age of that. */
   inputs(): LogFields;
-  /** Takes its place at a server until it is sent, so that no other gets the same room; gives it back. */
+  /**
+   * Reserves capacity at a server until the request is sent, so that no other request is admitted to the same capacity;
+   * returns the function that releases it.
+   */
   reserve(): () => void;
 }
 
-/** Gives back what `reserve` took; to be called once, when the request is sent. */
+/** Releases what `reserve` took; to be called once, when the request is sent. */
 export type ReleaseReservation = () => void;
 
-/** A time for a log line; null for one that is not known, or for ever. */
+/** A time for a log line; null where it is unknown or infinite. */
 export function roundedOrNull(spanMs: number): number | null {
   return Number.isFinite(spanMs) ? Math.round(spanMs) : null;
 }
 
-/** The request, and what was believed when it was last asked. */
-export function admissionLogFields({ options }: Exchange, ask: AdmissionCheck): LogFields {
+/** Log fields of the request and of its latest check. */
+export function admissionLogFields({ options }: Exchange, check: AdmissionCheck): LogFields {
   const { description, rank, tenant } = options;
   return {
     request: description.attemptId,
-    lane: ask.lane,
+    lane: check.lane,
     rank,
     tenant: tenant?.name ?? '',
-    ...ask.inputs(),
+    ...check.inputs(),
   };
 }
--- a/src/shell/gateway/room-refusals.ts
+++ b/src/shell/gateway/room-refusals.ts
@@ -1,4 +1,4 @@
-/** Refusals for want of room: the time to come back, the line in the log, the count and the answer. */
+/** Refusals for lack of capacity: the `Retry-After` time, the log line, the metric and the answer. */
 import { RetryLine } from '../../core/admission/index.js';
 import { GATEWAY_EVENTS } from '../../core/logging/catalogue/gateway.js';
 import type { Exchange } from './exchange.js';
@@ -7,46 +7,46 @@
 import { type AdmissionCheck, admissionLogFields } from './room-ask.js';
 import type { TimerService } from './timer-service.js';
 
-/** Another daemon takes a request at once. */
+/** Short, as another daemon can take the request at once. */
 const STOPPING_RETRY_AFTER_MS = 50;
 
-/** What refusals are told to. */
+/** Dependencies of the refusals. */
 export interface AdmissionRefusalsOptions {
   readonly timers: TimerService;
   readonly log: Pick<GatewayLog, 'write'>;
   readonly metrics: Pick<GatewayMetrics, 'recordRoomRefusal'>;
 }
 
-/** Why a request is refused. */
+/** Why a request is refused, and the state of its lane. */
 export interface AdmissionRefusal {
   readonly reason: string;
-  /** Until there would be room for it. */
+  /** Expected time until there is capacity for it. */
   readonly roomInMs: number;
   readonly waitedMs: number;
-  /** Requests of its lane that wait. */
+  /** The number of held requests of its lane. */
   readonly behind: number;
 }
 
-/** Refuses requests; callers of one lane are told to come back one after the other. */
+/** Refuses requests; the `Retry-After` times of one lane are spaced out, so that its callers come back one after the other. */
 export class AdmissionRefusals {
   readonly #options: AdmissionRefusalsOptions;
-  readonly #retries = new Map<string, RetryLine>();
+  readonly #retryLines = new Map<string, RetryLine>();
 
   constructor(options: AdmissionRefusalsOptions) {
     this.#options = options;
   }
 
-  refuse(exchange: Exchange, ask: AdmissionCheck, refusal: AdmissionRefusal): void {
+  refuse(exchange: Exchange, check: AdmissionCheck, refusal: AdmissionRefusal): void {
     const { reason, roomInMs, waitedMs, behind } = refusal;
-    const retryAfterMs = this.#retryLine(ask.lane).promise({
+    const retryAfterMs = this.#retryLineOf(check.lane).promise({
       nowMs: this.#options.timers.nowMs(),
       roomInMs,
-      spacingMs: ask.spacingMs,
+      spacingMs: check.spacingMs,
       mostMs: exchange.remainingMs(),
       entropy: Math.random(),
     });
     this.#options.log.write(GATEWAY_EVENTS.requestTurnedAway, {
-      ...admissionLogFields(exchange, ask),
+      ...admissionLogFields(exchange, check),
       reason,
       roomInMs: Math.round(roomInMs),
       retryAfterMs: Math.round(retryAfterMs),
@@ -57,10 +57,10 @@
     exchange.refuse('no server is expected to answer in time', retryAfterMs);
   }
 
-  /** This daemon stops: another one takes the request. */
-  refuseStopping(exchange: Exchange, ask: AdmissionCheck): void {
+  /** Refuses a request because this daemon is stopping; another daemon can take it. */
+  refuseStopping(exchange: Exchange, check: AdmissionCheck): void {
     this.#options.log.write(GATEWAY_EVENTS.requestTurnedAway, {
-      ...admissionLogFields(exchange, ask),
+      ...admissionLogFields(exchange, check),
       reason: 'stopping',
       retryAfterMs: STOPPING_RETRY_AFTER_MS,
     });
@@ -68,11 +68,11 @@
     exchange.refuse('this daemon stops before there is room', STOPPING_RETRY_AFTER_MS);
   }
 
-  #retryLine(lane: string): RetryLine {
-    const known = this.#retries.get(lane);
-    if (known !== undefined) return known;
+  #retryLineOf(lane: string): RetryLine {
+    const existing = this.#retryLines.get(lane);
+    if (existing !== undefined) return existing;
     const created = new RetryLine();
-    this.#retries.set(lane, created);
+    this.#retryLines.set(lane, created);
     return created;
   }
 }
--- a/src/shell/gateway/stream-relay.ts
+++ b/src/shell/gateway/stream-relay.ts
@@ -1,16 +1,16 @@
 /**
- * Passes a stream on to its caller as it comes, one server after another where it may be resumed.
- * The head leaves with the first bytes, so that a server that breaks off before costs nothing.
+ * Relays a stream to its caller as it arrives, from one server after another where the stream may be resumed. The
+ * response headers are sent with the first bytes of the body, so that a server that fails before can still be replaced.
  */
 import { withoutConnectionHeaders } from '../http/headers.js';
 import type { AnsweredAttempt, AnswerOutcome } from './attempt.js';
 import { EventSplitter } from './event-splitter.js';
 import type { Exchange } from './exchange.js';
 
-/** How a server's part of a stream ended. */
+/** How one server's part of a stream ended. */
 export type RelayResult = 'complete' | 'broken' | 'interrupted';
 
-/** The stream of one exchange. */
+/** Relays the stream of one exchange. */
 export class StreamRelay {
   readonly #exchange: Exchange;
   readonly #isResumable: boolean;
@@ -24,17 +24,17 @@
     this.#isResumable = exchange.options.route.resumable;
   }
 
-  /** Whether the caller has had a part of the stream. */
+  /** Whether a part of the stream was sent to the caller. */
   get hasBegun(): boolean {
     return this.#bytesSent > 0;
   }
 
-  /** The last event that the caller has whole. */
+  /** The id of the last event that was sent to the caller completely. */
   get lastEventId(): string | undefined {
     return this.#splitter.lastEventId;
   }
 
-  /** Passes one server's part on until it ends. */
+  /** Relays one server's part of the stream until it ends. */
   relay(attempt: AnsweredAttempt): Promise<RelayResult> {
     const { answer } = attempt;
     const { message } = answer;
@@ -43,18 +43,18 @@
     return new Promise((resolve) => {
       const settle = (result: RelayResult) => {
         this.#exchange.signal.removeEventListener('abort', interrupt);
-        response.removeListener('drain', goOn);
+        response.removeListener('drain', resumeSource);
         attempt.end(outcomeOf(result));
         resolve(result);
       };
-      const goOn = () => message.resume();
+      const resumeSource = () => message.resume();
       const interrupt = () => {
         settle('interrupted');
         answer.destroy();
       };
       if (this.#exchange.signal.aborted) return interrupt();
       this.#exchange.signal.addEventListener('abort', interrupt, { once: true });
-      response.on('drain', goOn);
+      response.on('drain', resumeSource);
       message.on('data', (chunk: Buffer) => {
         const bytes = this.#isResumable ? this.#splitter.push(chunk) : chunk;
         if (bytes.length > 0 && !this.#write(attempt, bytes)) message.pause();
@@ -64,10 +64,10 @@
     });
   }
 
-  /** Ends the caller's answer as whole. */
+  /** Ends the caller's answer as complete. */
   complete(attempt: AnsweredAttempt): void {
-    const rest = this.#splitter.takeRemainder();
-    if (rest.length > 0 || !this.hasBegun) this.#write(attempt, rest);
+    const remainder = this.#splitter.takeRemainder();
+    if (remainder.length > 0 || !this.hasBegun) this.#write(attempt, remainder);
     this.#exchange.options.response.end();
     this.#exchange.finish('answered', {
       status: attempt.answer.status,
--- a/src/shell/gateway/web-room-ask.ts
+++ b/src/shell/gateway/web-room-ask.ts
@@ -1,22 +1,22 @@
-/** What a request to a web service asks of the waiting room. */
+/** The admission check of a request to a web service. */
 import { placeWebRequest } from '../../core/gateway/index.js';
 import type { AttemptContext } from './attempt.js';
 import type { Exchange } from './exchange.js';
 import { type AdmissionCheck, roundedOrNull } from './room-ask.js';
 
-/** Requests to web servers cost alike: the time that one takes is not known beforehand. */
+/** All web requests count the same, as the time that one takes is not known in advance. */
 const WEB_COST_MS = 1;
 
-/** The ask of a request that is to be sent to one of its service's servers. */
+/** Checks whether one of the service's servers is expected to have a free slot. */
 export function webAdmissionCheck(exchange: Exchange, { fleet }: AttemptContext): AdmissionCheck {
   const { service, route, timers } = exchange.options;
-  const others = (id: string) => fleet.peerLoads.running(id, timers.nowMs());
+  const runningElsewhere = (id: string) => fleet.peerLoads.running(id, timers.nowMs());
   return {
     lane: service,
     costMs: WEB_COST_MS,
     spacingMs: 0,
     isSentAtHoldLimit: true,
-    place: () =>
+    decide: () =>
       placeWebRequest({
         candidates: fleet.candidates(service, timers.nowMs()),
         excludedIds: exchange.triedServerIds,
@@ -25,7 +25,7 @@
         elapsedMs: exchange.elapsedMs(),
         mayHaveRun: exchange.mayHaveRun,
         healthOf: (id) => fleet.healthOf(id),
-        othersRunning: others,
+        othersRunning: runningElsewhere,
       }),
     inputs: () => {
       const nowMs = timers.nowMs();
@@ -34,14 +34,14 @@
       return {
         servers: servers.length,
         running: servers.reduce(
-          (sum, { id }) => sum + fleet.healthOf(id).openCalls + others(id),
+          (sum, { id }) => sum + fleet.healthOf(id).openCalls + runningElsewhere(id),
           0,
         ),
         slots: servers.reduce((sum, { slots }) => sum + slots, 0),
         sumsAgeMs: roundedOrNull(sumsAgeMs),
       };
     },
-    // What is begun is counted at once by the call itself.
+    // No reservation is needed: the call counts as running as soon as it is sent.
     reserve: () => () => undefined,
   };
 }
--- a/src/shell/gateway/whole-exchange.ts
+++ b/src/shell/gateway/whole-exchange.ts
@@ -1,6 +1,7 @@
 /**
- * Requests to plain web servers, answered whole. A repeatable one that is slow or failed goes to a
- * second server, within the route's attempts and the retry budget; any other runs at most once.
+ * Requests to plain web servers, whose answers are buffered completely before they are forwarded. A repeatable request
+ * that is slow or failed also goes to a second server, within the route's attempts and the retry budget; any other
+ * request runs at most once.
  */
 import {
   chooseWebServer,
@@ -24,28 +25,28 @@
 import { webAdmissionCheck } from './web-room-ask.js';
 
 const MAX_ANSWER_BYTES = 16_777_216;
-/** Servers that may turn a request down, or be out of reach, before it is refused. */
-const MAX_TURNED_DOWN = 4;
-/** A second server is asked when the first has been silent for this part of the target. */
-const HEDGE_AFTER_TARGETS = 0.45;
-const LEAST_HEDGE_MS = 40;
+/** A request is refused after more servers than this have rejected it or could not be reached. */
+const MAX_REJECTIONS = 4;
+/** A hedged request goes to a second server after this share of the target latency without an answer. */
+const HEDGE_DELAY_SHARE = 0.45;
+const MIN_HEDGE_DELAY_MS = 40;
 
 type RunResult =
   | { readonly kind: 'whole'; readonly answer: CompleteAnswer }
   | Exclude<AttemptResult, { kind: 'answered' }>;
 
-/** Runs a request to its final answer. */
+/** Runs a request to a web service up to its final answer. */
 export async function runWebExchange(exchange: Exchange, context: AttemptContext): Promise<void> {
-  await new WholeRun(exchange, context).run();
+  await new WebRun(exchange, context).run();
 }
 
-class WholeRun {
+class WebRun {
   readonly #exchange: Exchange;
   readonly #context: AttemptContext;
   readonly #isRepeatable: boolean;
   readonly #pending = new Set<Promise<RunResult>>();
   readonly #abandoned = new AbortController();
-  #turnedDown = 0;
+  #rejections = 0;
   #lastFailure: CompleteAnswer | undefined;
   #lastReason = 'no server';
 
@@ -58,7 +59,7 @@
   async run(): Promise<void> {
     const abandon = () => this.#abandoned.abort();
     this.#exchange.signal.addEventListener('abort', abandon, { once: true });
-    if (!(await this.#passRoom())) return;
+    if (!(await this.#waitForAdmission())) return;
     if (!(await this.#startFirst())) return this.#giveUp();
     while (this.#pending.size > 0) {
       const result = await this.#nextResult();
@@ -67,52 +68,52 @@
         this.#startNext(false);
         continue;
       }
-      if (await this.#settle(result)) break;
+      if (await this.#handleResult(result)) break;
     }
     if (this.#pending.size > 0) this.#abandoned.abort();
     if (!this.#exchange.isAnswered) this.#giveUp();
   }
 
-  /** Whether the request has its answer. */
-  async #settle(result: RunResult): Promise<boolean> {
-    if (result.kind === 'whole' && !this.#isWorthRepeating(result.answer)) {
+  /** Handles the result of an attempt; returns whether the request has ended. */
+  async #handleResult(result: RunResult): Promise<boolean> {
+    if (result.kind === 'whole' && !this.#isWorthRetrying(result.answer)) {
       this.#exchange.answer(result.answer);
       return true;
     }
     if (result.kind === 'whole') this.#lastFailure = result.answer;
     else this.#lastReason = 'reason' in result ? result.reason : `status ${result.status}`;
-    if (result.kind === 'not-executed' || result.kind === 'not-sent') this.#turnedDown += 1;
+    if (result.kind === 'not-executed' || result.kind === 'not-sent') this.#rejections += 1;
     if (this.#pending.size > 0 || result.kind === 'no-budget') return false;
-    // Whether its last server ended decides whether another one may be lost to it.
+    // A request that crashed its last server may be quarantined, so the check of that server comes before the next one.
     await this.#context.crashes.whenChecked(this.#exchange);
     if (this.#exchange.signal.aborted) return false;
-    if (!(await this.#passRoom())) return true;
-    await this.#prepareLimited();
+    if (!(await this.#waitForAdmission())) return true;
+    await this.#requestPermitIfNeeded();
     if (this.#exchange.signal.aborted) return false;
     this.#startNext(false);
     return false;
   }
 
-  get #mayBeHeld(): boolean {
+  get #isHoldable(): boolean {
     const heldMs = MAX_HOLD_SHARE * this.#exchange.options.route.targetLatencyMs;
     return this.#context.admission.isOn && this.#exchange.elapsedMs() < heldMs;
   }
 
-  /** Waits until a server is expected to have room; false when the request has its end. */
-  async #passRoom(): Promise<boolean> {
+  /** Waits until a server is expected to have capacity; false when the request was refused or interrupted. */
+  async #waitForAdmission(): Promise<boolean> {
     const exchange = this.#exchange;
     const { admission } = this.#context;
     if (!admission.isOn) return true;
-    const leave = await admission.admit(exchange, webAdmissionCheck(exchange, this.#context));
-    if (leave === undefined) {
+    const release = await admission.admit(exchange, webAdmissionCheck(exchange, this.#context));
+    if (release === undefined) {
       if (exchange.signal.aborted) exchange.endInterrupted();
       return false;
     }
-    leave();
+    release();
     return true;
   }
 
-  #isWorthRepeating(answer: CompleteAnswer): boolean {
+  #isWorthRetrying(answer: CompleteAnswer): boolean {
     return this.#isRepeatable && (answer.status >= 500 || answer.isCloseDelimited);
   }
 
@@ -125,12 +126,12 @@
     }
   }
 
-  /** Where only servers that name limits are left, it may wait for a permit. */
+  /** Starts the first attempt; where all remaining servers are at their limit, waits for a permit first. */
   async #startFirst(): Promise<boolean> {
     const exchange = this.#exchange;
     const { limits, crashes } = this.#context;
     limits.recordArrival(exchange.options.service);
-    await this.#prepareLimited();
+    await this.#requestPermitIfNeeded();
     if (exchange.signal.aborted) return false;
     while (!this.#startNext(true)) {
       if (crashes.isQuarantined(exchange)) return false;
@@ -139,8 +140,8 @@
     return true;
   }
 
-  /** Asks for a permit where the request would go to a server that takes no more for now. */
-  async #prepareLimited(): Promise<void> {
+  /** Requests a permit where the request would go to a server that is at its limit. */
+  async #requestPermitIfNeeded(): Promise<void> {
     const { fleet, limits } = this.#context;
     const { service, timers } = this.#exchange.options;
     const atLimit = fleet.atLimit(service, timers.nowMs());
@@ -170,7 +171,7 @@
     if (this.#context.crashes.isQuarantined(exchange)) return false;
     if (!isFirst && exchange.mayHaveRun && !this.#isRepeatable) return false;
     if (exchange.runs >= Math.max(1, route.attempts)) return false;
-    if (this.#turnedDown > MAX_TURNED_DOWN) return false;
+    if (this.#rejections > MAX_REJECTIONS) return false;
     const server = this.#choose(fleet.candidates(service, timers.nowMs()));
     if (server === undefined) return false;
     if (isFirst) fleet.budgetOf(service).countRequest();
@@ -189,9 +190,9 @@
     });
     this.#exchange.endRun(hasNotRun(result));
     this.#context.admission.wake();
-    // It has not run there, and while it may be held the server may have room for it after a rest.
-    const mayComeBack = result.kind === 'not-executed' && this.#mayBeHeld;
-    if (mayComeBack || result.kind === 'held-back') {
+    // The server did not run it and may have capacity after its back-off period, while the request can still be held.
+    const mayRetrySameServer = result.kind === 'not-executed' && this.#isHoldable;
+    if (mayRetrySameServer || result.kind === 'held-back') {
       this.#exchange.triedServerIds.delete(server.id);
     }
     if (!hasNotRun(result)) this.#context.recordRunStart(this.#exchange, this.#nowMs() - sentMs);
@@ -225,7 +226,7 @@
     return this.#exchange.options.timers.nowMs();
   }
 
-  /** The next result, or that it is time to ask a second server beside the first. */
+  /** The next result, or `hedge` when the request should also go to a second server. */
   #nextResult(): Promise<RunResult | 'hedge'> {
     const { route, timers } = this.#exchange.options;
     const results = [...this.#pending];
@@ -233,8 +234,8 @@
       this.#isRepeatable && results.length === 1 && this.#exchange.runs < route.attempts;
     if (!mayHedge) return Promise.race(results);
     return new Promise((resolve, reject) => {
-      const hedgeMs = Math.max(LEAST_HEDGE_MS, route.targetLatencyMs * HEDGE_AFTER_TARGETS);
-      const cancel = timers.after(hedgeMs, () => resolve('hedge'));
+      const hedgeDelayMs = Math.max(MIN_HEDGE_DELAY_MS, route.targetLatencyMs * HEDGE_DELAY_SHARE);
+      const cancel = timers.after(hedgeDelayMs, () => resolve('hedge'));
       Promise.race(results).then((result) => {
         cancel();
         resolve(result);
--- a/test/gateway/request-room.test.ts
+++ b/test/gateway/request-room.test.ts
@@ -51,12 +51,12 @@
     refuse: (reason: string, retryAfterMs: number) => answers.push({ reason, retryAfterMs }),
   } as unknown as Exchange;
   const state = { placement: first, reserved: 0 };
-  const ask: AdmissionCheck = {
+  const check: AdmissionCheck = {
     lane: 'reader/read',
     costMs: 50,
     spacingMs: 20,
     isSentAtHoldLimit,
-    place: () => state.placement,
+    decide: () => state.placement,
     inputs: () => ({ queueMs: 300, sumsAgeMs: 80 }),
     reserve: () => {
       state.reserved += 1;
@@ -65,23 +65,23 @@
       };
     },
   };
-  return { exchange, ask, state, answers, left };
+  return { exchange, check, state, answers, left };
 }
 
 test('with room a request goes at once and holds its place until it is sent', async () => {
   const { room, timers, lines } = setUp();
-  const { exchange, ask, state } = caller(timers, 'a', GO);
-  const leave = await room.admit(exchange, ask);
+  const { exchange, check, state } = caller(timers, 'a', GO);
+  const release = await room.admit(exchange, check);
   assert.equal(state.reserved, 1);
-  leave?.();
+  release?.();
   assert.equal(state.reserved, 0);
   assert.deepEqual(lines, []);
 });
 
 test('a waiting request goes with the event that brings room, with a line of its wait', async () => {
   const { room, timers, lines, waits } = setUp();
-  const { exchange, ask, state } = caller(timers, 'a', WAIT);
-  const passed = room.admit(exchange, ask);
+  const { exchange, check, state } = caller(timers, 'a', WAIT);
+  const passed = room.admit(exchange, check);
   assert.equal(room.waiting, 1);
   timers.advance(30);
   assert.equal(room.waiting, 1);
@@ -108,8 +108,8 @@
 
 test('without an event the room looks by itself when room is expected', async () => {
   const { room, timers } = setUp();
-  const { exchange, ask, state } = caller(timers, 'a', WAIT);
-  const passed = room.admit(exchange, ask);
+  const { exchange, check, state } = caller(timers, 'a', WAIT);
+  const passed = room.admit(exchange, check);
   state.placement = GO;
   timers.advance(59);
   assert.equal(room.waiting, 1);
@@ -121,7 +121,7 @@
   const { room, timers, refusals, lines } = setUp();
   const refused = caller(timers, 'a', WAIT);
   const sent = caller(timers, 'b', WAIT, true);
-  const passed = [refused, sent].map(({ exchange, ask }) => room.admit(exchange, ask));
+  const passed = [refused, sent].map(({ exchange, check }) => room.admit(exchange, check));
   timers.advance(200);
   const [first, second] = await Promise.all(passed);
   assert.equal(first, undefined);
@@ -135,8 +135,8 @@
 
 test('a caller that leaves frees its place at once, and is given no answer', async () => {
   const { room, timers, refusals } = setUp();
-  const { exchange, ask, left, answers } = caller(timers, 'a', WAIT);
-  const passed = room.admit(exchange, ask);
+  const { exchange, check, left, answers } = caller(timers, 'a', WAIT);
+  const passed = room.admit(exchange, check);
   left.abort();
   assert.equal(await passed, undefined);
   assert.equal(room.waiting, 0);
@@ -146,14 +146,14 @@
 test('a stopping daemon empties its room and holds nobody any more, but lets go what has room', async () => {
   const { room, timers, refusals } = setUp();
   const waiting = caller(timers, 'a', WAIT);
-  const passed = room.admit(waiting.exchange, waiting.ask);
+  const passed = room.admit(waiting.exchange, waiting.check);
   room.beginStop();
   assert.equal(await passed, undefined);
   assert.equal(waiting.answers.length, 1);
   const late = caller(timers, 'b', WAIT);
-  assert.equal(await room.admit(late.exchange, late.ask), undefined);
+  assert.equal(await room.admit(late.exchange, late.check), undefined);
   const free = caller(timers, 'c', GO);
-  assert.notEqual(await room.admit(free.exchange, free.ask), undefined);
+  assert.notEqual(await room.admit(free.exchange, free.check), undefined);
   assert.deepEqual(refusals, ['stopping 1', 'stopping 1']);
   assert.equal(room.waiting, 0);
 });
@@ -163,8 +163,8 @@
   const hopeless: Placement = { kind: 'refuse', reason: 'hopeless', roomInMs: 400 };
   const told: number[] = [];
   for (const name of ['a', 'b', 'c']) {
-    const { exchange, ask, answers } = caller(timers, name, hopeless);
-    assert.equal(await room.admit(exchange, ask), undefined);
+    const { exchange, check, answers } = caller(timers, name, hopeless);
+    assert.equal(await room.admit(exchange, check), undefined);
     told.push(answers[0]?.retryAfterMs ?? 0);
   }
   assert.ok(told.every((retryAfterMs, index) => retryAfterMs >= 400 + 20 * index));
