--- a/src/shell/gateway/open-breaks.ts
+++ b/src/shell/gateway/open-breaks.ts
@@ -1,29 +1,29 @@
 /**
- * Runs that broke off at a server which then took a connection: it may have started again so quickly that it seemed
- * never to have ended. Its next life in the list tells; that comes within moments, or there is none.
+ * Runs that broke off at a server which then accepted a connection: it either kept running, or restarted so quickly that
+ * the check could not see it exit. A later boot in the server list within `LISTED_WITHIN_MS` shows that it restarted.
  */
 import type { ServerRecord } from '../../core/gateway/index.js';
 import type { TimerService } from './timer-service.js';
 
-/** A start is listed by then: changes of the list are gathered, and a daemon may have to ask for them again. */
+/** A start is listed within this time: changes of the list arrive in batches, and a daemon may have to retry fetching them. */
 const LISTED_WITHIN_MS = 3_000;
-/** As many as a few servers run; more would have to end within the same moments. */
-const MOST_OPEN = 512;
+/** Memory limit, as many runs as a few servers have at once; more would need many servers to exit at the same time. */
+const MAX_UNRESOLVED = 512;
 
 /** A run that broke. */
 export interface UnresolvedBreak {
-  /** The life that it ran in. */
+  /** The record of the boot that it ran on. */
   readonly server: ServerRecord;
   readonly fingerprint: string;
   readonly ranMs: number;
   readonly atMs: number;
 }
 
-/** Breaks of which it is not known yet whether their server ended. */
+/** Broken runs for which it is not yet known whether their server exited. */
 export class UnresolvedBreaks {
   readonly #timers: TimerService;
-  /** In the order of their time. */
-  #open: readonly UnresolvedBreak[] = [];
+  /** In the order of `atMs`. */
+  #unresolved: readonly UnresolvedBreak[] = [];
 
   constructor(timers: TimerService) {
     this.#timers = timers;
@@ -31,21 +31,21 @@
 
   add(broken: UnresolvedBreak): void {
     if (broken.server.bornMs === undefined) return;
-    this.#open = [...this.#recent(), broken].slice(-MOST_OPEN);
+    this.#unresolved = [...this.#recent(), broken].slice(-MAX_UNRESOLVED);
   }
 
-  /** Takes out those in lives of a server before this one. */
+  /** Removes and returns the recent runs on earlier boots of this server. */
   takeFromEarlierBoots({ id, bornMs }: ServerRecord): readonly UnresolvedBreak[] {
-    if (this.#open.length === 0 || bornMs === undefined) return [];
+    if (this.#unresolved.length === 0 || bornMs === undefined) return [];
     const isBefore = ({ server }: UnresolvedBreak) =>
       server.id === id && server.bornMs !== undefined && server.bornMs < bornMs;
     const recent = this.#recent();
-    this.#open = recent.filter((broken) => !isBefore(broken));
+    this.#unresolved = recent.filter((broken) => !isBefore(broken));
     return recent.filter(isBefore);
   }
 
   #recent(): readonly UnresolvedBreak[] {
     const sinceMs = this.#timers.nowMs() - LISTED_WITHIN_MS;
-    return this.#open.filter(({ atMs }) => atMs >= sinceMs);
+    return this.#unresolved.filter(({ atMs }) => atMs >= sinceMs);
   }
 }
--- a/src/shell/gateway/request-fingerprint.ts
+++ b/src/shell/gateway/request-fingerprint.ts
@@ -1,27 +1,27 @@
 /**
- * By what the same work is known again, whichever daemon takes it and under whichever attempt id: a digest of fixed
- * length over its method, host, path, tenant and body. It is keyed with a secret of the fleet, so that nobody who
- * sees a digest in a log, a datagram or a row can try out bodies.
+ * Fingerprints identify repeats of the same request at any daemon and under any attempt id: a digest of fixed length
+ * over method, host, path, tenant and body. The digest is keyed with a secret of the fleet, so that a body cannot be
+ * guessed from a digest seen in a log, a datagram or a stored row.
  */
 import { createHmac } from 'node:crypto';
 import type { Exchange, ExchangeOptions } from './exchange.js';
 
-/** 128 bits: no two requests share one by chance. */
+/** 128 bits make accidental collisions negligible. */
 const DIGEST_BYTES = 16;
 
-/** A request under way, as far as it matters to whether it ends servers. */
+/** The parts of an exchange that the crash guard uses. */
 export interface GuardedExchange extends Pick<Exchange, 'refuse'> {
   readonly options: Pick<ExchangeOptions, 'tenant' | 'body' | 'description'> & {
     readonly request: Pick<ExchangeOptions['request'], 'method' | 'url' | 'headers'>;
   };
 }
 
-/** The request as far as its fingerprint goes. */
+/** The parts of a request that its fingerprint covers. */
 interface FingerprintedRequest {
   readonly method: string;
   readonly host: string;
   readonly path: string;
-  /** Empty where requests need no key. */
+  /** The tenant's name; empty where requests need no API key. */
   readonly tenant: string;
   readonly body: Buffer;
 }
@@ -34,16 +34,16 @@
   return digest.subarray(0, DIGEST_BYTES).toString('hex');
 }
 
-/** Works out fingerprints once the secret is known, each request's at most once and only when asked. */
+/** Computes fingerprints once the secret is known: lazily, and at most once per request. */
 export class RequestFingerprints {
   #key: Buffer | undefined;
-  readonly #known = new WeakMap<GuardedExchange, string>();
+  readonly #fingerprints = new WeakMap<GuardedExchange, string>();
 
   get hasKey(): boolean {
     return this.#key !== undefined;
   }
 
-  /** The secret of the fleet; undefined until it was read. */
+  /** The secret of the fleet; undefined until it has been read. */
   get key(): Buffer | undefined {
     return this.#key;
   }
@@ -52,11 +52,11 @@
     this.#key = key;
   }
 
-  /** Undefined until the secret was read. */
+  /** The fingerprint of a request; undefined until the secret has been read. */
   of(exchange: GuardedExchange): string | undefined {
     if (this.#key === undefined) return undefined;
-    const known = this.#known.get(exchange);
-    if (known !== undefined) return known;
+    const cached = this.#fingerprints.get(exchange);
+    if (cached !== undefined) return cached;
     const { request, tenant, body } = exchange.options;
     const described = {
       method: request.method ?? '',
@@ -66,7 +66,7 @@
       body,
     };
     const fingerprint = fingerprintOf(described, this.#key);
-    this.#known.set(exchange, fingerprint);
+    this.#fingerprints.set(exchange, fingerprint);
     return fingerprint;
   }
 }
--- a/src/shell/gateway/server-calls.ts
+++ b/src/shell/gateway/server-calls.ts
@@ -1,6 +1,7 @@
 /**
- * Calls to listed servers: the one place that every call of this daemon to a server passes, whatever it is for. What
- * an answer says of its server is heard here, and nothing is sent to one that has said that it wants nothing.
+ * Calls to listed servers: every call of this daemon to a server goes through here, whatever its purpose. This records
+ * what the answers report of the server's availability and limit, and holds back calls to a server that has reported
+ * that it accepts none.
  */
 import type {
   LimitChange,
@@ -22,40 +23,40 @@
 import type { GatewayLog } from './request-log.js';
 import type { TimerService, WallClock } from './timer-service.js';
 
-/** A server that says something wrongly does so with each answer. */
-const SAID_AGAIN_MS = 10_000;
+/** Minimum interval between log lines on unreadable headers, as a faulty server sends them with every answer. */
+const LOG_INTERVAL_MS = 10_000;
 
-/** What a call is for. */
+/** The purpose of a call. */
 export type CallPurpose = 'run' | 'prefill' | 'free-memory' | 'cache-news' | 'report' | 'order';
 
 /** One call to a server. */
 export interface ServerCall extends Omit<BackendCall, 'address'> {
   readonly server: ServerRecord;
   readonly purpose: CallPurpose;
-  /** The attempt that it is part of; empty where it is the daemon's own. */
+  /** The id of the attempt that the call is part of; empty for the daemon's own calls. */
   readonly request: string;
-  /** A permit was taken for it before, where its server names a limit. */
+  /** Whether a permit was already taken for the call, where its server reports a limit. */
   readonly hasPermit?: boolean;
 }
 
-/** The call was not made: its server wants none. */
+/** The call was not made, as its server accepts none at present. */
 export interface HeldBack {
   readonly kind: 'held-back';
   readonly reason: string;
 }
 
-/** What the calls are built from. */
+/** Dependencies of the calls. */
 export interface ServerCallsOptions {
   readonly connections: Pick<BackendConnections, 'call'>;
   readonly fleet: Pick<
     FleetView,
     'availability' | 'availabilityOf' | 'limits' | 'permits' | 'recentSends'
   >;
-  /** To be called when an answer changed what is known of its server's limit. */
+  /** Called when an answer changed the known limit of its server. */
   readonly onLimitChange: (server: ServerRecord, change: LimitChange, purpose: CallPurpose) => void;
   readonly codec: Pick<RequestCodec, 'readAvailability' | 'readLimit'>;
   readonly timers: TimerService;
-  /** The time of day, by which starts of servers are told. */
+  /** The time of day, in which servers' start times are given. */
   readonly wallClock: WallClock;
   readonly metrics: Pick<
     GatewayMetrics,
@@ -64,11 +65,11 @@
   readonly log: Pick<GatewayLog, 'write'>;
 }
 
-/** Calls servers and hears what they say of themselves. */
+/** Calls servers and records the availability and limits that they report. */
 export class ServerCalls {
   readonly #options: ServerCallsOptions;
   #unreadable = 0;
-  #unreadableSaidMs = Number.NEGATIVE_INFINITY;
+  #unreadableLoggedMs = Number.NEGATIVE_INFINITY;
 
   constructor(options: ServerCallsOptions) {
     this.#options = options;
@@ -80,25 +81,25 @@
     const sentAtMs = timers.nowMs();
     const heldBack = this.#holdBack(call, sentAtMs);
     if (heldBack !== undefined) return heldBack;
-    if (isForCaller(purpose)) this.#noteSent(server, hasPermit, sentAtMs);
+    if (isForCaller(purpose)) this.#recordSent(server, hasPermit, sentAtMs);
     const result = await connections.call({ ...sent, address: server.address });
-    if (result.kind === 'answered') this.#hear(call, sentAtMs, result.answer);
+    if (result.kind === 'answered') this.#recordReports(call, sentAtMs, result.answer);
     return result;
   }
 
-  /** Whoever chose the server may have done so before it spoke: this is the last look before a connection is used. */
+  /** Rechecks the server right before the call, as it may have reported a change after it was chosen. */
   #holdBack(
     { server, purpose, request, hasPermit = false }: ServerCall,
     nowMs: number,
   ): HeldBack | undefined {
     const { fleet, log, metrics } = this.#options;
     const { availability } = fleet;
-    // A leaving server still does for this daemon what is no new work; one that rests wants none of its calls.
-    const found = isForCaller(purpose)
+    // A leaving server still accepts calls that bring no new work; a server that backs off accepts no calls at all.
+    const availabilityNow = isForCaller(purpose)
       ? this.#availabilityOf(server, hasPermit, nowMs)
       : availability.backOffOf(server, nowMs);
-    if (found === undefined || found.kind === 'open') return undefined;
-    const { kind: why, toldAgoMs } = found;
+    if (availabilityNow === undefined || availabilityNow.kind === 'open') return undefined;
+    const { kind: why, toldAgoMs } = availabilityNow;
     metrics.recordHeldBack(why);
     const fields = { request, server: server.id, purpose, why, toldAgoMs: Math.round(toldAgoMs) };
     log.write(GATEWAY_EVENTS.callHeldBack, fields);
@@ -110,87 +111,90 @@
     return hasPermit ? fleet.availability.of(server, nowMs) : fleet.availabilityOf(server, nowMs);
   }
 
-  #noteSent(server: ServerRecord, hasPermit: boolean, sentAtMs: number): void {
+  #recordSent(server: ServerRecord, hasPermit: boolean, sentAtMs: number): void {
     const { fleet, metrics } = this.#options;
     fleet.availability.recordSent(server, sentAtMs);
     if (fleet.limits.of(server.id) === undefined) {
       fleet.recentSends.record(server.id, sentAtMs);
       return;
     }
-    // Whether there is one was looked at just before.
+    // `#holdBack` has just checked that a permit is available.
     if (!hasPermit) fleet.permits.take(server.id, sentAtMs);
     metrics.recordCallToLimited();
   }
 
-  #hear(call: ServerCall, sentAtMs: number, answer: BackendAnswer): void {
+  #recordReports(call: ServerCall, sentAtMs: number, answer: BackendAnswer): void {
     const { server, purpose } = call;
     const { status, message } = answer;
     const { codec, fleet, timers, log, metrics, wallClock } = this.#options;
-    this.#hearLimit(call, sentAtMs, answer);
-    const said = codec.readAvailability(status, message.headers);
-    if (said?.backOffMs === undefined && isForCaller(purpose)) {
+    this.#recordLimit(call, sentAtMs, answer);
+    const reported = codec.readAvailability(status, message.headers);
+    if (reported?.backOffMs === undefined && isForCaller(purpose)) {
       fleet.availability.recordAccepted(server, sentAtMs);
     }
-    if (said === undefined) return;
-    if (said.unreadable !== '') this.#noteUnreadable(server.id, said.unreadable);
-    const toldAt = { nowMs: timers.nowMs(), unixMs: wallClock(), entropy: Math.random() };
-    for (const news of fleet.availability.take(server, said, toldAt)) {
+    if (reported === undefined) return;
+    if (reported.unreadable !== '') this.#logUnreadable(server.id, reported.unreadable);
+    const reportedAt = { nowMs: timers.nowMs(), unixMs: wallClock(), entropy: Math.random() };
+    for (const update of fleet.availability.take(server, reported, reportedAt)) {
       const fields = { server: server.id, service: server.service, purpose, status };
-      metrics.recordToldAvailability(news.kind);
-      switch (news.kind) {
+      metrics.recordToldAvailability(update.kind);
+      switch (update.kind) {
         case 'leaving':
           log.write(GATEWAY_EVENTS.serverSaidLeaving, { ...fields, listed: server.state });
           break;
         case 'resting':
           log.write(GATEWAY_EVENTS.serverAskedForRest, {
             ...fields,
-            restMs: Math.round(news.forMs),
+            restMs: Math.round(update.forMs),
           });
           break;
       }
     }
   }
 
-  #hearLimit(call: ServerCall, sentAtMs: number, { status, message }: BackendAnswer): void {
+  #recordLimit(call: ServerCall, sentAtMs: number, { status, message }: BackendAnswer): void {
     const { codec, fleet, timers, onLimitChange } = this.#options;
     const { server, purpose } = call;
-    const said = codec.readLimit(status, message.headers);
-    if (said.kind === 'unreadable') this.#noteUnreadable(server.id, `limit: ${said.text}`);
-    if (!isSureOf(said, call)) return;
+    const reading = codec.readLimit(status, message.headers);
+    if (reading.kind === 'unreadable') this.#logUnreadable(server.id, `limit: ${reading.text}`);
+    if (!isReliable(reading, call)) return;
     const times = { sentAtMs, nowMs: timers.nowMs() };
-    const change = fleet.limits.recordReport(server, said, times);
+    const change = fleet.limits.recordReport(server, reading, times);
     if (change !== undefined) onLimitChange(server, change, purpose);
   }
 
-  #noteUnreadable(server: string, told: string): void {
+  #logUnreadable(server: string, told: string): void {
     const { timers, log, metrics } = this.#options;
     this.#unreadable += 1;
     metrics.recordToldAvailability('unreadable');
     const nowMs = timers.nowMs();
-    if (nowMs - this.#unreadableSaidMs < SAID_AGAIN_MS) return;
-    this.#unreadableSaidMs = nowMs;
+    if (nowMs - this.#unreadableLoggedMs < LOG_INTERVAL_MS) return;
+    this.#unreadableLoggedMs = nowMs;
     const fields = { server, told, unreadable: this.#unreadable };
     log.write(GATEWAY_EVENTS.toldAvailabilityUnreadable, fields);
   }
 }
 
 /**
- * Any answer of a server may name its limit; that it names none is shown by an answer to this very request alone: on
- * a connection with a fault, another one may come in its place.
+ * Whether a reading may be recorded. A reported limit counts from any answer of the server. The absence of a limit counts
+ * only from the answer to this request, as a faulty connection may deliver the answer to another one instead.
  */
-function isSureOf(said: LimitReading, { purpose, request }: ServerCall): said is ReportedLimit {
-  switch (said.kind) {
+function isReliable(
+  reading: LimitReading,
+  { purpose, request }: ServerCall,
+): reading is ReportedLimit {
+  switch (reading.kind) {
     case 'named':
       return true;
     case 'none':
-      return isForCaller(purpose) && said.attemptId === request;
+      return isForCaller(purpose) && reading.attemptId === request;
     case 'unreadable':
     case 'unknown':
       return false;
   }
 }
 
-/** Work of callers, of which a leaving server takes no more. */
+/** Whether a call runs a caller's request; a leaving server accepts no more of those. */
 function isForCaller(purpose: CallPurpose): boolean {
   switch (purpose) {
     case 'run':
--- a/src/shell/gateway/server-end-check.ts
+++ b/src/shell/gateway/server-end-check.ts
@@ -1,40 +1,41 @@
 /**
- * Tells a server that has ended from one that broke an answer off: right after a run broke, one connection to it is
- * tried. A server that has ended refuses it; one that was reset, cut or spoilt an answer takes it, or says nothing. One
- * that has started again takes it, too; its later life in the list shows that the one before has ended.
+ * Decides whether a server has exited or only broke off an answer, by one connection attempt right after a run broke. A
+ * server that has exited refuses the connection; one that is running accepts it or, behind a faulty network, does not
+ * answer. A server that has already restarted accepts it too; its later boot in the server list shows that the earlier
+ * one has exited.
  */
 import { bootIdOf, type ServerRecord } from '../../core/gateway/index.js';
 import type { BackendConnections } from './backend-connections.js';
 import type { TimerService } from './timer-service.js';
 
-/** Runs of one server break together when it ends; they share one connection of this time. */
-const SHARED_MS = 1_000;
-const MOST_KNOWN = 256;
+/** All runs of a server break when it exits; checks within this time share one connection attempt. */
+const CHECK_REUSE_MS = 1_000;
+const MAX_CACHED_CHECKS = 256;
 
-/** What a check is built from. */
+/** Dependencies of the check. */
 export interface ServerExitCheckOptions {
   readonly connections: Pick<BackendConnections, 'isRefused'>;
-  /** Whether a later life of a server is listed already. */
+  /** Whether a later boot of the server is already listed. */
   readonly isSuperseded: (server: ServerRecord) => boolean;
   readonly timers: TimerService;
 }
 
-interface KnownCheck {
+interface CachedCheck {
   readonly atMs: number;
   readonly hasEnded: Promise<boolean>;
 }
 
-/** Checks whether servers have ended. */
+/** Checks whether servers have exited. */
 export class ServerExitCheck {
   readonly #options: ServerExitCheckOptions;
-  /** By life: one that has begun meanwhile takes connections and says nothing of the one before. */
-  readonly #checks = new Map<string, KnownCheck>();
+  /** By boot id, since a later boot accepts connections whether or not the earlier one exited. */
+  readonly #checks = new Map<string, CachedCheck>();
 
   constructor(options: ServerExitCheckOptions) {
     this.#options = options;
   }
 
-  /** Whether a life of a server is over, just after a run there broke: refused, or followed by another one. */
+  /** Whether the server has exited, just after a run there broke: its port refuses connections or a later boot is listed. */
   async hasEnded(server: ServerRecord): Promise<boolean> {
     const { isSuperseded } = this.#options;
     if (isSuperseded(server)) return true;
@@ -45,18 +46,19 @@
   #isRefused(server: ServerRecord): Promise<boolean> {
     const { connections, timers } = this.#options;
     const nowMs = timers.nowMs();
-    const life = bootIdOf(server);
-    const known = this.#checks.get(life);
-    if (known !== undefined && nowMs - known.atMs < SHARED_MS) return known.hasEnded;
-    this.#dropOld(nowMs);
+    const bootId = bootIdOf(server);
+    const cached = this.#checks.get(bootId);
+    if (cached !== undefined && nowMs - cached.atMs < CHECK_REUSE_MS) return cached.hasEnded;
+    this.#evictOld(nowMs);
     const hasEnded = connections.isRefused(server.address);
-    this.#checks.set(life, { atMs: nowMs, hasEnded });
+    this.#checks.set(bootId, { atMs: nowMs, hasEnded });
     return hasEnded;
   }
 
-  #dropOld(nowMs: number): void {
-    for (const [life, { atMs }] of this.#checks) {
-      if (nowMs - atMs >= SHARED_MS || this.#checks.size >= MOST_KNOWN) this.#checks.delete(life);
+  #evictOld(nowMs: number): void {
+    for (const [bootId, { atMs }] of this.#checks) {
+      if (nowMs - atMs >= CHECK_REUSE_MS || this.#checks.size >= MAX_CACHED_CHECKS)
+        this.#checks.delete(bootId);
     }
   }
 }
--- a/src/shell/gateway/small-listeners.ts
+++ b/src/shell/gateway/small-listeners.ts
@@ -1,8 +1,8 @@
-/** The listeners for readiness questions and for figures. */
+/** The listeners for readiness checks and for metrics. */
 import http, { type Server } from 'node:http';
 import type { GatewayMetrics } from './gateway-metrics.js';
 
-/** Answers 200 while the gateway is ready and 503 else. */
+/** Answers 200 while the gateway is ready and 503 otherwise. */
 export function createReadinessServer(path: string, isReady: () => boolean): Server {
   return http.createServer((request, response) => {
     if (request.url !== path) {
@@ -13,7 +13,7 @@
   });
 }
 
-/** Serves figures as Prometheus text on any path. */
+/** Serves metrics in the Prometheus text format on any path. */
 export function createMetricsServer(metrics: GatewayMetrics): Server {
   return http.createServer((_request, response) => {
     metrics.text().then(
@@ -23,7 +23,7 @@
   });
 }
 
-/** Resolves with its port once a server listens. */
+/** Resolves with the port once the server listens. */
 export function listen(server: Server, host: string, port: number): Promise<number> {
   return new Promise((resolve, reject) => {
     server.once('error', reject);
--- a/src/shell/gateway/timer-service.ts
+++ b/src/shell/gateway/timer-service.ts
@@ -1,18 +1,16 @@
-/**
- * The one source of time and timers; parts subscribe to it, so that tests run them in virtual time.
- */
+/** The single source of time and timers, which tests replace with virtual time. */
 
-/** Ends a subscription; harmless after it has fired. */
+/** Cancels a timer; has no effect after the timer has fired. */
 export type CancelTimer = () => void;
 
 /** A monotonic clock and its timers. */
 export interface TimerService {
   nowMs(): number;
-  /** Calls once after a delay. */
+  /** Calls `callback` once after a delay. */
   after(delayMs: number, callback: () => void): CancelTimer;
 }
 
-/** Time as the process has it. */
+/** The process's own clock and timers. */
 export const SYSTEM_TIMERS: TimerService = {
   nowMs: () => performance.now(),
   after: (delayMs, callback) => {
@@ -24,39 +22,39 @@
 /** The time of day, in milliseconds since the start of 1970. */
 export type WallClock = () => number;
 
-/** The time of day runs so much ahead of the steady clock at most when nothing but its regulation moves it. */
-const REGULATION_MS = 50;
+/** Maximum lead that the time of day gains on the monotonic clock between two readings by clock discipline (NTP) alone. */
+const MAX_SLEW_MS = 50;
 
 /**
- * Timers whose clock counts the time of a suspended machine, for what must not be believed to be younger than it is:
- * a lease whose holder was suspended past its end has ended. The steady clock stands still meanwhile and the time of
- * day does not, so where the latter has run ahead, the machine was suspended, or its time of day was set. Which of the
- * two can't be told, and is taken for the former: a lease is then given up too soon, and is to be had again.
+ * Timers whose clock includes the time during which the machine was suspended. Leases need this: a lease has expired if
+ * its holder was suspended past its end. The monotonic clock stops during a suspension and the time of day does not, so
+ * when the time of day has jumped ahead, the machine was suspended or its time of day was set. The two cannot be told
+ * apart and both count as a suspension: at worst a lease is given up too early and has to be acquired again.
  */
 export function suspensionAwareTimers(timers: TimerService, wallClock: WallClock): TimerService {
-  let aheadMs = wallClock() - timers.nowMs();
+  let leadMs = wallClock() - timers.nowMs();
   let suspendedMs = 0;
   const nowMs = () => {
-    const steadyMs = timers.nowMs();
-    const newAheadMs = wallClock() - steadyMs;
-    const jumpMs = newAheadMs - aheadMs;
-    if (jumpMs > REGULATION_MS) suspendedMs += jumpMs;
-    aheadMs = newAheadMs;
-    return steadyMs + suspendedMs;
+    const monotonicMs = timers.nowMs();
+    const newLeadMs = wallClock() - monotonicMs;
+    const jumpMs = newLeadMs - leadMs;
+    if (jumpMs > MAX_SLEW_MS) suspendedMs += jumpMs;
+    leadMs = newLeadMs;
+    return monotonicMs + suspendedMs;
   };
   return { nowMs, after: (delayMs, callback) => timers.after(delayMs, callback) };
 }
 
 /**
- * The time of day as it was at the start of the process, carried on by the steady clock: a jump of the
- * machine's clock meanwhile changes nothing.
+ * The time of day at the start of the process, advanced by the monotonic clock, so that later jumps of the machine's
+ * time of day have no effect.
  */
 export function steadyWallClock(timers: TimerService, unixMsNow: number): WallClock {
   const startedMs = timers.nowMs();
   return () => unixMsNow + timers.nowMs() - startedMs;
 }
 
-/** Resolves after a delay, or at once when the signal is aborted. */
+/** Resolves after a delay, or as soon as the signal is aborted. */
 export function delay(timers: TimerService, delayMs: number, signal?: AbortSignal): Promise<void> {
   return new Promise((resolve) => {
     if (signal?.aborted === true) return resolve();
@@ -71,8 +69,9 @@
 }
 
 /**
- * Makes a call whose signal is aborted after a time, or with another signal; the call settles itself.
- * @param outer ends the call sooner; undefined when nothing but the time does
+ * Makes a call with a signal that is aborted after a time limit or together with another signal. The call itself has to
+ * settle when its signal is aborted.
+ * @param outer aborts the call early; undefined for the time limit alone
  */
 export async function callWithTimeout<Result>(
   timers: TimerService,
@@ -80,15 +79,15 @@
   outer: AbortSignal | undefined,
   call: (signal: AbortSignal) => Promise<Result>,
 ): Promise<Result> {
-  const ended = new AbortController();
-  const end = () => ended.abort();
-  if (outer?.aborted === true) end();
-  outer?.addEventListener('abort', end, { once: true });
-  const cancel = timers.after(limitMs, end);
+  const controller = new AbortController();
+  const abortCall = () => controller.abort();
+  if (outer?.aborted === true) abortCall();
+  outer?.addEventListener('abort', abortCall, { once: true });
+  const cancel = timers.after(limitMs, abortCall);
   try {
-    return await call(ended.signal);
+    return await call(controller.signal);
   } finally {
     cancel();
-    outer?.removeEventListener('abort', end);
+    outer?.removeEventListener('abort', abortCall);
   }
 }
--- a/src/shell/gateway/web-work.ts
+++ b/src/shell/gateway/web-work.ts
@@ -1,6 +1,7 @@
 /**
- * The work at web servers that many daemons share: what this one tells of its own, what servers say of theirs, and what
- * is expected there when a server is chosen. Switched off, each daemon goes by its own calls alone.
+ * The load of web servers that many daemons share: the calls that this daemon reports to the others, the load that
+ * servers report, and the load that is expected when a server is chosen. When switched off, each daemon counts only its
+ * own calls.
  */
 import type {
   LoadReport,
@@ -15,11 +16,11 @@
 import type { GatewayLog } from './request-log.js';
 import type { TimerService } from './timer-service.js';
 
-/** A server that writes its load wrongly does so with each answer. */
-const SAID_AGAIN_MS = 10_000;
+/** Minimum interval between log lines on unreadable loads, as a faulty server sends them with every answer. */
+const LOG_INTERVAL_MS = 10_000;
 const NO_WORK: LoadReport['work'] = [];
 
-/** What it is built from. */
+/** Dependencies of `WebWork`. */
 export interface WebWorkOptions {
   readonly isEnabled: boolean;
   readonly fleet: Pick<
@@ -27,41 +28,41 @@
     'directory' | 'healthOf' | 'webLoads' | 'webLoadsOf' | 'ownWebWork' | 'isCrowded'
   >;
   readonly roster: Pick<PeerRoster, 'isLarge'>;
-  /** Absent where this daemon tells no others. */
+  /** Undefined where this daemon sends nothing to other daemons. */
   readonly peers: () => Pick<PeerExchange, 'scheduleUrgentReport'> | undefined;
   readonly timers: TimerService;
   readonly log: Pick<GatewayLog, 'write'>;
 }
 
-/** A daemon's part in the work at web servers. */
+/** Tracks the load of web servers as far as this daemon knows it. */
 export class WebWork {
   readonly #options: WebWorkOptions;
-  #saidMs = Number.NEGATIVE_INFINITY;
-  /** Words of servers on their load that could not be read, since the start. */
+  #loggedMs = Number.NEGATIVE_INFINITY;
+  /** Unreadable load reports of servers since the process started. */
   unreadableTotal = 0;
 
   constructor(options: WebWorkOptions) {
     this.#options = options;
   }
 
-  /** This daemon's calls, as far as the others are told of them. */
+  /** The calls of this daemon that it reports to the others; empty where it reports none. */
   own(): LoadReport['work'] {
-    return this.#isTold ? this.#options.fleet.ownWebWork() : NO_WORK;
+    return this.#isReported ? this.#options.fleet.ownWebWork() : NO_WORK;
   }
 
-  /** A call to a server of a service began or ended. */
+  /** Records that a call to a server of a service began or ended. */
   recordCall(service: string): void {
     const { fleet, peers } = this.#options;
-    if (this.#isTold && fleet.isCrowded(service)) peers()?.scheduleUrgentReport();
+    if (this.#isReported && fleet.isCrowded(service)) peers()?.scheduleUrgentReport();
   }
 
-  /** What is expected at the servers of a service; undefined where only own calls count. */
+  /** The expected load of the servers of a service; undefined where only own calls count. */
   loadsOf(service: string): ((serverId: string) => WebServerLoad) | undefined {
     const { isEnabled, fleet, timers } = this.#options;
-    return isEnabled ? fleet.webLoadsOf(service, this.#isTold, timers.nowMs()) : undefined;
+    return isEnabled ? fleet.webLoadsOf(service, this.#isReported, timers.nowMs()) : undefined;
   }
 
-  /** A server says something of its load. */
+  /** Applies the load that a server reported with an answer. */
   applyReportedLoad(server: ServerRecord, load: ToldLoad): void {
     const { isEnabled, fleet, timers } = this.#options;
     if (!isEnabled) return;
@@ -74,22 +75,25 @@
         return;
       }
       case 'unreadable':
-        this.#noteUnreadable(server.id, load.text);
+        this.#logUnreadable(server.id, load.text);
         return;
     }
   }
 
-  /** Small fleets see enough of their own calls, and each of their daemons would tell all others. */
-  get #isTold(): boolean {
+  /**
+   * Whether daemons report their calls to each other. In a small fleet a daemon's own calls show enough of the load, and
+   * each daemon would have to report to every other.
+   */
+  get #isReported(): boolean {
     return this.#options.isEnabled && this.#options.roster.isLarge;
   }
 
-  #noteUnreadable(server: string, told: string): void {
+  #logUnreadable(server: string, told: string): void {
     const { timers, log } = this.#options;
     this.unreadableTotal += 1;
     const nowMs = timers.nowMs();
-    if (nowMs - this.#saidMs < SAID_AGAIN_MS) return;
-    this.#saidMs = nowMs;
+    if (nowMs - this.#loggedMs < LOG_INTERVAL_MS) return;
+    this.#loggedMs = nowMs;
     const fields = { server, told, unreadable: this.unreadableTotal };
     log.write(GATEWAY_EVENTS.toldLoadUnreadable, fields);
   }
