--- a/test/gateway/backend-connections.test.ts
+++ b/test/gateway/backend-connections.test.ts
@@ -1,4 +1,4 @@
-/** Calls to backends: what tells a request that may have run from one that cannot have. */
+/** Calls to backends: telling a request that may have run from one that was not sent. */
 import assert from 'node:assert/strict';
 import { once } from 'node:events';
 import { type AddressInfo, createServer, type Server, type Socket } from 'node:net';
@@ -52,7 +52,7 @@
   return socket;
 }
 
-test('a refused connection means that nothing was sent', async () => {
+test('a call on a refused connection is reported as not sent', async () => {
   const unused = port();
   server.close();
   await once(server, 'close');
@@ -60,14 +60,14 @@
   server.listen(0, '127.0.0.1');
 });
 
-test('a connection that closes under a request leaves open whether it ran', async () => {
+test('a call whose connection closes after the request was sent is reported as broken', async () => {
   const result = call(port());
   const socket = await nextSocket();
   socket.once('data', () => socket.destroy());
   assert.equal((await result).kind, 'broken');
 });
 
-test('an answer without a length that is reset is not whole', async () => {
+test('an answer without a length is incomplete when its connection is reset', async () => {
   const result = call(port());
   const socket = await nextSocket();
   socket.write(ANSWER_WITHOUT_LENGTH);
@@ -81,7 +81,7 @@
   assert.equal(await body, undefined);
 });
 
-test('an answer without a length that its connection ends is whole, as far as can be told', async () => {
+test('an answer without a length counts as complete when its connection is closed normally', async () => {
   const result = call(port());
   const socket = await nextSocket();
   socket.end(ANSWER_WITHOUT_LENGTH);
@@ -91,7 +91,7 @@
   assert.equal((await answered.answer.collect(100))?.toString(), 'part');
 });
 
-test('a connection is kept for as long as the server says, less a margin, and not without its word', async () => {
+test("a connection is reused within the server's keep-alive time-out", async () => {
   const answerTo = async (head: string) => {
     const result = await call(port(), undefined, true);
     assert.equal(result.kind, 'answered');
@@ -107,7 +107,7 @@
   assert.equal(connections.openedTotal, 1);
 });
 
-test('a call that is given up closes its connection', async () => {
+test('an aborted call closes its connection', async () => {
   const ended = new AbortController();
   const result = call(port(), ended.signal);
   const socket = await nextSocket();
--- a/test/gateway/believing.test.ts
+++ b/test/gateway/believing.test.ts
@@ -1,4 +1,4 @@
-/** What a gateway believes of configuration and servers, and how it stops. */
+/** How a gateway applies configurations and the server list, and how it stops. */
 import assert from 'node:assert/strict';
 import { afterEach, beforeEach, test } from 'node:test';
 import { TABLES } from '../../platform/names.js';
@@ -23,7 +23,7 @@
   );
 }
 
-test('a new configuration takes effect, an older one never does', async () => {
+test('a newer configuration takes effect, an older one does not', async () => {
   await fixture.start();
   fixture.store.putConfiguration(configuration(5, [route({})]));
   await inForce(5);
@@ -35,7 +35,7 @@
   assert.equal((await fixture.call({ path: '/tiles/1' })).status, 404);
 });
 
-test('a malformed configuration is said and the last good one stays', async () => {
+test('a malformed configuration is logged and the last valid one stays in force', async () => {
   await fixture.start();
   fixture.store.putConfiguration(configuration(5, [route({})]));
   await inForce(5);
@@ -48,7 +48,7 @@
   );
 });
 
-test('when the history is lost the table is read whole, and what changed meanwhile is found', async () => {
+test('when the store has lost its history the whole table is read again and changes in between are found', async () => {
   await fixture.start();
   fixture.store.putConfiguration(configuration(5, [route({})]));
   await inForce(5);
@@ -58,7 +58,7 @@
   await inForce(6);
 });
 
-test('while the store refuses, what is known stays in force; then the watch goes on', async () => {
+test('while the store refuses calls the known configuration and servers stay in use, and the watch resumes afterwards', async () => {
   await fixture.start();
   fixture.store.putConfiguration(configuration(5, [route({})]));
   await inForce(5);
@@ -75,12 +75,12 @@
   await inForce(6);
 });
 
-test('a server that drains, or is no longer listed, gets nothing new', async () => {
+test('a server that is draining or no longer listed gets no new requests', async () => {
   await fixture.start();
   fixture.store.putConfiguration(configuration(5, [route({})]));
   await inForce(5);
   const leaving = await fixture.addServer('i-1', answering(200, 'leaving'));
-  const gone = await fixture.addServer('i-2', answering(200, 'gone'));
+  const removed = await fixture.addServer('i-2', answering(200, 'gone'));
   await fixture.addServer('i-3', answering(200, 'staying'));
   await fixture.logged(GATEWAY_EVENTS.serverAdded, (fields) => fields.server === 'i-3');
   fixture.listServer('i-1', leaving, { state: 'draining' });
@@ -90,16 +90,16 @@
   for (let count = 0; count < 6; count += 1) {
     assert.equal((await fixture.call({ path: '/tiles/1' })).body, 'staying');
   }
-  assert.equal(gone.seen.length, 0);
+  assert.equal(removed.seen.length, 0);
 });
 
-test('a server row that is none is said and passed over', async () => {
+test('a malformed server row is logged and skipped', async () => {
   await fixture.start();
   fixture.store.putServer('i-1', { service: 'viewer' });
   await fixture.logged(GATEWAY_EVENTS.serverMalformed, (fields) => fields.server === 'i-1');
 });
 
-test('a stopping gateway is not ready, serves what comes, and ends when all is answered', async () => {
+test('a stopping gateway reports not ready, still serves requests, and stops once all are answered', async () => {
   const timers = new ManualTimers();
   await fixture.start(timers);
   fixture.store.putConfiguration(configuration(5, [route({ timeoutMs: 60_000 })]));
--- a/test/gateway/door.test.ts
+++ b/test/gateway/door.test.ts
@@ -1,4 +1,4 @@
-/** Refusals before a request is sent anywhere. */
+/** Refusal of requests on arrival, before they are sent to any server. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import fc from 'fast-check';
@@ -19,20 +19,20 @@
   };
 }
 
-test('what is expected after its caller has given up is refused, with the time until there is room', () => {
+test('a request whose answer is expected after its deadline is refused with the time until there is capacity', () => {
   assert.deepEqual(refusalOnArrival(input('late', 2_500)), { retryAfterMs: 2_300 });
 });
 
-test('what is late and can still be answered is sent', () => {
+test('a request that is late but can be answered before its deadline is sent', () => {
   assert.equal(refusalOnArrival(input('late', 2_000)), undefined);
 });
 
-test('a request that may have run is not refused, nor one by paces that nobody has seen', () => {
+test('a request that may have run, or whose forecast is not learnt from observed paces, is not refused', () => {
   assert.equal(refusalOnArrival(input('late', 2_500, { mayHaveRun: true })), undefined);
   assert.equal(refusalOnArrival(input('late', 2_500, { isLearnt: false })), undefined);
 });
 
-test('nothing that can be in time is refused, whatever the forecast', () => {
+test('a request that can be in time is never refused, whatever the forecast', () => {
   const spans = fc.nat(60_000);
   fc.assert(
     fc.property(spans, spans, (expectedMs, remainingMs) => {
--- a/test/gateway/model-requests.test.ts
+++ b/test/gateway/model-requests.test.ts
@@ -1,4 +1,4 @@
-/** Model requests through a whole gateway over TCP: hand-over, falling back, streams and resuming. */
+/** Model requests through a complete gateway over TCP: prefill with hand-over to a decode engine, fallbacks, streams and resuming. */
 import assert from 'node:assert/strict';
 import { once } from 'node:events';
 import type { IncomingMessage } from 'node:http';
@@ -50,14 +50,14 @@
   return server;
 }
 
-/** What a server was sent as requests, without the calls for its news. */
+/** The callers' requests that a server received, without the gateway's own calls. */
 function requestsOf(server: ServerStandIn) {
   return server.seen.filter(
     (seen) => seen.url.startsWith('/read/') || seen.url.startsWith('/check/'),
   );
 }
 
-test('a long prompt is read at a prefill engine and goes on at a decode engine', async () => {
+test('a long prompt is prefilled at a prefill engine and decoded at a decode engine', async () => {
   const prefill = await addEngine('i-p', 'prefill');
   const decode = await addEngine('i-d', 'decode');
   const answer = await fixture.call(LONG_REQUEST);
@@ -69,14 +69,14 @@
   assert.equal(run?.headers['x-stage'], undefined);
 });
 
-test('a short prompt is read by the decode engine itself', async () => {
+test('a short prompt is prefilled by the decode engine itself', async () => {
   const prefill = await addEngine('i-p', 'prefill');
   await addEngine('i-d', 'decode');
   assert.equal((await fixture.call(SHORT_REQUEST)).body, ALL_EVENTS);
   assert.equal(requestsOf(prefill).length, 0);
 });
 
-test('when the memory cannot be had the decode engine reads the prompt, and the memory is freed', async () => {
+test('when the decode engine cannot fetch the KV memory it prefills the prompt itself, and the memory is freed', async () => {
   const freed = deferred<string>();
   await addEngine('i-p', 'prefill', (served) => {
     if (served.seen.method === 'DELETE') freed.resolve(served.seen.url);
@@ -93,13 +93,13 @@
   assert.equal(await freed.promise, '/kv-handle/handle-1');
 });
 
-test('when no prefill engine reads, the decode engine does', async () => {
+test('when every prefill engine rejects the prompt, the decode engine prefills it', async () => {
   await addEngine('i-p', 'prefill', rejectingAsNotExecuted);
   await addEngine('i-d', 'decode');
   assert.equal((await fixture.call(LONG_REQUEST)).body, ALL_EVENTS);
 });
 
-test('a resumable stream that breaks inside an event goes on at another engine', async () => {
+test('a resumable stream that breaks inside an event is resumed at another engine', async () => {
   const first = await addEngine('i-1', 'decode', engine(3, 1));
   const second = await addEngine('i-2', 'decode', engine(3, 1));
   const takeOver = (other: ServerStandIn) => {
@@ -122,7 +122,7 @@
   assert.deepEqual(resumed.sort(), ['1', undefined]);
 });
 
-test('a stream that may not be resumed ends visibly broken and runs once', async () => {
+test('a stream that may not be resumed ends as incomplete at the caller and runs once', async () => {
   const decode = await addEngine('i-1', 'decode', engine(3, 1));
   const other = await addEngine('i-2', 'decode', engine(3, 1));
   const answer = await fixture.call(LONG_REQUEST);
@@ -130,13 +130,13 @@
   assert.equal(requestsOf(decode).length + requestsOf(other).length, 1);
 });
 
-test('without any engine a request is refused as not run', async () => {
+test('without any engine a request is refused with a 503', async () => {
   const answer = await fixture.call(LONG_REQUEST);
   assert.equal(answer.status, 503);
   assert.ok(Number(answer.headers['retry-after']) > 0);
 });
 
-test('a run after a reading that failed is a repeat, and is not made without a budget', async () => {
+test('a run after a failed prefill counts as a retry and is not sent without a retry budget', async () => {
   fixture.stop();
   await startFixture({ ratio: 0, slack: 0 });
   await addEngine('i-p', 'prefill', ({ seen, response }) => {
@@ -149,7 +149,7 @@
   assert.equal(requestsOf(decode).length, 0);
 });
 
-test('an engine that began to drain while the prompt was read gets no run', async () => {
+test('an engine that began to drain during the prefill gets no run', async () => {
   const reading = deferred<ServedRequest>();
   await addEngine('i-p', 'prefill', (served) => {
     if (served.seen.url.startsWith('/read/')) reading.resolve(served);
@@ -167,7 +167,7 @@
   assert.equal(requestsOf(staying).length, 1);
 });
 
-test('a stopping daemon refuses a stream that it would have to cut, and takes one that can end', async () => {
+test('a stopping daemon refuses a stream that it would have to abort, and accepts one that can end in time', async () => {
   fixture.stop();
   const timers = new ManualTimers();
   fixture = new GatewayFixture();
@@ -189,7 +189,11 @@
   await once(stream.resume(), 'end');
   decode.script = engine(3);
   void fixture.gateway.stop();
-  assert.equal((await fixture.call(SHORT_REQUEST)).body, ALL_EVENTS, 'it can end in time');
+  assert.equal(
+    (await fixture.call(SHORT_REQUEST)).body,
+    ALL_EVENTS,
+    'a stream that can end in time',
+  );
   const long = {
     ...SHORT_REQUEST,
     headers: { ...SHORT_REQUEST.headers, 'X-Token-Count': '300,40' },
--- a/test/gateway/request-room.test.ts
+++ b/test/gateway/request-room.test.ts
@@ -1,4 +1,4 @@
-/** What drives the waiting room: events, callers that leave, a stop, and a timer as the backstop. */
+/** The admission gate: rechecks on events and by timer, callers that disconnect, and a stop of the daemon. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import type { Placement } from '../../src/core/gateway/index.js';
@@ -17,7 +17,7 @@
   readonly retryAfterMs: number;
 }
 
-/** A room with what is seen of it. */
+/** A gate that records its log lines, metrics and refusals. */
 function setUp() {
   const timers = new ManualTimers();
   const lines: { event: LogEvent; fields: LogFields }[] = [];
@@ -35,7 +35,7 @@
   return { room, timers, lines, waits, refusals };
 }
 
-/** A request whose place a test sets. */
+/** A request whose admission decision a test sets. */
 function caller(timers: ManualTimers, name: string, first: Placement, isSentAtHoldLimit = false) {
   const left = new AbortController();
   const answers: Refusal[] = [];
@@ -68,7 +68,7 @@
   return { exchange, check, state, answers, left };
 }
 
-test('with room a request goes at once and holds its place until it is sent', async () => {
+test('a request with capacity is admitted at once and keeps its reservation until it is sent', async () => {
   const { room, timers, lines } = setUp();
   const { exchange, check, state } = caller(timers, 'a', GO);
   const release = await room.admit(exchange, check);
@@ -78,7 +78,7 @@
   assert.deepEqual(lines, []);
 });
 
-test('a waiting request goes with the event that brings room, with a line of its wait', async () => {
+test('a held request is admitted by the event that frees capacity, and its wait is logged', async () => {
   const { room, timers, lines, waits } = setUp();
   const { exchange, check, state } = caller(timers, 'a', WAIT);
   const passed = room.admit(exchange, check);
@@ -106,7 +106,7 @@
   assert.deepEqual(waits, [30]);
 });
 
-test('without an event the room looks by itself when room is expected', async () => {
+test('without an event a held request is rechecked by timer when capacity is expected', async () => {
   const { room, timers } = setUp();
   const { exchange, check, state } = caller(timers, 'a', WAIT);
   const passed = room.admit(exchange, check);
@@ -117,7 +117,7 @@
   assert.notEqual(await passed, undefined);
 });
 
-test('what was held as long as it may be is refused, or goes where that is asked for', async () => {
+test('a request held for the maximum time is refused, or sent if its check says so', async () => {
   const { room, timers, refusals, lines } = setUp();
   const refused = caller(timers, 'a', WAIT);
   const sent = caller(timers, 'b', WAIT, true);
@@ -133,7 +133,7 @@
   assert.equal(room.waiting, 0);
 });
 
-test('a caller that leaves frees its place at once, and is given no answer', async () => {
+test('a caller that disconnects is removed from the waiting room at once and gets no answer', async () => {
   const { room, timers, refusals } = setUp();
   const { exchange, check, left, answers } = caller(timers, 'a', WAIT);
   const passed = room.admit(exchange, check);
@@ -143,7 +143,7 @@
   assert.deepEqual([refusals, answers], [[], []]);
 });
 
-test('a stopping daemon empties its room and holds nobody any more, but lets go what has room', async () => {
+test('a stopping daemon refuses held requests and holds no more, but admits requests with capacity', async () => {
   const { room, timers, refusals } = setUp();
   const waiting = caller(timers, 'a', WAIT);
   const passed = room.admit(waiting.exchange, waiting.check);
@@ -158,15 +158,15 @@
   assert.equal(room.waiting, 0);
 });
 
-test('a hopeless request is refused at once, with a time to come back after room is expected', async () => {
+test('a hopeless request is refused at once with a retry time after capacity is expected', async () => {
   const { room, timers, lines } = setUp();
   const hopeless: Placement = { kind: 'refuse', reason: 'hopeless', roomInMs: 400 };
-  const told: number[] = [];
+  const retryTimesMs: number[] = [];
   for (const name of ['a', 'b', 'c']) {
     const { exchange, check, answers } = caller(timers, name, hopeless);
     assert.equal(await room.admit(exchange, check), undefined);
-    told.push(answers[0]?.retryAfterMs ?? 0);
+    retryTimesMs.push(answers[0]?.retryAfterMs ?? 0);
   }
-  assert.ok(told.every((retryAfterMs, index) => retryAfterMs >= 400 + 20 * index));
+  assert.ok(retryTimesMs.every((retryAfterMs, index) => retryAfterMs >= 400 + 20 * index));
   assert.equal(lines[0]?.fields.reason, 'hopeless');
 });
--- a/test/gateway/retry-turns.test.ts
+++ b/test/gateway/retry-turns.test.ts
@@ -1,4 +1,4 @@
-/** Turns of a daemon's watches while the store answers none of them. */
+/** The order in which a daemon's watches retry while the store answers none of them. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import { WatchRetryQueue } from '../../src/shell/gateway/retry-turns.js';
@@ -6,61 +6,61 @@
 
 const TURN = { waitMs: 100, callMs: 1_000 };
 
-function watches() {
+function setUp() {
   const timers = new ManualTimers();
-  const turns = new WatchRetryQueue(timers);
+  const queue = new WatchRetryQueue(timers);
   const gone: string[] = [];
   const stopped = new AbortController();
   const wait = (name: string, signal = stopped.signal) =>
-    turns.next(TURN, signal).then(() => gone.push(name));
-  const pass = async (spanMs: number) => {
+    queue.next(TURN, signal).then(() => gone.push(name));
+  const advanceAndSettle = async (spanMs: number) => {
     timers.advance(spanMs);
     await new Promise((resolve) => setImmediate(resolve));
   };
-  return { turns, gone, stopped, wait, pass };
+  return { queue, gone, stopped, wait, advanceAndSettle };
 }
 
-test('watches that fail call in turn, the next one a wait after the last has failed', async () => {
-  const { gone, wait, pass } = watches();
+test('failed watches retry one at a time, each after its wait once the call before it has failed', async () => {
+  const { gone, wait, advanceAndSettle } = setUp();
   void wait('a');
   void wait('b');
-  await pass(100);
+  await advanceAndSettle(100);
   assert.deepEqual(gone, ['a']);
-  await pass(500);
-  assert.deepEqual(gone, ['a'], 'while the call of the first is under way');
+  await advanceAndSettle(500);
+  assert.deepEqual(gone, ['a'], 'the call of the first is still in flight');
   void wait('a');
-  await pass(100);
+  await advanceAndSettle(100);
   assert.deepEqual(gone, ['a', 'b']);
 });
 
-test('one answer sends all on at once', async () => {
-  const { turns, gone, wait, pass } = watches();
+test('one answer of the store releases all watches at once', async () => {
+  const { queue, gone, wait, advanceAndSettle } = setUp();
   void wait('a');
   void wait('b');
   void wait('c');
-  await pass(100);
-  turns.recordStoreAnswer();
-  await pass(0);
+  await advanceAndSettle(100);
+  queue.recordStoreAnswer();
+  await advanceAndSettle(0);
   assert.deepEqual(gone, ['a', 'b', 'c']);
 });
 
-test('a watch that has its turn and makes no call holds nobody up for longer than a call takes', async () => {
-  const { gone, wait, pass } = watches();
+test('a watch that makes no call in its turn delays the next one by at most the time limit of a call', async () => {
+  const { gone, wait, advanceAndSettle } = setUp();
   void wait('a');
   void wait('b');
-  await pass(100);
-  await pass(TURN.callMs + TURN.waitMs);
+  await advanceAndSettle(100);
+  await advanceAndSettle(TURN.callMs + TURN.waitMs);
   assert.deepEqual(gone, ['a', 'b']);
 });
 
-test('a watch that need not wait any more leaves its place to the next', async () => {
-  const { gone, wait, pass } = watches();
+test('a watch whose wait is aborted leaves its turn to the next', async () => {
+  const { gone, wait, advanceAndSettle } = setUp();
   const need = new AbortController();
   void wait('a', need.signal);
   void wait('b');
   need.abort();
-  await pass(0);
+  await advanceAndSettle(0);
   assert.deepEqual(gone, ['a']);
-  await pass(100);
+  await advanceAndSettle(100);
   assert.deepEqual(gone, ['a', 'b']);
 });
--- a/test/gateway/support/deferred.ts
+++ b/test/gateway/support/deferred.ts
@@ -1,4 +1,4 @@
-/** A promise that a test settles itself. */
+/** A promise that a test resolves itself. */
 export function deferred<Value>(): {
   readonly promise: Promise<Value>;
   readonly resolve: (value: Value) => void;
--- a/test/gateway/support/fixture.ts
+++ b/test/gateway/support/fixture.ts
@@ -1,4 +1,4 @@
-/** A gateway over real sockets, with a store and servers that tests script. */
+/** A gateway over real sockets, with a fake store and fake servers that tests script. */
 import { once } from 'node:events';
 import http from 'node:http';
 import { connect } from 'node:net';
@@ -19,7 +19,7 @@
 
 const HOST = 'labels.example';
 
-/** A line that a gateway logged. */
+/** A log line of a gateway. */
 export interface LoggedLine {
   /** The daemon that logged it. */
   readonly daemon: string;
@@ -27,40 +27,40 @@
   readonly fields: LogFields;
 }
 
-/** An answer as a caller got it. */
+/** An answer as a caller received it. */
 export interface CallerAnswer {
   readonly status: number;
   readonly headers: http.IncomingHttpHeaders;
   readonly body: string;
-  /** Whether the answer came to its end. */
+  /** Whether the answer arrived completely. */
   readonly isComplete: boolean;
 }
 
-/** What a caller sends. */
+/** A caller's request. */
 export interface CallerRequest {
   readonly path: string;
   readonly method?: string;
   readonly headers?: Record<string, string>;
   readonly body?: string;
-  /** The daemon that takes it; the first one unless given. */
+  /** The port of the daemon to send it to; the first daemon by default. */
   readonly port?: number;
 }
 
-/** What a gateway of a fixture varies in. */
+/** Options of one gateway of the fixture. */
 interface GatewayOptions {
   readonly name: string;
   readonly timers: TimerService;
   readonly retryBudget: GatewaySettings['retryBudget'];
-  /** Whether it tells other daemons of itself. */
+  /** Whether it exchanges messages with other daemons. */
   readonly hasPeers: boolean;
   readonly decisions: GatewaySettings['decisions'];
 }
 
 const FIRST_DAEMON = 'front-1';
-/** Each request earns all repeats that a test wants. */
+/** Allows as many retries per request as any test needs. */
 const AMPLE_BUDGET = { ratio: 4, slack: 240 };
 
-/** A route of the configuration; what is not given is that of a plain web route. */
+/** A route of the configuration; fields default to those of a plain web route. */
 export function route(fields: Record<string, unknown>): Record<string, unknown> {
   return {
     name: 'tiles',
@@ -97,7 +97,7 @@
   targetLatencyMs: 500,
 });
 
-/** A request whose prompt is long enough to be read at an engine of its own; its route is `READ_ROUTE`. */
+/** A request whose prompt is long enough for a separate prefill engine; its route is `READ_ROUTE`. */
 export const LONG_REQUEST = {
   path: '/read/1',
   headers: {
@@ -107,14 +107,14 @@
   },
 };
 
-/** A request whose prompt an engine that generates reads by itself; its route is `RESUMABLE_ROUTE`. */
+/** A request whose prompt the decode engine prefills itself; its route is `RESUMABLE_ROUTE`. */
 export const SHORT_REQUEST = {
   path: '/check/1',
   headers: { 'X-Model': 'm', 'X-Token-Count': '300,4', 'X-Prompt-Prefix': 'cc:300' },
 };
 
 /**
- * A configuration over some routes.
+ * A configuration with the given routes.
  * @param tenants undefined where requests need no API key
  */
 export function configuration(
@@ -146,21 +146,21 @@
   };
 }
 
-/** A gateway with all that is around it. */
+/** Gateways with their store and servers. */
 export class GatewayFixture {
   readonly store = new StoreStandIn();
   readonly lines: LoggedLine[] = [];
   readonly #servers: ServerStandIn[] = [];
-  readonly #waiting = new Set<() => void>();
+  readonly #lineWaiters = new Set<() => void>();
   readonly #gateways: Gateway[] = [];
   #storeAddress: { readonly host: string; readonly port: number } | undefined;
   callersPort = 0;
   readinessPort = 0;
 
   /**
-   * @param timers real time unless a test moves it itself
-   * @param retryBudget what all daemons together may send again
-   * @param decisions which decisions under load it makes
+   * @param timers real time unless a test controls it
+   * @param retryBudget the retry budget of the whole fleet
+   * @param decisions the load decisions that are switched on
    */
   async start(
     timers: TimerService = SYSTEM_TIMERS,
@@ -173,7 +173,7 @@
     this.readinessPort = addresses.readinessPort;
   }
 
-  /** Starts one more daemon, which tells the others of itself; gives the port of its callers. */
+  /** Starts one more daemon, which exchanges messages with the others; returns its port for callers. */
   async addDaemon(name: string, timers: TimerService = SYSTEM_TIMERS): Promise<number> {
     const options = {
       name,
@@ -207,7 +207,7 @@
     };
     const logger = {
       write: (event: LogEvent, fields: LogFields = {}) =>
-        this.#note({ daemon: name, event, fields }),
+        this.#recordLine({ daemon: name, event, fields }),
       flush: () => undefined,
     };
     const gateway = new Gateway({
@@ -234,7 +234,7 @@
     return first;
   }
 
-  /** Starts a server and lists it. */
+  /** Starts a server and puts it in the server list. */
   async addServer(id: string, script: Script, fields: object = {}): Promise<ServerStandIn> {
     const server = new ServerStandIn(script);
     await server.start();
@@ -249,18 +249,18 @@
     this.store.putServer(id, { ...row, ...fields });
   }
 
-  /** Resolves once a line was logged that fits, now or before. */
+  /** Resolves once a matching line has been logged, including before the call. */
   async logged(
     event: LogEvent,
-    fits: (fields: LogFields, daemon: string) => boolean = () => true,
+    matches: (fields: LogFields, daemon: string) => boolean = () => true,
   ): Promise<void> {
-    const isThere = () =>
-      this.lines.some((line) => line.event === event && fits(line.fields, line.daemon));
-    while (!isThere()) await new Promise<void>((resolve) => this.#waiting.add(resolve));
+    const isLogged = () =>
+      this.lines.some((line) => line.event === event && matches(line.fields, line.daemon));
+    while (!isLogged()) await new Promise<void>((resolve) => this.#lineWaiters.add(resolve));
   }
 
   async call(request: CallerRequest): Promise<CallerAnswer> {
-    // A daemon takes no requests before.
+    // A daemon accepts no requests before it has read the crash table.
     await this.logged(GATEWAY_EVENTS.crashTableRead);
     const sent = this.open(request);
     const [response] = (await once(sent, 'response')) as [http.IncomingMessage];
@@ -290,7 +290,7 @@
     return sent;
   }
 
-  /** Sends the lines of a request's head as they are, and gives all that comes back. */
+  /** Sends the lines of a request's head as they are, and returns everything received. */
   async callRaw(head: readonly string[]): Promise<string> {
     const socket = connect(this.callersPort, '127.0.0.1');
     socket.end(`${[...head, 'Connection: close'].join('\r\n')}\r\n\r\n`);
@@ -305,9 +305,9 @@
     return answer.status;
   }
 
-  #note(line: LoggedLine): void {
+  #recordLine(line: LoggedLine): void {
     this.lines.push(line);
-    for (const resolve of this.#waiting) resolve();
-    this.#waiting.clear();
+    for (const resolve of this.#lineWaiters) resolve();
+    this.#lineWaiters.clear();
   }
 }
--- a/test/gateway/support/manual-timers.ts
+++ b/test/gateway/support/manual-timers.ts
@@ -1,7 +1,7 @@
-/** A timer service whose time only moves when a test says so. */
+/** A timer service whose time moves only when a test advances it. */
 import type { TimerService } from '../../../src/shell/gateway/timer-service.js';
 
-/** Short against what tests wait for: changes of lists that are gathered, calls that come again. */
+/** Short compared with the delays that tests wait for, such as batching of list changes and retries of calls. */
 const STEP_MS = 10;
 
 interface Pending {
@@ -26,7 +26,7 @@
     };
   }
 
-  /** Moves time on and calls what falls due, in order. */
+  /** Advances the time and calls the timers that fall due, in order. */
   advance(spanMs: number): void {
     const endMs = this.#nowMs + spanMs;
     for (;;) {
@@ -39,9 +39,9 @@
     this.#nowMs = endMs;
   }
 
-  /** Lets this time and what is on sockets go on together until something is so. */
-  async advanceUntil(isSo: () => boolean): Promise<void> {
-    while (!isSo()) {
+  /** Advances the time in steps and lets socket events run in between, until a condition holds. */
+  async advanceUntil(isDone: () => boolean): Promise<void> {
+    while (!isDone()) {
       this.advance(STEP_MS);
       await new Promise((resolve) => setImmediate(resolve));
     }
--- a/test/gateway/support/server-stand-in.ts
+++ b/test/gateway/support/server-stand-in.ts
@@ -1,9 +1,9 @@
-/** A stand-in for the platform's servers: tests script what it answers and see what it was sent. */
+/** A fake of the platform's servers: tests script its answers and inspect the requests that it received. */
 import { once } from 'node:events';
 import http, { type IncomingMessage, type ServerResponse } from 'node:http';
 import type { AddressInfo, Socket } from 'node:net';
 
-/** A request as a server saw it. */
+/** A request as a server received it. */
 export interface SeenRequest {
   readonly method: string;
   readonly url: string;
@@ -11,16 +11,16 @@
   readonly body: string;
 }
 
-/** One request at a server, to be answered. */
+/** A request at a server that its script has to answer. */
 export interface ServedRequest {
   readonly seen: SeenRequest;
   readonly response: ServerResponse;
   readonly socket: Socket;
-  /** Resolves when the caller's side closes the connection. */
+  /** Resolves when the response is finished or its connection is closed. */
   readonly closed: Promise<unknown>;
 }
 
-/** How a server meets a request. */
+/** How a server handles a request. */
 export type Script = (served: ServedRequest) => void;
 
 /** A server on loopback. */
@@ -71,20 +71,20 @@
   };
 }
 
-/** Answers whole. */
+/** Answers with a complete body. */
 export function answering(status: number, body: string): Script {
   return ({ seen, response }) => {
     response.writeHead(status, { ...stamped(seen), 'Content-Length': body.length }).end(body);
   };
 }
 
-/** Says that the request has not run. */
+/** Rejects the request with a 503 that states that it has not run. */
 export const rejectingAsNotExecuted: Script = ({ seen, response }) => {
   const marks = { 'X-Attempt-Id': String(seen.headers['x-attempt-id']), 'X-Not-Executed': '1' };
   response.writeHead(503, marks).end();
 };
 
-/** An engine: reads prompts, and streams events from the one after `Last-Event-Id`. */
+/** An engine: answers prefills, and streams events from the one after `Last-Event-Id`. */
 export function engine(events: number, breakAfter = Number.POSITIVE_INFINITY): Script {
   return ({ seen, response }) => {
     if (seen.headers['x-stage'] === 'prefill') {
--- a/test/gateway/support/virtual-timers.ts
+++ b/test/gateway/support/virtual-timers.ts
@@ -1,4 +1,4 @@
-/** A timer service on a heap of events, for tests with many daemons; what waits for no timer runs between events. */
+/** A timer service on a heap of events, for tests with many daemons; promise callbacks run between events. */
 import { VirtualTime } from '../../../src/lab/scale/virtual-time.js';
 import type { TimerService } from '../../../src/shell/gateway/timer-service.js';
 
@@ -23,7 +23,7 @@
     };
   }
 
-  /** Lets time pass, and all that follows from each event run before the next. */
+  /** Advances the time; everything that an event triggers runs before the next event. */
   async advanceUntil(endMs: number): Promise<void> {
     await settled();
     while (this.#time.now < endMs) {
@@ -34,7 +34,7 @@
   }
 }
 
-/** Lets everything run that waits for no timer. */
+/** Lets all pending callbacks run that do not wait for a timer. */
 function settled(): Promise<void> {
   return new Promise((resolve) => setImmediate(resolve));
 }
--- a/test/gateway/timer-service.test.ts
+++ b/test/gateway/timer-service.test.ts
@@ -1,4 +1,4 @@
-/** Calls that are ended after a time. */
+/** Calls with a time limit, and a clock that counts suspensions of the machine. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import { callWithTimeout, suspensionAwareTimers } from '../../src/shell/gateway/timer-service.js';
@@ -12,14 +12,14 @@
   });
 }
 
-test('a call is ended after its time', async () => {
+test('a call is aborted after its time limit', async () => {
   const timers = new ManualTimers();
   const result = callWithTimeout(timers, 100, undefined, untilAborted);
   timers.advance(100);
   assert.equal(await result, 'ended');
 });
 
-test('a call is ended with the other signal, at once when that was aborted before', async () => {
+test('a call is aborted with the outer signal, at once if that was aborted before the call', async () => {
   const outer = new AbortController();
   const result = callWithTimeout(new ManualTimers(), 100, outer.signal, untilAborted);
   outer.abort();
@@ -30,7 +30,7 @@
   );
 });
 
-test('a call that is over leaves no timer and no listener', async () => {
+test('a settled call leaves no timer and no listener', async () => {
   const timers = new ManualTimers();
   const outer = new AbortController();
   let seen: AbortSignal | undefined;
@@ -42,7 +42,7 @@
   assert.equal(seen?.aborted, false);
 });
 
-test('a clock that knows of suspensions counts them, and a time of day that was set ahead', () => {
+test('the suspension-aware clock counts suspensions, and also a time of day that was set ahead', () => {
   const steady = new ManualTimers();
   let aheadMs = 5_000;
   const timers = suspensionAwareTimers(steady, () => steady.nowMs() + aheadMs);
@@ -55,7 +55,7 @@
   assert.equal(timers.nowMs() - startedMs, 4_150);
 });
 
-test('it neither goes back with the time of day nor follows its regulation', () => {
+test('the suspension-aware clock ignores a time of day that was set back or is adjusted gradually', () => {
   const steady = new ManualTimers();
   let aheadMs = 0;
   const timers = suspensionAwareTimers(steady, () => steady.nowMs() + aheadMs);
@@ -70,7 +70,7 @@
   assert.equal(timers.nowMs() - startedMs, 60_000);
 });
 
-test('its timers are those of the steady clock', () => {
+test('its timers run on the monotonic clock', () => {
   const steady = new ManualTimers();
   const timers = suspensionAwareTimers(steady, () => steady.nowMs());
   let isFired = false;
--- a/test/gateway/web-requests.test.ts
+++ b/test/gateway/web-requests.test.ts
@@ -1,4 +1,4 @@
-/** Plain web requests through a whole gateway over TCP: what is promised to callers and servers. */
+/** Plain web requests through a complete gateway over TCP: the guarantees to callers and servers. */
 import assert from 'node:assert/strict';
 import { afterEach, beforeEach, test } from 'node:test';
 import { GATEWAY_EVENTS } from '../../src/core/logging/catalogue/gateway.js';
@@ -37,7 +37,7 @@
   return fixture.logged(GATEWAY_EVENTS.serverAdded, (fields) => fields.server === id);
 }
 
-test('a request reaches its server unchanged and the answer comes back unchanged', async () => {
+test('a request and its answer are forwarded unchanged', async () => {
   await startWith();
   const server = await fixture.addServer('i-1', answering(201, 'made'));
   await listed('i-1');
@@ -58,7 +58,7 @@
   assert.ok(Number(seen?.headers['x-deadline-ms']) <= 800);
 });
 
-test('before the first configuration a request is refused with the time to come back', async () => {
+test('before the first configuration a request is refused with a retry time', async () => {
   await fixture.start();
   const answer = await fixture.call({ path: '/tiles/1' });
   assert.equal(answer.status, 503);
@@ -66,13 +66,13 @@
   assert.equal(await fixture.readiness(), 503);
 });
 
-test('a path without a route is not found, a large body is too large', async () => {
+test('a path without a route gets a 404, a body over the limit a 413', async () => {
   await startWith();
   assert.equal((await fixture.call({ path: '/nowhere/1' })).status, 404);
   assert.equal((await fixture.call({ path: '/tiles/1', body: 'x'.repeat(1_001) })).status, 413);
 });
 
-test('a line tells which version knew no route for a request, and how old the last look was', async () => {
+test('a request without a route is logged with the configuration version and the age of its last check', async () => {
   await startWith(7);
   await fixture.call({ path: '/nowhere/1', headers: { 'X-Attempt-Id': 'attempt-9' } });
   const line = fixture.lines.find(({ event }) => event === GATEWAY_EVENTS.routeUnknown);
@@ -82,7 +82,7 @@
   assert.ok(Number(line?.fields.lookAgeMs) >= 0);
 });
 
-test('a request that may not be repeated runs once though its server breaks off', async () => {
+test('a request that may not be repeated runs once, even if its server closes the connection', async () => {
   await startWith();
   const breaking = ({ socket }: ServedRequest) => socket.destroy();
   const first = await fixture.addServer('i-1', breaking);
@@ -93,7 +93,7 @@
   assert.equal(first.seen.length + second.seen.length, 1);
 });
 
-test('a request that was turned down goes to another server', async () => {
+test('a request that a server rejected goes to another server', async () => {
   await startWith();
   await fixture.addServer('i-1', rejectingAsNotExecuted, { zone: 'a' });
   await fixture.addServer('i-2', answering(200, 'served'), { zone: 'b' });
@@ -103,7 +103,7 @@
   assert.equal(answer.body, 'served');
 });
 
-test('a request that every server turned down is refused at once as not run', async () => {
+test('a request that every server rejected is refused at once with a 503', async () => {
   await startWith();
   await fixture.addServer('i-1', rejectingAsNotExecuted);
   await listed('i-1');
@@ -112,14 +112,14 @@
   assert.ok(Number(answer.headers['retry-after']) > 0);
 });
 
-test('a 503 that does not say "not run" is not passed on as that promise', async () => {
+test('a 503 without the not-executed header is not forwarded as a promise that the request has not run', async () => {
   await startWith();
   await fixture.addServer('i-1', answering(503, 'busy'));
   await listed('i-1');
   assert.equal((await fixture.call({ path: '/tiles/1' })).status, 502);
 });
 
-test('a repeatable request that failed is tried at a second server', async () => {
+test('a repeatable request that failed is retried at a second server', async () => {
   await startWith();
   await fixture.addServer('i-1', answering(500, 'no'), { zone: 'a' });
   await fixture.addServer('i-2', answering(200, 'yes'), { zone: 'b' });
@@ -128,7 +128,7 @@
   assert.equal(answer.body, 'yes');
 });
 
-test('an answer cut short of its length does not look whole', async () => {
+test('an answer shorter than its content length is not forwarded as complete', async () => {
   await startWith();
   await fixture.addServer('i-1', ({ seen, response }) => {
     response.writeHead(200, { ...stamped(seen), 'Content-Length': 100 });
@@ -138,7 +138,7 @@
   assert.equal((await fixture.call({ path: '/tiles/1' })).status, 502);
 });
 
-test('an answer that only its connection ends is passed on without a length', async () => {
+test('an answer that is delimited by the close of its connection is forwarded without a length', async () => {
   await startWith();
   await fixture.addServer('i-1', ({ seen, socket }) => {
     const id = seen.headers['x-attempt-id'];
@@ -152,7 +152,7 @@
   assert.equal(answer.headers.connection, 'close');
 });
 
-test("another request's answer is not passed on", async () => {
+test("another request's answer is not forwarded", async () => {
   await startWith();
   await fixture.addServer('i-1', ({ response }) => {
     response.writeHead(200, { 'X-Attempt-Id': 'other', 'X-Response-Stamp': 's' }).end('theirs');
@@ -161,7 +161,7 @@
   assert.equal((await fixture.call({ path: '/tiles/1' })).status, 502);
 });
 
-test('at its route time-out a request that may be running fails without a promise', async () => {
+test('a request that may be running at its route time-out fails with a 504', async () => {
   const timers = new ManualTimers();
   await fixture.start(timers);
   fixture.store.putConfiguration(configuration(1, [route({})]));
@@ -176,7 +176,7 @@
   await served.closed;
 });
 
-test('when a caller leaves, its server sees the connection close', async () => {
+test('when a caller disconnects, the connection to its server is closed', async () => {
   await startWith();
   const arrived = deferred<ServedRequest>();
   await fixture.addServer('i-1', (served) => arrived.resolve(served));
@@ -188,7 +188,7 @@
   await served.closed;
 });
 
-test('a slow repeatable request is also asked of a second server', async () => {
+test('a slow repeatable request is also sent to a second server', async () => {
   const timers = new ManualTimers();
   await fixture.start(timers);
   fixture.store.putConfiguration(configuration(1, [IDEMPOTENT]));
