--- a/src/shell/gateway/attempt.ts
+++ b/src/shell/gateway/attempt.ts
@@ -22,7 +22,7 @@
 import type { WebWork } from './web-work.js';
 
 const MIN_SERVER_ERROR_STATUS = 500;
-/** Random addition to `Retry-After`, as a share of it. */
+/** Maximum random addition to `Retry-After`, as a share of it. */
 const RETRY_JITTER = 0.5;
 const NO_BUDGET_REASON = 'the retry budget is spent';
 
--- a/src/shell/gateway/prompt-reading.ts
+++ b/src/shell/gateway/prompt-reading.ts
@@ -84,7 +84,7 @@
   return waitMs <= MAX_WAIT_SHARE * readMs;
 }
 
-/** Corrects the forecasts of waiting times; a prefill that failed counts as having waited until then. */
+/** Corrects the forecasts of waiting times; a prefill that failed waited at least until then. */
 function recordWait(
   exchange: Exchange,
   { fleet }: AttemptContext,
--- a/src/shell/gateway/request-room.ts
+++ b/src/shell/gateway/request-room.ts
@@ -1,7 +1,7 @@
 /**
  * Admission of requests to servers: runs the admission check of each request and admits, holds or refuses it. Requests
  * that are held in the waiting room are checked again when something has changed: a run or a prefill ended, load sums
- * of other daemons arrived, a server was listed. A held request ends when its caller disconnects or the daemon stops.
+ * of other daemons arrived, a server was listed. A held request leaves when its caller disconnects or the daemon stops.
  */
 import { type RoomPlace, WaitingRoom } from '../../core/admission/index.js';
 import type { Placement } from '../../core/gateway/index.js';
--- a/test/gateway/request-room.test.ts
+++ b/test/gateway/request-room.test.ts
@@ -23,7 +23,7 @@
   const lines: { event: LogEvent; fields: LogFields }[] = [];
   const waits: number[] = [];
   const refusals: string[] = [];
-  const room = new AdmissionGate({
+  const gate = new AdmissionGate({
     isOn: true,
     timers,
     log: { write: (event, fields = {}) => lines.push({ event, fields }) },
@@ -32,7 +32,7 @@
       recordRoomRefusal: (reason, rank) => refusals.push(`${reason} ${rank}`),
     },
   });
-  return { room, timers, lines, waits, refusals };
+  return { gate, timers, lines, waits, refusals };
 }
 
 /** A request whose admission decision a test sets. */
@@ -69,9 +69,9 @@
 }
 
 test('a request with capacity is admitted at once and keeps its reservation until it is sent', async () => {
-  const { room, timers, lines } = setUp();
+  const { gate, timers, lines } = setUp();
   const { exchange, check, state } = caller(timers, 'a', GO);
-  const release = await room.admit(exchange, check);
+  const release = await gate.admit(exchange, check);
   assert.equal(state.reserved, 1);
   release?.();
   assert.equal(state.reserved, 0);
@@ -79,15 +79,15 @@
 });
 
 test('a held request is admitted by the event that frees capacity, and its wait is logged', async () => {
-  const { room, timers, lines, waits } = setUp();
+  const { gate, timers, lines, waits } = setUp();
   const { exchange, check, state } = caller(timers, 'a', WAIT);
-  const passed = room.admit(exchange, check);
-  assert.equal(room.waiting, 1);
+  const admitted = gate.admit(exchange, check);
+  assert.equal(gate.waiting, 1);
   timers.advance(30);
-  assert.equal(room.waiting, 1);
+  assert.equal(gate.waiting, 1);
   state.placement = GO;
-  room.wake();
-  assert.notEqual(await passed, undefined);
+  gate.wake();
+  assert.notEqual(await admitted, undefined);
   assert.deepEqual(
     lines.map(({ event }) => event),
     [GATEWAY_EVENTS.requestWaits, GATEWAY_EVENTS.requestWaited],
@@ -107,64 +107,64 @@
 });
 
 test('without an event a held request is rechecked by timer when capacity is expected', async () => {
-  const { room, timers } = setUp();
+  const { gate, timers } = setUp();
   const { exchange, check, state } = caller(timers, 'a', WAIT);
-  const passed = room.admit(exchange, check);
+  const admitted = gate.admit(exchange, check);
   state.placement = GO;
   timers.advance(59);
-  assert.equal(room.waiting, 1);
+  assert.equal(gate.waiting, 1);
   timers.advance(1);
-  assert.notEqual(await passed, undefined);
+  assert.notEqual(await admitted, undefined);
 });
 
 test('a request held for the maximum time is refused, or sent if its check says so', async () => {
-  const { room, timers, refusals, lines } = setUp();
+  const { gate, timers, refusals, lines } = setUp();
   const refused = caller(timers, 'a', WAIT);
   const sent = caller(timers, 'b', WAIT, true);
-  const passed = [refused, sent].map(({ exchange, check }) => room.admit(exchange, check));
+  const admitted = [refused, sent].map(({ exchange, check }) => gate.admit(exchange, check));
   timers.advance(200);
-  const [first, second] = await Promise.all(passed);
+  const [first, second] = await Promise.all(admitted);
   assert.equal(first, undefined);
   assert.notEqual(second, undefined);
   assert.deepEqual(refusals, ['no room came 1']);
   assert.ok((refused.answers[0]?.retryAfterMs ?? 0) > 0);
   const line = lines.find(({ event }) => event === GATEWAY_EVENTS.requestTurnedAway);
   assert.equal(line?.fields.waitedMs, 200);
-  assert.equal(room.waiting, 0);
+  assert.equal(gate.waiting, 0);
 });
 
 test('a caller that disconnects is removed from the waiting room at once and gets no answer', async () => {
-  const { room, timers, refusals } = setUp();
+  const { gate, timers, refusals } = setUp();
   const { exchange, check, left, answers } = caller(timers, 'a', WAIT);
-  const passed = room.admit(exchange, check);
+  const admitted = gate.admit(exchange, check);
   left.abort();
-  assert.equal(await passed, undefined);
-  assert.equal(room.waiting, 0);
+  assert.equal(await admitted, undefined);
+  assert.equal(gate.waiting, 0);
   assert.deepEqual([refusals, answers], [[], []]);
 });
 
 test('a stopping daemon refuses held requests and holds no more, but admits requests with capacity', async () => {
-  const { room, timers, refusals } = setUp();
+  const { gate, timers, refusals } = setUp();
   const waiting = caller(timers, 'a', WAIT);
-  const passed = room.admit(waiting.exchange, waiting.check);
-  room.beginStop();
-  assert.equal(await passed, undefined);
+  const admitted = gate.admit(waiting.exchange, waiting.check);
+  gate.beginStop();
+  assert.equal(await admitted, undefined);
   assert.equal(waiting.answers.length, 1);
   const late = caller(timers, 'b', WAIT);
-  assert.equal(await room.admit(late.exchange, late.check), undefined);
+  assert.equal(await gate.admit(late.exchange, late.check), undefined);
   const free = caller(timers, 'c', GO);
-  assert.notEqual(await room.admit(free.exchange, free.check), undefined);
+  assert.notEqual(await gate.admit(free.exchange, free.check), undefined);
   assert.deepEqual(refusals, ['stopping 1', 'stopping 1']);
-  assert.equal(room.waiting, 0);
+  assert.equal(gate.waiting, 0);
 });
 
 test('a hopeless request is refused at once with a retry time after capacity is expected', async () => {
-  const { room, timers, lines } = setUp();
+  const { gate, timers, lines } = setUp();
   const hopeless: Placement = { kind: 'refuse', reason: 'hopeless', roomInMs: 400 };
   const retryTimesMs: number[] = [];
   for (const name of ['a', 'b', 'c']) {
     const { exchange, check, answers } = caller(timers, name, hopeless);
-    assert.equal(await room.admit(exchange, check), undefined);
+    assert.equal(await gate.admit(exchange, check), undefined);
     retryTimesMs.push(answers[0]?.retryAfterMs ?? 0);
   }
   assert.ok(retryTimesMs.every((retryAfterMs, index) => retryAfterMs >= 400 + 20 * index));
