--- a/test/gateway/request-room.test.ts
+++ b/test/gateway/request-room.test.ts
@@ -1,4 +1,4 @@
-/** What drives the waiting room: events, callers that leave, a stop, and a timer as the backstop. */
+/** The admission gate: rechecks on events and by timer, callers that disconnect, and a stop of the daemon. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import type { Placement } from '../../src/core/gateway/index.js';
@@ -17,13 +17,13 @@
   readonly retryAfterMs: number;
 }
 
-/** A room with what is seen of it. */
+/** A gate that records its log lines, metrics and refusals. */
 function setUp() {
   const timers = new ManualTimers();
   const lines: { event: LogEvent; fields: LogFields }[] = [];
   const waits: number[] = [];
   const refusals: string[] = [];
-  const room = new AdmissionGate({
+  const gate = new AdmissionGate({
     isOn: true,
     timers,
     log: { write: (event, fields = {}) => lines.push({ event, fields }) },
@@ -32,10 +32,10 @@
       recordRoomRefusal: (reason, rank) => refusals.push(`${reason} ${rank}`),
     },
   });
-  return { room, timers, lines, waits, refusals };
+  return { gate, timers, lines, waits, refusals };
 }
 
-/** A request whose place a test sets. */
+/** A request whose admission decision a test sets. */
 function caller(timers: ManualTimers, name: string, first: Placement, isSentAtHoldLimit = false) {
   const left = new AbortController();
   const answers: Refusal[] = [];
@@ -51,12 +51,12 @@
     refuse: (reason: string, retryAfterMs: number) => answers.push({ reason, retryAfterMs }),
   } as unknown as Exchange;
   const state = { placement: first, reserved: 0 };
-  const ask: AdmissionCheck = {
+  const check: AdmissionCheck = {
     lane: 'reader/read',
     costMs: 50,
     spacingMs: 20,
     isSentAtHoldLimit,
-    place: () => state.placement,
+    decide: () => state.placement,
     inputs: () => ({ queueMs: 300, sumsAgeMs: 80 }),
     reserve: () => {
       state.reserved += 1;
@@ -65,29 +65,29 @@
       };
     },
   };
-  return { exchange, ask, state, answers, left };
+  return { exchange, check, state, answers, left };
 }
 
-test('with room a request goes at once and holds its place until it is sent', async () => {
-  const { room, timers, lines } = setUp();
-  const { exchange, ask, state } = caller(timers, 'a', GO);
-  const leave = await room.admit(exchange, ask);
+test('a request with capacity is admitted at once and keeps its reservation until it is sent', async () => {
+  const { gate, timers, lines } = setUp();
+  const { exchange, check, state } = caller(timers, 'a', GO);
+  const release = await gate.admit(exchange, check);
   assert.equal(state.reserved, 1);
-  leave?.();
+  release?.();
   assert.equal(state.reserved, 0);
   assert.deepEqual(lines, []);
 });
 
-test('a waiting request goes with the event that brings room, with a line of its wait', async () => {
-  const { room, timers, lines, waits } = setUp();
-  const { exchange, ask, state } = caller(timers, 'a', WAIT);
-  const passed = room.admit(exchange, ask);
-  assert.equal(room.waiting, 1);
+test('a held request is admitted by the event that frees capacity, and its wait is logged', async () => {
+  const { gate, timers, lines, waits } = setUp();
+  const { exchange, check, state } = caller(timers, 'a', WAIT);
+  const admitted = gate.admit(exchange, check);
+  assert.equal(gate.waiting, 1);
   timers.advance(30);
-  assert.equal(room.waiting, 1);
+  assert.equal(gate.waiting, 1);
   state.placement = GO;
-  room.wake();
-  assert.notEqual(await passed, undefined);
+  gate.wake();
+  assert.notEqual(await admitted, undefined);
   assert.deepEqual(
     lines.map(({ event }) => event),
     [GATEWAY_EVENTS.requestWaits, GATEWAY_EVENTS.requestWaited],
@@ -106,67 +106,67 @@
   assert.deepEqual(waits, [30]);
 });
 
-test('without an event the room looks by itself when room is expected', async () => {
-  const { room, timers } = setUp();
-  const { exchange, ask, state } = caller(timers, 'a', WAIT);
-  const passed = room.admit(exchange, ask);
+test('without an event a held request is rechecked by timer when capacity is expected', async () => {
+  const { gate, timers } = setUp();
+  const { exchange, check, state } = caller(timers, 'a', WAIT);
+  const admitted = gate.admit(exchange, check);
   state.placement = GO;
   timers.advance(59);
-  assert.equal(room.waiting, 1);
+  assert.equal(gate.waiting, 1);
   timers.advance(1);
-  assert.notEqual(await passed, undefined);
+  assert.notEqual(await admitted, undefined);
 });
 
-test('what was held as long as it may be is refused, or goes where that is asked for', async () => {
-  const { room, timers, refusals, lines } = setUp();
+test('a request held for the maximum time is refused, or sent if its check says so', async () => {
+  const { gate, timers, refusals, lines } = setUp();
   const refused = caller(timers, 'a', WAIT);
   const sent = caller(timers, 'b', WAIT, true);
-  const passed = [refused, sent].map(({ exchange, ask }) => room.admit(exchange, ask));
+  const admitted = [refused, sent].map(({ exchange, check }) => gate.admit(exchange, check));
   timers.advance(200);
-  const [first, second] = await Promise.all(passed);
+  const [first, second] = await Promise.all(admitted);
   assert.equal(first, undefined);
   assert.notEqual(second, undefined);
   assert.deepEqual(refusals, ['no room came 1']);
   assert.ok((refused.answers[0]?.retryAfterMs ?? 0) > 0);
   const line = lines.find(({ event }) => event === GATEWAY_EVENTS.requestTurnedAway);
   assert.equal(line?.fields.waitedMs, 200);
-  assert.equal(room.waiting, 0);
+  assert.equal(gate.waiting, 0);
 });
 
-test('a caller that leaves frees its place at once, and is given no answer', async () => {
-  const { room, timers, refusals } = setUp();
-  const { exchange, ask, left, answers } = caller(timers, 'a', WAIT);
-  const passed = room.admit(exchange, ask);
+test('a caller that disconnects is removed from the waiting room at once and gets no answer', async () => {
+  const { gate, timers, refusals } = setUp();
+  const { exchange, check, left, answers } = caller(timers, 'a', WAIT);
+  const admitted = gate.admit(exchange, check);
   left.abort();
-  assert.equal(await passed, undefined);
-  assert.equal(room.waiting, 0);
+  assert.equal(await admitted, undefined);
+  assert.equal(gate.waiting, 0);
   assert.deepEqual([refusals, answers], [[], []]);
 });
 
-test('a stopping daemon empties its room and holds nobody any more, but lets go what has room', async () => {
-  const { room, timers, refusals } = setUp();
+test('a stopping daemon refuses held requests and holds no more, but admits requests with capacity', async () => {
+  const { gate, timers, refusals } = setUp();
   const waiting = caller(timers, 'a', WAIT);
-  const passed = room.admit(waiting.exchange, waiting.ask);
-  room.beginStop();
-  assert.equal(await passed, undefined);
+  const admitted = gate.admit(waiting.exchange, waiting.check);
+  gate.beginStop();
+  assert.equal(await admitted, undefined);
   assert.equal(waiting.answers.length, 1);
   const late = caller(timers, 'b', WAIT);
-  assert.equal(await room.admit(late.exchange, late.ask), undefined);
+  assert.equal(await gate.admit(late.exchange, late.check), undefined);
   const free = caller(timers, 'c', GO);
-  assert.notEqual(await room.admit(free.exchange, free.ask), undefined);
+  assert.notEqual(await gate.admit(free.exchange, free.check), undefined);
   assert.deepEqual(refusals, ['stopping 1', 'stopping 1']);
-  assert.equal(room.waiting, 0);
+  assert.equal(gate.waiting, 0);
 });
 
-test('a hopeless request is refused at once, with a time to come back after room is expected', async () => {
-  const { room, timers, lines } = setUp();
+test('a hopeless request is refused at once with a retry time after capacity is expected', async () => {
+  const { gate, timers, lines } = setUp();
   const hopeless: Placement = { kind: 'refuse', reason: 'hopeless', roomInMs: 400 };
-  const told: number[] = [];
+  const retryTimesMs: number[] = [];
   for (const name of ['a', 'b', 'c']) {
-    const { exchange, ask, answers } = caller(timers, name, hopeless);
-    assert.equal(await room.admit(exchange, ask), undefined);
-    told.push(answers[0]?.retryAfterMs ?? 0);
+    const { exchange, check, answers } = caller(timers, name, hopeless);
+    assert.equal(await gate.admit(exchange, check), undefined);
+    retryTimesMs.push(answers[0]?.retryAfterMs ?? 0);
   }
-  assert.ok(told.every((retryAfterMs, index) => retryAfterMs >= 400 + 20 * index));
+  assert.ok(retryTimesMs.every((retryAfterMs, index) => retryAfterMs >= 400 + 20 * index));
   assert.equal(lines[0]?.fields.reason, 'hopeless');
 });
