--- a/src/shell/gateway/cache-news-teller.ts
+++ b/src/shell/gateway/cache-news-teller.ts
@@ -1,6 +1,6 @@
 /**
- * Passes engines' cache news on to daemons that do not ask for them: gathered for a while, in messages of one packet, within a
- * budget of bytes.
+ * Forwards cache events of engines to daemons that do not poll those engines themselves: batched, in messages of one
+ * packet each, within a byte budget.
  */
 import type { PeerDaemon, PeerRoster } from '../../core/gateway/index.js';
 import { ByteBudget, datagramWireBytes } from './byte-budget.js';
@@ -12,18 +12,19 @@
 import type { CancelTimer, TimerService } from './timer-service.js';
 
 /**
- * News within this time go in one message. A read is told as it begins, and that is believed for four seconds, so news
- * of it may come later.
+ * Events within this interval go in one message. The delay is harmless: a prefill is advertised when it begins and counts
+ * as cached for four seconds, so its cache event may arrive later.
  */
-const NEWS_GAP_MS = 1_000;
+const PUBLISH_INTERVAL_MS = 1_000;
 /**
- * Cache news, to each peer of the own zone: about one packet a second. Where caches turn over fast there is far more
- * news than comes to use, and each packet costs more than it holds (22 daemons in a zone sent each other 75 to 350
- * packets a second each, up to a fifth of their processor time, and loads were told half as often for want of bytes).
+ * About one packet a second to each peer of the own zone. Where cache contents change fast, there are far more events
+ * than are of use, and a packet costs more than its content is worth: without this budget, 22 daemons in a zone sent each
+ * other 75 to 350 packets a second each, which took up to a fifth of their processor time, and load reports went out half
+ * as often for lack of bytes.
  */
-const NEWS_BUDGET_OF_PEER = { bytesPerSecond: 1_024, burstBytes: 4_096 };
+const BUDGET_PER_PEER = { bytesPerSecond: 1_024, burstBytes: 4_096 };
 
-/** What a teller is built from. */
+/** Options of a `CacheEventPublisher`. */
 export interface CacheEventPublisherOptions {
   readonly daemon: string;
   readonly roster: Pick<PeerRoster, 'zonePeers'>;
@@ -31,67 +32,67 @@
   readonly send: (peers: readonly PeerDaemon[], bytes: Buffer) => void;
 }
 
-/** One daemon's telling of cache news. */
+/** Sends the cache events that one daemon collects to peers of its zone. */
 export class CacheEventPublisher {
   readonly #options: CacheEventPublisherOptions;
   readonly #budget: ByteBudget;
-  readonly #waiting = new Map<PeerDaemon['name'], EngineCacheEvents[]>();
+  readonly #pending = new Map<PeerDaemon['name'], EngineCacheEvents[]>();
   #cancel: CancelTimer | undefined;
 
   constructor(options: CacheEventPublisherOptions) {
     this.#options = options;
-    this.#budget = new ByteBudget(NEWS_BUDGET_OF_PEER, options.timers);
+    this.#budget = new ByteBudget(BUDGET_PER_PEER, options.timers);
   }
 
   stop(): void {
     this.#cancel?.();
   }
 
-  /** Tells some daemons soon. */
-  forward(news: EngineCacheEvents, peers: readonly PeerDaemon[]): void {
+  /** Queues events for some peers; they go out with the next message. */
+  forward(update: EngineCacheEvents, peers: readonly PeerDaemon[]): void {
     for (const { name } of peers) {
-      const waiting = this.#waiting.get(name);
-      if (waiting === undefined) this.#waiting.set(name, [news]);
-      else waiting.push(news);
+      const pending = this.#pending.get(name);
+      if (pending === undefined) this.#pending.set(name, [update]);
+      else pending.push(update);
     }
-    this.#cancel ??= this.#options.timers.after(NEWS_GAP_MS, () => {
+    this.#cancel ??= this.#options.timers.after(PUBLISH_INTERVAL_MS, () => {
       this.#cancel = undefined;
-      this.#tell();
+      this.#publish();
     });
   }
 
-  #tell(): void {
+  #publish(): void {
     const { daemon, roster, send } = this.#options;
     const zonePeers = roster.zonePeers();
     for (const peer of zonePeers) {
-      const waiting = this.#waiting.get(peer.name);
-      if (waiting === undefined) continue;
-      for (const news of partNews(waiting)) {
+      const pending = this.#pending.get(peer.name);
+      if (pending === undefined) continue;
+      for (const news of splitIntoMessages(pending)) {
         const bytes = encodePeerMessage({ kind: 'news', daemon, news });
         const shareOfBudget = datagramWireBytes(bytes) / zonePeers.length;
         if (this.#budget.tryTake(shareOfBudget)) send([peer], bytes);
       }
     }
-    this.#waiting.clear();
+    this.#pending.clear();
   }
 }
 
-/** Parts news into messages that stay within one packet. */
-function partNews(
-  waiting: readonly EngineCacheEvents[],
+/** Splits events into messages that each fit one packet. */
+function splitIntoMessages(
+  pending: readonly EngineCacheEvents[],
 ): readonly (readonly EngineCacheEvents[])[] {
   const messages: EngineCacheEvents[][] = [];
-  let room = 0;
-  for (const { engineId, isReset, events } of waiting) {
+  let entriesLeft = 0;
+  for (const { engineId, isReset, events } of pending) {
     for (let first = 0; first === 0 || first < events.length; ) {
-      if (room <= 0) {
+      if (entriesLeft <= 0) {
         messages.push([]);
-        room = MAX_ENTRIES_PER_MESSAGE;
+        entriesLeft = MAX_ENTRIES_PER_MESSAGE;
       }
-      const part = events.slice(first, first + room);
+      const part = events.slice(first, first + entriesLeft);
       messages.at(-1)?.push({ engineId, isReset: isReset && first === 0, events: part });
       first += Math.max(1, part.length);
-      room -= part.length + 1;
+      entriesLeft -= part.length + 1;
     }
   }
   return messages;
--- a/src/shell/gateway/cache-news-watcher.ts
+++ b/src/shell/gateway/cache-news-watcher.ts
@@ -1,7 +1,7 @@
 /**
- * Follows the cache news of listed engines by held calls, so that each daemon knows which engine
- * keeps which part of a prompt, whoever had it read. An engine takes a bounded number of such calls:
- * where there are more daemons, some ask and pass the news on to the others.
+ * Follows the cache events of listed engines by long polling, so that each daemon knows which engine
+ * caches which part of a prompt, whichever daemon had it prefilled. An engine accepts a bounded number
+ * of such polls: where there are more daemons, some poll and forward the events to the others.
  */
 
 import type { ServerRecord } from '../../core/gateway/index.js';
@@ -13,29 +13,29 @@
 import type { ServerCalls } from './server-calls.js';
 import { type CancelTimer, callWithTimeout, delay, type TimerService } from './timer-service.js';
 
-const WAIT_MS = 1_000;
+const LONG_POLL_MS = 1_000;
 const ANSWER_SLACK_MS = 700;
 const CONNECT_TIMEOUT_MS = 500;
-/** News that comes closer together is taken in one call, as often as it is passed on. */
-const PAUSE_MS = 1_000;
-const FIRST_RETRY_MS = 500;
-const LONGEST_RETRY_MS = 8_000;
-/** An engine that takes no more calls is asked again this late; each refusal costs it time. */
-const TURNED_AWAY_MS = 8_000;
-/** How often a daemon looks which engines it is to ask. */
-const LOOK_AGAIN_MS = 1_000;
-/** Smaller parts are read sooner than looked for, and never fetched; they are not passed on. */
-const LEAST_PASSED_ON_TOKENS = 1_024;
-const TURNED_AWAY_STATUS = 429;
-const MAX_NEWS_BYTES = 4_194_304;
-
-/** Which engines this daemon asks, and who is told what they say. */
+/** Pause after a poll that returned events, so that events within one forwarding interval come in one poll. */
+const POLL_PAUSE_MS = 1_000;
+const MIN_RETRY_MS = 500;
+const MAX_RETRY_MS = 8_000;
+/** Delay after an engine refused a poll as it serves the maximum already; each refusal costs it time. */
+const REFUSED_RETRY_MS = 8_000;
+/** How often a daemon checks which engines it has to poll. */
+const DUTY_CHECK_INTERVAL_MS = 1_000;
+/** Smaller parts are prefilled sooner than looked up and never fetched, so they are not forwarded. */
+const MIN_FORWARDED_TOKENS = 1_024;
+const TOO_MANY_REQUESTS_STATUS = 429;
+const MAX_RESPONSE_BYTES = 4_194_304;
+
+/** Decides which engines this daemon polls, and forwards their events to the daemons that do not. */
 export interface CacheEventDuty {
   isWatcher(engine: ServerRecord): boolean;
-  forward(engine: ServerRecord, news: EngineCacheEvents): void;
+  forward(engine: ServerRecord, update: EngineCacheEvents): void;
 }
 
-/** What watchers of cache news need. */
+/** Dependencies of the watchers of cache events. */
 export interface CacheEventContext {
   readonly fleet: FleetView;
   readonly calls: Pick<ServerCalls, 'call'>;
@@ -45,12 +45,12 @@
   readonly log: Pick<GatewayLog, 'write'>;
 }
 
-/** The watches of the engines that this daemon is to ask. */
+/** Watches the engines that this daemon has to poll. */
 export class CacheEventWatchers {
   readonly #context: CacheEventContext;
   readonly #engines = new Map<string, ServerRecord>();
   readonly #watches = new Map<string, AbortController>();
-  #cancelLook: CancelTimer | undefined;
+  #cancelDutyCheck: CancelTimer | undefined;
 
   constructor(context: CacheEventContext) {
     this.#context = context;
@@ -59,113 +59,113 @@
   add(engine: ServerRecord): void {
     if (engine.stage === undefined || this.#engines.has(engine.id)) return;
     this.#engines.set(engine.id, engine);
-    this.#follow(engine);
-    if (this.#cancelLook === undefined) this.#lookAgain();
+    this.#syncWatch(engine);
+    if (this.#cancelDutyCheck === undefined) this.#scheduleDutyCheck();
   }
 
-  /** An engine has started again: its cache is empty, and its news begin anew. */
+  /** An engine has restarted: its cache is empty, and its events are numbered from the start. */
   restart(engine: ServerRecord): void {
     this.remove(engine.id);
     if (engine.stage === undefined) return;
     this.#engines.set(engine.id, engine);
-    if (this.#context.duty.isWatcher(engine)) this.#begin(engine, true);
-    if (this.#cancelLook === undefined) this.#lookAgain();
+    if (this.#context.duty.isWatcher(engine)) this.#startWatch(engine, true);
+    if (this.#cancelDutyCheck === undefined) this.#scheduleDutyCheck();
   }
 
   remove(engineId: string): void {
     this.#engines.delete(engineId);
-    this.#end(engineId);
+    this.#endWatch(engineId);
   }
 
   stop(): void {
-    this.#cancelLook?.();
+    this.#cancelDutyCheck?.();
     for (const id of [...this.#engines.keys()]) this.remove(id);
   }
 
-  /** One look at the duties for all engines: a timer for each would wake the process all the time. */
-  #lookAgain(): void {
-    this.#cancelLook = this.#context.timers.after(LOOK_AGAIN_MS, () => {
-      for (const engine of this.#engines.values()) this.#follow(engine);
-      this.#lookAgain();
+  /** One timer for all engines: a timer for each would wake the process constantly. */
+  #scheduleDutyCheck(): void {
+    this.#cancelDutyCheck = this.#context.timers.after(DUTY_CHECK_INTERVAL_MS, () => {
+      for (const engine of this.#engines.values()) this.#syncWatch(engine);
+      this.#scheduleDutyCheck();
     });
   }
 
-  /** Begins or ends the watch of an engine, as the duty says. */
-  #follow(engine: ServerRecord): void {
+  /** Starts or ends the watch of an engine, as the duty requires. */
+  #syncWatch(engine: ServerRecord): void {
     const isWatched = this.#watches.has(engine.id);
     if (this.#context.duty.isWatcher(engine) === isWatched) return;
-    if (isWatched) this.#end(engine.id);
-    else this.#begin(engine, false);
+    if (isWatched) this.#endWatch(engine.id);
+    else this.#startWatch(engine, false);
   }
 
-  #begin(engine: ServerRecord, isNewLife: boolean): void {
+  #startWatch(engine: ServerRecord, isAfterRestart: boolean): void {
     const ended = new AbortController();
     this.#watches.set(engine.id, ended);
-    void new CacheNewsWatch(this.#context, engine, isNewLife, ended.signal).run();
+    void new CacheEventWatch(this.#context, engine, isAfterRestart, ended.signal).run();
   }
 
-  #end(engineId: string): void {
+  #endWatch(engineId: string): void {
     this.#watches.get(engineId)?.abort();
     this.#watches.delete(engineId);
   }
 }
 
-/** Follows one engine; what was missed before comes from the daemon that asked then. */
-class CacheNewsWatch {
+/** Polls one engine. Events from before the first poll were forwarded by the daemon that polled it then. */
+class CacheEventWatch {
   readonly #context: CacheEventContext;
   readonly #engine: ServerRecord;
   readonly #stopped: AbortSignal;
-  #next = 0;
+  #nextNumber = 0;
   #epoch: string | undefined;
-  #failuresInARow = 0;
-  /** Whether others may still hold news of the life before. */
-  #isNewLife: boolean;
+  #consecutiveFailures = 0;
+  /** Whether peers may still hold events of the engine's previous boot; the next update resets them. */
+  #isAfterRestart: boolean;
 
   constructor(
     context: CacheEventContext,
     engine: ServerRecord,
-    isNewLife: boolean,
+    isAfterRestart: boolean,
     stopped: AbortSignal,
   ) {
     this.#context = context;
     this.#engine = engine;
-    this.#isNewLife = isNewLife;
+    this.#isAfterRestart = isAfterRestart;
     this.#stopped = stopped;
   }
 
   async run(): Promise<void> {
     const { timers } = this.#context;
     while (!this.#stopped.aborted) {
-      const news = await this.#ask();
+      const news = await this.#poll();
       if (this.#stopped.aborted) return;
       switch (news) {
         case 'failed':
-          this.#noteFailure('no news');
+          this.#recordFailure('no news');
           await this.#backOff();
           break;
         case 'turned-away':
-          this.#noteFailure('the engine takes no more news calls');
-          await delay(timers, TURNED_AWAY_MS, this.#stopped);
+          this.#recordFailure('the engine takes no more news calls');
+          await delay(timers, REFUSED_RETRY_MS, this.#stopped);
           break;
         default:
-          await this.#take(news);
+          await this.#apply(news);
       }
     }
   }
 
-  #ask(): Promise<CacheNews | 'failed' | 'turned-away'> {
+  #poll(): Promise<CacheNews | 'failed' | 'turned-away'> {
     return callWithTimeout(
       this.#context.timers,
-      WAIT_MS + ANSWER_SLACK_MS,
+      LONG_POLL_MS + ANSWER_SLACK_MS,
       this.#stopped,
-      (signal) => this.#askWithin(signal),
+      (signal) => this.#pollWithin(signal),
     );
   }
 
-  async #askWithin(signal: AbortSignal): Promise<CacheNews | 'failed' | 'turned-away'> {
+  async #pollWithin(signal: AbortSignal): Promise<CacheNews | 'failed' | 'turned-away'> {
     const { calls, codec } = this.#context;
     const result = await calls.call({
-      ...codec.cacheNews(this.#next, WAIT_MS),
+      ...codec.cacheNews(this.#nextNumber, LONG_POLL_MS),
       server: this.#engine,
       purpose: 'cache-news',
       request: '',
@@ -174,49 +174,49 @@
       signal,
     });
     const body =
-      result.kind === 'answered' ? await result.answer.collect(MAX_NEWS_BYTES) : undefined;
+      result.kind === 'answered' ? await result.answer.collect(MAX_RESPONSE_BYTES) : undefined;
     if (result.kind !== 'answered') return 'failed';
-    if (result.answer.status === TURNED_AWAY_STATUS) return 'turned-away';
+    if (result.answer.status === TOO_MANY_REQUESTS_STATUS) return 'turned-away';
     if (result.answer.status !== 200 || body === undefined) return 'failed';
     return codec.readCacheNews(body) ?? 'failed';
   }
 
-  async #take(news: CacheNews): Promise<void> {
+  async #apply(news: CacheNews): Promise<void> {
     const { timers, duty } = this.#context;
     const { prefixIndex } = this.#context.fleet;
-    this.#noteSuccess();
+    this.#recordSuccess();
     const isOtherEpoch = this.#epoch !== undefined && this.#epoch !== news.epoch;
-    const isReset = isOtherEpoch || news.hasGap || this.#isNewLife;
-    this.#isNewLife = false;
+    const isReset = isOtherEpoch || news.hasGap || this.#isAfterRestart;
+    this.#isAfterRestart = false;
     const engineId = this.#engine.id;
     const events = news.events.filter(
       ({ partId, tokens }) =>
-        Math.max(tokens, prefixIndex.tokensOf(engineId, partId)) >= LEAST_PASSED_ON_TOKENS,
+        Math.max(tokens, prefixIndex.tokensOf(engineId, partId)) >= MIN_FORWARDED_TOKENS,
     );
     if (isReset) prefixIndex.forget(engineId);
     this.#epoch = news.epoch;
-    this.#next = news.nextNumber;
+    this.#nextNumber = news.nextNumber;
     for (const event of news.events) prefixIndex.confirm(engineId, event.partId, event.tokens);
     if (isReset || events.length > 0) duty.forward(this.#engine, { engineId, isReset, events });
-    if (news.events.length > 0) await delay(timers, PAUSE_MS, this.#stopped);
+    if (news.events.length > 0) await delay(timers, POLL_PAUSE_MS, this.#stopped);
   }
 
-  #noteFailure(reason: string): void {
-    this.#failuresInARow += 1;
-    if (this.#failuresInARow > 1) return;
+  #recordFailure(reason: string): void {
+    this.#consecutiveFailures += 1;
+    if (this.#consecutiveFailures > 1) return;
     this.#context.log.write(GATEWAY_EVENTS.newsLost, { server: this.#engine.id, reason });
   }
 
-  #noteSuccess(): void {
-    if (this.#failuresInARow > 0) {
-      const failures = this.#failuresInARow;
+  #recordSuccess(): void {
+    if (this.#consecutiveFailures > 0) {
+      const failures = this.#consecutiveFailures;
       this.#context.log.write(GATEWAY_EVENTS.newsRegained, { server: this.#engine.id, failures });
     }
-    this.#failuresInARow = 0;
+    this.#consecutiveFailures = 0;
   }
 
   async #backOff(): Promise<void> {
-    const delayMs = Math.min(LONGEST_RETRY_MS, FIRST_RETRY_MS * 2 ** (this.#failuresInARow - 1));
+    const delayMs = Math.min(MAX_RETRY_MS, MIN_RETRY_MS * 2 ** (this.#consecutiveFailures - 1));
     await delay(this.#context.timers, delayMs, this.#stopped);
   }
 }
