--- a/src/core/gateway/crash-records.ts
+++ b/src/core/gateway/crash-records.ts
@@ -1,35 +1,36 @@
 /**
- * What a daemon knows of requests that ran at a server when it ended. A request is known by its fingerprint, which is
- * the same at every daemon and for every try of its caller. One under which servers ended again and again is
- * quarantined: no daemon sends it any more. One that ran whole ends no servers, and is cleared.
+ * A daemon's records of requests that were running at a server when it ended. A request is identified by its fingerprint,
+ * which is the same at every daemon and for every retry of its caller. One under which servers ended repeatedly is
+ * quarantined: no daemon sends it any more. One that ran to its end crashes no servers, and is cleared.
  *
- * Daemons exchange records in any order and as often as they like: a record with more clearings replaces one with
- * fewer, and of records with as many the crashes add up.
+ * Daemons may exchange records in any order and any number of times: a record with more clearings replaces one with
+ * fewer, and records with equally many clearings merge their crashes.
  */
 
 /**
- * Runs, one begun after the other had ended its server, before a request is quarantined. One says little, as a whole
- * batch breaks off with its server and one request of it at most is at fault. With three, a third batch would be lost
- * for each such request. The price: in two storms in which a quarter or two fifths of 16 servers ended nine times in 30 s,
- * 4 and 7 of some 5,200 requests that harm nothing were quarantined, and 2 and 6 tries of their callers were turned away.
+ * Crashes that quarantine a request; each of the runs must have begun after the one before had ended its server. A single
+ * crash is weak evidence, as a whole batch breaks off with its server and at most one request of it is at fault. With
+ * three, each such request would cost a third batch. The price of two: in two storms in which a quarter and two fifths of
+ * 16 servers ended nine times in 30 s, 4 and 7 of some 5,200 harmless requests were quarantined, and 2 and 6 retries of
+ * their callers were refused.
  */
 const CRASHES_TO_QUARANTINE = 2;
-/** Of more crashes the oldest are forgotten; by then there were some that did not overlap. */
-const MOST_CRASHES = 4;
-/** A day: the tries of a caller come much sooner, and a body that is repaired is another request. */
+/** The oldest crashes beyond this number are dropped; by then there were some that did not overlap. */
+const MAX_CRASHES_PER_RECORD = 4;
+/** One day: retries of a caller come much sooner, and a request with a repaired body has another fingerprint. */
 export const CRASH_RECORD_RETENTION_MS = 86_400_000;
-/** Some two megabytes; a server that ends leaves as many records as it had requests running. */
-const MOST_RECORDS = 4_096;
-/** Records that are not quarantined are told again for so long, so that lost datagrams cost nothing. */
-const TOLD_AGAIN_MS = 30_000;
+/** About two megabytes; a server that ends leaves one record for each request that it was running. */
+const MAX_RECORDS = 4_096;
+/** Records that are not quarantined are advertised again for this long, so that lost datagrams do no harm. */
+const ADVERTISE_SPAN_MS = 30_000;
 
-/** A life of a server that ended while a request ran there. */
+/** The end of a boot of a server while a request ran there. */
 export interface Crash {
-  /** The life, as `bootIdOf` names it: a server that starts again may end again. */
+  /** The boot, as `bootIdOf` names it: a server that restarts may end again. */
   readonly serverId: string;
-  /** Since the server ended. */
+  /** Time since the server ended. */
   readonly ageMs: number;
-  /** How long the request had been there. */
+  /** How long the request had been at the server. */
   readonly ranMs: number;
 }
 
@@ -37,17 +38,17 @@
 export interface CrashRecord {
   readonly fingerprint: string;
   readonly crashes: readonly Crash[];
-  /** Whether some daemon found enough of them. */
+  /** Whether some daemon has quarantined the request. */
   readonly isQuarantined: boolean;
-  /** How often it was cleared: by a whole run, or by an operator. */
+  /** How often it was cleared: by a complete run, or by an operator. */
   readonly clearings: number;
-  /** Whether the store has it. */
+  /** Whether the store has the record. */
   readonly isStored: boolean;
-  /** Since the last server ended, or since it was cleared. */
+  /** Time since the last server ended, or since the request was cleared. */
   readonly ageMs: number;
 }
 
-/** What a change made of a record. */
+/** How a crash, a clearing or another record changed a record. */
 export type CrashRecordChange = 'none' | 'recorded' | 'quarantined' | 'cleared';
 
 interface KnownCrash {
@@ -62,8 +63,8 @@
   readonly clearings: number;
   readonly changedMs: number;
   isStored: boolean;
-  /** When there was last a reason to tell it. */
-  newsMs: number;
+  /** When there was last a reason to advertise the record. */
+  advertiseSinceMs: number;
 }
 
 /** The records of one daemon. */
@@ -71,14 +72,14 @@
   /** In the order of their last change. */
   readonly #entries = new Map<string, Entry>();
   #quarantined = 0;
-  #toldFirst = 0;
+  #nextIndex = 0;
 
-  /** Whether nothing is known of any request: none needs to be looked up. */
+  /** Whether there are no records, so that no request needs to be looked up. */
   get isEmpty(): boolean {
     return this.#entries.size === 0;
   }
 
-  /** Requests that no daemon sends any more. */
+  /** Number of requests that no daemon sends any more. */
   get quarantined(): number {
     return this.#quarantined;
   }
@@ -91,13 +92,13 @@
     return this.#entries.get(fingerprint)?.isQuarantined === true;
   }
 
-  /** Undefined where nothing is known of it. */
+  /** Undefined where nothing is known of the request. */
   get(fingerprint: string, nowMs: number): CrashRecord | undefined {
     const entry = this.#entries.get(fingerprint);
     return entry === undefined ? undefined : recordOf(fingerprint, entry, nowMs);
   }
 
-  /** A server ended under a request that had been there so long; just now where no age is given. */
+  /** Records that a server ended while a request ran there; just now, where no age is given. */
   recordCrash(
     fingerprint: string,
     { ageMs = 0, ...crash }: Omit<Crash, 'ageMs'> & Partial<Pick<Crash, 'ageMs'>>,
@@ -105,24 +106,24 @@
   ): CrashRecordChange {
     const clearings = this.#entries.get(fingerprint)?.clearings ?? 0;
     const crashes = [{ ...crash, ageMs }];
-    return this.take({ ...NEW_RECORD, fingerprint, crashes, clearings }, nowMs);
+    return this.applyRecord({ ...NEW_RECORD, fingerprint, crashes, clearings }, nowMs);
   }
 
-  /** The request ran whole, or an operator vouches for it. */
+  /** Clears a request that ran to its end or whose quarantine an operator lifted. */
   clear(fingerprint: string, nowMs: number): CrashRecordChange {
     const known = this.#entries.get(fingerprint);
     if (known === undefined || known.crashes.length === 0) return 'none';
-    return this.take({ ...NEW_RECORD, fingerprint, clearings: known.clearings + 1 }, nowMs);
+    return this.applyRecord({ ...NEW_RECORD, fingerprint, clearings: known.clearings + 1 }, nowMs);
   }
 
-  /** Of requests that are quarantined, or were and are cleared. */
-  all(nowMs: number): readonly CrashRecord[] {
+  /** Records of requests that are quarantined, or that were cleared. */
+  quarantinedOrCleared(nowMs: number): readonly CrashRecord[] {
     return [...this.#entries]
       .filter(([, { isQuarantined, clearings }]) => isQuarantined || clearings > 0)
       .map(([fingerprint, entry]) => recordOf(fingerprint, entry, nowMs));
   }
 
-  /** The store has lost what it had of a request. */
+  /** Records that the store has lost its row of a request. */
   markNotStored(fingerprint: string): void {
     const entry = this.#entries.get(fingerprint);
     if (entry !== undefined) entry.isStored = false;
@@ -133,20 +134,20 @@
     if (entry !== undefined) entry.isStored = true;
   }
 
-  /** Takes what another daemon, or the store, says of a request. */
-  take(record: CrashRecord, nowMs: number): CrashRecordChange {
+  /** Merges a record of another daemon or of the store. */
+  applyRecord(record: CrashRecord, nowMs: number): CrashRecordChange {
     if (record.ageMs >= CRASH_RECORD_RETENTION_MS) return 'none';
     const known = this.#entries.get(record.fingerprint);
     const merged = merge(known, record, nowMs);
     if (known !== undefined && merged === known) return 'none';
     this.#put(record.fingerprint, merged);
-    this.#keepBound();
+    this.#evictOldest();
     if (merged.crashes.length === 0) return 'cleared';
     return merged.isQuarantined && known?.isQuarantined !== true ? 'quarantined' : 'recorded';
   }
 
-  /** Forgets what is too old; gives the fingerprints of those that were quarantined. */
-  dropOld(nowMs: number): readonly string[] {
+  /** Removes expired records. @returns the fingerprints of those that were quarantined */
+  removeExpired(nowMs: number): readonly string[] {
     const old = [...this.#entries].filter(
       ([, { changedMs }]) => nowMs - changedMs >= CRASH_RECORD_RETENTION_MS,
     );
@@ -154,14 +155,14 @@
     return old.filter(([, entry]) => entry.isQuarantined).map(([fingerprint]) => fingerprint);
   }
 
-  /** The next of those that others may lack, by turns. */
-  nextToAdvertise(most: number, nowMs: number): readonly CrashRecord[] {
-    const told = [...this.#entries].filter(
-      ([, entry]) => entry.isQuarantined || nowMs - entry.newsMs < TOLD_AGAIN_MS,
+  /** The next records, round robin, of those that peers may lack. */
+  nextToAdvertise(maxRecords: number, nowMs: number): readonly CrashRecord[] {
+    const candidates = [...this.#entries].filter(
+      ([, entry]) => entry.isQuarantined || nowMs - entry.advertiseSinceMs < ADVERTISE_SPAN_MS,
     );
-    const first = told.length <= most ? 0 : this.#toldFirst % told.length;
-    this.#toldFirst = first + most;
-    const turn = [...told.slice(first), ...told.slice(0, first)].slice(0, most);
+    const first = candidates.length <= maxRecords ? 0 : this.#nextIndex % candidates.length;
+    this.#nextIndex = first + maxRecords;
+    const turn = [...candidates.slice(first), ...candidates.slice(0, first)].slice(0, maxRecords);
     return turn.map(([fingerprint, entry]) => recordOf(fingerprint, entry, nowMs));
   }
 
@@ -178,9 +179,9 @@
     this.#entries.delete(fingerprint);
   }
 
-  /** The oldest make room, those that are quarantined last. */
-  #keepBound(): void {
-    if (this.#entries.size <= MOST_RECORDS) return;
+  /** Evicts the oldest record beyond the limit; a quarantined one only if there is no other. */
+  #evictOldest(): void {
+    if (this.#entries.size <= MAX_RECORDS) return;
     const dropped = this.#oldest((entry) => !entry.isQuarantined) ?? this.#oldest(() => true);
     if (dropped !== undefined) this.#remove(dropped);
   }
@@ -194,8 +195,8 @@
 const NEW_RECORD = { crashes: [], isQuarantined: false, isStored: false, ageMs: 0 } as const;
 
 /**
- * Runs of which each began after the one before had ended its server. Servers that end together, as a rack does, end
- * under all copies of a request that is popular; a request that ends servers does so one after the other, too.
+ * Counts runs that each began after the one before had ended its server. Servers that end together, as those of a rack
+ * do, end under all copies of a popular request; a request that crashes servers also does so one after another.
  */
 function disjointCrashes(crashes: readonly KnownCrash[]): number {
   const ordered = [...crashes].sort((left, right) => left.endedMs - right.endedMs);
@@ -209,29 +210,29 @@
   return count;
 }
 
-/** `known` itself where the record says nothing new. */
+/** @returns `known` itself where the record adds nothing to it */
 function merge(known: Entry | undefined, record: CrashRecord, nowMs: number): Entry {
-  const told = entryOf(record, nowMs);
-  if (known === undefined || told.clearings > known.clearings) return told;
-  if (told.clearings < known.clearings) {
-    // Whoever says so has missed the clearing.
-    known.newsMs = nowMs;
+  const received = entryOf(record, nowMs);
+  if (known === undefined || received.clearings > known.clearings) return received;
+  if (received.clearings < known.clearings) {
+    // The sender has missed the clearing, so it is advertised again.
+    known.advertiseSinceMs = nowMs;
     return known;
   }
   const knownIds = new Set(known.crashes.map(({ serverId }) => serverId));
-  const more = told.crashes.filter(({ serverId }) => !knownIds.has(serverId));
-  const isNews = more.length > 0 || (told.isQuarantined && !known.isQuarantined);
-  if (!isNews) {
-    known.isStored ||= told.isStored;
+  const added = received.crashes.filter(({ serverId }) => !knownIds.has(serverId));
+  const hasChanged = added.length > 0 || (received.isQuarantined && !known.isQuarantined);
+  if (!hasChanged) {
+    known.isStored ||= received.isStored;
     return known;
   }
-  const crashes = newest([...known.crashes, ...more]);
+  const crashes = newest([...known.crashes, ...added]);
   return {
-    ...told,
+    ...received,
     crashes,
-    isQuarantined: known.isQuarantined || told.isQuarantined || isEnough(crashes),
-    changedMs: Math.max(known.changedMs, told.changedMs),
-    isStored: known.isStored || told.isStored,
+    isQuarantined: known.isQuarantined || received.isQuarantined || reachesQuarantine(crashes),
+    changedMs: Math.max(known.changedMs, received.changedMs),
+    isStored: known.isStored || received.isStored,
   };
 }
 
@@ -244,21 +245,23 @@
   );
   return {
     crashes,
-    isQuarantined: record.isQuarantined || isEnough(crashes),
+    isQuarantined: record.isQuarantined || reachesQuarantine(crashes),
     clearings: record.clearings,
     changedMs: nowMs - record.ageMs,
     isStored: record.isStored,
-    newsMs: nowMs,
+    advertiseSinceMs: nowMs,
   };
 }
 
-function isEnough(crashes: readonly KnownCrash[]): boolean {
+function reachesQuarantine(crashes: readonly KnownCrash[]): boolean {
   return disjointCrashes(crashes) >= CRASHES_TO_QUARANTINE;
 }
 
 function newest(crashes: readonly KnownCrash[]): readonly KnownCrash[] {
-  if (crashes.length <= MOST_CRASHES) return crashes;
-  return [...crashes].sort((left, right) => right.endedMs - left.endedMs).slice(0, MOST_CRASHES);
+  if (crashes.length <= MAX_CRASHES_PER_RECORD) return crashes;
+  return [...crashes]
+    .sort((left, right) => right.endedMs - left.endedMs)
+    .slice(0, MAX_CRASHES_PER_RECORD);
 }
 
 function recordOf(fingerprint: string, entry: Entry, nowMs: number): CrashRecord {
--- a/src/shell/gateway/crash-gossip.ts
+++ b/src/shell/gateway/crash-gossip.ts
@@ -1,53 +1,58 @@
 /**
- * Tells the other daemons of requests that end servers: all of them at once when something is new, and one of them after
- * the other all the time, so that neither lost datagrams nor a healed cut leave one out for long.
+ * Advertises records of requests that crash servers to the other daemons: a change goes to all peers at once, and known
+ * records go to one peer after another at a fixed interval, so that neither lost datagrams nor a network partition leave a
+ * daemon without them for long.
  */
 import type { CrashRecord, CrashRecords, PeerRoster } from '../../core/gateway/index.js';
 import { ByteBudget } from './byte-budget.js';
 import type { PeerExchange } from './peer-exchange.js';
 import type { CancelTimer, TimerService } from './timer-service.js';
 
-/** A daemon hears one of the others about this often; six times before it counts as in touch again after a cut. */
-const GAP_SHARE_OF_CONTACT = 1 / 6;
-/** Records of one datagram, so that it stays within one packet. */
-const MOST_RECORDS_TOLD = 8;
-/** About a datagram's size, for the budget. */
+/**
+ * Interval between advertisements, as a share of the contact time. Each daemon receives about one in this interval, and so
+ * about six before it counts as in contact again after a partition.
+ */
+const INTERVAL_SHARE_OF_CONTACT = 1 / 6;
+/** Keeps a datagram within one packet. */
+const MAX_RECORDS_PER_MESSAGE = 8;
+/** Approximate size of a record's datagram, for the budget. */
 const RECORD_BYTES = 150;
 /**
- * Telling everyone at once of requests that are not quarantined: with 340 daemons five of them, then one in twelve seconds;
- * with nine, many. What is beyond is told one by one. Quarantined ones are always told: each has cost two servers.
+ * Budget for broadcasting records that are not quarantined. With 340 daemons it allows five at once and then one every
+ * twelve seconds, with nine daemons many. Records beyond it reach the peers one by one. Quarantined ones are always
+ * broadcast: each has cost two servers.
  */
 const BROADCAST_BUDGET = { bytesPerSecond: 4_096, burstBytes: 262_144 };
 
-/** What telling needs. */
+/** Options of a `CrashGossip`. */
 export interface CrashGossipOptions {
   readonly records: CrashRecords;
   readonly roster: Pick<PeerRoster, 'allPeers'>;
-  /** Absent where this daemon tells no others. */
+  /** Returns undefined where this daemon sends to no others. */
   readonly peers: () => Pick<PeerExchange, 'sendMessage'> | undefined;
-  /** A number of this daemon's own, so that not all tell the same one first. */
+  /** Differs between daemons, so that not all start with the same peer. */
   readonly initialPeerIndex: number;
   readonly contactMs: number;
   readonly timers: TimerService;
 }
 
-/** One daemon's telling. */
+/** Advertises the crash records of one daemon. */
 export class CrashGossip {
   readonly #options: CrashGossipOptions;
   readonly #budget: ByteBudget;
-  #turn: number;
+  #peerIndex: number;
   #cancel: CancelTimer | undefined;
 
   constructor(options: CrashGossipOptions) {
     this.#options = options;
-    this.#turn = options.initialPeerIndex;
+    this.#peerIndex = options.initialPeerIndex;
     this.#budget = new ByteBudget(BROADCAST_BUDGET, options.timers);
   }
 
   start(): void {
     const { timers, contactMs } = this.#options;
-    this.#cancel = timers.after(contactMs * GAP_SHARE_OF_CONTACT, () => {
-      this.#tellNext();
+    this.#cancel = timers.after(contactMs * INTERVAL_SHARE_OF_CONTACT, () => {
+      this.#advertiseToNextPeer();
       this.start();
     });
   }
@@ -56,32 +61,32 @@
     this.#cancel?.();
   }
 
-  /** Tells everyone at once, as far as the budget goes. */
+  /** Sends records to all peers at once, as far as the budget allows. */
   broadcast(records: readonly CrashRecord[]): void {
     const allPeers = this.#options.roster.allPeers();
-    const sendMessage = (told: readonly CrashRecord[]) =>
-      this.#options.peers()?.sendMessage(allPeers, { kind: 'crashes', records: told });
+    const sendMessage = (batch: readonly CrashRecord[]) =>
+      this.#options.peers()?.sendMessage(allPeers, { kind: 'crashes', records: batch });
     const quarantined = records.filter(({ isQuarantined }) => isQuarantined);
     for (const record of quarantined) sendMessage([record]);
     const others = records.filter(({ isQuarantined }) => !isQuarantined);
-    const bytesOfRecord = RECORD_BYTES * Math.max(1, allPeers.length);
-    const affordable = Math.floor(BROADCAST_BUDGET.burstBytes / bytesOfRecord);
-    const step = Math.min(MOST_RECORDS_TOLD, Math.max(1, affordable));
-    for (let first = 0; first < others.length; first += step) {
-      const told = others.slice(first, first + step);
-      if (!this.#budget.tryTake(told.length * bytesOfRecord)) return;
-      sendMessage(told);
+    const broadcastBytes = RECORD_BYTES * Math.max(1, allPeers.length);
+    const affordable = Math.floor(BROADCAST_BUDGET.burstBytes / broadcastBytes);
+    const batchSize = Math.min(MAX_RECORDS_PER_MESSAGE, Math.max(1, affordable));
+    for (let first = 0; first < others.length; first += batchSize) {
+      const batch = others.slice(first, first + batchSize);
+      if (!this.#budget.tryTake(batch.length * broadcastBytes)) return;
+      sendMessage(batch);
     }
   }
 
-  #tellNext(): void {
+  #advertiseToNextPeer(): void {
     const { records, roster, peers, timers } = this.#options;
     if (records.isEmpty) return;
-    const told = records.nextToAdvertise(MOST_RECORDS_TOLD, timers.nowMs());
+    const batch = records.nextToAdvertise(MAX_RECORDS_PER_MESSAGE, timers.nowMs());
     const allPeers = roster.allPeers();
-    const peer = allPeers[this.#turn % Math.max(1, allPeers.length)];
-    if (told.length === 0 || peer === undefined) return;
-    this.#turn += 1;
-    peers()?.sendMessage([peer], { kind: 'crashes', records: told });
+    const peer = allPeers[this.#peerIndex % Math.max(1, allPeers.length)];
+    if (batch.length === 0 || peer === undefined) return;
+    this.#peerIndex += 1;
+    peers()?.sendMessage([peer], { kind: 'crashes', records: batch });
   }
 }
--- a/src/shell/gateway/crash-guard.ts
+++ b/src/shell/gateway/crash-guard.ts
@@ -1,7 +1,7 @@
 /**
- * Keeps requests that end servers from ending more of them. Without it a request that crashes the process of whatever
- * runs it went from server to server and from daemon to daemon: 22 to 28 of 13 engines (they start again) ended under
- * one, each with its whole batch, as counted by the servers of a fleet of nine daemons.
+ * Keeps requests that crash servers from crashing more of them. Without it, a request that crashes the process of every
+ * server that runs it went from server to server and from daemon to daemon: in a fleet of nine daemons and 13 engines,
+ * which restart after a crash, the servers counted 22 to 28 crashes under one request, each with its whole batch.
  */
 import {
   bootIdOf,
@@ -27,31 +27,31 @@
 
 const READ_RETRY_MS = 500;
 
-/** What a refused caller is told. */
+/** The refusal reason that callers receive. */
 const QUARANTINE_REASON =
   'servers ended while this request ran; it is not run again unless an operator lifts that';
 
-/** Where a change of belief came from. */
+/** Where a change of a record came from. */
 type Source = 'own' | 'peer' | 'store' | 'ran whole';
 
-/** A run or a reading that broke off. */
+/** A run or a prefill that broke off. */
 interface BrokenRun {
   readonly server: ServerRecord;
-  /** Whether the server's end would be a crash: one that is announced is not. */
+  /** Whether the server was listed as ready: only then is its end a crash, and not an announced shutdown. */
   readonly wasReady: boolean;
   readonly ranMs: number;
 }
 
-/** What a guard is built from. */
+/** Options of a `CrashGuard`. */
 export interface CrashGuardOptions {
   readonly table: TableService;
   readonly endCheck: Pick<ServerExitCheck, 'hasEnded'>;
-  /** Whether a life of a server took new work when it was last listed; one that is about to end by plan does not. */
+  /** Whether a boot of a server accepted new work when it was last listed; one with a planned shutdown does not. */
   readonly isReady: (server: ServerRecord) => boolean;
   readonly roster: Pick<PeerRoster, 'allPeers' | 'positionFor' | 'hasList'>;
-  /** Absent where this daemon tells no others. */
+  /** Returns undefined where this daemon sends to no others. */
   readonly peers: () => Pick<PeerExchange, 'sendMessage'> | undefined;
-  /** A number of this daemon's own, so that not all tell the same one first. */
+  /** Differs between daemons, so that not all start with the same peer. */
   readonly initialPeerIndex: number;
   readonly contactMs: number;
   readonly timers: TimerService;
@@ -59,7 +59,7 @@
   readonly log: Pick<GatewayLog, 'write'>;
 }
 
-/** The daemon's knowledge of requests that end servers. */
+/** Detects and refuses the requests that crash servers, for one daemon. */
 export class CrashGuard {
   readonly #options: CrashGuardOptions;
   readonly #table: CrashTable;
@@ -71,36 +71,36 @@
   readonly #stopped = new AbortController();
   readonly #checks = new WeakMap<GuardedExchange, Promise<unknown>>();
   readonly #startedMs: number;
-  readonly #openBreaks: UnresolvedBreaks;
-  /** Changes since the last telling, by fingerprint. */
-  readonly #news = new Set<string>();
-  #hasRead = false;
+  readonly #unresolvedBreaks: UnresolvedBreaks;
+  /** Fingerprints of the records that changed since the last broadcast. */
+  readonly #pendingBroadcast = new Set<string>();
+  #hasReadTable = false;
 
   constructor(options: CrashGuardOptions) {
     this.#options = options;
     this.#table = new CrashTable(options);
-    this.#openBreaks = new UnresolvedBreaks(options.timers);
+    this.#unresolvedBreaks = new UnresolvedBreaks(options.timers);
     this.#gossip = new CrashGossip({ ...options, records: this.#records });
     this.#duty = new CrashStoreDuty({
       ...options,
       table: this.#table,
       records: this.#records,
       readRows: () => this.#readRows(),
-      takeRow: (row) => this.#takeRow(row),
+      applyRow: (row) => this.#applyRow(row),
     });
     this.#restore = new CrashStoreRestore({
       ...options,
       table: this.#table,
       records: this.#records,
       ownKey: () => this.#fingerprints.key,
-      takeKey: (key) => this.#fingerprints.setKey(key),
-      bringUpToDate: (fingerprint) => this.#duty.bringUpToDate(fingerprint),
+      adoptKey: (key) => this.#fingerprints.setKey(key),
+      syncRow: (fingerprint) => this.#duty.syncRow(fingerprint),
     });
     this.#startedMs = options.timers.nowMs();
   }
 
   start(): void {
-    void this.#load();
+    void this.#loadTable();
     void this.#duty.run();
     this.#gossip.start();
   }
@@ -112,38 +112,38 @@
     this.#gossip.stop();
   }
 
-  /** The store is back from an older copy: what it lacks of the fleet's rows is written again. */
+  /** The store was restored from an older copy: writes the fleet's rows that it lacks again. */
   handleStoreRestored(): void {
     this.#restore.begin();
   }
 
   /**
    * Whether requests may be sent: a daemon that has not read the table would send what all others refuse. One that
-   * the store turns away serves all the same once it could have been told by the others.
+   * cannot read the store serves once its peers have had the contact time to advertise their records.
    */
   get isPrepared(): boolean {
     const { timers, contactMs } = this.#options;
-    return this.#hasRead || timers.nowMs() - this.#startedMs >= contactMs;
+    return this.#hasReadTable || timers.nowMs() - this.#startedMs >= contactMs;
   }
 
-  /** Requests that are not sent any more. */
+  /** Number of requests that are not sent any more. */
   get quarantined(): number {
     return this.#records.quarantined;
   }
 
-  /** Requests under which a server ended. */
+  /** Number of requests under which a server ended. */
   get suspected(): number {
     return this.#records.size;
   }
 
-  /** Known to end servers; nothing is worked out while there is no such request. */
+  /** Whether a request is quarantined; no fingerprint is computed while there is no such request. */
   isQuarantined(exchange: GuardedExchange): boolean {
     if (this.#records.quarantined === 0) return false;
     const fingerprint = this.#fingerprints.of(exchange);
     return fingerprint !== undefined && this.#records.isQuarantined(fingerprint);
   }
 
-  /** Refuses a quarantined request, or fails it where it has run; false where it is none. */
+  /** Refuses a quarantined request, or fails it if it has run already. @returns whether it is quarantined */
   refuse(exchange: GuardedExchange): boolean {
     if (!this.isQuarantined(exchange)) return false;
     const fingerprint = this.#fingerprints.of(exchange) ?? '';
@@ -152,7 +152,7 @@
     return true;
   }
 
-  /** A run or a reading of a request broke, so long after it was sent to a server. */
+  /** Records that a run or a prefill of a request broke off `ranMs` after it was sent to a server. */
   recordBrokenRun(exchange: GuardedExchange, server: ServerRecord, ranMs: number): void {
     const before = this.#checks.get(exchange);
     const wasReady = this.#options.isReady(server);
@@ -160,39 +160,42 @@
     this.#checks.set(exchange, Promise.all([before, check]));
   }
 
-  /** A server is listed with a start: runs that broke a moment ago in a life before were ended by that life's end. */
+  /** A server is listed with a new boot: runs that broke off recently in an earlier boot ended with that boot. */
   recordServerStart(server: ServerRecord): void {
     const nowMs = this.#options.timers.nowMs();
-    for (const { server: ended, fingerprint, ranMs, atMs } of this.#openBreaks.takeFromEarlierBoots(
-      server,
-    )) {
+    for (const {
+      server: ended,
+      fingerprint,
+      ranMs,
+      atMs,
+    } of this.#unresolvedBreaks.takeFromEarlierBoots(server)) {
       const crash = { serverId: bootIdOf(ended), ranMs, ageMs: nowMs - atMs };
       const change = this.#records.recordCrash(fingerprint, crash, nowMs);
-      this.#noteChange(fingerprint, change, 'own');
+      this.#handleChange(fingerprint, change, 'own');
     }
   }
 
-  /** Resolves once all that broke under a request has been looked into. */
+  /** Resolves once the servers of all broken runs of a request have been checked. */
   async whenChecked(exchange: GuardedExchange): Promise<void> {
     await this.#checks.get(exchange);
   }
 
-  /** A request ran whole: it ends no servers. */
+  /** Records that a request ran to its end, so it crashes no servers. */
   recordCompleteRun(exchange: GuardedExchange): void {
     if (this.#records.isEmpty) return;
     const fingerprint = this.#fingerprints.of(exchange);
     if (fingerprint === undefined) return;
     const wasQuarantined = this.#records.isQuarantined(fingerprint);
     const change = this.#records.clear(fingerprint, this.#options.timers.nowMs());
-    this.#noteChange(fingerprint, change, 'ran whole');
-    if (wasQuarantined) void this.#duty.bringUpToDate(fingerprint);
+    this.#handleChange(fingerprint, change, 'ran whole');
+    if (wasQuarantined) void this.#duty.syncRow(fingerprint);
   }
 
-  /** What another daemon tells. */
+  /** Applies records that another daemon advertises. */
   applyPeerRecords(records: readonly CrashRecord[]): void {
     for (const record of records) {
-      const change = this.#records.take(record, this.#options.timers.nowMs());
-      this.#noteChange(record.fingerprint, change, 'peer');
+      const change = this.#records.applyRecord(record, this.#options.timers.nowMs());
+      this.#handleChange(record.fingerprint, change, 'peer');
     }
   }
 
@@ -202,14 +205,14 @@
     const startedMs = timers.nowMs();
     const hasEnded = await endCheck.hasEnded(server);
     const fingerprint = this.#fingerprints.of(exchange) ?? '';
-    const isTold = wasReady && fingerprint !== '';
-    const isCounted = hasEnded && isTold;
+    const mayCount = wasReady && fingerprint !== '';
+    const isCounted = hasEnded && mayCount;
     const nowMs = timers.nowMs();
     const change = isCounted
       ? this.#records.recordCrash(fingerprint, { serverId: bootIdOf(server), ranMs }, nowMs)
       : 'none';
-    if (isTold && !hasEnded) {
-      this.#openBreaks.add({ server, fingerprint, ranMs, atMs: startedMs });
+    if (mayCount && !hasEnded) {
+      this.#unresolvedBreaks.add({ server, fingerprint, ranMs, atMs: startedMs });
     }
     log.write(GATEWAY_EVENTS.brokenRunChecked, {
       request: exchange.options.description.attemptId,
@@ -221,24 +224,24 @@
       ranMs: Math.round(ranMs),
       checkMs: Math.round(nowMs - startedMs),
     });
-    this.#noteChange(fingerprint, change, 'own');
+    this.#handleChange(fingerprint, change, 'own');
   }
 
-  #noteChange(fingerprint: string, change: CrashRecordChange, source: Source): void {
+  #handleChange(fingerprint: string, change: CrashRecordChange, source: Source): void {
     if (change === 'none') return;
     this.#logChange(fingerprint, change, source);
     switch (source) {
       case 'own':
       case 'ran whole':
-        this.#tellSoon(fingerprint);
-        if (change === 'quarantined') void this.#duty.bringUpToDate(fingerprint);
+        this.#scheduleBroadcast(fingerprint);
+        if (change === 'quarantined') void this.#duty.syncRow(fingerprint);
         break;
       case 'peer':
-        if (change === 'quarantined') void this.#duty.standIn(fingerprint);
+        if (change === 'quarantined') void this.#duty.syncRowAfterTurn(fingerprint);
         break;
       case 'store':
-        // All daemons read the rows at their start; what an operator has lifted later only one reads.
-        if (change === 'cleared' && this.#hasRead) this.#tellSoon(fingerprint);
+        // All daemons read the rows at their start, but only one reads what an operator lifts later.
+        if (change === 'cleared' && this.#hasReadTable) this.#scheduleBroadcast(fingerprint);
         break;
     }
   }
@@ -260,26 +263,28 @@
     }
   }
 
-  /** A batch that breaks off together is told together. */
-  #tellSoon(fingerprint: string): void {
-    if (this.#news.size === 0) queueMicrotask(() => this.#tell());
-    this.#news.add(fingerprint);
+  /** Requests of a batch that break off together go in one broadcast. */
+  #scheduleBroadcast(fingerprint: string): void {
+    if (this.#pendingBroadcast.size === 0) queueMicrotask(() => this.#broadcastPending());
+    this.#pendingBroadcast.add(fingerprint);
   }
 
-  #tell(): void {
+  #broadcastPending(): void {
     const nowMs = this.#options.timers.nowMs();
-    const records = [...this.#news].flatMap((name) => this.#records.get(name, nowMs) ?? []);
-    this.#news.clear();
+    const records = [...this.#pendingBroadcast].flatMap(
+      (name) => this.#records.get(name, nowMs) ?? [],
+    );
+    this.#pendingBroadcast.clear();
     this.#gossip.broadcast(records);
   }
 
-  /** Reads the secret of the fleet, or makes it, and the quarantined requests, however long the store is away. */
-  async #load(): Promise<void> {
+  /** Reads the fleet's fingerprint key, or creates it, and the quarantined requests; retries until the store answers. */
+  async #loadTable(): Promise<void> {
     const { timers, log } = this.#options;
     const { signal } = this.#stopped;
     while (!signal.aborted) {
       const content = await this.#readRows();
-      if (content !== undefined) this.#noteRead();
+      if (content !== undefined) this.#recordTableRead();
       const key = content && (content.key ?? (await this.#table.createKey(signal)));
       if (key !== undefined) {
         this.#fingerprints.setKey(key);
@@ -290,9 +295,9 @@
     }
   }
 
-  #noteRead(): void {
-    if (this.#hasRead) return;
-    this.#hasRead = true;
+  #recordTableRead(): void {
+    if (this.#hasReadTable) return;
+    this.#hasReadTable = true;
     this.#options.log.write(GATEWAY_EVENTS.crashTableRead, {
       quarantined: this.#records.quarantined,
       tookMs: this.#sinceStartMs,
@@ -305,12 +310,12 @@
 
   async #readRows(): Promise<CrashTableContent | undefined> {
     const content = await this.#table.read(this.#stopped.signal);
-    for (const record of content?.records ?? []) this.#takeRow(record);
+    for (const record of content?.records ?? []) this.#applyRow(record);
     return content;
   }
 
-  #takeRow(record: CrashRecord): void {
-    const change = this.#records.take(record, this.#options.timers.nowMs());
-    this.#noteChange(record.fingerprint, change, 'store');
+  #applyRow(record: CrashRecord): void {
+    const change = this.#records.applyRecord(record, this.#options.timers.nowMs());
+    this.#handleChange(record.fingerprint, change, 'store');
   }
 }
--- a/src/shell/gateway/crash-store-duty.ts
+++ b/src/shell/gateway/crash-store-duty.ts
@@ -1,36 +1,36 @@
 /**
- * Keeps the store's rows as the records are: a daemon that starts knows of quarantined requests from nowhere else. Who
- * found one out writes its row; where that does not come about, the others take turns.
+ * Keeps the store's rows in line with the records: a daemon that starts reads the quarantined requests from there. The
+ * daemon that quarantined a request writes its row; where that fails, the others try in turn.
  */
 import type { CrashRecord, CrashRecords, PeerRoster } from '../../core/gateway/index.js';
 import type { CrashTable } from './crash-table.js';
 import { delay, type TimerService } from './timer-service.js';
 
 const RETRY_MS = 500;
-/** Each daemon in the order for a request leaves the one before it so long. */
-const TURN_MS = 1_000;
-/** So many daemons that the store turns away one after the other are not to be expected. */
-const MOST_TURNS = 8;
-/** How often one daemon looks for what operators have lifted. */
-const LOOK_GAP_MS = 10_000;
+/** How long each daemon in the order for a request leaves the row to the one before it. */
+const TURN_INTERVAL_MS = 1_000;
+/** Daemons that try in turn; that the store is unavailable to all of these is not expected. */
+const MAX_TURNS = 8;
+/** How often one daemon reads which quarantines operators have lifted. */
+const TABLE_READ_INTERVAL_MS = 10_000;
 
-/** What the duty needs. */
+/** Options of a `CrashStoreDuty`. */
 export interface CrashStoreDutyOptions {
   readonly records: CrashRecords;
   readonly table: CrashTable;
   readonly roster: Pick<PeerRoster, 'positionFor' | 'hasList'>;
-  /** Reads all rows that the store has. */
+  /** Reads all rows of the store, and applies them to the records. */
   readonly readRows: () => Promise<unknown>;
-  /** Told of a row that the store has. */
-  readonly takeRow: (row: CrashRecord) => void;
+  /** Applies a row of the store to the records. */
+  readonly applyRow: (row: CrashRecord) => void;
   readonly timers: TimerService;
 }
 
-/** One daemon's part in it. */
+/** One daemon's part in keeping the rows up to date. */
 export class CrashStoreDuty {
   readonly #options: CrashStoreDutyOptions;
   readonly #stopped = new AbortController();
-  readonly #underWay = new Set<string>();
+  readonly #inProgress = new Set<string>();
 
   constructor(options: CrashStoreDutyOptions) {
     this.#options = options;
@@ -40,26 +40,29 @@
     this.#stopped.abort();
   }
 
-  /** Looks for what operators have lifted, as one daemon of the fleet, while there is anything to lift. */
+  /**
+   * Drops expired records. One daemon of the fleet also removes their rows and, while any request is quarantined, reads
+   * which quarantines operators have lifted.
+   */
   async run(): Promise<void> {
     const { records, roster, readRows, timers, table } = this.#options;
     const { signal } = this.#stopped;
     while (!signal.aborted) {
-      await delay(timers, LOOK_GAP_MS, signal);
+      await delay(timers, TABLE_READ_INTERVAL_MS, signal);
       const isOwnTurn = !roster.hasList || roster.positionFor('crash records') === 0;
-      for (const fingerprint of records.dropOld(timers.nowMs())) {
+      for (const fingerprint of records.removeExpired(timers.nowMs())) {
         if (isOwnTurn) await table.remove(fingerprint, signal);
       }
       if (records.quarantined > 0 && isOwnTurn) await readRows();
     }
   }
 
-  /** This daemon found out that a request is quarantined, or is no longer. */
-  async bringUpToDate(fingerprint: string): Promise<void> {
+  /** Writes or removes the row of a request that this daemon quarantined or cleared; retries until that is done. */
+  async syncRow(fingerprint: string): Promise<void> {
     const { records, table, timers } = this.#options;
     const { signal } = this.#stopped;
-    if (this.#underWay.has(fingerprint)) return;
-    this.#underWay.add(fingerprint);
+    if (this.#inProgress.has(fingerprint)) return;
+    this.#inProgress.add(fingerprint);
     while (!signal.aborted) {
       const record = records.get(fingerprint, timers.nowMs());
       if (record === undefined || record.isStored) break;
@@ -70,30 +73,30 @@
       if (isDone && isSame) records.markStored(fingerprint);
       if (!isDone) await delay(timers, RETRY_MS, signal);
     }
-    this.#underWay.delete(fingerprint);
+    this.#inProgress.delete(fingerprint);
   }
 
-  /** @returns whether the store has it now, or one as new */
+  /** @returns whether the store has the record now, or one that is as new */
   async #write(record: CrashRecord): Promise<boolean> {
-    const { table, takeRow } = this.#options;
+    const { table, applyRow } = this.#options;
     const outcome = await table.write(record, this.#stopped.signal);
     switch (outcome.kind) {
       case 'stored':
         return true;
       case 'known':
-        takeRow(outcome.known);
+        applyRow(outcome.known);
         return true;
       case 'failed':
         return false;
     }
   }
 
-  /** Another daemon found it out, and may not reach the store. */
-  async standIn(fingerprint: string): Promise<void> {
+  /** Syncs the row in this daemon's turn, as the daemon that quarantined the request may not reach the store. */
+  async syncRowAfterTurn(fingerprint: string): Promise<void> {
     const { roster, timers } = this.#options;
     const turn = roster.positionFor(fingerprint);
-    if (turn >= MOST_TURNS) return;
-    await delay(timers, (turn + 1) * TURN_MS, this.#stopped.signal);
-    await this.bringUpToDate(fingerprint);
+    if (turn >= MAX_TURNS) return;
+    await delay(timers, (turn + 1) * TURN_INTERVAL_MS, this.#stopped.signal);
+    await this.syncRow(fingerprint);
   }
 }
--- a/src/shell/gateway/crash-store-restore.ts
+++ b/src/shell/gateway/crash-store-restore.ts
@@ -1,7 +1,7 @@
 /**
- * Brings the store's rows of requests that end servers up to date after it came back from an older copy: the secret of
- * the fleet, requests that were quarantined since, and those that were cleared. Each daemon looks, one after the other,
- * so that no two make a secret and the store is not asked by all at once.
+ * Brings the store's crash rows up to date after the store was restored from an older copy: the fleet's fingerprint key,
+ * the requests that were quarantined since the copy, and those that were cleared. The daemons check the rows one after
+ * another, so that no two create a key and the store is not read by all at once.
  */
 import type { CrashRecords, PeerRoster } from '../../core/gateway/index.js';
 import { GATEWAY_EVENTS } from '../../core/logging/catalogue/gateway.js';
@@ -9,25 +9,25 @@
 import type { GatewayLog } from './request-log.js';
 import { delay, type TimerService } from './timer-service.js';
 
-/** Between the looks of two daemons. */
-const TURN_MS = 50;
+/** Interval between the checks of two daemons. */
+const TURN_INTERVAL_MS = 50;
 const RETRY_MS = 500;
 
-/** What is needed for it. */
+/** Options of a `CrashStoreRestore`. */
 export interface CrashStoreRestoreOptions {
   readonly table: Pick<CrashTable, 'read' | 'createKey'>;
   readonly records: CrashRecords;
   readonly roster: Pick<PeerRoster, 'positionFor' | 'hasList'>;
-  /** The secret that this daemon goes by; undefined while it has none. */
+  /** The key that this daemon computes fingerprints with; undefined while it has none. */
   readonly ownKey: () => Buffer | undefined;
-  readonly takeKey: (key: Buffer) => void;
-  /** Writes a request's row, or takes it away, as the record is. */
-  readonly bringUpToDate: (fingerprint: string) => Promise<void>;
+  readonly adoptKey: (key: Buffer) => void;
+  /** Writes or removes a request's row, in line with its record. */
+  readonly syncRow: (fingerprint: string) => Promise<void>;
   readonly timers: TimerService;
   readonly log: Pick<GatewayLog, 'write'>;
 }
 
-/** One daemon's part in it. */
+/** One daemon's part in restoring the rows. */
 export class CrashStoreRestore {
   readonly #options: CrashStoreRestoreOptions;
   #stopped = new AbortController();
@@ -37,7 +37,7 @@
     this.#options = options;
   }
 
-  /** The store is back from an older copy; what was under way for the one before ends. */
+  /** The store was restored from an older copy; work for an earlier restore is aborted. */
   begin(): void {
     if (this.#isStopped) return;
     this.#stopped.abort();
@@ -53,7 +53,7 @@
   async #run(signal: AbortSignal): Promise<void> {
     const { roster, timers, table } = this.#options;
     const turn = roster.hasList ? roster.positionFor('crash rows after a copy') : 0;
-    await delay(timers, turn * TURN_MS, signal);
+    await delay(timers, turn * TURN_INTERVAL_MS, signal);
     while (!signal.aborted) {
       const content = await table.read(signal);
       const isDone = content !== undefined && (await this.#restoreKey(content, signal));
@@ -62,32 +62,34 @@
     }
   }
 
-  /** The secret that the store has counts for all. @returns whether it has one */
+  /** All daemons use the key that the store has. @returns whether the key needs no further attempt */
   async #restoreKey(content: CrashTableContent, signal: AbortSignal): Promise<boolean> {
-    const { table, ownKey, takeKey, log } = this.#options;
+    const { table, ownKey, adoptKey, log } = this.#options;
     const own = ownKey();
-    // A daemon that has none yet is reading it, or makes it.
+    // A daemon without a key is still reading or creating one.
     if (own === undefined) return true;
     const stored = content.key ?? (await table.createKey(signal, own));
     if (stored === undefined) return false;
     const isOther = !stored.equals(own);
-    if (isOther) takeKey(stored);
+    if (isOther) adoptKey(stored);
     const isWritten = content.key === undefined && !isOther;
     if (isOther || isWritten) log.write(GATEWAY_EVENTS.fingerprintKeyRestored, { isWritten });
     return true;
   }
 
   #restoreRecords({ records: stored }: CrashTableContent, turn: number): void {
-    const { records, timers, bringUpToDate, log } = this.#options;
-    const storedNames = new Set(
+    const { records, timers, syncRow, log } = this.#options;
+    const storedFingerprints = new Set(
       stored.filter(({ isQuarantined }) => isQuarantined).map(({ fingerprint }) => fingerprint),
     );
     const differing = records
-      .all(timers.nowMs())
-      .filter(({ fingerprint, isQuarantined }) => isQuarantined !== storedNames.has(fingerprint));
+      .quarantinedOrCleared(timers.nowMs())
+      .filter(
+        ({ fingerprint, isQuarantined }) => isQuarantined !== storedFingerprints.has(fingerprint),
+      );
     for (const { fingerprint } of differing) {
       records.markNotStored(fingerprint);
-      void bringUpToDate(fingerprint);
+      void syncRow(fingerprint);
     }
     log.write(GATEWAY_EVENTS.crashRowsRestored, { turn, rewritten: differing.length });
   }
--- a/src/shell/gateway/crash-table.ts
+++ b/src/shell/gateway/crash-table.ts
@@ -1,6 +1,6 @@
 /**
- * What the fleet keeps in the store of requests that end servers: the secret that their fingerprints are keyed with,
- * and a row for each request that is quarantined. An operator lifts a quarantine by setting `isLifted` in its row.
+ * The rows that the fleet keeps in the store on requests that crash servers: the key that their fingerprints are computed
+ * with, and a row for each quarantined request. An operator lifts a quarantine by setting `isLifted` in its row.
  */
 import { randomBytes } from 'node:crypto';
 import * as z from 'zod/mini';
@@ -12,7 +12,7 @@
 import type { WallClock } from './timer-service.js';
 
 const PREFIX = 'crash/';
-/** Sorts before all fingerprints, so that the first page of a scan has it. */
+/** Sorts before all fingerprints, so that the first page of a scan contains it. */
 const KEY_ROW = `${PREFIX}!key`;
 const KEY_BYTES = 32;
 
@@ -20,7 +20,7 @@
 const rowSchema = z.object({
   serverIds: z.array(z.string()),
   clearings: z.number(),
-  /** When the last of the servers ended, in milliseconds since the start of 1970. */
+  /** When the last of the servers ended, in milliseconds since the Unix epoch. */
   unixMs: z.number(),
   /** Set by operators. */
   isLifted: z._default(z.boolean(), false),
@@ -28,20 +28,20 @@
 
 /** What the table holds. */
 export interface CrashTableContent {
-  /** Undefined where no daemon has made one yet. */
+  /** Undefined while no daemon has created one. */
   readonly key: Buffer | undefined;
-  /** Those that an operator has lifted are there as cleared. */
+  /** Quarantines that an operator has lifted are included as cleared records. */
   readonly records: readonly CrashRecord[];
 }
 
-/** What became of a write. */
+/** The outcome of a write. */
 export type WriteOutcome =
   | { readonly kind: 'stored' }
-  /** The store has one that is as new, or that an operator has lifted. */
+  /** The store has a record that is as new, or that an operator has lifted. */
   | { readonly kind: 'known'; readonly known: CrashRecord }
   | { readonly kind: 'failed' };
 
-/** What a table is reached by. */
+/** Options of a `CrashTable`. */
 export interface CrashTableOptions extends TableAccess {
   readonly wallClock: WallClock;
   readonly log: Pick<GatewayLog, 'write'>;
@@ -55,7 +55,7 @@
     this.#options = options;
   }
 
-  /** Undefined where the store could not be read whole. */
+  /** @returns undefined where the store could not be read completely */
   async read(signal: AbortSignal): Promise<CrashTableContent | undefined> {
     const rows = await readAllRows(PREFIX, (page) => this.#call(page, signal));
     if (rows === undefined) return undefined;
@@ -64,8 +64,9 @@
   }
 
   /**
-   * Writes the secret, unless another daemon was first; undefined where neither is certain.
-   * @param known the one that the fleet has; a new one is made where there is none
+   * Writes the fingerprint key, unless the store has one already.
+   * @param known the key that the fleet uses; by default a new one is created
+   * @returns the key in the store; undefined where the outcome is unknown
    */
   async createKey(
     signal: AbortSignal,
@@ -86,7 +87,7 @@
     }
   }
 
-  /** Writes a request's row, over one from before it was last cleared; an operator's word in it stays. */
+  /** Writes a request's row; replaces only a row with fewer clearings, so that a lift by an operator stays. */
   async write(record: CrashRecord, signal: AbortSignal): Promise<WriteOutcome> {
     const { fingerprint, crashes, clearings, ageMs } = record;
     const value: z.input<typeof rowSchema> = {
@@ -111,7 +112,7 @@
     }
   }
 
-  /** @returns whether the store has no row for it any more */
+  /** @returns whether the store has no row for the request any more */
   async remove(fingerprint: string, signal: AbortSignal): Promise<boolean> {
     const writes = [{ key: `${PREFIX}${fingerprint}`, value: null }];
     const result = await this.#call({ kind: 'transact', checks: [], writes }, signal);
@@ -126,7 +127,7 @@
       return [];
     }
     const { serverIds, clearings, unixMs, isLifted } = parsed.data;
-    // A machine's time of day may be wrong either way.
+    // The clocks of machines may be ahead or behind.
     const ageMs = Math.min(
       CRASH_RECORD_RETENTION_MS,
       Math.max(0, this.#options.wallClock() - unixMs),
--- a/test/gateway/crash-records.test.ts
+++ b/test/gateway/crash-records.test.ts
@@ -1,4 +1,4 @@
-/** What is known of requests under which servers ended. */
+/** Crash records: quarantine, clearing, merging, eviction and expiry. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import fc from 'fast-check';
@@ -8,7 +8,7 @@
   CrashRecords,
 } from '../../src/core/gateway/index.js';
 
-const MOST_RECORDS = 4_096;
+const MAX_RECORDS = 4_096;
 
 const CRASHES = [
   { serverId: 's-1', ageMs: 400, ranMs: 50 },
@@ -29,7 +29,7 @@
   };
 }
 
-test('the second server that ends under a request quarantines it, the same one twice does not', () => {
+test('a second crashed server quarantines a request; the same server reported twice does not', () => {
   const records = new CrashRecords();
   assert.equal(records.recordCrash('f', { serverId: 's-1', ranMs: 0 }, 0), 'recorded');
   assert.equal(records.recordCrash('f', { serverId: 's-1', ranMs: 0 }, 10), 'none');
@@ -40,37 +40,37 @@
   assert.ok(!records.isQuarantined('g'));
 });
 
-test('a whole run clears a request, and what was known before does not come back', () => {
+test('a complete run clears a request, and older records do not quarantine it again', () => {
   const records = new CrashRecords();
   records.recordCrash('f', { serverId: 's-1', ranMs: 0 }, 0);
   records.recordCrash('f', { serverId: 's-2', ranMs: 0 }, 0);
   assert.equal(records.clear('f', 10), 'cleared');
   assert.equal(records.quarantined, 0);
-  assert.equal(records.take(record({ crashes: TWO_CRASHES }), 20), 'none');
+  assert.equal(records.applyRecord(record({ crashes: TWO_CRASHES }), 20), 'none');
   assert.ok(!records.isQuarantined('f'));
   assert.equal(records.recordCrash('f', { serverId: 's-3', ranMs: 0 }, 30), 'recorded');
   assert.equal(records.recordCrash('f', { serverId: 's-4', ranMs: 0 }, 40), 'quarantined');
 });
 
-test('a request that nothing is known of is not cleared', () => {
+test('clearing an unknown request leaves no record', () => {
   const records = new CrashRecords();
   assert.equal(records.clear('f', 0), 'none');
   assert.ok(records.isEmpty);
 });
 
-test('whoever missed a clearing is told of it again, however long it is over', () => {
+test('a record of a peer that missed a clearing causes the clearing to be advertised again, however old it is', () => {
   const records = new CrashRecords();
   records.recordCrash('f', { serverId: 's-1', ranMs: 0 }, 0);
   records.clear('f', 0);
   assert.deepEqual(records.nextToAdvertise(10, 60_000), []);
-  records.take(record({ crashes: TWO_CRASHES }), 60_000);
+  records.applyRecord(record({ crashes: TWO_CRASHES }), 60_000);
   assert.deepEqual(
     records.nextToAdvertise(10, 60_000).map(({ clearings }) => clearings),
     [1],
   );
 });
 
-test('servers that end together under copies of a request count once', () => {
+test('servers that end together under copies of a request count as one crash', () => {
   const records = new CrashRecords();
   records.recordCrash('f', { serverId: 's-1', ranMs: 80 }, 100);
   assert.equal(records.recordCrash('f', { serverId: 's-2', ranMs: 60 }, 101), 'recorded');
@@ -78,22 +78,22 @@
   assert.equal(records.recordCrash('f', { serverId: 's-4', ranMs: 40 }, 160), 'quarantined');
 });
 
-test('that they ended together is seen as well where each daemon knows of one', () => {
+test('servers that end together count as one crash also when each was observed by another daemon', () => {
   const records = new CrashRecords();
   records.recordCrash('f', { serverId: 's-1', ranMs: 80 }, 100);
-  const told = record({ crashes: [{ serverId: 's-2', ageMs: 3, ranMs: 60 }] });
-  assert.equal(records.take(told, 104), 'recorded');
+  const received = record({ crashes: [{ serverId: 's-2', ageMs: 3, ranMs: 60 }] });
+  assert.equal(records.applyRecord(received, 104), 'recorded');
   assert.ok(!records.isQuarantined('f'));
 });
 
-test('what one daemon has found enough is enough for all', () => {
+test('a quarantine by one daemon holds at all others', () => {
   const records = new CrashRecords();
   const crashes = [{ serverId: 's-1', ageMs: 5, ranMs: 60 }];
-  assert.equal(records.take(record({ crashes, isQuarantined: true }), 100), 'quarantined');
+  assert.equal(records.applyRecord(record({ crashes, isQuarantined: true }), 100), 'quarantined');
 });
 
-test('records in any order, told more than once, come to the same', () => {
-  const told = fc.record({
+test('records merge to the same state in any order and when received more than once', () => {
+  const anyRecord = fc.record({
     fingerprint: fc.constantFrom('f', 'g'),
     crashes: fc.uniqueArray(fc.constantFrom(...CRASHES), { maxLength: 3 }),
     isQuarantined: fc.boolean(),
@@ -101,8 +101,8 @@
     isStored: fc.boolean(),
     ageMs: fc.nat(1_000),
   });
-  const course = fc
-    .array(told, { maxLength: 12 })
+  const recordsTwice = fc
+    .array(anyRecord, { maxLength: 12 })
     .chain((all) =>
       fc.tuple(
         fc.constant(all),
@@ -110,10 +110,10 @@
       ),
     );
   fc.assert(
-    fc.property(course, ([all, other]) => {
-      const believes = (order: readonly CrashRecord[]) => {
+    fc.property(recordsTwice, ([all, other]) => {
+      const stateAfter = (order: readonly CrashRecord[]) => {
         const records = new CrashRecords();
-        for (const one of order) records.take(one, 5_000);
+        for (const one of order) records.applyRecord(one, 5_000);
         return ['f', 'g'].map((name) => {
           const known = records.get(name, 5_000);
           return [
@@ -123,41 +123,41 @@
           ];
         });
       };
-      assert.deepEqual(believes(all), believes(other));
+      assert.deepEqual(stateAfter(all), stateAfter(other));
     }),
     { seed: 34, numRuns: 500 },
   );
 });
 
-test('there are never more than so many records, and quarantined ones go last', () => {
+test('the number of records is bounded, and quarantined ones are evicted last', () => {
   const records = new CrashRecords();
   records.recordCrash('kept', { serverId: 's-1', ranMs: 0 }, 0);
   records.recordCrash('kept', { serverId: 's-2', ranMs: 0 }, 0);
-  for (let index = 0; index < MOST_RECORDS + 100; index += 1) {
+  for (let index = 0; index < MAX_RECORDS + 100; index += 1) {
     records.recordCrash(`f-${index}`, { serverId: 's-3', ranMs: 0 }, 10);
   }
-  assert.equal(records.size, MOST_RECORDS);
+  assert.equal(records.size, MAX_RECORDS);
   assert.ok(records.isQuarantined('kept'));
 });
 
-test('a record is forgotten after its time, and an old one is not taken', () => {
+test('a record is removed after its retention time, and an expired one is not applied', () => {
   const records = new CrashRecords();
   records.recordCrash('f', { serverId: 's-1', ranMs: 0 }, 0);
   records.recordCrash('f', { serverId: 's-2', ranMs: 0 }, 0);
-  assert.deepEqual(records.dropOld(CRASH_RECORD_RETENTION_MS - 1), []);
-  assert.deepEqual(records.dropOld(CRASH_RECORD_RETENTION_MS), ['f']);
+  assert.deepEqual(records.removeExpired(CRASH_RECORD_RETENTION_MS - 1), []);
+  assert.deepEqual(records.removeExpired(CRASH_RECORD_RETENTION_MS), ['f']);
   assert.equal(records.quarantined, 0);
   const old = record({ crashes: TWO_CRASHES, ageMs: CRASH_RECORD_RETENTION_MS });
-  assert.equal(records.take(old, CRASH_RECORD_RETENTION_MS), 'none');
+  assert.equal(records.applyRecord(old, CRASH_RECORD_RETENTION_MS), 'none');
 });
 
-test('more records than fit a message are told by turns', () => {
+test('more records than fit in a message are advertised round robin', () => {
   const records = new CrashRecords();
   for (let index = 0; index < 5; index += 1)
     records.recordCrash(`f-${index}`, { serverId: 's-1', ranMs: 0 }, 0);
-  const told = new Set<string>();
+  const advertised = new Set<string>();
   for (let turn = 0; turn < 3; turn += 1) {
-    for (const { fingerprint } of records.nextToAdvertise(2, 100)) told.add(fingerprint);
+    for (const { fingerprint } of records.nextToAdvertise(2, 100)) advertised.add(fingerprint);
   }
-  assert.equal(told.size, 5);
+  assert.equal(advertised.size, 5);
 });
--- a/test/gateway/support/fleet-of-guards.ts
+++ b/test/gateway/support/fleet-of-guards.ts
@@ -1,6 +1,6 @@
 /**
- * The guards of a whole fleet against requests that end servers, in virtual time: datagrams that may be lost, a store that
- * may be away for some daemons, daemons that are killed and start again.
+ * The crash guards of a fleet, in virtual time: datagrams may be lost, the store may be unavailable to some daemons, and
+ * daemons are killed and restarted.
  */
 import { PeerRoster, type ServerRecord } from '../../../src/core/gateway/index.js';
 import type { TableCall, TableResult } from '../../../src/core/platform/table.js';
@@ -11,30 +11,30 @@
 
 const STEP_MS = 10;
 const STORE_ANSWER_MS = 4;
-/** From the send to the end of the server. */
+/** Time from the send of a request to the end of its server. */
 const RAN_MS = 5;
 export const CONTACT_MS = 3_000;
 
-/** How a fleet is made up. */
+/** Options of a fleet. */
 export interface FleetOptions {
   readonly daemons: number;
-  /** Of all datagrams, 0 to 1. */
+  /** Share of the datagrams that are lost, 0 to 1. */
   readonly lossRate?: number;
-  /** Gives numbers from 0 to 1. */
+  /** Returns numbers from 0 to 1. */
   readonly random: () => number;
 }
 
 /** A fleet of guards. */
-export class FleetOfGuards {
+export class CrashGuardFleet {
   readonly timers = new ManualTimers();
   readonly store = new MemoryTable();
-  /** Whether the store does not serve a daemon now. */
-  isTurnedAway: (daemon: number) => boolean = () => false;
-  /** Whether nothing comes through to a daemon now, or from it. */
-  isCutOff: (daemon: number) => boolean = () => false;
-  /** Whether servers that have ended take connections again before anyone looks. */
-  takesConnections = false;
-  /** Datagrams sent. */
+  /** Whether the store is unavailable to a daemon now. */
+  isStoreUnavailable: (daemon: number) => boolean = () => false;
+  /** Whether all datagrams to and from a daemon are lost now. */
+  isPartitioned: (daemon: number) => boolean = () => false;
+  /** Whether ended servers accept connections again before they are checked. */
+  endedServersAccept = false;
+  /** Number of datagrams sent. */
   datagrams = 0;
   readonly #options: FleetOptions;
   readonly #guards: CrashGuard[] = [];
@@ -42,13 +42,13 @@
 
   constructor(options: FleetOptions) {
     this.#options = options;
-    // Fingerprints, and with them who stands in for whom, are the same in each run.
+    // A fixed key: fingerprints, and with them the order in which daemons write a row, are the same in each run.
     this.store.put('crash/!key', { key: Buffer.alloc(32, 34).toString('base64') });
     this.#names = Array.from({ length: options.daemons }, (_, index) => `front-${index}`);
     for (let daemon = 0; daemon < options.daemons; daemon += 1) this.start(daemon);
   }
 
-  /** Starts a daemon, or starts it again with nothing of what it knew. */
+  /** Starts a daemon, or restarts it without its state. */
   start(daemon: number): void {
     this.#guards[daemon]?.stop();
     const roster = new PeerRoster({ name: this.#nameOf(daemon), zone: 'a' });
@@ -57,17 +57,17 @@
     roster.replace(peers, this.timers.nowMs());
     const guard = new CrashGuard({
       table: { call: (call) => this.#callStore(daemon, call) },
-      endCheck: { hasEnded: async () => !this.takesConnections },
+      endCheck: { hasEnded: async () => !this.endedServersAccept },
       isReady: () => true,
       roster,
       peers: () => ({
-        sendMessage: (told, message) => {
+        sendMessage: (recipients, message) => {
           if (message.kind !== 'crashes') return;
-          for (const { name } of told) {
+          for (const { name } of recipients) {
             this.datagrams += 1;
             const to = this.#names.indexOf(name);
             const isLost = this.#options.random() < (this.#options.lossRate ?? 0);
-            if (isLost || this.isCutOff(daemon) || this.isCutOff(to)) continue;
+            if (isLost || this.isPartitioned(daemon) || this.isPartitioned(to)) continue;
             this.timers.after(1, () => this.guard(to).applyPeerRecords(message.records));
           }
         },
@@ -88,14 +88,14 @@
     return guard;
   }
 
-  /** A life of a server. */
+  /** A boot of a server. */
   serverOf(id: string, bornMs?: number): ServerRecord {
     const address = '10.0.0.1:1';
     const listed = { id, service: 'reader', address, zone: 'a', slots: 8, state: 'ready' } as const;
     return { ...listed, isSpot: false, stage: 'decode', bornMs };
   }
 
-  /** A server ends while a request runs there for a daemon. */
+  /** A server ends while it runs a request of a daemon. */
   async crash(daemon: number, body: string, serverId: string, bornMs?: number): Promise<void> {
     const exchange = requestOf(body);
     const server = this.serverOf(serverId, bornMs);
@@ -105,7 +105,7 @@
   }
 
   /** Daemons that would send a request now. */
-  sendersOf(body: string): readonly number[] {
+  daemonsThatSend(body: string): readonly number[] {
     return this.#names.flatMap((_, daemon) =>
       this.guard(daemon).isPrepared && !this.guard(daemon).isQuarantined(requestOf(body))
         ? [daemon]
@@ -129,7 +129,7 @@
   }
 
   #callStore(daemon: number, call: TableCall): Promise<TableResult> {
-    if (this.isTurnedAway(daemon)) {
+    if (this.isStoreUnavailable(daemon)) {
       return Promise.resolve({ kind: 'unavailable', reason: 'status 503', retryAfterMs: 0 });
     }
     return new Promise((resolve) =>
@@ -138,7 +138,7 @@
   }
 }
 
-/** One try of a piece of work. */
+/** An attempt of a request with this body. */
 export function requestOf(body: string): GuardedExchange {
   return {
     options: {
