--- a/src/shell/gateway/limit-coordinator.ts
+++ b/src/shell/gateway/limit-coordinator.ts
@@ -1,6 +1,6 @@
 /**
- * Keeps all daemons together within the limits that servers name: what this daemon learns of them, the permits that it
- * asks for and uses, those that it grants to others, and the requests that wait for one.
+ * Keeps all daemons together within the rate limits that servers name: records the limits, requests and uses permits,
+ * grants permits to other daemons, and holds the requests that wait for one.
  */
 import {
   type LimitChange,
@@ -22,21 +22,21 @@
 import type { CallPurpose } from './server-calls.js';
 import { delay, type TimerService } from './timer-service.js';
 
-/** Arrivals are counted over the time that a permit is good for, so that no more are asked for than are used. */
+/** Arrivals are counted over the time that a permit is valid, so that no more are requested than can be used. */
 const ARRIVALS_SPAN_MS = 250;
 /**
- * A request is held for the answer to its ask no longer: a few times the way to another zone and back. What is asked of
- * a daemon that is slower comes too late for it.
+ * The longest that a request is held for the answer to its permit request: a few round trips to another zone. The answer
+ * of a slower daemon comes too late for it.
  */
-const LONGEST_ANSWER_MS = 30;
-/** More at a time would be kept from other daemons. */
-const MOST_WANTED = 64;
-/** A stream that broke off is held for its next engine so long at most: callers give up after a pause of two seconds. */
-const LONGEST_RESUME_WAIT_MS = 1_000;
-/** A place that is taken while a prompt is read is good for so long; most are read within a second. */
-const PLACE_VALID_MS = 2_000;
+const MAX_ANSWER_WAIT_MS = 30;
+/** A daemon that requests more at a time would deprive the others. */
+const MAX_WANTED = 64;
+/** The longest that a broken stream is held for its next engine: callers time out after a pause of two seconds. */
+const MAX_RESUME_WAIT_MS = 1_000;
+/** How long a permit is reserved while a prompt is prefilled; most prefills take less than a second. */
+const RESERVATION_VALID_MS = 2_000;
 
-/** A permit that is kept for a run whose prompt is being read. */
+/** A permit reserved for a run whose prompt is being prefilled. */
 export interface PermitReservation {
   readonly server: ServerRecord;
   readonly granter: string;
@@ -46,24 +46,24 @@
 /** A request that may wait for a permit. */
 export interface PermitWaitRequest {
   readonly service: string;
-  /** 0 the most urgent. */
+  /** 0 is the most urgent. */
   readonly rank: number;
   readonly attemptId: string;
   readonly arrivedAtMs: number;
-  /** From now on. */
+  /** Counted from now. */
   readonly maxWaitMs: number;
   readonly signal: AbortSignal;
 }
 
-/** What it is built from. */
+/** Options of a `LimitCoordinator`. */
 export interface LimitCoordinatorOptions {
   readonly daemon: string;
   readonly fleet: FleetView;
-  /** Undefined where this daemon has no address for others. */
+  /** Undefined where this daemon has no address for peers. */
   readonly roster: PeerRoster | undefined;
   readonly send: (peers: readonly PeerDaemon[], message: LimitMessage) => void;
   readonly timers: TimerService;
-  /** 0 to 1, anew each time; spreads the asks of daemons. */
+  /** Uniformly distributed from 0 to 1, drawn at each call; spreads the permit requests of daemons over time. */
   readonly random: () => number;
   readonly log: Pick<GatewayLog, 'write'>;
   readonly metrics: Pick<GatewayMetrics, 'recordPermits' | 'recordToldAvailability'>;
@@ -72,14 +72,15 @@
 interface Arrivals {
   readonly spanStartMs: number;
   readonly count: number;
+  /** The count of the span before; 0 where that span had no arrivals. */
   readonly before: number;
 }
 
-/** A daemon's part in keeping to the limits of servers. */
+/** One daemon's part in keeping the limits of servers. */
 export class LimitCoordinator {
   readonly #options: LimitCoordinatorOptions;
-  readonly #asks: PermitRequester;
-  readonly #grants: PermitGranter;
+  readonly #requester: PermitRequester;
+  readonly #granter: PermitGranter;
   readonly #waiters: PermitWaiters;
   readonly #arrivals = new Map<string, Arrivals>();
 
@@ -87,29 +88,29 @@
     this.#options = options;
     const { fleet, roster, timers } = options;
     this.#waiters = new PermitWaiters(timers);
-    const noteTold = (serverId: string, change: LimitChange, by: string) =>
-      this.#noteTold(serverId, change, by);
-    this.#grants = new PermitGranter({
+    const onAdvertisedLimit = (serverId: string, change: LimitChange, by: string) =>
+      this.#recordAdvertisedLimit(serverId, change, by);
+    this.#granter = new PermitGranter({
       ...options,
       limits: fleet.limits,
       allPeers: () => roster?.allPeers() ?? [],
-      noteTold,
+      onAdvertisedLimit,
     });
-    this.#asks = new PermitRequester({
+    this.#requester = new PermitRequester({
       ...options,
-      grants: this.#grants,
-      noteTold,
-      notePermits: (serverId, count) => this.#wake(serverId, count),
-      noteMayAsk: (serverId) => this.#askForWaiting(serverId),
+      localGranter: this.#granter,
+      onAdvertisedLimit,
+      onPermits: (serverId, count) => this.#wake(serverId, count),
+      onMayRequest: (serverId) => this.#requestForWaiting(serverId),
     });
   }
 
-  /** Servers whose requests this daemon grants. */
+  /** Number of servers for which this daemon grants permits. */
   get grantedServers(): number {
-    return this.#grants.count;
+    return this.#granter.count;
   }
 
-  /** A caller's request to a service arrived. */
+  /** Counts a caller's request to a service. */
   recordArrival(service: string): void {
     const nowMs = this.#options.timers.nowMs();
     const spanStartMs = Math.floor(nowMs / ARRIVALS_SPAN_MS) * ARRIVALS_SPAN_MS;
@@ -123,15 +124,15 @@
   }
 
   /**
-   * A request would go to some servers if they took more: asks for permits there. It waits for the answers, as a daemon
-   * with few requests would not use a permit that comes after the one it was for.
+   * Requests permits for servers that a request would go to if their limits allowed it. The request waits for the
+   * answers, as a daemon with few requests would not use a permit that arrives after the request that it was for.
    * @returns undefined where there is nothing to wait for
    */
   requestPermits(servers: readonly ServerRecord[]): Promise<void> | undefined {
-    const asks = servers.flatMap((server) => this.#ask(server) ?? []);
-    if (asks.length === 0) return undefined;
+    const pending = servers.flatMap((server) => this.#requestFor(server) ?? []);
+    if (pending.length === 0) return undefined;
     const { timers } = this.#options;
-    return Promise.race([Promise.all(asks), delay(timers, LONGEST_ANSWER_MS)]).then(
+    return Promise.race([Promise.all(pending), delay(timers, MAX_ANSWER_WAIT_MS)]).then(
       () => undefined,
     );
   }
@@ -139,44 +140,44 @@
   /** An answer of a server changed what is known of its limit. */
   recordReportedLimit(server: ServerRecord, change: LimitChange, purpose: CallPurpose): void {
     const { id, service } = server;
-    this.#asks.tell(id, change);
+    this.#requester.advertiseLimit(id, change);
     this.#options.metrics.recordToldAvailability(`limit-${change.kind}`);
-    this.#noteChange(id, change, { service, purpose });
+    this.#handleChange(id, change, { service, purpose });
   }
 
-  /** Takes another daemon's message; `reply` goes back to it. */
+  /** Handles another daemon's message; `reply` sends an answer to it. */
   take(message: LimitMessage, reply: (answer: LimitMessage) => void): void {
     const { fleet, timers } = this.#options;
     switch (message.kind) {
       case 'limit-ask':
-        reply(this.#grants.answer(message));
+        reply(this.#granter.answer(message));
         return;
       case 'limit-grant':
-        this.#asks.take(message);
+        this.#requester.handleGrant(message);
         return;
       case 'limit-told': {
         const { serverId, limit, daemon } = message;
         const change = fleet.limits.applyAdvertised(serverId, limit, timers.nowMs());
-        if (change !== undefined) this.#noteTold(serverId, change, daemon);
+        if (change !== undefined) this.#recordAdvertisedLimit(serverId, change, daemon);
         return;
       }
     }
   }
 
   /**
-   * Where nothing but limits keeps a request from being sent, waits for a permit as long as the request can be in time
-   * after it. @returns whether to try again
+   * Where only limits keep a request from being sent, waits for a permit for as long as the request can still be
+   * answered in time. @returns whether to try again
    */
-  async waitForPermit(seeker: PermitWaitRequest): Promise<boolean> {
+  async waitForPermit(request: PermitWaitRequest): Promise<boolean> {
     const { fleet, timers, log } = this.#options;
-    const { service, rank, arrivedAtMs, attemptId, maxWaitMs: mostMs, signal } = seeker;
+    const { service, rank, arrivedAtMs, attemptId, maxWaitMs, signal } = request;
     const nowMs = timers.nowMs();
     const limited = fleet.atLimit(service, nowMs).filter(({ stage }) => stage !== 'prefill');
     const expectedMs = limited.map(({ id }) => fleet.permits.expectedInMs(id, nowMs));
-    if (limited.length === 0 || mostMs <= 0 || Math.min(...expectedMs) > mostMs) return false;
-    const wait = { service, rank, arrivedAtMs, mostMs, signal };
+    if (limited.length === 0 || maxWaitMs <= 0 || Math.min(...expectedMs) > maxWaitMs) return false;
+    const wait = { service, rank, arrivedAtMs, mostMs: maxWaitMs, signal };
     const waited = this.#waiters.wait(wait);
-    for (const server of limited) this.#ask(server);
+    for (const server of limited) this.#requestFor(server);
     const mayTry = await waited;
     log.write(GATEWAY_EVENTS.requestWaitedForPermit, {
       request: attemptId,
@@ -190,8 +191,9 @@
   }
 
   /**
-   * Takes the place of a run now that begins once its prompt was read elsewhere, where only engines that name limits
-   * are left to generate: else the prompt may be read in vain. Undefined where none has to be taken, or none is there.
+   * Takes a permit for a run that begins after its prompt is prefilled elsewhere, if only engines that name limits are
+   * left to generate: without a permit, the prefill may be wasted.
+   * @returns undefined where none is needed or none is available
    */
   reservePermit(
     service: string,
@@ -205,10 +207,10 @@
     const server = choose();
     const permit = server === undefined ? undefined : fleet.permits.take(server.id, nowMs);
     if (server === undefined || permit === undefined) return undefined;
-    return { server, granter: permit.granter, untilMs: nowMs + PLACE_VALID_MS };
+    return { server, granter: permit.granter, untilMs: nowMs + RESERVATION_VALID_MS };
   }
 
-  /** Whether a place may still be used. */
+  /** Whether a reservation may still be used. */
   isUsable({ server, untilMs }: PermitReservation): boolean {
     const { fleet, timers } = this.#options;
     const nowMs = timers.nowMs();
@@ -216,20 +218,21 @@
     return nowMs < untilMs && isOpen && !fleet.isUnreachable(server.id, nowMs);
   }
 
-  /** Gives back a place that no run came to, where one was held. */
-  returnPermits(place: PermitReservation | undefined): void {
-    if (place !== undefined) this.#asks.returnPermits(place.server.id, place.granter, 1);
+  /** Returns the permit of an unused reservation, where there is one. */
+  returnPermits(reservation: PermitReservation | undefined): void {
+    if (reservation !== undefined)
+      this.#requester.returnPermits(reservation.server.id, reservation.granter, 1);
   }
 
   stop(): void {
-    this.#asks.stop();
+    this.#requester.stop();
   }
 
-  #ask({ id, service }: ServerRecord): Promise<void> | undefined {
-    return this.#asks.ask(id, this.#wanted(service));
+  #requestFor({ id, service }: ServerRecord): Promise<void> | undefined {
+    return this.#requester.requestFor(id, this.#wanted(service));
   }
 
-  /** What would be sent to each of the servers within the time that a permit is good for. */
+  /** Requests that would go to each server of the service within the time that a permit is valid. */
   #wanted(service: string): number {
     const { fleet, timers } = this.#options;
     const nowMs = timers.nowMs();
@@ -238,36 +241,36 @@
     const arriving = isRecent ? Math.max(arrivals.count, arrivals.before) : 0;
     const servers = Math.max(1, fleet.readyOf(service, nowMs).length);
     const wanted = Math.max(1, this.#waiters.countOf(service), Math.ceil(arriving / servers));
-    return Math.min(MOST_WANTED, wanted);
+    return Math.min(MAX_WANTED, wanted);
   }
 
-  #askForWaiting(serverId: string): void {
+  #requestForWaiting(serverId: string): void {
     const { fleet, timers } = this.#options;
     const server = fleet.directory.get(serverId);
     if (server === undefined || this.#waiters.countOf(server.service) === 0) return;
     const isAtLimit = fleet.availabilityOf(server, timers.nowMs()).kind === 'at-limit';
-    if (isAtLimit) this.#ask(server);
+    if (isAtLimit) this.#requestFor(server);
   }
 
-  /** An engine that only reads answers nobody: those that wait need one that generates. */
+  /** Permits for an engine that only prefills wake nobody: waiting requests need one that generates. */
   #wake(serverId: string, count: number): void {
     const server = this.#options.fleet.directory.get(serverId);
     if (server === undefined || server.stage === 'prefill') return;
     this.#waiters.wake(server.service, count);
   }
 
-  #open(serverId: string): void {
+  #handleLimitEnd(serverId: string): void {
     this.#options.fleet.permits.forget(serverId);
     this.#wake(serverId, Number.POSITIVE_INFINITY);
   }
 
-  #noteTold(serverId: string, change: LimitChange, by: string): void {
+  #recordAdvertisedLimit(serverId: string, change: LimitChange, by: string): void {
     this.#options.metrics.recordToldAvailability(`limit-${change.kind}-told`);
-    this.#noteChange(serverId, change, { by });
+    this.#handleChange(serverId, change, { by });
   }
 
-  /** @param source who said it, for the log */
-  #noteChange(serverId: string, change: LimitChange, source: LogFields): void {
+  /** @param source who reported the change, for the log */
+  #handleChange(serverId: string, change: LimitChange, source: LogFields): void {
     const { log } = this.#options;
     const fields = { server: serverId, ...source };
     switch (change.kind) {
@@ -277,17 +280,17 @@
         break;
       case 'ended':
         log.write(GATEWAY_EVENTS.serverLimitEnded, { ...fields, before: change.before });
-        this.#open(serverId);
+        this.#handleLimitEnd(serverId);
         break;
     }
   }
 }
 
-/** What a request asks when it may wait for a permit: that no server has seen it is held as long as any that waits. */
+/** The permit wait of a request; one that no server has received may wait as long as any held request. */
 export function permitWaitRequestOf(exchange: Exchange): PermitWaitRequest {
   const { service, rank, arrivedAtMs, description, route } = exchange.options;
   const maxWaitMs = exchange.mayHaveRun
-    ? Math.min(exchange.remainingMs(), LONGEST_RESUME_WAIT_MS)
+    ? Math.min(exchange.remainingMs(), MAX_RESUME_WAIT_MS)
     : MAX_HOLD_SHARE * route.targetLatencyMs - exchange.elapsedMs();
   const { attemptId } = description;
   return { service, rank, attemptId, arrivedAtMs, maxWaitMs, signal: exchange.signal };
--- a/src/shell/gateway/limit-grants.ts
+++ b/src/shell/gateway/limit-grants.ts
@@ -1,7 +1,7 @@
 /**
- * Grants the requests to servers that name a limit, for all daemons, where this daemon is the one that they ask: the
- * first by rendezvous hashing of those that answer. Nothing of it is kept elsewhere. A daemon that takes over grants
- * nothing for a moment, and while two both grant, they stay within the limit together (`limit-ledger.ts`).
+ * Grants all daemons permits for the servers that name a rate limit and whose granter is this daemon: the first by
+ * rendezvous hashing of those that answer. The ledgers exist only in this process. A daemon that takes over grants nothing
+ * for a moment, and two daemons that both grant stay within the limit together (`limit-ledger.ts`).
  */
 import {
   type LimitChange,
@@ -20,15 +20,15 @@
 import type { GatewayLog } from './request-log.js';
 import type { TimerService } from './timer-service.js';
 
-/** The books of a server that nobody asked about for so long are closed: by then its limit is not believed any more. */
-const LEDGER_KEPT_MS = 120_000;
+/** A ledger without permit requests for this long is dropped; by then its limit has expired. */
+const LEDGER_RETENTION_MS = 120_000;
 /**
- * For telling all daemons that a limit began or ended, as docs/CAPACITY.md plans for a daemon's messages. Who isn't
- * told learns it from the server, or with its next ask.
+ * Budget for broadcasting that a limit began or ended, as planned in docs/CAPACITY.md for a daemon's messages. A daemon
+ * that misses a broadcast learns of the change from the server, or with its next permit request.
  */
-const TOLD_BUDGET = { bytesPerSecond: 4_096, burstBytes: 65_536 };
+const BROADCAST_BUDGET = { bytesPerSecond: 4_096, burstBytes: 65_536 };
 
-/** What it is built from. */
+/** Options of a `PermitGranter`. */
 export interface PermitGranterOptions {
   readonly daemon: string;
   readonly limits: NamedLimits;
@@ -37,59 +37,62 @@
   /** All other daemons. */
   readonly allPeers: () => readonly PeerDaemon[];
   readonly send: (peers: readonly PeerDaemon[], message: LimitUpdateMessage) => void;
-  /** Told of what an ask brought to light. */
-  readonly noteTold: (serverId: string, change: LimitChange, by: string) => void;
+  /** Called when a permit request changes what is known of a limit. */
+  readonly onAdvertisedLimit: (serverId: string, change: LimitChange, by: string) => void;
 }
 
 /** The granting side of a daemon. */
 export class PermitGranter {
   readonly #options: PermitGranterOptions;
   readonly #ledgers = new Map<string, LimitLedger>();
-  readonly #toldBudget: ByteBudget;
+  readonly #broadcastBudget: ByteBudget;
 
   constructor(options: PermitGranterOptions) {
     this.#options = options;
-    this.#toldBudget = new ByteBudget(TOLD_BUDGET, options.timers);
+    this.#broadcastBudget = new ByteBudget(BROADCAST_BUDGET, options.timers);
   }
 
-  /** Servers whose requests this daemon grants. */
+  /** Number of servers for which this daemon grants permits. */
   get count(): number {
     return this.#ledgers.size;
   }
 
-  /** Answers an ask, of this daemon or another. */
-  answer(ask: PermitRequestMessage): PermitGrantMessage {
+  /** Answers a permit request of this daemon or another. */
+  answer(request: PermitRequestMessage): PermitGrantMessage {
     const { daemon, limits, timers } = this.#options;
-    const { serverId, number } = ask;
+    const { serverId, number } = request;
     const nowMs = timers.nowMs();
-    const ledger = this.#ledgerOf(ask, nowMs);
-    this.#takeTold(ask, nowMs);
+    const ledger = this.#ledgerOf(request, nowMs);
+    this.#applyAdvertisedLimit(request, nowMs);
     const limit = limits.advertisementOf(serverId, nowMs);
     if (limit?.perSecond !== undefined) ledger.setLimit(limit.perSecond);
-    const wanted = limit?.perSecond === undefined ? 0 : ask.wanted;
-    const unmetered = ask.unmetered.map(({ ageMs, count }) => ({ atMs: nowMs - ageMs, count }));
-    const granted = ledger.ask({ ...ask, wanted, unmetered }, nowMs);
+    const wanted = limit?.perSecond === undefined ? 0 : request.wanted;
+    const unmetered = request.unmetered.map(({ ageMs, count }) => ({ atMs: nowMs - ageMs, count }));
+    const granted = ledger.ask({ ...request, wanted, unmetered }, nowMs);
     return { kind: 'limit-grant', daemon, number, serverId, limit, ...granted };
   }
 
-  /** Tells all daemons what this one, which grants, knows of a limit. */
-  tellAll(serverId: string): void {
+  /** Sends all daemons what this one, as the granter, knows of a limit. */
+  broadcastLimit(serverId: string): void {
     const { daemon, limits, timers, allPeers, send } = this.#options;
     const limit = limits.advertisementOf(serverId, timers.nowMs());
     if (limit === undefined) return;
     const peers = allPeers();
     const message: LimitUpdateMessage = { kind: 'limit-told', daemon, serverId, limit };
     const bytes = datagramWireBytes(encodePeerMessage(message)) * peers.length;
-    if (this.#toldBudget.tryTake(bytes)) send(peers, message);
+    if (this.#broadcastBudget.tryTake(bytes)) send(peers, message);
   }
 
-  #takeTold({ serverId, limit, daemon: by }: PermitRequestMessage, nowMs: number): void {
-    const { limits, noteTold } = this.#options;
+  #applyAdvertisedLimit(
+    { serverId, limit, daemon: by }: PermitRequestMessage,
+    nowMs: number,
+  ): void {
+    const { limits, onAdvertisedLimit } = this.#options;
     const change = limit === undefined ? undefined : limits.applyAdvertised(serverId, limit, nowMs);
     if (change === undefined) return;
-    noteTold(serverId, change, by);
-    // Who knows of a limit need not know how high it is: that is for the one that grants.
-    if (change.kind !== 'changed') this.tellAll(serverId);
+    onAdvertisedLimit(serverId, change, by);
+    // Only the granter needs to know how high a limit is; for the others it is enough that there is one.
+    if (change.kind !== 'changed') this.broadcastLimit(serverId);
   }
 
   #ledgerOf(
@@ -98,7 +101,7 @@
   ): LimitLedger {
     const known = this.#ledgers.get(serverId);
     if (known !== undefined) return known;
-    this.#dropOld(nowMs);
+    this.#removeStaleLedgers(nowMs);
     const ledger = new LimitLedger();
     this.#ledgers.set(serverId, ledger);
     const fields = { server: serverId, by, knownForMs: Math.round(knownForMs) };
@@ -106,9 +109,9 @@
     return ledger;
   }
 
-  #dropOld(nowMs: number): void {
+  #removeStaleLedgers(nowMs: number): void {
     for (const [serverId, { lastRequestAtMs }] of this.#ledgers) {
-      if (nowMs - lastRequestAtMs <= LEDGER_KEPT_MS) continue;
+      if (nowMs - lastRequestAtMs <= LEDGER_RETENTION_MS) continue;
       this.#ledgers.delete(serverId);
     }
   }
--- a/src/shell/gateway/limit-message-fields.ts
+++ b/src/shell/gateway/limit-message-fields.ts
@@ -1,44 +1,44 @@
-/** What daemons tell each other of servers that name a limit of requests a second, as it goes on the wire. */
+/** Messages between daemons on servers that name a limit of requests a second, and their wire form. */
 import * as z from 'zod/mini';
 import type { AdvertisedLimit } from '../../core/gateway/index.js';
 import { KINDS } from './peer-message-fields.js';
 
-/** Requests that were sent so long ago, in milliseconds. */
+/** A number of requests that were sent `ageMs` milliseconds ago. */
 export interface AgedCount {
   readonly ageMs: number;
   readonly count: number;
 }
 
-/** A daemon asks the one that grants for permits, tells it what it knows, or both. */
+/** A daemon requests permits from the granter, advertises what it knows of the limit, or both. */
 export interface PermitRequestMessage {
   readonly kind: 'limit-ask';
   readonly daemon: string;
-  /** The answer bears it. */
+  /** Repeated in the answer. */
   readonly number: number;
   readonly serverId: string;
-  /** Undefined where it knows nothing of it. */
+  /** Undefined where the sender knows nothing of the limit. */
   readonly limit: AdvertisedLimit | undefined;
-  /** For how long it has known of the limit. */
+  /** For how long the sender has known of the limit. */
   readonly knownForMs: number;
   readonly wanted: number;
   readonly returned: number;
   readonly unmetered: readonly AgedCount[];
 }
 
-/** The answer: what is granted, and what the granting daemon knows of the limit. */
+/** The answer: the number of permits, and what the granter knows of the limit. */
 export interface PermitGrantMessage {
   readonly kind: 'limit-grant';
   readonly daemon: string;
   readonly number: number;
   readonly serverId: string;
-  /** Undefined where it knows nothing of it. */
+  /** Undefined where the sender knows nothing of the limit. */
   readonly limit: AdvertisedLimit | undefined;
   readonly granted: number;
   readonly roomInMs: number;
   readonly requesters: number;
 }
 
-/** The daemon that grants tells all others that a limit began, changed or ended. */
+/** The granter broadcasts that a limit began, changed or ended. */
 export interface LimitUpdateMessage {
   readonly kind: 'limit-told';
   readonly daemon: string;
@@ -49,15 +49,15 @@
 /** A message on limits. */
 export type LimitMessage = PermitRequestMessage | PermitGrantMessage | LimitUpdateMessage;
 
-/** A figure that can be counted with: what is no such thing makes a message unreadable. */
+/** A finite number that is not negative; any other value makes a message unreadable. */
 const amount = z.number().check(z.nonnegative());
 const count = z.int().check(z.nonnegative());
-/** Requests a second, null where there is no limit any more; the age of that, in milliseconds. */
+/** Requests a second, null where the limit has ended; milliseconds since the server reported that. */
 const limitSchema = z.tuple([z.nullable(amount), amount]);
 const knownLimitSchema = z.nullable(limitSchema);
 
-/** Daemon, number, server, limit or null, for how long it is known, wanted, returned, sent before by age. */
-export const limitAskSchema = z.tuple([
+/** Daemon, number, server, limit or null, milliseconds that it is known, wanted, returned, sent without permits by age. */
+export const permitRequestSchema = z.tuple([
   z.literal(KINDS.limitAsk),
   z.string(),
   count,
@@ -69,8 +69,8 @@
   z.array(z.tuple([amount, count])),
 ]);
 
-/** Daemon, number, server, limit or null, granted, milliseconds until there is room, daemons that ask. */
-export const limitGrantSchema = z.tuple([
+/** Daemon, number, server, limit or null, granted, milliseconds until there is capacity, requesting daemons. */
+export const permitGrantSchema = z.tuple([
   z.literal(KINDS.limitGrant),
   z.string(),
   count,
@@ -82,7 +82,7 @@
 ]);
 
 /** Daemon, server, limit. */
-export const limitToldSchema = z.tuple([
+export const limitUpdateSchema = z.tuple([
   z.literal(KINDS.limitTold),
   z.string(),
   z.string(),
@@ -109,20 +109,22 @@
   }
 }
 
-export function decodeLimitAsk(fields: z.infer<typeof limitAskSchema>): PermitRequestMessage {
+export function decodePermitRequest(
+  fields: z.infer<typeof permitRequestSchema>,
+): PermitRequestMessage {
   const [, daemon, number, serverId, limit, knownForMs, wanted, returned, sent] = fields;
   const unmetered = sent.map(([ageMs, count]) => ({ ageMs, count }));
-  const told = { daemon, number, serverId, limit: decodeKnownLimit(limit) };
-  return { kind: 'limit-ask', ...told, knownForMs, wanted, returned, unmetered };
+  const common = { daemon, number, serverId, limit: decodeKnownLimit(limit) };
+  return { kind: 'limit-ask', ...common, knownForMs, wanted, returned, unmetered };
 }
 
-export function decodeLimitGrant(fields: z.infer<typeof limitGrantSchema>): PermitGrantMessage {
+export function decodePermitGrant(fields: z.infer<typeof permitGrantSchema>): PermitGrantMessage {
   const [, daemon, number, serverId, limit, granted, roomInMs, requesters] = fields;
-  const told = { daemon, number, serverId, limit: decodeKnownLimit(limit) };
-  return { kind: 'limit-grant', ...told, granted, roomInMs, requesters };
+  const common = { daemon, number, serverId, limit: decodeKnownLimit(limit) };
+  return { kind: 'limit-grant', ...common, granted, roomInMs, requesters };
 }
 
-export function decodeLimitTold(fields: z.infer<typeof limitToldSchema>): LimitUpdateMessage {
+export function decodeLimitUpdate(fields: z.infer<typeof limitUpdateSchema>): LimitUpdateMessage {
   const [, daemon, serverId, limit] = fields;
   return { kind: 'limit-told', daemon, serverId, limit: decodeLimit(limit) };
 }
--- a/src/shell/gateway/peer-message-fields.ts
+++ b/src/shell/gateway/peer-message-fields.ts
@@ -1,6 +1,6 @@
 /**
- * The parts of messages between gateways as they go on the wire: plain tuples, their schemas, and what they
- * stand for.
+ * The wire form of the parts of messages between gateways: plain tuples, their schemas, and the conversion to
+ * and from the values that they encode.
  */
 import * as z from 'zod/mini';
 import {
@@ -16,7 +16,7 @@
 import { FIRST_ERA } from '../../core/platform/store-position.js';
 import type { CacheEvent, WatchedRow } from './ports.js';
 
-/** The first item of a message. */
+/** The first item of a message, by kind. */
 export const KINDS = {
   report: 1,
   sums: 2,
@@ -35,13 +35,13 @@
   limitTold: 15,
 } as const;
 
-/** Engine by its short id, part, its tokens, and the milliseconds until it is read. */
+/** Engine by its short id, prompt part, its tokens, milliseconds until it is prefilled. */
 const readsSchema = z.array(z.tuple([z.string(), z.string(), z.number(), z.number()]));
-/** Service, milliseconds of engines that read and that generate, requests, short ones among them. */
+/** Service, milliseconds of prefill engines and of decode engines, requests, short ones among them. */
 const demandSchema = z.array(z.tuple([z.string(), z.number(), z.number(), z.number(), z.number()]));
-/** Server, whether it answers, and who found out. */
+/** Server, whether it is reachable, the daemon that found out. */
 const reachSchema = z.array(z.tuple([z.string(), z.boolean(), z.string()]));
-/** Engine by its short id, milliseconds of prompts in time, streams that run, milliseconds of late prompts. */
+/** Engine by its short id, milliseconds of prompts that are in time, running streams, milliseconds of late prompts. */
 const workSchema = z.array(z.tuple([z.string(), z.number(), z.number(), z.number()]));
 export const reportSchema = z.tuple([
   z.literal(KINDS.report),
@@ -67,8 +67,8 @@
   demandSchema,
 ]);
 /**
- * Fingerprint; of each crash the server, its age and how long the request had been there, in milliseconds; whether it is
- * quarantined; clearings; whether the store has it; its age in milliseconds.
+ * Fingerprint; for each crash the boot of the server, the age and how long the request had been there, in milliseconds;
+ * whether the request is quarantined; clearings; whether the store has the record; its age in milliseconds.
  */
 const crashSchema = z.tuple([
   z.string(),
@@ -90,9 +90,9 @@
   z.enum(['prefill', 'decode']),
   z.enum(['changing', 'changed']),
 ]);
-/** The era of the store; left out for the first, and by daemons that do not know of eras. */
+/** The era of the store; omitted for the first one, and by daemons of versions without eras. */
 const eraSchema = z.optional(z.number());
-/** Revisions at which a table changed last, up to which it was seen, and where it was read whole. */
+/** Revisions at which a table changed last, up to which it was followed, and at which it was read completely. */
 const progressSchema = z.tuple([z.number(), z.number(), z.number(), eraSchema]);
 export const tablesSchema = z.tuple([
   z.literal(KINDS.tables),
@@ -105,8 +105,8 @@
   z.optional(z.number()),
 ]);
 /**
- * Id, service, address, zone, slots, state, stage or nothing, whether it is a spot server; when it started, which
- * is left out where that is not known, and by daemons that do not tell it.
+ * Id, service, address, zone, slots, state, stage or an empty string, whether it is a spot server; when it started,
+ * omitted where that is unknown, and by daemons of versions that do not send it.
  */
 const serverSchema = z.tuple([
   z.string(),
@@ -137,9 +137,9 @@
   z.instanceof(Uint8Array),
   eraSchema,
 ]);
-/** The window whose counts are asked for. */
+/** The window whose counts are requested. */
 export const usageAskedSchema = z.tuple([z.literal(KINDS.usageAsked), z.number()]);
-/** Daemon, its life, window, which part of how many, tenants and their runs. */
+/** Daemon, its incarnation, window, number of the part, number of parts, tenants and their runs. */
 export const usageCountedSchema = z.tuple([
   z.literal(KINDS.usageCounted),
   z.string(),
@@ -151,15 +151,15 @@
 ]);
 /** The window that was reported. */
 export const usageReportedSchema = z.tuple([z.literal(KINDS.usageReported), z.number()]);
-/** An engine's cache news, as its watcher passes them on. */
+/** Cache events of an engine, as the daemon that polls it forwards them. */
 export interface EngineCacheEvents {
   readonly engineId: string;
-  /** All that was known of the engine's cache before is void. */
+  /** Whether all that was known of the engine's cache before is invalid. */
   readonly isReset: boolean;
   readonly events: readonly CacheEvent[];
 }
 
-/** Daemons that do not know of eras read a message only while it has none. */
+/** Omits the first era: daemons of versions without eras can read a message only without it. */
 export function encodeEra(era: number): readonly number[] {
   return era === FIRST_ERA ? [] : [era];
 }
@@ -181,7 +181,7 @@
   return [[id, service, address, zone, slots, state, stage ?? '', isSpot, ...start]];
 }
 
-export function goneKey(row: WatchedRow<ServerRecord>): string[] {
+export function removedKey(row: WatchedRow<ServerRecord>): string[] {
   return row.kind === 'gone' ? [row.key] : [];
 }
 
@@ -273,8 +273,8 @@
 }
 
 export function decodeCrash(fields: z.infer<typeof crashSchema>): CrashRecord {
-  const [fingerprint, told, isQuarantined, clearings, isStored, ageMs] = fields;
-  const crashes = told.map(([serverId, crashAgeMs, ranMs]) => ({
+  const [fingerprint, encodedCrashes, isQuarantined, clearings, isStored, ageMs] = fields;
+  const crashes = encodedCrashes.map(([serverId, crashAgeMs, ranMs]) => ({
     serverId,
     ageMs: crashAgeMs,
     ranMs,
--- a/src/shell/gateway/peer-messages.ts
+++ b/src/shell/gateway/peer-messages.ts
@@ -1,6 +1,6 @@
 /**
- * What gateways tell each other, and its wire form: one msgpack array a datagram, its first item the
- * kind. A message that cannot be read, or of a kind not known here, is passed over.
+ * Messages between gateways and their wire form: one msgpack array per datagram, whose first item is the
+ * kind. A message that is unreadable or of an unknown kind is ignored.
  */
 import { pack, unpack } from 'msgpackr';
 import type {
@@ -14,14 +14,14 @@
 import { FIRST_ERA, type StorePosition } from '../../core/platform/store-position.js';
 import type { UsagePart } from '../../core/tenant-usage/index.js';
 import {
-  decodeLimitAsk,
-  decodeLimitGrant,
-  decodeLimitTold,
+  decodeLimitUpdate,
+  decodePermitGrant,
+  decodePermitRequest,
   encodeLimitMessage,
   type LimitMessage,
-  limitAskSchema,
-  limitGrantSchema,
-  limitToldSchema,
+  limitUpdateSchema,
+  permitGrantSchema,
+  permitRequestSchema,
 } from './limit-message-fields.js';
 import { decodePaces, encodePaces, type PaceMessage, pacesSchema } from './pace-message-fields.js';
 import {
@@ -45,8 +45,8 @@
   encodeReads,
   encodeServer,
   encodeWork,
-  goneKey,
   KINDS,
+  removedKey,
   reportSchema,
   serversSchema,
   stageSchema,
@@ -60,10 +60,10 @@
 
 export type { EngineCacheEvents } from './peer-message-fields.js';
 
-/** Entries of a message, so that it stays within one packet. */
+/** Keeps a message within one packet. */
 export const MAX_ENTRIES_PER_MESSAGE = 40;
 
-/** The schema of each kind, so that a message is checked against its own alone. */
+/** The schema of each kind, so that a message is checked only against its own. */
 const schemaOfKind = new Map<unknown, MessageSchema>([
   [KINDS.servers, serversSchema],
   [KINDS.report, reportSchema],
@@ -77,9 +77,9 @@
   [KINDS.usageReported, usageReportedSchema],
   [KINDS.crashes, crashesSchema],
   [KINDS.paces, pacesSchema],
-  [KINDS.limitAsk, limitAskSchema],
-  [KINDS.limitGrant, limitGrantSchema],
-  [KINDS.limitTold, limitToldSchema],
+  [KINDS.limitAsk, permitRequestSchema],
+  [KINDS.limitGrant, permitGrantSchema],
+  [KINDS.limitTold, limitUpdateSchema],
 ]);
 
 type MessageSchema =
@@ -91,15 +91,15 @@
   | typeof tablesSchema
   | typeof configurationSchema
   | typeof pacesSchema
-  | typeof limitAskSchema
-  | typeof limitGrantSchema
-  | typeof limitToldSchema
+  | typeof permitRequestSchema
+  | typeof permitGrantSchema
+  | typeof limitUpdateSchema
   | typeof usageAskedSchema
   | typeof usageCountedSchema
   | typeof usageReportedSchema
   | typeof crashesSchema;
 
-/** A change of the configuration, as the relay of a zone had it from the store. */
+/** A change of the configuration, as the relay of a zone read it from the store. */
 export interface ForwardedConfiguration extends StorePosition {
   readonly after: number;
   readonly key: string;
@@ -107,9 +107,9 @@
   readonly encoded: Buffer;
 }
 
-/** What daemons tell each other of the usage of tenants. */
+/** Messages between daemons on the usage of tenants. */
 export type UsageMessage =
-  /** Whoever reports usage asks for the counts of a window; the answer goes back to where this came from. */
+  /** The daemon that reports usage requests the counts of a window; the answer goes back to the sender. */
   | { readonly kind: 'usage-asked'; readonly window: number }
   | { readonly kind: 'usage-counted'; readonly part: UsagePart }
   | { readonly kind: 'usage-reported'; readonly window: number };
@@ -121,20 +121,20 @@
   | {
       readonly kind: 'report';
       readonly report: LoadReport;
-      /** The version of the configuration that the daemon has in force; 0 where it has none, or does not say. */
+      /** The version of the configuration in force at the daemon; 0 where it has none or does not report it. */
       readonly configurationVersion: number;
     }
-  /** A relay's sums: over all daemons to its own zone, over that zone to the relays of the others. */
+  /** A relay's sums: over all daemons to its own zone, over its zone to the relays of the other zones. */
   | { readonly kind: 'sums'; readonly zone: string; readonly sums: LoadSums }
   | { readonly kind: 'stage'; readonly notice: StageNotice }
-  /** A relay is there, and says how far it has seen the store's tables change. */
+  /** A relay announces itself, and how far it has followed the store's tables. */
   | {
       readonly kind: 'tables';
       readonly relay: string;
       readonly zone: string;
       readonly digest: TableDigest;
     }
-  /** Changes of the list of servers, as a zone's relay had them from the store. */
+  /** Changes of the list of servers, as a zone's relay read them from the store. */
   | {
       readonly kind: 'servers';
       readonly zone: string;
@@ -147,24 +147,24 @@
     }
   /** Paces of engines. */
   | { readonly kind: 'paces'; readonly message: PaceMessage }
-  /** What a daemon knows of requests that end servers. */
+  /** Records of requests that crash servers. */
   | { readonly kind: 'crashes'; readonly records: readonly CrashRecord[] }
   | { readonly kind: 'news'; readonly daemon: string; readonly news: readonly EngineCacheEvents[] };
 
-/** The bytes of a message. */
+/** Encodes a message as the content of a datagram. */
 export function encodePeerMessage(message: PeerMessage): Buffer {
   switch (message.kind) {
     case 'report': {
       const { daemon, incarnation, sequence, work, reads, reach, demand } = message.report;
       const head = [KINDS.report, daemon, incarnation, sequence];
-      const news = [encodeReads(reads), reach.map(encodeReach), demand.map(encodeDemand)];
-      return pack([...head, encodeWork(work), ...news, message.configurationVersion]);
+      const lists = [encodeReads(reads), reach.map(encodeReach), demand.map(encodeDemand)];
+      return pack([...head, encodeWork(work), ...lists, message.configurationVersion]);
     }
     case 'sums': {
       const { relay, incarnation, sequence, isComplete, work, reads, reach, demand } = message.sums;
       const head = [KINDS.sums, message.zone, relay, incarnation, sequence, isComplete];
-      const news = [encodeReads(reads), reach.map(encodeReach), demand.map(encodeDemand)];
-      return pack([...head, encodeWork(work), ...news]);
+      const lists = [encodeReads(reads), reach.map(encodeReach), demand.map(encodeDemand)];
+      return pack([...head, encodeWork(work), ...lists]);
     }
     case 'stage': {
       const { engineId, stage, phase } = message.notice;
@@ -173,7 +173,7 @@
     case 'servers': {
       const { era, after, revision, rows } = message.changes;
       const head = [KINDS.servers, message.zone, after, revision];
-      const changed = [rows.flatMap(encodeServer), rows.flatMap(goneKey)];
+      const changed = [rows.flatMap(encodeServer), rows.flatMap(removedKey)];
       return pack([...head, ...changed, ...encodeEra(era)]);
     }
     case 'configuration': {
@@ -209,7 +209,7 @@
   }
 }
 
-/** Reads a message; undefined for what is none. */
+/** Decodes a message. @returns undefined where it is unreadable or of an unknown kind */
 export function decodePeerMessage(bytes: Buffer): PeerMessage | undefined {
   const message = unpacked(bytes);
   const schema = Array.isArray(message) ? schemaOfKind.get(message[0]) : undefined;
@@ -219,29 +219,29 @@
   switch (fields[0]) {
     case KINDS.report: {
       const [, daemon, incarnation, sequence, work, reads, reach, demand, version] = fields;
-      const told = {
+      const lists = {
         work: decodeWork(work),
         reads: decodeReads(reads),
         reach: reach.map(decodeReach),
         demand: demand.map(decodeDemand),
       };
-      const report = { daemon, incarnation, sequence, ...told };
+      const report = { daemon, incarnation, sequence, ...lists };
       return { kind: 'report', report, configurationVersion: version ?? 0 };
     }
     case KINDS.sums: {
       const [, zone, relay, incarnation, sequence, isComplete, work, reads, reach, demand] = fields;
-      const told = {
+      const lists = {
         work: decodeWork(work),
         reads: decodeReads(reads),
         reach: reach.map(decodeReach),
         demand: demand.map(decodeDemand),
       };
-      return { kind: 'sums', zone, sums: { relay, incarnation, sequence, isComplete, ...told } };
+      return { kind: 'sums', zone, sums: { relay, incarnation, sequence, isComplete, ...lists } };
     }
     case KINDS.servers: {
-      const [, zone, after, revision, servers, goneKeys, era = FIRST_ERA] = fields;
-      const gone = goneKeys.map((key) => ({ kind: 'gone', key }) as const);
-      const rows = [...servers.map(decodeServer), ...gone];
+      const [, zone, after, revision, servers, removedKeys, era = FIRST_ERA] = fields;
+      const removed = removedKeys.map((key) => ({ kind: 'gone', key }) as const);
+      const rows = [...servers.map(decodeServer), ...removed];
       return { kind: 'servers', zone, changes: { era, after, revision, rows } };
     }
     case KINDS.stage: {
@@ -265,11 +265,11 @@
       return { kind: 'tables', relay, zone, digest };
     }
     case KINDS.limitAsk:
-      return decodeLimitAsk(fields);
+      return decodePermitRequest(fields);
     case KINDS.limitGrant:
-      return decodeLimitGrant(fields);
+      return decodePermitGrant(fields);
     case KINDS.limitTold:
-      return decodeLimitTold(fields);
+      return decodeLimitUpdate(fields);
     case KINDS.paces:
       return { kind: 'paces', message: decodePaces(fields) };
     case KINDS.crashes:
--- a/src/shell/gateway/permit-waiters.ts
+++ b/src/shell/gateway/permit-waiters.ts
@@ -1,15 +1,16 @@
 /**
- * Requests that wait a moment for a permit, as all servers that could take them name limits. The most urgent go first,
- * and of those alike the one that came first.
+ * Requests that wait briefly for a permit, as all servers that could take them name limits. The most urgent go first;
+ * among equally urgent ones, the one that arrived first.
  */
 import type { CancelTimer, TimerService } from './timer-service.js';
 
-/** Who waits. */
+/** A request that waits. */
 export interface PermitWait {
   readonly service: string;
-  /** 0 the most urgent. */
+  /** 0 is the most urgent. */
   readonly rank: number;
   readonly arrivedAtMs: number;
+  /** The longest wait. */
   readonly mostMs: number;
   readonly signal: AbortSignal;
 }
@@ -27,32 +28,32 @@
     this.#timers = timers;
   }
 
-  /** Requests of a service that wait. */
+  /** Number of waiting requests of a service. */
   countOf(service: string): number {
     return this.#of(service).length;
   }
 
-  /** Resolves with whether it is worth another try; false when the time is over, or the caller is gone. */
+  /** Resolves with whether to try again; false at the time-out or when the caller disconnects. */
   wait(wait: PermitWait): Promise<boolean> {
     return new Promise((resolve) => {
       let cancel: CancelTimer = () => undefined;
-      const giveUp = () => waiter.end(false);
+      const abandon = () => waiter.end(false);
       const waiter: Waiter = {
         ...wait,
         end: (mayTry) => {
           cancel();
-          wait.signal.removeEventListener('abort', giveUp);
+          wait.signal.removeEventListener('abort', abandon);
           this.#waiters.delete(waiter);
           resolve(mayTry);
         },
       };
       this.#waiters.add(waiter);
-      wait.signal.addEventListener('abort', giveUp, { once: true });
-      cancel = this.#timers.after(wait.mostMs, giveUp);
+      wait.signal.addEventListener('abort', abandon, { once: true });
+      cancel = this.#timers.after(wait.mostMs, abandon);
     });
   }
 
-  /** So many requests of a service may try now. */
+  /** Lets up to `count` waiting requests of a service try again. */
   wake(service: string, count: number): void {
     const waiting = [...this.#of(service)].sort(
       (left, right) => left.rank - right.rank || left.arrivedAtMs - right.arrivedAtMs,
--- a/test/gateway/limit-messages.test.ts
+++ b/test/gateway/limit-messages.test.ts
@@ -1,4 +1,4 @@
-/** What daemons tell each other of limits, on the wire. */
+/** The wire form of messages on limits. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import { pack, unpack } from 'msgpackr';
@@ -9,7 +9,7 @@
 import { decodePeerMessage, encodePeerMessage } from '../../src/shell/gateway/peer-messages.js';
 
 const LIMIT = { perSecond: 1.2, reportedAgoMs: 30 };
-const ASK: PermitRequestMessage = {
+const REQUEST: PermitRequestMessage = {
   kind: 'limit-ask',
   daemon: 'front-1',
   number: 7,
@@ -24,9 +24,9 @@
   ],
 };
 const MESSAGES: readonly LimitMessage[] = [
-  ASK,
-  { ...ASK, limit: undefined, unmetered: [] },
-  { ...ASK, limit: { ...LIMIT, perSecond: undefined } },
+  REQUEST,
+  { ...REQUEST, limit: undefined, unmetered: [] },
+  { ...REQUEST, limit: { ...LIMIT, perSecond: undefined } },
   {
     kind: 'limit-grant',
     daemon: 'front-2',
@@ -40,27 +40,27 @@
   { kind: 'limit-told', daemon: 'front-2', serverId: 'i-1', limit: LIMIT },
 ];
 
-test('messages on limits come out as they went in', () => {
+test('messages on limits are decoded as they were encoded', () => {
   for (const message of MESSAGES) {
     assert.deepEqual(decodePeerMessage(encodePeerMessage(message)), message);
   }
 });
 
-test('an ask with a full window of sends fits one packet', () => {
+test('a permit request with a full window of sends fits in one packet', () => {
   const unmetered = Array.from({ length: 19 }, (_, place) => ({ ageMs: 250 * place, count: 999 }));
-  assert.ok(encodePeerMessage({ ...ASK, unmetered }).length <= 300);
+  assert.ok(encodePeerMessage({ ...REQUEST, unmetered }).length <= 300);
 });
 
-test('a message with a figure that cannot be counted with is passed over', () => {
-  const fields = unpack(encodePeerMessage(ASK)) as unknown[];
+test('a message with an invalid number is rejected', () => {
+  const fields = unpack(encodePeerMessage(REQUEST)) as unknown[];
   for (const place of [2, 5, 6, 7]) {
     for (const wrong of [-1, Number.NaN, Number.POSITIVE_INFINITY, '2', null]) {
-      const spoilt = fields.map((field, at) => (at === place ? wrong : field));
-      assert.equal(decodePeerMessage(pack(spoilt)), undefined, `${place}: ${wrong}`);
+      const invalid = fields.map((field, at) => (at === place ? wrong : field));
+      assert.equal(decodePeerMessage(pack(invalid)), undefined, `${place}: ${wrong}`);
     }
   }
   for (const limit of [[-1, 0], ['2', 0], [2], [2, -5], 3]) {
-    const spoilt = fields.map((field, at) => (at === 4 ? limit : field));
-    assert.equal(decodePeerMessage(pack(spoilt)), undefined, JSON.stringify(limit));
+    const invalid = fields.map((field, at) => (at === 4 ? limit : field));
+    assert.equal(decodePeerMessage(pack(invalid)), undefined, JSON.stringify(limit));
   }
 });
--- a/test/gateway/server-limits.test.ts
+++ b/test/gateway/server-limits.test.ts
@@ -1,11 +1,10 @@
 /**
- * Servers that named in their answers how many requests a second they take from all daemons together went on getting as
- * many as before. An engine that named 1.2 a second got 18 requests in 4 s from nine daemons, where one and a half times
- * the limit and 5 more, 12, are allowed; in a play of the same kind of day two that named 3.8 and 4.9 got 62 each (28 and
- * 34 allowed), 16, 17, 15, 16 a second, as they had before they said so. No daemon read the field: with a line for each
- * limit that is learnt (6088) one daemon alone sent 100 in 4 s to a server that had named 2, and six together 200 where 12
- * are allowed, all to a server that they knew to be limited. Heard by each for itself it would not have held either: six
- * daemons with 1.2 a second each send 29. The sum is what is bound, so one daemon grants for all.
+ * Guards against daemons that together exceed the limit that a server names in its answers, in requests a second from all
+ * daemons. Allowed in any 4 s are one and a half times the limit, and 5 more. Before daemons read the field, an engine that
+ * named 1.2 got 18 requests in 4 s from nine daemons (12 allowed), and two that named 3.8 and 4.9 got 62 each (28 and 34
+ * allowed). Where daemons only logged the limit (event 6088), one daemon sent 100 in 4 s to a server that had named 2, and
+ * six daemons sent 200 where 12 are allowed. A limit that each daemon keeps for itself does not hold either: six daemons
+ * with 1.2 a second each send 29 in 4 s. The limit bounds the sum, so one daemon grants permits for all.
  */
 import assert from 'node:assert/strict';
 import { afterEach, beforeEach, test } from 'node:test';
@@ -27,7 +26,7 @@
 import { answering, engine } from './support/server-stand-in.js';
 
 const STEP_MS = 10;
-/** The last stretch of a load, in which what changed before has settled. */
+/** The end of a load, by which the effect of an earlier change has settled. */
 const LAST_MS = 4_000;
 const WEB_REQUEST = { path: '/tiles/1' };
 
@@ -41,7 +40,7 @@
 
 afterEach(() => fixture.stop());
 
-async function passMs(spanMs: number): Promise<void> {
+async function advanceMs(spanMs: number): Promise<void> {
   const endMs = timers.nowMs() + spanMs;
   await timers.advanceUntil(() => timers.nowMs() >= endMs);
 }
@@ -60,7 +59,7 @@
   return fixture.lines.some((line) => line.event === event);
 }
 
-/** Daemons that know each other, by the ports of their callers. */
+/** Starts daemons that know each other. @returns the ports for their callers */
 async function startFleet(daemons: number): Promise<number[]> {
   const ports: number[] = [];
   for (let place = 0; place < daemons; place += 1) {
@@ -73,8 +72,8 @@
     ports.push(await starting);
   }
   await configure();
-  // Each reads the list of all.
-  await passMs(6_000);
+  // By then, each daemon has read the list of all.
+  await advanceMs(6_000);
   return ports;
 }
 
@@ -82,10 +81,10 @@
   await fixture.addServer(id, server.script, fields);
   const isAdded = () =>
     fixture.lines.some(
-      ({ event, fields: said }) => event === GATEWAY_EVENTS.serverAdded && said.server === id,
+      ({ event, fields: logged }) => event === GATEWAY_EVENTS.serverAdded && logged.server === id,
     );
   await timers.advanceUntil(isAdded);
-  await passMs(500);
+  await advanceMs(500);
 }
 
 function webServer(limit?: string): LimitedServer {
@@ -96,7 +95,7 @@
   return new LimitedServer(timers, engine(3), limit);
 }
 
-/** Sends a request every so often for a time, whatever becomes of those before; gives all answers. */
+/** Sends a request every `everyMs` for `spanMs`, whether or not earlier ones are answered. @returns all answers */
 async function load(
   requests: readonly CallerRequest[],
   everyMs: number,
@@ -113,13 +112,13 @@
       sent += 1;
       void fixture.call(request).then((answer) => answers.push(answer));
     }
-    await passMs(STEP_MS);
+    await advanceMs(STEP_MS);
   }
   await timers.advanceUntil(() => answers.length === sent);
   return answers;
 }
 
-/** Long prompts that have nothing in common, so that each is read. */
+/** Long prompts without common parts, so that each is prefilled. */
 const LONG_REQUESTS: readonly CallerRequest[] = Array.from({ length: 200 }, (_, place) => {
   const prefix = `a${place}:13000,b${place}:4000`;
   return { ...LONG_REQUEST, headers: { ...LONG_REQUEST.headers, 'X-Prompt-Prefix': prefix } };
@@ -130,18 +129,24 @@
   return firstNamedMs;
 }
 
-/** The limit is kept, and under load more than half of it is used. */
+/** Asserts that the limit is kept, and that under load at least half of it is used. */
 function assertKeptAndUsed(server: LimitedServer, perSecond: number): void {
   const fromMs = namedAt(server) + SETTLE_MS;
-  const worst = server.worstSpan(fromMs);
-  assert.ok(worst <= allowedInSpan(perSecond), `${worst} in 4 s at ${perSecond} a second`);
+  const maxCount = server.maxInSpan(fromMs);
+  assert.ok(
+    maxCount <= allowedInSpan(perSecond),
+    `${maxCount} requests in 4 s at a limit of ${perSecond} a second`,
+  );
   const usedFromMs = namedAt(server) + 6_000;
   const seconds = (timers.nowMs() - usedFromMs) / 1_000;
-  const used = server.since(usedFromMs);
-  assert.ok(used >= 0.5 * perSecond * seconds, `${used} in ${seconds} s at ${perSecond} a second`);
+  const used = server.countSince(usedFromMs);
+  assert.ok(
+    used >= 0.5 * perSecond * seconds,
+    `${used} requests in ${seconds} s at a limit of ${perSecond} a second`,
+  );
 }
 
-test('six daemons together keep to the limit of a server, and use it', async () => {
+test('six daemons together keep and use the limit of a server', async () => {
   const ports = await startFleet(6);
   const server = webServer('1.2');
   await addServer('i-1', server);
@@ -153,7 +158,7 @@
   assertKeptAndUsed(server, 1.2);
 });
 
-test('one daemon keeps to the limit of its only server, and uses it', async () => {
+test('one daemon keeps and uses the limit of its only server', async () => {
   await startOne();
   const server = webServer('2');
   await addServer('i-1', server);
@@ -162,7 +167,7 @@
   for (const { status } of answers) assert.ok(status === 200 || status === 503, `${status}`);
 });
 
-test('of six daemons one that has all callers uses the whole limit', async () => {
+test('a daemon that gets the requests of all callers uses the limit beside five idle daemons', async () => {
   const [port] = await startFleet(6);
   const server = webServer('3');
   await addServer('i-1', server);
@@ -170,7 +175,7 @@
   assertKeptAndUsed(server, 3);
 });
 
-test('an engine that names a limit gets no more, though it is the quickest', async () => {
+test('an engine gets no more requests than its limit, although it is the fastest', async () => {
   await startOne();
   const limited = engineServer('1');
   limited.answerMs = 1;
@@ -184,13 +189,13 @@
   for (const { status } of answers) assert.equal(status, 200);
 });
 
-test('an engine that only reads prompts and names a limit gets no more, though it is the quickest', async () => {
+test('a prefill engine gets no more requests than its limit, although it is the fastest', async () => {
   await startOne();
   const limited = engineServer('1');
   limited.answerMs = 1;
   const free = { prefill: engineServer(), decode: engineServer() };
   free.prefill.answerMs = 60;
-  free.decode.readsItselfMs = 400;
+  free.decode.ownPrefillMs = 400;
   await addServer('i-p', free.prefill, { service: 'reader', stage: 'prefill' });
   await addServer('i-d', free.decode, { service: 'reader', stage: 'decode' });
   await addServer('i-l', limited, { service: 'reader', stage: 'prefill' });
@@ -199,12 +204,12 @@
   for (const { status } of answers) assert.equal(status, 200);
 });
 
-test('a limit that is named under load counts what was sent before, and is used after', async () => {
+test('a limit that is first named under load counts the requests sent before, and is used afterwards', async () => {
   const ports = await startFleet(6);
   const server = webServer();
   await addServer('i-1', server);
   const requests = ports.map((port) => ({ ...WEB_REQUEST, port }));
-  // 20 a second come, as before the limit of 5.
+  // 20 requests a second arrive, before and after the server names a limit of 5.
   const before = load(requests, 50, 20_000);
   timers.after(3_000, () => {
     server.limit = '5';
@@ -213,7 +218,7 @@
   assertKeptAndUsed(server, 5);
 });
 
-test('with only limited servers left, requests wait for a permit or are refused at once, and told when to come', async () => {
+test('with only limited servers left, requests wait for a permit or are refused at once with a retry time', async () => {
   await startOne();
   const server = webServer('2');
   await addServer('i-1', server);
@@ -232,7 +237,7 @@
   ['web servers', WEB_REQUEST, {}],
   ['engines', SHORT_REQUEST, { service: 'reader', stage: 'decode' }],
 ] as const) {
-  test(`where requests wait for room as well, limits of all ${kind} are kept and used`, async () => {
+  test(`limits of all ${kind} are kept and used where requests also wait for capacity`, async () => {
     await startOne(true);
     const isWeb = kind === 'web servers';
     const servers = [1, 2].map(() => (isWeb ? webServer('2') : engineServer('2')));
@@ -243,47 +248,50 @@
   });
 }
 
-test('no prompt is read for a run whose only engine takes no more', async () => {
+test('no prompt is prefilled for a run whose only engine is at its limit', async () => {
   await startOne();
   const reader = engineServer();
   const limited = engineServer('1');
-  limited.readsItselfMs = 400;
+  limited.ownPrefillMs = 400;
   await addServer('i-p', reader, { service: 'reader', stage: 'prefill' });
   await addServer('i-d', limited, { service: 'reader', stage: 'decode' });
   await load(LONG_REQUESTS, 100, 12_000);
   assertKeptAndUsed(limited, 1);
-  const inVain = reader.arrivalsMs.length - limited.arrivalsMs.length;
-  assert.ok(inVain <= 0, `${inVain} prompts were read in vain`);
+  const wasted = reader.arrivalsMs.length - limited.arrivalsMs.length;
+  assert.ok(wasted <= 0, `${wasted} prefills were wasted`);
 });
 
-test('a prompt goes to the free reader beside one that takes no more', async () => {
+test('prompts go to the free prefill engine while the other one is at its limit', async () => {
   await startOne();
   const [limited, free, decode] = [engineServer('1'), engineServer(), engineServer()];
   limited.answerMs = 1;
   free.answerMs = 60;
-  decode.readsItselfMs = 400;
+  decode.ownPrefillMs = 400;
   await addServer('i-l', limited, { service: 'reader', stage: 'prefill' });
   await addServer('i-f', free, { service: 'reader', stage: 'prefill' });
   await addServer('i-d', decode, { service: 'reader', stage: 'decode' });
   const answers = await load(LONG_REQUESTS, 100, 10_000);
   const read = limited.arrivalsMs.length + free.arrivalsMs.length;
-  assert.ok(read >= 0.9 * answers.length, `${read} of ${answers.length} prompts were read apart`);
+  assert.ok(
+    read >= 0.9 * answers.length,
+    `${read} of ${answers.length} prompts were prefilled separately`,
+  );
 });
 
-test('a limit ends with an answer without it, and with no older one', async () => {
+test('a limit ends with an answer that names none, but not with one to an earlier request', async () => {
   await startOne();
   const server = webServer();
   await addServer('i-1', server);
-  // An answer on the way when the limit is named says nothing, though it comes after.
+  // A request from before the limit was named does not end the limit, though its answer comes later and names none.
   server.answerMs = 700;
   const slow = fixture.call(WEB_REQUEST);
-  await passMs(100);
+  await advanceMs(100);
   server.limit = '1';
   server.answerMs = 10;
   const named = fixture.call(WEB_REQUEST);
   await timers.advanceUntil(() => has(GATEWAY_EVENTS.serverNamedLimit));
   await Promise.all([named, timers.advanceUntil(() => server.arrivalsMs.length >= 2)]);
-  await passMs(1_000);
+  await advanceMs(1_000);
   assert.equal((await slow).status, 200);
   assert.ok(!has(GATEWAY_EVENTS.serverLimitEnded));
   await load([WEB_REQUEST], 100, 8_000);
@@ -291,11 +299,11 @@
   const endedMs = timers.nowMs();
   await load([WEB_REQUEST], 100, 12_000);
   assert.ok(has(GATEWAY_EVENTS.serverLimitEnded));
-  const late = server.since(endedMs + 12_000 - LAST_MS);
+  const late = server.countSince(endedMs + 12_000 - LAST_MS);
   assert.ok(late >= (0.8 * LAST_MS) / 100, `${late} requests in the last 4 s`);
 });
 
-test('another life of a server is held to no limit of the one before for longer than its first answer takes', async () => {
+test('after a restart, a server is held to the limit of its previous boot at most until its first answer', async () => {
   await startOne();
   const server = webServer('0.2');
   const standIn = await fixture.addServer('i-1', server.script, { born: 1 });
@@ -306,6 +314,6 @@
   await timers.advanceUntil(() => has(GATEWAY_EVENTS.serverRenewed));
   const renewedMs = timers.nowMs();
   await load([WEB_REQUEST], 100, 10_000);
-  const late = server.since(renewedMs + 10_000 - LAST_MS);
+  const late = server.countSince(renewedMs + 10_000 - LAST_MS);
   assert.ok(late >= (0.8 * LAST_MS) / 100, `${late} requests in the last 4 s`);
 });
--- a/test/gateway/support/fleet-of-limits.ts
+++ b/test/gateway/support/fleet-of-limits.ts
@@ -1,6 +1,6 @@
 /**
- * Daemons before one server that names a limit, in virtual time: each calls the server through `ServerCalls`, and they
- * speak by messages that are late, lost or cut off. Fixed seeds.
+ * Daemons before servers that name a rate limit, in virtual time: each calls the servers through `ServerCalls`, and they
+ * exchange messages that are delayed or lost. Seeds are fixed.
  */
 import type { IncomingMessage } from 'node:http';
 import { REQUEST_CODEC } from '../../../platform/request-codec.js';
@@ -24,15 +24,15 @@
 const DATAGRAM_OVERHEAD_BYTES = 28;
 const USUAL_ANSWER_MS = 20;
 
-/** How a fleet is set up. */
-export interface FleetOfLimitsOptions {
+/** Options of a fleet. */
+export interface LimitFleetOptions {
   readonly daemons: number;
   readonly seed: number;
   /** Servers of the service; each names the same limit. */
   readonly servers?: number;
-  /** Part of the messages that get lost. */
-  readonly lossShare?: number;
-  /** How long a request may wait for a permit; 0 where those that find none go to servers that are not played. */
+  /** Share of the messages that are lost, 0 to 1. */
+  readonly lossRate?: number;
+  /** How long a request may wait for a permit; at 0, requests without a permit go to servers that are not simulated. */
   readonly waitMs?: number;
 }
 
@@ -43,17 +43,17 @@
   readonly serverId: string;
 }
 
-/** One daemon, its calls counted. */
+/** One daemon of the fleet. */
 class Daemon {
   readonly fleet = new FleetView({ ratio: 0.2, slack: 50 });
   readonly roster: PeerRoster;
   readonly limits: LimitCoordinator;
   readonly calls: ServerCalls;
-  isCutOff = false;
-  /** When each server first named a limit to it. */
-  readonly toldAtMs = new Map<string, number>();
+  isPartitioned = false;
+  /** When each server first named a limit to this daemon. */
+  readonly limitReceivedAtMs = new Map<string, number>();
 
-  constructor(world: FleetOfLimits, place: number, peers: readonly PeerDaemon[]) {
+  constructor(world: LimitFleet, place: number, peers: readonly PeerDaemon[]) {
     const name = nameOf(place);
     const { timers } = world;
     this.roster = new PeerRoster({ name, zone: 'z' });
@@ -65,8 +65,8 @@
       daemon: name,
       fleet: this.fleet,
       roster: this.roster,
-      send: (told, message) => {
-        for (const { port } of told) world.deliver(place, port, message);
+      send: (recipients, message) => {
+        for (const { port } of recipients) world.deliver(place, port, message);
       },
       timers,
       random: () => world.random(),
@@ -87,8 +87,8 @@
   }
 }
 
-/** The fleet. */
-export class FleetOfLimits {
+/** A fleet of daemons and the servers that they call. */
+export class LimitFleet {
   readonly timers = new ManualTimers();
   readonly servers: readonly ServerRecord[];
   readonly daemons: readonly Daemon[];
@@ -97,19 +97,19 @@
   perSecond: number | undefined;
   /** From a request's arrival at a server to its answer. */
   answerMs = USUAL_ANSWER_MS;
-  /** Requests that came to daemons. */
+  /** Number of requests that arrived at daemons. */
   offered = 0;
   firstNamedMs: number | undefined;
   /** Bytes that each daemon sent to the others. */
   readonly bytesSent: number[];
   readonly random: () => number;
-  readonly #lossShare: number;
+  readonly #lossRate: number;
   readonly #waitMs: number;
 
-  constructor(options: FleetOfLimitsOptions) {
-    const { daemons, seed, servers = 1, lossShare = 0, waitMs = 0 } = options;
+  constructor(options: LimitFleetOptions) {
+    const { daemons, seed, servers = 1, lossRate = 0, waitMs = 0 } = options;
     this.random = seededRandom(seed);
-    this.#lossShare = lossShare;
+    this.#lossRate = lossRate;
     this.#waitMs = waitMs;
     this.servers = Array.from({ length: servers }, (_, place) => serverAt(place));
     const places = Array.from({ length: daemons }, (_, place) => place);
@@ -120,7 +120,7 @@
     this.bytesSent = places.map(() => 0);
   }
 
-  /** Lets time pass, while requests come to each daemon at its own rate, in requests a second. */
+  /** Advances time while requests arrive at each daemon at its own rate, in requests a second. */
   async play(spanMs: number, rateOf: (place: number) => number): Promise<void> {
     const endMs = this.timers.nowMs() + spanMs;
     while (this.timers.nowMs() < endMs) {
@@ -132,7 +132,7 @@
     }
   }
 
-  /** The daemon that the others ask. */
+  /** The daemon that grants permits. */
   granter(): Daemon | undefined {
     return this.daemons.find(({ limits }) => limits.grantedServers > 0);
   }
@@ -140,19 +140,20 @@
   deliver(from: number, to: number, message: LimitMessage): void {
     const bytes = encodePeerMessage(message);
     this.bytesSent[from] = (this.bytesSent[from] ?? 0) + bytes.length + DATAGRAM_OVERHEAD_BYTES;
-    const isCut = this.daemons[from]?.isCutOff === true || this.daemons[to]?.isCutOff === true;
-    if (isCut || this.random() < this.#lossShare) return;
+    const isCut =
+      this.daemons[from]?.isPartitioned === true || this.daemons[to]?.isPartitioned === true;
+    if (isCut || this.random() < this.#lossRate) return;
     const delayMs = 1 + 4 * this.random();
     this.timers.after(delayMs, () => {
       const read = decodePeerMessage(bytes);
       const isOfLimits =
         read?.kind === 'limit-ask' || read?.kind === 'limit-grant' || read?.kind === 'limit-told';
-      if (!isOfLimits) throw new Error('a message that was sent can be read');
+      if (!isOfLimits) throw new Error('a message on limits cannot be decoded');
       this.daemons[to]?.limits.take(read, (answer) => this.deliver(to, from, answer));
     });
   }
 
-  /** The server: it answers with its limit, which its daemon then passes on. */
+  /** Answers for a server and names its limit, which the calling daemon then advertises. */
   serve(place: number, address: string): Promise<CallResult> {
     const serverId = this.servers.find((server) => server.address === address)?.id ?? '';
     this.arrivals.push({ atMs: this.timers.nowMs(), daemon: place, serverId });
@@ -163,23 +164,24 @@
     const answer = { status: 200, message } as unknown as BackendAnswer;
     return new Promise((resolve) => {
       this.timers.after(this.answerMs, () => {
-        const told = this.daemons[place]?.toldAtMs;
-        const isFirst = this.perSecond !== undefined && told?.has(serverId) === false;
-        if (isFirst) told?.set(serverId, this.timers.nowMs());
+        const received = this.daemons[place]?.limitReceivedAtMs;
+        const isFirst = this.perSecond !== undefined && received?.has(serverId) === false;
+        if (isFirst) received?.set(serverId, this.timers.nowMs());
         resolve({ kind: 'answered', answer });
       });
     });
   }
 
-  /** Requests that reached a server from daemons that it had told of its limit, in the worst span. */
-  worstSpan(fromMs: number): number {
-    return Math.max(...this.servers.map(({ id }) => this.#worstSpanAt(id, fromMs)));
+  /** The most requests in 4 s that reached a server from daemons to which it had named its limit. */
+  maxInSpan(fromMs: number): number {
+    return Math.max(...this.servers.map(({ id }) => this.#maxInSpanAt(id, fromMs)));
   }
 
-  #worstSpanAt(id: string, fromMs: number): number {
+  #maxInSpanAt(id: string, fromMs: number): number {
     const counted = this.arrivals.filter(({ atMs, daemon, serverId }) => {
-      const toldAtMs = this.daemons[daemon]?.toldAtMs.get(id) ?? Number.POSITIVE_INFINITY;
-      return serverId === id && toldAtMs <= Math.max(atMs, fromMs);
+      const limitReceivedAtMs =
+        this.daemons[daemon]?.limitReceivedAtMs.get(id) ?? Number.POSITIVE_INFINITY;
+      return serverId === id && limitReceivedAtMs <= Math.max(atMs, fromMs);
     });
     let worst = 0;
     let first = 0;
@@ -191,7 +193,7 @@
   }
 
   /** Requests that reached servers within a span. */
-  between(fromMs: number, toMs: number): number {
+  countBetween(fromMs: number, toMs: number): number {
     return this.arrivals.filter(({ atMs }) => atMs >= fromMs && atMs < toMs).length;
   }
 
@@ -200,25 +202,25 @@
     this.offered += 1;
     limits.recordArrival(SERVICE);
     const arrivedAtMs = this.timers.nowMs();
-    const wanted = this.#drawn(fleet.candidatesWithLimited(SERVICE, arrivedAtMs));
+    const wanted = this.#pickRandom(fleet.candidatesWithLimited(SERVICE, arrivedAtMs));
     const atLimit = fleet.atLimit(SERVICE, arrivedAtMs);
     await limits.requestPermits(atLimit.filter(({ id }) => id === wanted?.id));
     for (;;) {
-      const server = this.#drawn(fleet.candidates(SERVICE, this.timers.nowMs()));
+      const server = this.#pickRandom(fleet.candidates(SERVICE, this.timers.nowMs()));
       if (server !== undefined) {
         void calls.call(callTo(server));
         return;
       }
-      if (!(await limits.waitForPermit(this.#waiting(arrivedAtMs)))) return;
+      if (!(await limits.waitForPermit(this.#waitRequest(arrivedAtMs)))) return;
     }
   }
 
-  #drawn(servers: readonly ServerRecord[]): ServerRecord | undefined {
+  #pickRandom(servers: readonly ServerRecord[]): ServerRecord | undefined {
     return servers[Math.floor(this.random() * servers.length)];
   }
 
-  /** What is asked of a request that waits for a permit. */
-  #waiting(arrivedAtMs: number): PermitWaitRequest {
+  /** The permit wait of a request. */
+  #waitRequest(arrivedAtMs: number): PermitWaitRequest {
     const leftMs = () => arrivedAtMs + this.#waitMs - this.timers.nowMs();
     return {
       service: SERVICE,
--- a/test/gateway/support/limited-server.ts
+++ b/test/gateway/support/limited-server.ts
@@ -1,23 +1,23 @@
-/** A server that names a limit of requests a second, what reaches it, and how that compares with the limit. */
+/** A server that names a limit of requests a second, the requests that reach it, and the number that the limit allows. */
 import type { TimerService } from '../../../src/shell/gateway/index.js';
 import type { Script, ServedRequest } from './server-stand-in.js';
 
-/** How long an answer takes that nothing holds up. */
+/** Answer time without further delay. */
 const USUAL_ANSWER_MS = 10;
-/** What operators count in, and what they allow beyond the limit: half of it again, and five. */
+/** Operators count the requests in any 4 s, and allow one and a half times the limit, and five more. */
 const SPAN_MS = 4_000;
 const FACTOR = 1.5;
 const SLACK = 5;
-/** From so long after the first answer that names it, a limit is to be kept. */
+/** A limit has to be kept from this long after the first answer that names it. */
 export const SETTLE_MS = 3_000;
 
-/** The requests of callers that reached a server, by time, and what it says of its limit. */
+/** Wraps the script of a stand-in: names a limit in its answers, and records when callers' requests arrive. */
 export class LimitedServer {
-  /** As the field has it; undefined while it names none. */
+  /** The value of the header; undefined while the server names no limit. */
   limit: string | undefined;
   answerMs = USUAL_ANSWER_MS;
-  /** Where it reads a prompt by itself before it generates; as long as any other answer unless given. */
-  readsItselfMs: number | undefined;
+  /** Answer time where the server prefills the prompt itself before it generates; by default `answerMs`. */
+  ownPrefillMs: number | undefined;
   readonly arrivalsMs: number[] = [];
   firstNamedMs: number | undefined;
   readonly #timers: TimerService;
@@ -29,18 +29,18 @@
     this.limit = limit;
   }
 
-  /** To be given to a stand-in. */
+  /** The script for a stand-in. */
   get script(): Script {
     return (served) => this.#serve(served);
   }
 
-  /** Requests that came from a time on. */
-  since(fromMs: number): number {
+  /** Number of requests that arrived from a time on. */
+  countSince(fromMs: number): number {
     return this.arrivalsMs.filter((atMs) => atMs >= fromMs).length;
   }
 
-  /** The most that came in any span that operators count, ending from a time on. */
-  worstSpan(fromMs: number): number {
+  /** The most requests that arrived in any 4 s that end at or after `fromMs`. */
+  maxInSpan(fromMs: number): number {
     const ends = this.arrivalsMs.filter((atMs) => atMs >= fromMs);
     const counts = ends.map(
       (endMs) => this.arrivalsMs.filter((atMs) => atMs > endMs - SPAN_MS && atMs <= endMs).length,
@@ -56,12 +56,12 @@
       response.setHeader('Server-Limit', this.limit);
     }
     const isHandedOver = seen.headers['x-kv-source'] !== undefined;
-    const answerMs = isHandedOver ? this.answerMs : (this.readsItselfMs ?? this.answerMs);
+    const answerMs = isHandedOver ? this.answerMs : (this.ownPrefillMs ?? this.answerMs);
     this.#timers.after(answerMs, () => this.#answer(served));
   }
 }
 
-/** What a limit allows in a span that operators count. */
+/** Requests that a limit allows in any 4 s. */
 export function allowedInSpan(perSecond: number): number {
   return FACTOR * perSecond * (SPAN_MS / 1_000) + SLACK;
 }
