--- a/src/shell/gateway/pace-message-fields.ts
+++ b/src/shell/gateway/pace-message-fields.ts
@@ -1,17 +1,17 @@
-/** Paces of engines as they go on the wire. */
+/** The wire form of engine paces. */
 import * as z from 'zod/mini';
 import type { LineSums, PaceSums, ServicePaceSums } from '../../core/gateway/index.js';
 import { KINDS } from './peer-message-fields.js';
 
 /** What a message of paces is for. */
 export type PacePurpose =
-  /** What was seen since the last one, to be added up. */
+  /** Observations since the last message; the receiver adds them up. */
   | 'seen'
-  /** What the sender knows, to be taken in place of what is known less well. */
+  /** What the sender knows; replaces what the receiver knows from less evidence. */
   | 'known'
-  /** The receiver is asked for all that it knows. */
+  /** Queries all that the receiver knows. */
   | 'asked'
-  /** The answer, in place of what is known less well. */
+  /** The answer to a query; replaces what the receiver knows from less evidence. */
   | 'answered';
 
 /** A message of paces. */
@@ -22,11 +22,11 @@
   readonly services: readonly ServicePaceSums[];
 }
 
-/** Logarithms go in thousandths and weights in tenths, as whole numbers take few bytes. */
+/** Logarithms are sent in thousandths and weights in tenths, as integers take few bytes. */
 const LOG_UNITS = 1_000;
 const WEIGHT_UNITS = 10;
 
-/** Any number, nonsense included: that is told apart, and counted, by whoever takes it. */
+/** Any number, even an invalid one: the code that applies paces rejects and counts those. */
 const figure = z.custom<number>((value) => typeof value === 'number');
 /** Weight, and the weighted means of tokens, milliseconds, squares of tokens, and products of both. */
 const lineSchema = z.tuple([figure, figure, figure, figure, figure]);
--- a/src/shell/gateway/pace-teller.ts
+++ b/src/shell/gateway/pace-teller.ts
@@ -1,10 +1,10 @@
 /**
- * Tells other daemons what was seen of engines' paces, and hears of theirs. Each tells the relay of its zone what
- * it saw; the relay tells the other relays what its zone saw, and its zone what it knows. Where there is no relay
- * everyone tells everyone. A daemon that starts asks for all that is known.
+ * Exchanges observations of engine paces with other daemons. Each daemon sends its observations to the relay of its zone;
+ * the relay sends those of its zone to the other relays, and what it knows to its zone. Where there is no relay, each
+ * daemon sends its observations to all others. A daemon that starts queries another for all that it knows.
  *
- * Nothing but the quality of a choice depends on these messages: what is lost is evidence, and what a daemon has
- * heard it keeps when its relay dies.
+ * Only the quality of engine choices depends on these messages: a lost one is lost evidence, and a daemon keeps what it
+ * has received when its relay dies.
  */
 import {
   type FleetPaces,
@@ -20,24 +20,24 @@
 import type { GatewayLog } from './request-log.js';
 import type { CancelTimer, TimerService } from './timer-service.js';
 
-/** What was seen within this time goes in one message. */
-const TELL_GAP_MS = 120;
-/** 15% of the budgets for telling of work (`peer-exchange.ts`): paces change much less often. */
+/** Observations within this interval go in one message. */
+const ADVERTISE_INTERVAL_MS = 120;
+/** 15% of the budgets for load reports (`peer-exchange.ts`): paces change much less often. */
 const BUDGET = { bytesPerSecond: 614, burstBytes: 4_096 };
-/** Answers to daemons that start, in all: a zone that is started again hears within a few seconds. */
+/** For answers to all starting daemons: those of a restarted zone receive theirs within a few seconds. */
 const ANSWER_BUDGET = { bytesPerSecond: 32_768, burstBytes: 131_072 };
-/** An answer that holds nothing, or none, is asked for again so often, each time of another daemon. */
-const MOST_QUESTIONS = 12;
-/** Questions are this many looks apart. */
-const LOOKS_PER_QUESTION = 4;
-/** Changes of belief that are written at once: one at a time tells as much, and the log is bounded. */
-const MOST_CHANGES_LOGGED = 8;
-/** Looks between two at what concerns all engines at once and has no hurry. */
-const LOOKS_PER_UPKEEP = 8;
-/** What cannot be used is counted for so long before a line tells of it. */
-const IGNORED_GAP_MS = 10_000;
-
-/** What a teller is built from. */
+/** Queries of a starting daemon; after a missing or empty answer, the next one goes to another daemon. */
+const MAX_QUERIES = 12;
+/** Ticks between two queries. */
+const TICKS_PER_QUERY = 4;
+/** Bounds the changed paces that one upkeep logs. */
+const MAX_CHANGES_LOGGED = 8;
+/** Ticks between two upkeeps, which go through all engines and are not urgent. */
+const TICKS_PER_UPKEEP = 8;
+/** Shortest interval between two log lines on values that cannot be used. */
+const IGNORED_LOG_INTERVAL_MS = 10_000;
+
+/** Options of a `PaceGossip`. */
 export interface PaceGossipOptions {
   readonly daemon: string;
   readonly zone: string;
@@ -48,24 +48,24 @@
   readonly paces: FleetPaces;
   readonly timers: TimerService;
   readonly log: Pick<GatewayLog, 'write'>;
-  /** Whether servers are listed, without which nothing that is told can be used. */
+  /** Whether servers are listed; before that, no received pace can be used. */
   readonly isReady: () => boolean;
   readonly isRelay: () => boolean;
   readonly send: (peers: readonly PeerDaemon[], bytes: Buffer) => void;
 }
 
-/** One daemon's telling of paces. */
+/** Exchanges paces on behalf of one daemon. */
 export class PaceGossip {
   readonly #options: PaceGossipOptions;
   readonly #seenBudget: ByteBudget;
   readonly #knownBudget: ByteBudget;
   readonly #answerBudget: ByteBudget;
-  readonly #toTell = new PaceAdvertiser();
-  #questions = 0;
-  #looks = 0;
+  readonly #advertiser = new PaceAdvertiser();
+  #queries = 0;
+  #ticks = 0;
   #isAnswered = false;
   #ignored = 0;
-  #ignoredToldMs = Number.NEGATIVE_INFINITY;
+  #ignoredLoggedMs = Number.NEGATIVE_INFINITY;
   #cancel: CancelTimer | undefined;
 
   constructor(options: PaceGossipOptions) {
@@ -78,8 +78,8 @@
 
   start(): void {
     if (!this.#options.paces.isOn) return;
-    this.#cancel = this.#options.timers.after(TELL_GAP_MS, () => {
-      this.#look();
+    this.#cancel = this.#options.timers.after(ADVERTISE_INTERVAL_MS, () => {
+      this.#tick();
       this.start();
     });
   }
@@ -88,7 +88,7 @@
     this.#cancel?.();
   }
 
-  /** Takes what another daemon tells; `reply` goes back to it. */
+  /** Handles a message of another daemon; `reply` sends an answer to it. */
   take(message: PaceMessage, reply: (answer: PaceMessage) => void): void {
     const { daemon, zone, paces, timers, isRelay } = this.#options;
     if (!paces.isOn || message.daemon === daemon) return;
@@ -96,13 +96,13 @@
     switch (message.purpose) {
       case 'seen': {
         const isRelayed = isRelay() && message.zone === zone;
-        this.#noteIgnored(paces.addObserved(message.services, isRelayed, nowMs), message.daemon);
+        this.#recordIgnored(paces.addObserved(message.services, isRelayed, nowMs), message.daemon);
         return;
       }
       case 'known':
       case 'answered':
-        this.#noteIgnored(paces.applyKnown(message.services, nowMs), message.daemon);
-        if (message.purpose === 'answered') this.#noteAnswer(message);
+        this.#recordIgnored(paces.applyKnown(message.services, nowMs), message.daemon);
+        if (message.purpose === 'answered') this.#recordAnswer(message);
         return;
       case 'asked':
         this.#answer(reply);
@@ -110,69 +110,69 @@
     }
   }
 
-  #look(): void {
+  #tick(): void {
     const { paces, timers, isRelay } = this.#options;
     const nowMs = timers.nowMs();
-    this.#looks += 1;
-    this.#askIfNew();
-    this.#tellSeen(nowMs);
-    if (isRelay()) this.#tellKnown(nowMs);
-    if (this.#looks % LOOKS_PER_UPKEEP !== 0) return;
+    this.#ticks += 1;
+    this.#queryUntilAnswered();
+    this.#advertiseObserved(nowMs);
+    if (isRelay()) this.#advertiseKnown(nowMs);
+    if (this.#ticks % TICKS_PER_UPKEEP !== 0) return;
     paces.refresh(nowMs);
-    this.#toTell.retain(paces.known(nowMs));
+    this.#advertiser.retain(paces.known(nowMs));
     this.#logChanges();
   }
 
   #logChanges(): void {
     const { paces, log } = this.#options;
-    for (const { engineId, pace, before } of paces.takeChanges(MOST_CHANGES_LOGGED)) {
+    for (const { engineId, pace, before } of paces.takeChanges(MAX_CHANGES_LOGGED)) {
       const fields = { server: engineId, pace: rounded(pace), before: rounded(before) };
       log.write(GATEWAY_EVENTS.enginePaceChanged, fields);
     }
   }
 
-  /** What this daemon saw, and as a relay what its zone did. */
-  #tellSeen(nowMs: number): void {
+  /** Sends what this daemon observed and, as a relay, what its zone did. */
+  #advertiseObserved(nowMs: number): void {
     const { paces, roster, isRelay } = this.#options;
     const peers = isRelay() ? roster.otherRelays(nowMs) : roster.changeRecipients(nowMs);
-    const seen = paces.unadvertised(MAX_ENTRIES_PER_MESSAGE);
-    if (seen.length === 0) return;
-    const bytes = this.#encode('seen', seen);
-    // A relay has a budget for each other relay, as these hear of each zone from one daemon only.
+    const observed = paces.unadvertised(MAX_ENTRIES_PER_MESSAGE);
+    if (observed.length === 0) return;
+    const bytes = this.#encode('seen', observed);
+    // A relay may spend the budget on each other relay, as these receive from one daemon per zone only.
     const copies = isRelay() ? 1 : peers.length;
     if (peers.length > 0 && !this.#seenBudget.tryTake(datagramWireBytes(bytes) * copies)) return;
-    paces.markAdvertised(seen);
+    paces.markAdvertised(observed);
     this.#options.send(peers, bytes);
   }
 
-  /** As the relay of a zone, what has changed. */
-  #tellKnown(nowMs: number): void {
+  /** Sends the zone what has changed, as its relay. */
+  #advertiseKnown(nowMs: number): void {
     const { paces, roster } = this.#options;
     const known = paces.known(nowMs);
-    const told = this.#toTell.next(known, MAX_ENTRIES_PER_MESSAGE, nowMs);
-    if (told.length === 0) return;
-    const bytes = this.#encode('known', told);
+    const changed = this.#advertiser.next(known, MAX_ENTRIES_PER_MESSAGE, nowMs);
+    if (changed.length === 0) return;
+    const bytes = this.#encode('known', changed);
     if (!this.#knownBudget.tryTake(datagramWireBytes(bytes))) return;
-    this.#toTell.markAdvertised(told, nowMs);
+    this.#advertiser.markAdvertised(changed, nowMs);
     this.#options.send(roster.zonePeers(), bytes);
   }
 
-  /** A daemon that starts asks its zone's relay first, and then one daemon of its zone after the other. */
-  #askIfNew(): void {
+  /** A daemon that starts queries its zone's relay first, then one daemon of its zone after another, then all others. */
+  #queryUntilAnswered(): void {
     const { roster, isReady, timers, send } = this.#options;
-    const isOver = this.#isAnswered || this.#questions >= MOST_QUESTIONS;
-    if (isOver || !isReady() || this.#looks % LOOKS_PER_QUESTION !== 1) return;
+    const isOver = this.#isAnswered || this.#queries >= MAX_QUERIES;
+    if (isOver || !isReady() || this.#ticks % TICKS_PER_QUERY !== 1) return;
     const relays = roster.isLarge ? roster.changeRecipients(timers.nowMs()) : [];
     const peers = [...relays, ...roster.zonePeers(), ...roster.allPeers()];
-    const asked = peers[this.#questions % Math.max(1, peers.length)];
-    if (asked === undefined) return;
-    this.#questions += 1;
-    send([asked], this.#encode('asked', []));
+    const peer = peers[this.#queries % Math.max(1, peers.length)];
+    if (peer === undefined) return;
+    this.#queries += 1;
+    send([peer], this.#encode('asked', []));
   }
 
   #answer(reply: (answer: PaceMessage) => void): void {
     const { daemon, zone, paces, timers } = this.#options;
-    for (const services of inParts(paces.known(timers.nowMs()))) {
+    for (const services of splitIntoMessages(paces.known(timers.nowMs()))) {
       const message: PaceMessage = { daemon, zone, purpose: 'answered', services };
       const bytes = encodePeerMessage({ kind: 'paces', message });
       if (!this.#answerBudget.tryTake(datagramWireBytes(bytes))) return;
@@ -180,21 +180,21 @@
     }
   }
 
-  #noteAnswer({ daemon, services }: PaceMessage): void {
+  #recordAnswer({ daemon, services }: PaceMessage): void {
     if (this.#isAnswered || services.every(({ line }) => line === undefined)) return;
     this.#isAnswered = true;
     const engines = services.reduce((sum, service) => sum + service.engines.length, 0);
     this.#options.log.write(GATEWAY_EVENTS.pacesHeard, { by: daemon, engines });
   }
 
-  #noteIgnored(count: number, by: string): void {
+  #recordIgnored(count: number, by: string): void {
     this.#ignored += count;
     const { timers, log } = this.#options;
     const nowMs = timers.nowMs();
-    if (this.#ignored === 0 || nowMs - this.#ignoredToldMs < IGNORED_GAP_MS) return;
+    if (this.#ignored === 0 || nowMs - this.#ignoredLoggedMs < IGNORED_LOG_INTERVAL_MS) return;
     log.write(GATEWAY_EVENTS.pacesIgnored, { by, count: this.#ignored });
     this.#ignored = 0;
-    this.#ignoredToldMs = nowMs;
+    this.#ignoredLoggedMs = nowMs;
   }
 
   #encode(purpose: PacePurpose, services: readonly ServicePaceSums[]): Buffer {
@@ -206,8 +206,10 @@
   }
 }
 
-/** Messages of one packet each; the line goes with the first of its service. */
-function inParts(known: readonly ServicePaceSums[]): readonly (readonly ServicePaceSums[])[] {
+/** Splits paces into messages of one packet each; the line goes with the first message of its service. */
+function splitIntoMessages(
+  known: readonly ServicePaceSums[],
+): readonly (readonly ServicePaceSums[])[] {
   return known.flatMap(({ service, line, engines }) => {
     const parts: ServicePaceSums[][] = [];
     for (let first = 0; first === 0 || first < engines.length; first += MAX_ENTRIES_PER_MESSAGE) {
--- a/test/gateway/support/fleet-of-tellers.ts
+++ b/test/gateway/support/fleet-of-tellers.ts
@@ -1,4 +1,4 @@
-/** Daemons that tell each other of paces over a network in memory, in virtual time. */
+/** Daemons that exchange paces over an in-memory network, in virtual time. */
 import {
   FleetPaces,
   type PeerDaemon,
@@ -13,7 +13,7 @@
 const SERVICE = 's';
 const LINK_OVERHEAD_BYTES = 28;
 
-export interface Teller {
+export interface GossipDaemon {
   readonly daemon: PeerDaemon;
   readonly paces: FleetPaces;
   readonly speed: ReadSpeed;
@@ -21,13 +21,13 @@
   readonly ignored: number[];
   /** Bytes that this daemon has sent, by receiver. */
   readonly sent: Map<string, number>;
-  readonly teller: PaceGossip;
+  readonly gossip: PaceGossip;
 }
 
 /** A fleet whose relays are known from the start; engines are listed everywhere. */
-export class FleetOfTellers {
+export class PaceGossipFleet {
   readonly timers = new ManualTimers();
-  readonly live = new Map<string, Teller>();
+  readonly live = new Map<string, GossipDaemon>();
   readonly #daemons: readonly PeerDaemon[];
 
   constructor(daemons: number, zones: readonly string[]) {
@@ -43,7 +43,7 @@
     for (const { name } of this.#daemons) this.start(name);
   }
 
-  start(name: string): Teller {
+  start(name: string): GossipDaemon {
     const daemon = this.#daemons.find((one) => one.name === name);
     if (daemon === undefined) throw new Error(`no daemon ${name}`);
     const { timers } = this;
@@ -57,7 +57,7 @@
     roster.replace(this.#daemons, timers.nowMs());
     const ignored: number[] = [];
     const sent = new Map<string, number>();
-    const teller = new PaceGossip({
+    const gossip = new PaceGossip({
       daemon: name,
       zone: daemon.zone,
       roster,
@@ -74,19 +74,19 @@
         for (const peer of peers) this.#deliver(daemon, peer.name, bytes, sent);
       },
     });
-    const started = { daemon, paces, speed, roster, ignored, sent, teller };
+    const started = { daemon, paces, speed, roster, ignored, sent, gossip };
     this.live.set(name, started);
-    teller.start();
+    gossip.start();
     return started;
   }
 
-  /** Ends a daemon without a word. */
+  /** Kills a daemon; it sends no last message. */
   end(name: string): void {
-    this.live.get(name)?.teller.stop();
+    this.live.get(name)?.gossip.stop();
     this.live.delete(name);
   }
 
-  relayOf(zone: string): Teller {
+  relayOf(zone: string): GossipDaemon {
     const nowMs = this.timers.nowMs();
     const relay = [...this.live.values()].find(
       ({ daemon, roster }) => daemon.zone === zone && roster.isRelay(nowMs),
@@ -95,7 +95,7 @@
     return relay;
   }
 
-  /** Time goes on; relays are heard as long as they live. */
+  /** Advances time, while all live daemons stay in contact. */
   advance(spanMs: number): void {
     for (let passedMs = 0; passedMs < spanMs; passedMs += 60) {
       const nowMs = this.timers.nowMs();
@@ -120,7 +120,7 @@
     sent?.set(name, (sent.get(name) ?? 0) + bytes.length + LINK_OVERHEAD_BYTES);
     const message = decodePeerMessage(bytes);
     if (message?.kind !== 'paces') throw new Error('a message of paces cannot be read');
-    this.live.get(name)?.teller.take(message.message, (answer) => {
+    this.live.get(name)?.gossip.take(message.message, (answer) => {
       const answered = encodePeerMessage({ kind: 'paces', message: answer });
       this.#deliver(this.#daemonNamed(name), from.name, answered, this.live.get(name)?.sent);
     });
@@ -133,9 +133,9 @@
   }
 }
 
-/** A daemon sees prompts read by engines of a pace each. */
-export function seeReads(
-  { paces }: Teller,
+/** Lets a daemon observe one prefill at each of the given engines. */
+export function observePrefills(
+  { paces }: GossipDaemon,
   paceOf: (engine: number) => number,
   engines: readonly number[],
   nowMs: number,
