--- a/test/gateway/leaving-and-rest.test.ts
+++ b/test/gateway/leaving-and-rest.test.ts
@@ -1,11 +1,13 @@
 /**
- * Requests went on reaching servers that had said that they leave, and servers that had asked for rest. An engine said in
- * its answers that it leaves, from 7.5 s on; the store was out of reach (6020 at 7.32 s) and took that at 20.2 s; until
- * then 89 more requests reached it from nine daemons, two of them 2,111 and 2,138 ms after their daemon had passed such an
- * answer on. Nothing read what an answer says of its server: the list alone told of a leaving. A web server that asked for
- * 3 s of rest got a request after 654 ms and again after 499 and 491 ms (6033 `not-executed` 503), while two others of its
- * service answered: the daemon's own rest began at 100 ms. Where all engines had asked for rest, 47.973 s, a prompt was
- * read at one for 31 ms and the run then tried at two that rested: a rest only made a server the last choice.
+ * Guards against requests to servers that announced in an answer that they leave, or that asked for a back-off period.
+ *
+ * - Only the list from the store showed that a server leaves. An engine announced it from 7.5 s on, but the store was
+ *   unavailable (event 6020) and recorded it at 20.2 s; until then, nine daemons sent the engine 89 more requests, two of
+ *   them 2,111 and 2,138 ms after the same daemon had relayed such an answer.
+ * - A web server that asked for 3 s got requests after 654, 499 and 491 ms (event 6033, `not-executed` 503), while two
+ *   others of its service answered: the daemon applied only its own back-off, which began at 100 ms.
+ * - Where all engines had asked for a back-off, a prompt was prefilled at one for 31 ms and the run then tried at two
+ *   others: backing off only made a server the last choice.
  */
 import assert from 'node:assert/strict';
 import { afterEach, beforeEach, test } from 'node:test';
@@ -31,12 +33,12 @@
   stamped,
 } from './support/server-stand-in.js';
 
-const REST_MS = 3_000;
+const BACK_OFF_MS = 3_000;
 
 let fixture: GatewayFixture;
 let timers: ManualTimers;
 
-// Nothing waits for room unless a test says so, and time only passes where one does.
+// Requests wait for capacity only where a test enables that, and time passes only where a test advances it.
 beforeEach(() => start(false));
 
 async function start(waiting: boolean): Promise<void> {
@@ -49,13 +51,13 @@
 
 afterEach(() => fixture.stop());
 
-/** Answers well, and says that it leaves. */
+/** Answers successfully, and announces that the server leaves. */
 const leaving: Script = ({ seen, response }) => {
   response.writeHead(200, { ...stamped(seen), 'Server-Leaving': '1', 'Content-Length': 0 }).end();
 };
 
-/** Turns requests away and asks for rest; the daemon's own calls for news find nothing. */
-function askingForRest(retryAfter = String(REST_MS / 1_000)): Script {
+/** Rejects requests and asks for a back-off; polls for cache events get a 404. */
+function askingForBackOff(retryAfter = String(BACK_OFF_MS / 1_000)): Script {
   return ({ seen, response }) => {
     if (seen.method === 'GET') {
       response.writeHead(404).end();
@@ -81,14 +83,14 @@
   return addServer(id, script, { service: 'reader', stage });
 }
 
-/** Runs of callers' requests that a server was sent, whatever came of them. */
+/** Runs of callers' requests that a server received, whatever their outcome. */
 function runsAt(server: ServerStandIn) {
   const isRun = ({ method, url, headers }: (typeof server.seen)[number]) =>
     method === 'POST' && /^\/(tiles|read|check)\//.test(url) && headers['x-stage'] === undefined;
   return server.seen.filter(isRun);
 }
 
-test('a server that says in an answer that it leaves is sent nothing more, though the store lists it as ready', async () => {
+test('a server that announces in an answer that it leaves gets no more requests, although the store lists it as ready', async () => {
   const first = await addServer('i-1', leaving);
   assert.equal((await fixture.call({ path: '/tiles/1' })).status, 200);
   const second = await addServer('i-2', answering(200, 'stays'));
@@ -100,8 +102,8 @@
   assert.deepEqual([runsAt(first).length, runsAt(second).length], [1, 20]);
 });
 
-test('a server that asks for rest gets it whole while another one answers, also when that one is full', async () => {
-  const resting = await addServer('i-1', askingForRest());
+test('a server that asks for a back-off gets no request in all that time while another one answers, even if that one is full', async () => {
+  const backingOff = await addServer('i-1', askingForBackOff());
   await fixture.call({ path: '/tiles/1' });
   const held = deferred<ServedRequest>();
   const script: Script = (served) => {
@@ -115,18 +117,18 @@
     timers.advance(spanMs);
     assert.equal((await fixture.call({ path: '/tiles/2' })).body, 'full');
   }
-  assert.deepEqual([runsAt(resting).length, runsAt(full).length], [1, 4]);
+  assert.deepEqual([runsAt(backingOff).length, runsAt(full).length], [1, 4]);
   answering(200, 'held')(served);
   await pending;
 });
 
-test('a prompt that was read meanwhile does not go on at an engine that has asked for rest; with no other it is refused', async () => {
+test('a run does not go to an engine that asked for a back-off during its prefill; without another engine it is refused', async () => {
   const reading = deferred<ServedRequest>();
   await addEngine('i-p', 'prefill', (served) => {
     if (served.seen.headers['x-stage'] === 'prefill') reading.resolve(served);
     else engine(3)(served);
   });
-  const decode = await addEngine('i-d', 'decode', askingForRest());
+  const decode = await addEngine('i-d', 'decode', askingForBackOff());
   const long = fixture.call(LONG_REQUEST);
   const read = await reading.promise;
   assert.equal((await fixture.call(SHORT_REQUEST)).status, 503);
@@ -136,10 +138,10 @@
   assert.equal(answer.status, 503);
   assert.equal(runsAt(decode).length, 1);
   const waitMs = Number(answer.headers['retry-after']) * 1_000;
-  assert.ok(waitMs >= REST_MS - 600 && waitMs <= 1.5 * REST_MS, `${waitMs}`);
+  assert.ok(waitMs >= BACK_OFF_MS - 600 && waitMs <= 1.5 * BACK_OFF_MS, `${waitMs}`);
 });
 
-test('where all servers leave a request is refused at once, with what speaks against them in the log', async () => {
+test('where all servers leave, a request is refused at once, and the log says why', async () => {
   await addServer('i-1', leaving);
   await addServer('i-2', leaving);
   await fixture.call({ path: '/tiles/1' });
@@ -150,23 +152,23 @@
   await fixture.logged(GATEWAY_EVENTS.requestRefused, ({ leaving: count }) => count === 2);
 });
 
-test('after the rest one request tries the server, and the others go elsewhere until it is answered', async () => {
+test('after the back-off one request tries the server, and no other goes there until it is answered', async () => {
   const trial = deferred<ServedRequest>();
-  const resting = await addServer('i-1', askingForRest());
+  const backingOff = await addServer('i-1', askingForBackOff());
   await fixture.call({ path: '/tiles/1' });
-  resting.script = (served) => trial.resolve(served);
-  timers.advance(1.1 * REST_MS);
+  backingOff.script = (served) => trial.resolve(served);
+  timers.advance(1.1 * BACK_OFF_MS);
   const first = fixture.call({ path: '/tiles/first' });
   const served = await trial.promise;
   const refused = await fixture.call({ path: '/tiles/second' });
   assert.equal(refused.status, 503);
   answering(200, 'tried')(served);
   assert.equal((await first).body, 'tried');
-  resting.script = answering(200, 'open');
+  backingOff.script = answering(200, 'open');
   assert.equal((await fixture.call({ path: '/tiles/third' })).body, 'open');
 });
 
-test('a server that has started again since is sent requests as any other', async () => {
+test('a server that restarted after it announced that it leaves gets requests like any other', async () => {
   const first = await addServer('i-1', leaving, { born: timers.nowMs() });
   await fixture.call({ path: '/tiles/1' });
   assert.equal((await fixture.call({ path: '/tiles/1' })).status, 503);
@@ -180,11 +182,11 @@
 });
 
 /**
- * A server that had started again under its id said that it leaves before the daemon's list showed that start, 1.7 s later
- * as the store turned the daemon away: `6025` at 974.676 s, `6097` with a start at 972.912 s at 976.375 s. The leave was
- * taken for one of the life before and forgotten, and a request went there 2,304 ms after the answer that said it.
+ * A restarted server announced that it leaves before the daemon's list showed the restart. The list was 1.7 s late, as the
+ * store was unavailable to the daemon: event 6025 at 974.676 s, event 6097 at 976.375 s with a start at 972.912 s. The
+ * announcement was attributed to the previous boot and dropped with it, and a request went there 2,304 ms after it.
  */
-test('a leave that a server said when it had just started again holds once the list shows that start', async () => {
+test('a leave announced just after a restart still holds once the list shows that restart', async () => {
   const first = await addServer('i-1', answering(200, 'before'), { born: timers.nowMs() });
   await fixture.call({ path: '/tiles/1' });
   timers.advance(5_000);
@@ -200,37 +202,37 @@
   assert.equal((await fixture.call({ path: '/tiles/1' })).status, 503);
 });
 
-test('a word that is none changes nothing and is said once', async () => {
+test('unreadable values in an answer change nothing and are logged once', async () => {
   await addServer('i-1', ({ seen, response }) => {
-    const words = { 'Server-Leaving': 'true', 'Retry-After': '3' };
-    response.writeHead(200, { ...stamped(seen), ...words, 'Content-Length': 0 }).end();
+    const headers = { 'Server-Leaving': 'true', 'Retry-After': '3' };
+    response.writeHead(200, { ...stamped(seen), ...headers, 'Content-Length': 0 }).end();
   });
   for (let sent = 0; sent < 3; sent += 1) {
     assert.equal((await fixture.call({ path: '/tiles/1' })).status, 200);
   }
-  const said = fixture.lines.filter(
+  const logged = fixture.lines.filter(
     ({ event }) => event === GATEWAY_EVENTS.toldAvailabilityUnreadable,
   );
-  assert.equal(said.length, 1);
+  assert.equal(logged.length, 1);
 });
 
 for (const [kind, request, fields] of [
   ['a web server', { path: '/tiles/1' }, {}],
   ['an engine', SHORT_REQUEST, { service: 'reader', stage: 'decode' }],
 ] as const) {
-  test(`while ${kind} rests and there is no other, nobody waits for room: requests are refused at once`, async () => {
+  test(`while ${kind} is backing off and there is no other, requests are refused at once instead of waiting for capacity`, async () => {
     fixture.stop();
     await start(true);
-    const resting = await addServer('i-1', askingForRest(), fields);
-    const taught = fixture.call(request);
+    const backingOff = await addServer('i-1', askingForBackOff(), fields);
+    const firstAnswer = fixture.call(request);
     await timers.advanceUntil(() =>
       fixture.lines.some(({ event }) => event === GATEWAY_EVENTS.requestRefused),
     );
-    assert.equal((await taught).status, 503);
+    assert.equal((await firstAnswer).status, 503);
     const answer = await fixture.call(request);
     assert.equal(answer.status, 503);
-    assert.equal(runsAt(resting).length, 1);
+    assert.equal(runsAt(backingOff).length, 1);
     const waitMs = Number(answer.headers['retry-after']) * 1_000;
-    assert.ok(waitMs > 0.5 * REST_MS && waitMs <= 1.1 * 1.5 * REST_MS, `${waitMs}`);
+    assert.ok(waitMs > 0.5 * BACK_OFF_MS && waitMs <= 1.1 * 1.5 * BACK_OFF_MS, `${waitMs}`);
   });
 }
