--- a/src/shell/gateway/crash-store-duty.ts
+++ b/src/shell/gateway/crash-store-duty.ts
@@ -1,5 +1,5 @@
 /**
- * Keeps the store's rows in line with the records: a daemon that starts reads the quarantined requests from there. The
+ * Keeps the store's rows in line with the records, as a starting daemon has no other source of quarantined requests. The
  * daemon that quarantined a request writes its row; where that fails, the others try in turn.
  */
 import type { CrashRecord, CrashRecords, PeerRoster } from '../../core/gateway/index.js';
--- a/src/shell/gateway/pace-teller.ts
+++ b/src/shell/gateway/pace-teller.ts
@@ -30,7 +30,7 @@
 const MAX_QUERIES = 12;
 /** Ticks between two queries. */
 const TICKS_PER_QUERY = 4;
-/** Bounds the changed paces that one upkeep logs. */
+/** Changed paces that one upkeep logs; later ones log the rest, so no change is lost and the log is bounded. */
 const MAX_CHANGES_LOGGED = 8;
 /** Ticks between two upkeeps, which go through all engines and are not urgent. */
 const TICKS_PER_UPKEEP = 8;
