--- a/src/core/gateway/peer-roster.ts
+++ b/src/core/gateway/peer-roster.ts
@@ -229,7 +229,7 @@
     if (relay === undefined || relay === this.#self.name) return relay;
     this.#relayLastContactMs ??= nowMs;
     if (nowMs - this.#relayLastContactMs <= RELAY_SILENT_MS) return relay;
-    // A silent relay is replaced well before it misses its heartbeats; its successor gets the same time for its first message.
+    // A silent relay is replaced well before it misses its heartbeats; its successor gets the same time to send.
     this.#silentRelays.add(relay);
     this.#relayLastContactMs = nowMs;
     return ranked.find((name) => !this.#silentRelays.has(name));
--- a/src/shell/gateway/configuration-teller.ts
+++ b/src/shell/gateway/configuration-teller.ts
@@ -3,8 +3,8 @@
  * the relays of the other zones, which may be cut off from the store and forward it to their zones. A daemon applies a
  * configuration that is newer than its own.
  *
- * A daemon that learns that another one still has an older version in force sends it the newer one: the other daemon may
- * be cut off from the store, or the store may have been restored from an older copy.
+ * A daemon that learns that another one still has an older version in force sends it the newer one: the other daemon
+ * may be cut off from the store, or the store may have been restored from an older copy.
  */
 import type { PeerDaemon, PeerRoster } from '../../core/gateway/index.js';
 import {
@@ -21,7 +21,7 @@
  */
 export const MAX_FORWARDED_BYTES = 16_384;
 
-/** Normally a daemon receives a change within this time without help; also the shortest gap between sends to a daemon. */
+/** A daemon normally receives a change by itself within this time; also the shortest gap between sends to a daemon. */
 const GRACE_MS = 1_000;
 
 /** Dependencies and settings of a `ConfigurationGossip`. */
@@ -73,7 +73,7 @@
     send(peers, encodePeerMessage({ kind: 'configuration', zone, change }));
   }
 
-  /** Applies a configuration from another daemon; as the relay, forwards it once to the own zone if another zone sent it. */
+  /** Applies a configuration from another daemon; the relay forwards a newer one from another zone to its own zone. */
   apply(message: Extract<PeerMessage, { kind: 'configuration' }>): void {
     const { zone, roster, isRelay, applyConfiguration, send } = this.#options;
     const isNewer = applyConfiguration(message.change);
--- a/src/shell/gateway/fleet-follower.ts
+++ b/src/shell/gateway/fleet-follower.ts
@@ -32,7 +32,7 @@
  */
 const SERVERS_BATCH_MS = 400;
 
-/** Versions in quick succession are fetched in one call; much shorter than the time within which one must be in force. */
+/** Versions in quick succession are fetched in one call; far less than the time within which one must be in force. */
 const CONFIGURATIONS_BATCH_MS = 200;
 
 /** All daemons reread the list of servers at the same times after a restore of the store; this spreads their calls. */
@@ -245,7 +245,7 @@
 
   /**
    * Applies a configuration that another daemon received from the store. The document is complete and its version only
-   * rises, so a newer one is applied whatever this daemon's own watch has seen; the watch may be cut off from the store.
+   * rises, so a newer one is applied whatever this daemon's watch has seen; the watch may be cut off from the store.
    * @returns whether the configuration was newer
    */
   applyForwardedConfiguration({ key, encoded, ...span }: ForwardedConfiguration): boolean {
--- a/src/shell/gateway/peer-directory.ts
+++ b/src/shell/gateway/peer-directory.ts
@@ -20,7 +20,7 @@
 const CHECK_INTERVAL_MS = 1_000;
 /** Rows removed in one call; the rows of a lost zone are removed in a few calls. */
 const MAX_REMOVALS = 50;
-/** After the store was restored from an older copy, each daemon writes its row again at a random moment of this time. */
+/** After the store was restored from an older copy, each daemon rewrites its row at a random moment of this time. */
 const REWRITE_SPREAD_MS = 2_000;
 /** By this time after a restore all daemons have written their rows, including those that noticed it a check later. */
 const REWRITTEN_MS = REWRITE_SPREAD_MS + 2 * CHECK_INTERVAL_MS;
@@ -94,7 +94,7 @@
     this.#isAnnounced = false;
   }
 
-  /** While the relay's digest is fresh, a scan is due if the lists differ; otherwise by the time since the last scan. */
+  /** While the relay's digest is fresh, a scan is due if the lists differ; otherwise, when the interval is over. */
   #isScanDue(): boolean {
     const { relayPeersChecksum, roster, timers } = this.#options;
     if (this.#rescanAtMs !== undefined) return timers.nowMs() >= this.#rescanAtMs;
--- a/src/shell/gateway/peer-exchange.ts
+++ b/src/shell/gateway/peer-exchange.ts
@@ -1,10 +1,10 @@
 /**
- * Exchanges datagrams with other daemons, above all about each daemon's work at engines: an engine's queue is the sum of
- * what all daemons sent to it, and the engine's own reports come late and at a cost. Datagrams may be lost; only the
+ * Exchanges datagrams with other daemons, above all about each daemon's work at engines: an engine's queue is the sum
+ * of what all daemons sent to it, and the engine's own reports come late and at a cost. Datagrams may be lost; only the
  * quality of routing choices depends on them.
  *
- * In a large fleet a daemon sends its load only to the relay of its zone (`relay-duty.ts`), and the daemon that reads an
- * engine's cache events forwards them within its zone. The roster assigns these roles.
+ * In a large fleet a daemon sends its load only to the relay of its zone (`relay-duty.ts`), and the daemon that reads
+ * an engine's cache events forwards them within its zone. The roster assigns these roles.
  */
 import { createSocket, type RemoteInfo, type Socket } from 'node:dgram';
 import type {
@@ -322,7 +322,7 @@
     onSums();
   }
 
-  /** Replaces short server ids by full ones; the short id of a server that is not listed here stays, to be forwarded. */
+  /** Replaces short server ids by full ones; the short id of a server that is not listed here stays for forwarding. */
   #withServerIds<Message extends Pick<LoadReport, 'work' | 'reads'>>(message: Message): Message {
     const { serverIdOf } = this.#options;
     const withId = <Item extends { readonly engineId: string }>(item: Item): Item => {
--- a/src/shell/gateway/relay-digest.ts
+++ b/src/shell/gateway/relay-digest.ts
@@ -33,7 +33,7 @@
     return this.#freshUntilMs - this.#maxAgeMs;
   }
 
-  /** Merges a digest. A delayed digest does not shorten the freshness of a newer one; one of an earlier era is ignored. */
+  /** Merges a digest. A delayed one does not shorten the freshness of a newer one; one of an earlier era is ignored. */
   take(digest: TableDigest): void {
     const known = this.#digest;
     if (known !== undefined && isOfEarlierEra(digest, known)) return;
--- a/src/shell/gateway/relay-duty.ts
+++ b/src/shell/gateway/relay-duty.ts
@@ -31,8 +31,8 @@
 /** The interval at which other daemons check whether they have become the relay. */
 const ROLE_CHECK_MS = 240;
 /**
- * The bytes that parts of a message take on the link, rounded up: a header with the demand of some services, the work at
- * one engine, a notice of a started read, and a reachability notice.
+ * The bytes that parts of a message take on the link, rounded up: a header with the demand of some services, the work
+ * at one engine, a notice of a started read, and a reachability notice.
  */
 const HEADER_BYTES = 160;
 const ENTRY_BYTES = 16;
--- a/src/shell/gateway/table-call.ts
+++ b/src/shell/gateway/table-call.ts
@@ -1,4 +1,4 @@
-/** Calls to the product's rows in the store: each call has a time-out, and the rows of a prefix are read page by page. */
+/** Calls to the product's rows in the store. Each call has a time-out; the rows of a prefix are read page by page. */
 import type { TableCall, TableResult, TableRow } from '../../core/platform/table.js';
 import type { TableService } from './ports.js';
 import { callWithTimeout, type TimerService } from './timer-service.js';
--- a/src/shell/gateway/table-watcher.ts
+++ b/src/shell/gateway/table-watcher.ts
@@ -190,8 +190,8 @@
     // After a stale read the change feed continues from its last revision.
     if (answer === undefined) return;
     if (this.#revisions.isStale(answer)) return this.#logStale(answer);
-    // The last read, the first in an era and a read that shows something new are advertised, so that daemons that rely on
-    // this one fully read the table too. After any other read the change feed continues from its last revision.
+    // The last read, the first in an era and a read that shows something new are advertised, so that daemons that rely
+    // on this one fully read the table too. After any other read the change feed continues from its last revision.
     const hasDiffered = this.#options.consumer.applyAll(answer.rows);
     const isFirstOfEra = this.#revisions.seen === undefined;
     if (recheck === 'last' || hasDiffered || isFirstOfEra) this.#resumeFrom(answer.revision, true);
--- a/src/shell/gateway/watch-timing.ts
+++ b/src/shell/gateway/watch-timing.ts
@@ -19,7 +19,7 @@
   readonly holdMs: number;
   /** The time-out of a call that the store does not hold. */
   readonly callTimeoutMs: number;
-  /** The time-out of full reads before the first success: the store may be slow, and nothing can be served without it. */
+  /** The time-out of full reads before the first success: the store may be slow, and a daemon cannot serve without it. */
   readonly firstReadTimeoutMs: number;
   /** The longest delay before a failed call is retried. */
   readonly maxRetryDelayMs: number;
@@ -47,7 +47,7 @@
 const DIGEST_AGE_SHARE_OF_CONTACT = 0.45;
 /** How long full reads are repeated after a connection was cut but the history was kept. */
 const CUT_RECHECK_SHARE_OF_CONTACT = 1.5;
-/** How long full reads are repeated after the history was lost: stale answers may go on for several times `contactMs`. */
+/** How long full reads are repeated after the history was lost; answers may be stale for several times `contactMs`. */
 const HISTORY_RECHECK_SHARE_OF_CONTACT = 4.5;
 
 /** The time-outs and delays of a role. */
