--- a/src/core/gateway/peer-roster.ts
+++ b/src/core/gateway/peer-roster.ts
@@ -18,7 +18,7 @@
 const HEARTBEAT_MS_PER_PEER = 30;
 /** A daemon that missed more heartbeats than this is not live. */
 const SILENT_HEARTBEATS = 3;
-/** A daemon that missed more heartbeats than this is taken not to return under its name and address. */
+/** A daemon that missed more heartbeats than this is assumed not to return under its name and address. */
 const LOST_HEARTBEATS = 10;
 /** A relay sends its sums to its zone at least this often. */
 export const RELAY_REFRESH_MS = 1_000;
--- a/src/core/gateway/restored-servers.ts
+++ b/src/core/gateway/restored-servers.ts
@@ -103,18 +103,18 @@
     if (this.#sinceMs === undefined) return { records, corrected: [] };
     const sinceReturnMs = nowMs - this.#sinceMs;
     const isComplete = listedIds !== undefined;
-    const taken: ServerRecord[] = [];
+    const accepted: ServerRecord[] = [];
     const corrected: RestoredServer[] = [];
     for (const record of records) {
       const reason = this.#reasonOf(record, directory.get(record.id), sinceReturnMs, isComplete);
-      if (reason === undefined) taken.push(record);
+      if (reason === undefined) accepted.push(record);
       else corrected.push({ server: record, reason });
-      if (reason === 'leaves') taken.push({ ...record, state: 'draining' });
+      if (reason === 'leaves') accepted.push({ ...record, state: 'draining' });
     }
     const missing =
       isComplete && sinceReturnMs < REWRITTEN_MS ? missingOf(directory, listedIds) : [];
     return {
-      records: [...taken, ...missing],
+      records: [...accepted, ...missing],
       corrected: [
         ...corrected,
         ...missing.map((server) => ({ server, reason: 'missing' }) as const),
--- a/src/core/gateway/server-directory.ts
+++ b/src/core/gateway/server-directory.ts
@@ -7,7 +7,7 @@
 /** Which stage of a model request an engine runs. */
 export type EngineStage = 'prefill' | 'decode';
 
-/** Whether a server takes new work. */
+/** Whether a server accepts new work. */
 export type ServerState = 'ready' | 'draining';
 
 /** A server as the platform lists it. */
@@ -97,7 +97,7 @@
   /** Whether a boot of a server accepted new work when it was last listed, even if a later boot is listed by now. */
   wasReady(server: ServerRecord): boolean {
     const boots = [this.#byId.get(server.id), this.#previousBoots.get(server.id)];
-    return boots.find((life) => life !== undefined && isSameBoot(life, server))?.state === 'ready';
+    return boots.find((boot) => boot !== undefined && isSameBoot(boot, server))?.state === 'ready';
   }
 
   /**
--- a/test/gateway/configuration-teller.test.ts
+++ b/test/gateway/configuration-teller.test.ts
@@ -18,7 +18,7 @@
     ['b', 'c'].map((name) => ({ name, ...place })),
     timers.nowMs(),
   );
-  const sent: { readonly to: readonly string[]; readonly bytes: Buffer }[] = [];
+  const told: { readonly to: readonly string[]; readonly bytes: Buffer }[] = [];
   const gossip = new ConfigurationGossip({
     zone: 'z',
     roster,
@@ -26,7 +26,7 @@
     isRelay: () => false,
     configurationVersion: () => VERSION,
     applyConfiguration: () => true,
-    send: (peers, bytes) => sent.push({ to: peers.map(({ name }) => name), bytes }),
+    send: (peers, bytes) => told.push({ to: peers.map(({ name }) => name), bytes }),
   });
   const forwardVersion = (version: number, revision: number) => {
     const value = { version };
@@ -37,23 +37,23 @@
   forwardVersion(VERSION, 5);
   // The copy that the store was restored from has an older version.
   forwardVersion(VERSION - 4, 6);
-  return { timers, gossip, sent };
+  return { timers, gossip, told };
 }
 
 // Otherwise a daemon that starts while the store has an older copy keeps the old version until the operator's next
 // write.
 test('a daemon that stays on an older configuration is sent the newer one, at most once in the grace time', () => {
-  const { timers, gossip, sent } = setUp();
+  const { timers, gossip, told } = setUp();
   gossip.recordPeerVersion('b', VERSION - 4);
-  assert.equal(sent.length, 0, 'it may still receive the change by itself');
+  assert.equal(told.length, 0, 'it may still receive the change by itself');
   timers.advance(GRACE_MS);
   gossip.recordPeerVersion('b', VERSION - 4);
   gossip.recordPeerVersion('b', VERSION - 4);
   assert.deepEqual(
-    sent.map(({ to }) => to),
+    told.map(({ to }) => to),
     [['b']],
   );
-  const message = decodePeerMessage(sent[0]?.bytes ?? Buffer.alloc(0));
+  const message = decodePeerMessage(told[0]?.bytes ?? Buffer.alloc(0));
   assert.ok(message?.kind === 'configuration');
   assert.equal(message.change.encoded.toString(), String(VERSION));
   assert.deepEqual(
@@ -63,14 +63,14 @@
   );
   timers.advance(GRACE_MS);
   gossip.recordPeerVersion('b', VERSION - 4);
-  assert.equal(sent.length, 2);
+  assert.equal(told.length, 2);
 });
 
 for (const version of [0, VERSION, VERSION + 1]) {
   test(`a daemon that reports version ${version} is sent nothing while ${VERSION} is in force`, () => {
-    const { timers, gossip, sent } = setUp();
+    const { timers, gossip, told } = setUp();
     timers.advance(GRACE_MS);
     gossip.recordPeerVersion('b', version);
-    assert.deepEqual(sent, []);
+    assert.deepEqual(told, []);
   });
 }
--- a/test/gateway/digest-schedule.test.ts
+++ b/test/gateway/digest-schedule.test.ts
@@ -25,7 +25,7 @@
   const audiences = Array.from({ length: 12 }, (_, index) =>
     schedule.next(digest(1, 1), index * 400),
   );
-  const allPeers = audiences.flatMap((audience, index) => (audience === 'everyone' ? [index] : []));
-  assert.deepEqual(allPeers, [0, 9]);
+  const toAll = audiences.flatMap((audience, index) => (audience === 'everyone' ? [index] : []));
+  assert.deepEqual(toAll, [0, 9]);
   assert.equal(audiences.filter((audience) => audience === 'zone').length, 10);
 });
--- a/test/gateway/heard-version.test.ts
+++ b/test/gateway/heard-version.test.ts
@@ -19,34 +19,34 @@
     timers,
     log: { write: (event, fields = {}) => lines.push({ event, fields }) },
   });
-  const take = (version: number) => {
+  const putInForce = (version: number) => {
     state.inForce = version;
     newest.recordInForce(version);
   };
-  return { timers, state, lines, newest, take };
+  return { timers, state, lines, newest, putInForce };
 }
 
 test('a version that comes into force within the grace time causes no reread and no log line', () => {
-  const { timers, state, lines, newest, take } = daemon();
+  const { timers, state, lines, newest, putInForce } = daemon();
   newest.record(5, 'b');
   timers.advance(GRACE_MS - 1);
-  take(5);
+  putInForce(5);
   timers.advance(10 * GRACE_MS);
   assert.equal(state.rereads, 0);
   assert.deepEqual(lines, []);
 });
 
 test('a daemon that stays behind logs it once, rereads, and logs for how long when it has caught up', () => {
-  const { timers, state, lines, newest, take } = daemon();
+  const { timers, state, lines, newest, putInForce } = daemon();
   newest.record(6, 'b');
   newest.record(5, 'c');
   timers.advance(GRACE_MS);
   assert.equal(state.rereads, 1);
   timers.advance(2 * GRACE_MS);
   assert.equal(state.rereads, 2);
-  take(5);
+  putInForce(5);
   assert.equal(lines.length, 1, 'the older of two newer versions does not end being behind');
-  take(6);
+  putInForce(6);
   assert.deepEqual(
     lines.map(({ event }) => event),
     [GATEWAY_EVENTS.configurationBehind, GATEWAY_EVENTS.configurationCaughtUp],
@@ -67,7 +67,7 @@
   const { timers, state, newest } = daemon();
   newest.record(Number.MAX_SAFE_INTEGER, 'b');
   timers.advance(600_000);
-  assert.ok(state.rereads >= 10 && state.rereads <= 20, `${state.rereads} looks`);
+  assert.ok(state.rereads >= 10 && state.rereads <= 20, `${state.rereads} rereads`);
   newest.stop();
   timers.advance(600_000);
   assert.ok(state.rereads <= 20);
--- a/test/gateway/server-lives.test.ts
+++ b/test/gateway/server-lives.test.ts
@@ -194,7 +194,7 @@
   ['an unknown state', { ...ENTRY, state: 'sleeping' }],
   ['an unknown stage', { ...ENTRY, stage: 'rest' }],
   ['a text for a start', { ...ENTRY, born: String(BORN_MS) }],
-  ['a start that is no whole number', { ...ENTRY, born: BORN_MS + 0.5 }],
+  ['a start that is not an integer', { ...ENTRY, born: BORN_MS + 0.5 }],
   ['a negative start', { ...ENTRY, born: -1 }],
   ['null for a start', { ...ENTRY, born: null }],
   ['a text for a sequence', { ...ENTRY, sequence: 'seven' }],
@@ -406,11 +406,11 @@
 test('a boot that ended counts as ended though its server accepts connections again', async () => {
   const timers = new ManualTimers();
   let isSuperseded = false;
-  let asked = 0;
+  let probes = 0;
   const check = new ServerExitCheck({
     connections: {
       isRefused: () => {
-        asked += 1;
+        probes += 1;
         return Promise.resolve(false);
       },
     },
@@ -422,7 +422,7 @@
   assert.equal(await check.hasEnded(record()), true);
   isSuperseded = false;
   assert.equal(await check.hasEnded(record({ bornMs: BORN_MS + 1 })), false);
-  assert.equal(asked, 2, 'the result for one boot does not count for the next');
+  assert.equal(probes, 2, 'the result for one boot does not count for the next');
 });
 
 test('a broken run counts once the next boot of its server is listed, if that happens soon enough', () => {
