--- a/src/core/gateway/retry-budget.ts
+++ b/src/core/gateway/retry-budget.ts
@@ -11,11 +11,11 @@
  */
 
 /** The slack is parted so even where fewer daemons are known. */
-const LEAST_SHARES = 12;
+const MIN_SHARES = 12;
 /** Room for daemons that are not known yet. */
-const SHARES_OF_DAEMON = 1.5;
+const SHARES_PER_DAEMON = 1.5;
 /** Kept back for requests that were sent before a window and arrive in it. */
-const SAVED_SHARE = 0.8;
+const USABLE_SLACK_SHARE = 0.8;
 
 /** What the budget is built from. */
 export interface RetryBudgetOptions {
@@ -109,5 +109,5 @@
 }
 
 function shareOf({ slack }: RetryBudgetOptions, daemons: number): number {
-  return (slack * SAVED_SHARE) / Math.max(LEAST_SHARES, daemons * SHARES_OF_DAEMON);
+  return (slack * USABLE_SLACK_SHARE) / Math.max(MIN_SHARES, daemons * SHARES_PER_DAEMON);
 }
--- a/src/core/gateway/route-table.ts
+++ b/src/core/gateway/route-table.ts
@@ -43,7 +43,7 @@
     if (shares.length <= 1) return shares[0]?.service;
     const credits = this.#credits.get(route.name) ?? new Map<string, number>();
     this.#credits.set(route.name, credits);
-    return takeTurn(shares, credits);
+    return pickByCredit(shares, credits);
   }
 
   /** Forgets routes that are no longer configured. */
@@ -55,7 +55,7 @@
   }
 }
 
-function takeTurn(
+function pickByCredit(
   shares: readonly TrafficShare[],
   credits: Map<string, number>,
 ): string | undefined {
--- a/src/core/gateway/tenants.ts
+++ b/src/core/gateway/tenants.ts
@@ -26,15 +26,15 @@
     let sharedKeys = 0;
     for (const tenant of tenants ?? []) {
       for (const key of tenant.apiKeys) {
-        const holder = this.#byKey.get(key);
-        if (holder === undefined) this.#byKey.set(key, tenant);
-        else if (holder !== tenant) sharedKeys += 1;
+        const existing = this.#byKey.get(key);
+        if (existing === undefined) this.#byKey.set(key, tenant);
+        else if (existing !== tenant) sharedKeys += 1;
       }
     }
     this.sharedKeys = sharedKeys;
     const levels = new Set((tenants ?? []).map(levelOf));
     this.#levels = [...levels].sort((left, right) => left - right);
-    this.#routeLevels = 1 + routes.reduce((most, { priority }) => Math.max(most, priority), 0);
+    this.#routeLevels = 1 + routes.reduce((max, { priority }) => Math.max(max, priority), 0);
   }
 
   /** Whose a request of a route is; a public route takes requests without a key as well. */
--- a/src/shell/gateway/capacity-controller.ts
+++ b/src/shell/gateway/capacity-controller.ts
@@ -23,13 +23,13 @@
 import { callWithTimeout, delay, type TimerService } from './timer-service.js';
 
 const RECORD_KEY = 'capacity-duty';
-const LOOK_MS = 500;
+const POLL_INTERVAL_MS = 500;
 /** Where a loss is to be answered at once it is looked for more often than callers notice it. */
-const LOSS_LOOK_MS = 200;
+const LOSS_POLL_INTERVAL_MS = 200;
 /** Candidates spread their first look over this time, so that the first has taken the duty. */
-const FIRST_LOOK_SPREAD_MS = 1_000;
+const INITIAL_DELAY_SPREAD_MS = 1_000;
 const CALL_TIMEOUT_MS = 1_500;
-const FAILURE_PAUSE_MS = 1_000;
+const FAILURE_BACKOFF_MS = 1_000;
 
 const orderSchema = z.object({
   service: z.string(),
@@ -72,7 +72,7 @@
   readonly #stopped = new AbortController();
   readonly #settling = new ServerListSettling();
   /** What was last logged of each service. */
-  readonly #logged = new Map<string, string>();
+  readonly #lastLogged = new Map<string, string>();
   #wasHolder = false;
 
   constructor(options: CapacityControllerOptions) {
@@ -85,10 +85,11 @@
   async run(): Promise<void> {
     const { timers, mayOrder, bearsLoss } = this.#options;
     const { signal } = this.#stopped;
-    await delay(timers, Math.random() * FIRST_LOOK_SPREAD_MS, signal);
+    await delay(timers, Math.random() * INITIAL_DELAY_SPREAD_MS, signal);
     while (!signal.aborted) {
       const isBusy = mayOrder() && (await this.#step());
-      if (!isBusy) await delay(timers, bearsLoss ? LOSS_LOOK_MS : LOOK_MS, signal);
+      if (!isBusy)
+        await delay(timers, bearsLoss ? LOSS_POLL_INTERVAL_MS : POLL_INTERVAL_MS, signal);
     }
   }
 
@@ -112,24 +113,24 @@
       case 'none':
         return false;
       case 'read':
-        return this.#take(this.#record.read(signal));
+        return this.#applyRecord(this.#record.read(signal));
       case 'write':
-        return this.#take(this.#record.write(action.record, action.expectedVersion, signal));
+        return this.#applyRecord(this.#record.write(action.record, action.expectedVersion, signal));
       case 'order':
-        return this.#order(action.order, action.fence);
+        return this.#placeOrder(action.order, action.fence);
     }
   }
 
-  async #take(call: Promise<SentOutcome<CapacityRecord>>): Promise<boolean> {
+  async #applyRecord(call: Promise<SentOutcome<CapacityRecord>>): Promise<boolean> {
     const { timers } = this.#options;
     const { outcome, sentMs } = await call;
     this.#duty.takeRecord(outcome, sentMs, this.#options.leaseTimers.nowMs());
     this.#logHolder();
-    if (outcome.kind !== 'seen') await delay(timers, FAILURE_PAUSE_MS, this.#stopped.signal);
+    if (outcome.kind !== 'seen') await delay(timers, FAILURE_BACKOFF_MS, this.#stopped.signal);
     return outcome.kind === 'seen';
   }
 
-  async #order(order: CapacityOrder, fence: number): Promise<boolean> {
+  async #placeOrder(order: CapacityOrder, fence: number): Promise<boolean> {
     const { daemon, duties, timers, log, fleet, bearsLoss } = this.#options;
     const authority = { holder: daemon, fence };
     const outcome = await callWithTimeout(timers, CALL_TIMEOUT_MS, this.#stopped.signal, (signal) =>
@@ -161,9 +162,9 @@
     const { log } = this.#options;
     if (lost > 0) log.write(GATEWAY_EVENTS.spotServersTaken, { ...fields, lost });
     // Servers come one by one, and the work changes by the moment: neither is news by itself.
-    const news = `${wanted} ${zonesWithoutSpot}`;
-    if (this.#logged.get(service) === news) return;
-    this.#logged.set(service, news);
+    const loggedState = `${wanted} ${zonesWithoutSpot}`;
+    if (this.#lastLogged.get(service) === loggedState) return;
+    this.#lastLogged.set(service, loggedState);
     log.write(GATEWAY_EVENTS.capacityPlanned, fields);
   }
 
@@ -185,9 +186,9 @@
     const { fleet } = this.#options;
     const servers = fleet.readyOf(name, nowMs);
     const zones = [...scaling.zonePrices.keys()].map((zone): ZoneCapacity => {
-      const here = servers.filter((server) => server.zone === zone);
-      const spot = here.filter(({ isSpot }) => isSpot).length;
-      return { zone, plain: here.length - spot, spot };
+      const inZone = servers.filter((server) => server.zone === zone);
+      const spot = inZone.filter(({ isSpot }) => isSpot).length;
+      return { zone, plain: inZone.length - spot, spot };
     });
     const need = fleet.demand.needOf(name, nowMs);
     const neededInAll = Math.ceil(need.prefillEngines + need.decodeEngines);
--- a/src/shell/gateway/fleet-demand.ts
+++ b/src/shell/gateway/fleet-demand.ts
@@ -54,7 +54,7 @@
       reportingDaemons: this.#sources.peerLoads.count(nowMs),
       knownAgeMs: this.#sources.peerLoads.sumsAgeMs(nowMs),
       own: this.of(service).sums(nowMs),
-      all: this.#ofAll(service, nowMs),
+      all: this.#fleetDemandOf(service, nowMs),
       spanMs: DEMAND_SPAN_MS,
       busyForMs: this.#sources.peerLoads.busyForMs(nowMs),
     });
@@ -76,13 +76,13 @@
       .candidates(service, nowMs)
       .filter(({ stage }) => stage === 'decode');
     const paces = engines.reduce((sum, { id }) => sum + paceOf(id), 0);
-    const { shortRequests } = this.#ofAll(service, nowMs);
+    const { shortRequests } = this.#fleetDemandOf(service, nowMs);
     return shortRequests / DEMAND_SPAN_MS / Math.max(1, paces);
   }
 
   /** The work of a service, in engines of the usual pace that it keeps busy. */
   needOf(service: string, nowMs: number): StageNeed {
-    const { prefillMs, decodeMs, requests } = this.#ofAll(service, nowMs);
+    const { prefillMs, decodeMs, requests } = this.#fleetDemandOf(service, nowMs);
     return {
       prefillEngines: prefillMs / DEMAND_SPAN_MS,
       decodeEngines: decodeMs / DEMAND_SPAN_MS,
@@ -91,7 +91,7 @@
   }
 
   /** The demand that all daemons see; while none is heard, as if all saw as much as this one. */
-  #ofAll(service: string, nowMs: number): DemandSums {
+  #fleetDemandOf(service: string, nowMs: number): DemandSums {
     const own = this.of(service).sums(nowMs);
     if (!this.#sources.peerLoads.hasReceived(nowMs))
       return scaled(own, this.#sources.size.listed ?? 1);
@@ -104,15 +104,15 @@
   /** By server, the part of its pace that its limit leaves it: what it takes of what each of its stage gets; 1 without one. */
   limitSharesOf(service: string, nowMs: number): (serverId: string) => number {
     if (this.#sources.limits.count === 0) return () => 1;
-    const { requests } = this.#ofAll(service, nowMs);
+    const { requests } = this.#fleetDemandOf(service, nowMs);
     const servers = this.#sources.readyOf(service, nowMs);
     const perSecond = (requests * MILLISECONDS_PER_SECOND) / DEMAND_SPAN_MS;
     return (serverId) => {
       const limit = this.#sources.limits.of(serverId);
       if (limit === undefined || perSecond === 0) return 1;
       const stage = servers.find(({ id }) => id === serverId)?.stage;
-      const alike = servers.filter((server) => server.stage === stage).length;
-      return Math.min(1, (limit.perSecond * alike) / perSecond);
+      const ofSameStage = servers.filter((server) => server.stage === stage).length;
+      return Math.min(1, (limit.perSecond * ofSameStage) / perSecond);
     };
   }
 }
--- a/src/shell/gateway/fleet-view.ts
+++ b/src/shell/gateway/fleet-view.ts
@@ -42,7 +42,7 @@
 import type { EngineCacheEvents } from './peer-messages.js';
 
 /** Entries for web servers in one message, beside those for engines: crowded services have few servers. */
-const MOST_WEB_ENTRIES = 16;
+const MAX_WEB_ENTRIES = 16;
 
 /** A configuration with its indexes. */
 export interface ConfigurationInForce {
@@ -78,23 +78,23 @@
   readonly #slacks = new Map<string, UrgentSlack>();
   readonly #budgets = new Map<string, RetryBudget>();
   #inForce: ConfigurationInForce | undefined;
-  readonly #noteBudgetBegun: (service: string, budget: RetryBudget) => void;
+  readonly #onBudgetCreated: (service: string, budget: RetryBudget) => void;
   readonly #size = new FleetSize();
   readonly #countsOverdue: boolean;
 
   /**
    * @param budgetOptions the bound on repeats that all daemons share
-   * @param noteBudgetBegun told when a service's first request creates its budget
+   * @param onBudgetCreated told when a service's first request creates its budget
    * @param decisions which decisions under load are made
    */
   constructor(
     budgetOptions: RetryBudgetOptions,
-    noteBudgetBegun: (service: string, budget: RetryBudget) => void = () => undefined,
+    onBudgetCreated: (service: string, budget: RetryBudget) => void = () => undefined,
     decisions: Pick<LoadDecisions, 'enginePaces' | 'waiting'> = USUAL_LOAD_DECISIONS,
   ) {
     this.#countsOverdue = decisions.waiting;
     this.#budgetOptions = budgetOptions;
-    this.#noteBudgetBegun = noteBudgetBegun;
+    this.#onBudgetCreated = onBudgetCreated;
     this.paces = new FleetPaces({
       use: decisions.enginePaces,
       speedOf: (service) => this.speedOf(service),
@@ -159,11 +159,11 @@
     nowMs: number,
     kinds: readonly SendAvailability['kind'][],
   ): ServerRecord[] {
-    const open = this.directory
+    const sendable = this.directory
       .readyOf(service)
       .filter((server) => kinds.includes(this.availabilityOf(server, nowMs).kind))
       .filter(({ id }) => !this.isUnreachable(id, nowMs));
-    return this.stageNotices.usable(open, nowMs);
+    return this.stageNotices.usable(sendable, nowMs);
   }
 
   /** Whether a server may be sent a caller's request now, by its own word and the permits that there are. */
@@ -224,7 +224,7 @@
   roomExpectedInMs(service: string, nowMs: number): number | undefined {
     const waitsMs = this.readyOf(service, nowMs)
       .filter(({ stage }) => stage !== 'prefill')
-      .map((server) => this.#passedOverMs(server, nowMs))
+      .map((server) => this.#skippedForMs(server, nowMs))
       .filter((waitMs) => waitMs > 0);
     return waitsMs.length === 0 ? undefined : Math.min(...waitsMs);
   }
@@ -238,7 +238,7 @@
     return servers.filter((server) => this.availability.of(server, nowMs).kind === kind).length;
   }
 
-  #passedOverMs(server: ServerRecord, nowMs: number): number {
+  #skippedForMs(server: ServerRecord, nowMs: number): number {
     const availability = this.availabilityOf(server, nowMs);
     const waitMs = 'forMs' in availability ? availability.forMs : 0;
     return Math.max(waitMs, this.#health.get(server.id)?.skippedForMs(nowMs) ?? 0);
@@ -299,14 +299,18 @@
 
   /**
    * The work expected at the web servers of a service.
-   * @param isTold whether other daemons tell of their calls there
+   * @param isAdvertised whether other daemons tell of their calls there
    */
-  webLoadsOf(service: string, isTold: boolean, nowMs: number): (serverId: string) => WebServerLoad {
+  webLoadsOf(
+    service: string,
+    isAdvertised: boolean,
+    nowMs: number,
+  ): (serverId: string) => WebServerLoad {
     const isCrowded = this.isCrowded(service);
-    const hearsOthers = isCrowded && isTold && this.peerLoads.hasReceived(nowMs);
+    const usesAdvertised = isCrowded && isAdvertised && this.peerLoads.hasReceived(nowMs);
     return (id) => {
       const { openCalls: ownCalls, responseMs } = this.healthOf(id);
-      const advertisedCalls = hearsOthers ? this.peerLoads.running(id, nowMs) : undefined;
+      const advertisedCalls = usesAdvertised ? this.peerLoads.running(id, nowMs) : undefined;
       return this.webLoads.estimate(
         id,
         { ownCalls, advertisedCalls, responseMs, isCrowded },
@@ -327,7 +331,7 @@
       if (isCrowded) work.push({ engineId, pendingMs: 0, lateMs: 0, running });
     }
     const byCalls = work.sort((left, right) => right.running - left.running);
-    return byCalls.slice(0, MOST_WEB_ENTRIES);
+    return byCalls.slice(0, MAX_WEB_ENTRIES);
   }
 
   /** This daemon's work at engines, for its peers. */
@@ -344,8 +348,8 @@
   }
 
   /** Takes an engine's cache news that another daemon passed on. */
-  applyCacheEvents(news: EngineCacheEvents, nowMs: number): void {
-    const { engineId, isReset, events } = news;
+  applyCacheEvents(change: EngineCacheEvents, nowMs: number): void {
+    const { engineId, isReset, events } = change;
     if (this.directory.get(engineId) === undefined) return;
     if (isReset) this.prefixIndex.forget(engineId);
     for (const { partId, tokens } of events) {
@@ -380,7 +384,7 @@
   budgetOf(service: string): RetryBudget {
     return getOrCreate(this.#budgets, service, () => {
       const budget = new RetryBudget(this.#budgetOptions, this.#size.sharers);
-      this.#noteBudgetBegun(service, budget);
+      this.#onBudgetCreated(service, budget);
       return budget;
     });
   }
--- a/src/shell/gateway/gateway-gauges.ts
+++ b/src/shell/gateway/gateway-gauges.ts
@@ -39,7 +39,7 @@
 }
 
 /** Engines that are told of one by one, the most unlike first: more series than this cost more than they tell. */
-const MOST_ENGINES = 64;
+const MAX_ENGINE_SERIES = 64;
 
 interface Gauge {
   readonly name: string;
@@ -56,7 +56,7 @@
     'threadfork_gateway_engine_pace',
     'Pace of an engine against the usual one of its service, of those that differ most',
     'server',
-    () => sources.fleet.paces.largestDeviations(MOST_ENGINES),
+    () => sources.fleet.paces.largestDeviations(MAX_ENGINE_SERIES),
   );
 }
 
--- a/src/shell/gateway/gateway-metrics.ts
+++ b/src/shell/gateway/gateway-metrics.ts
@@ -31,7 +31,7 @@
     buckets: LATENCY_BUCKETS_SECONDS,
     registers: [this.#registry],
   });
-  readonly #roomRefusals = new Counter({
+  readonly #capacityRefusals = new Counter({
     name: 'threadfork_gateway_room_refusals_total',
     help: 'Requests refused for want of room, by reason and rank',
     labelNames: ['reason', 'rank'],
@@ -58,7 +58,7 @@
     registers: [this.#registry],
   });
 
-  readonly #toldAvailability = new Counter({
+  readonly #reportedAvailability = new Counter({
     name: 'threadfork_gateway_told_availability_total',
     help: 'Answers of servers that say that they leave, ask for rest, name, change or end a limit, or say so unreadably',
     labelNames: ['what'],
@@ -112,7 +112,7 @@
   }
 
   recordRoomRefusal(reason: string, rank: number): void {
-    this.#roomRefusals.inc({ reason, rank });
+    this.#capacityRefusals.inc({ reason, rank });
   }
 
   recordAttempt(result: string): void {
@@ -121,7 +121,7 @@
 
   /** An answer said something of its server. */
   recordToldAvailability(what: string): void {
-    this.#toldAvailability.inc({ what });
+    this.#reportedAvailability.inc({ what });
   }
 
   /** A call was given up before it was sent. */
--- a/src/shell/gateway/gateway.ts
+++ b/src/shell/gateway/gateway.ts
@@ -40,12 +40,12 @@
 import { WebWork } from './web-work.js';
 
 /** The platform looks twice, a second apart, before it sends no more connections. */
-const LOOK_AWAY_MS = 2_600;
+const NOT_READY_NOTICE_MS = 2_600;
 /** Kept between the end of running requests and the end of the grace period. */
 const STOP_MARGIN_MS = 700;
 const STOP_POLL_MS = 50;
 /** Lives of a daemon are told apart by a number below this. */
-const INCARNATIONS = 2 ** 47;
+const INCARNATION_LIMIT = 2 ** 47;
 const MILLISECONDS_PER_SECOND = 1_000;
 
 /** What a gateway is built from. */
@@ -78,7 +78,7 @@
   readonly #callers: CallerListener;
   readonly #servers: Server[] = [];
   readonly #follower: FleetFollower;
-  readonly #cacheNews: CacheEventWatchers;
+  readonly #cacheEventWatchers: CacheEventWatchers;
   readonly #stages: StageController;
   /** Absent where the settings name no address for it. */
   readonly #peers: PeerExchange | undefined;
@@ -86,7 +86,7 @@
   readonly #digest: RelayDigest;
   readonly #retryBudgets: RetryBudgetReporter;
   readonly #duties: Duties;
-  readonly #suspensionAware: TimerService;
+  readonly #suspensionAwareTimers: TimerService;
   readonly #steadyClock: WallClock;
   readonly #crashes: CrashGuard;
   readonly #webWork: WebWork;
@@ -97,7 +97,7 @@
   constructor(options: GatewayOptions) {
     this.#options = options;
     const { settings, adapter, timers, wallClock, log } = options;
-    this.#suspensionAware = suspensionAwareTimers(timers, wallClock);
+    this.#suspensionAwareTimers = suspensionAwareTimers(timers, wallClock);
     this.#steadyClock = steadyWallClock(timers, wallClock());
     this.#fleet = new FleetView(
       settings.retryBudget,
@@ -112,7 +112,7 @@
     });
     this.#roster = new PeerRoster({ name: settings.name, zone: settings.zone });
     this.#digest = new RelayDigest(
-      this.#suspensionAware,
+      this.#suspensionAwareTimers,
       maxDigestAgeMs(settings.bounds.contactMs),
     );
     this.#connections = new BackendConnections(timers);
@@ -122,7 +122,7 @@
       log,
       metrics: this.#metrics,
     });
-    const incarnation = randomInt(INCARNATIONS);
+    const incarnation = randomInt(INCARNATION_LIMIT);
     this.#crashes = this.#createCrashGuard(incarnation);
     const webWork = new WebWork({
       isEnabled: settings.decisions.webServerLoad,
@@ -176,11 +176,11 @@
       peers: this.#peers,
       timers,
     });
-    this.#cacheNews = new CacheEventWatchers({ ...context, timers, duty, log });
+    this.#cacheEventWatchers = new CacheEventWatchers({ ...context, timers, duty, log });
     this.#follower = new FleetFollower({
       adapter,
       fleet: this.#fleet,
-      cacheNews: this.#cacheNews,
+      cacheNews: this.#cacheEventWatchers,
       timing: () => watchTiming(this.#watchRole, settings.bounds.contactMs),
       recheckSpans: recheckSpans(settings.bounds.contactMs),
       restored: new RestoredServers(settings.bounds.contactMs),
@@ -189,8 +189,8 @@
       forwardConfiguration: (changes) => this.#peers?.forwardConfiguration(changes),
       forwardServers: (changes) => this.#peers?.forwardServers(changes),
       recordServerStart: (server) => this.#crashes.recordServerStart(server),
-      handleStoreRestored: () => this.#noteRestored(),
-      timers: this.#suspensionAware,
+      handleStoreRestored: () => this.#handleStoreRestored(),
+      timers: this.#suspensionAwareTimers,
       wallClock,
       log,
       applyLimits: (limits) => this.#callers.applyLimits(limits),
@@ -208,7 +208,7 @@
       startingEngines: (service) => this.#duties.comingServers(service),
       broadcastStage: (notice) => this.#peers?.broadcastStage(notice),
       timers,
-      leaseTimers: this.#suspensionAware,
+      leaseTimers: this.#suspensionAwareTimers,
       log,
     });
     addGauges(this.#metrics, {
@@ -270,7 +270,7 @@
     this.#callers.beginStop(endMs);
     this.#admission.beginStop();
     this.#stages.stop();
-    await delay(timers, Math.min(LOOK_AWAY_MS, graceMs / 2));
+    await delay(timers, Math.min(NOT_READY_NOTICE_MS, graceMs / 2));
     // Where too few daemons are ready, new connections keep coming; they go elsewhere from here on.
     this.#callers.server.close();
     while (this.#callers.inFlight > 0 && timers.nowMs() < endMs) await delay(timers, STOP_POLL_MS);
@@ -284,7 +284,7 @@
     this.#isStopping = true;
     this.#follower.stop();
     this.#crashes.stop();
-    this.#cacheNews.stop();
+    this.#cacheEventWatchers.stop();
     this.#stages.stop();
     this.#peers?.stop();
     this.#duties.stop();
@@ -353,7 +353,7 @@
       peers: () => this.#peers,
       mayOrderCapacity: () => this.#roster.knowsFleetDemand(this.#isRelay),
       timers,
-      leaseTimers: this.#suspensionAware,
+      leaseTimers: this.#suspensionAwareTimers,
       log,
     });
   }
@@ -369,9 +369,9 @@
       table: adapter.table,
       roster: this.#roster,
       log,
-      handleReachability: (reach) => this.#takeReach(reach),
+      handleReachability: (reach) => this.#handleReachability(reach),
       handleRead: (read) => this.#fleet.prefixIndex.expectRead(read, timers.nowMs()),
-      onRelayChange: (isRelay) => this.#noteRelay(isRelay),
+      onRelayChange: (isRelay) => this.#setRelay(isRelay),
       tableDigest: () => this.#follower.digestToSend(),
       applyConfiguration: (change) => this.#follower.applyForwardedConfiguration(change),
       configurationVersion: () => this.#follower.inForceVersion,
@@ -383,7 +383,7 @@
       handleCrashRecords: (records) => this.#crashes.applyPeerRecords(records),
       handleUsage: (message, reply) => this.#duties.handleUsage(message, reply),
       handleLimitMessage: (message, reply) => this.#limits.take(message, reply),
-      applyCacheEvents: (news) => this.#fleet.applyCacheEvents(news, timers.nowMs()),
+      applyCacheEvents: (events) => this.#fleet.applyCacheEvents(events, timers.nowMs()),
       loads: this.#fleet.peerLoads,
       paces: this.#fleet.paces,
       isReady: () => this.#fleet.isReady,
@@ -392,25 +392,25 @@
       ownDemand: () => this.#fleet.demand.own(timers.nowMs()),
       serverIdOf: (shortId) => this.#fleet.directory.idOf(shortId),
       onSums: () => this.#admission.wake(),
-      recordDaemonCount: (daemons) => this.#noteDaemonCount(daemons),
+      recordDaemonCount: (daemons) => this.#setDaemonCount(daemons),
     });
   }
 
-  #noteDaemonCount(daemons: number): void {
+  #setDaemonCount(daemons: number): void {
     const before = this.#fleet.size.listed;
     this.#fleet.setDaemonCount(daemons);
     this.#retryBudgets.recordDaemonCount(before, daemons);
   }
 
   /** What other daemons say of a server; a change of belief is a line in the log. */
-  #takeReach(reach: ReachabilityNotice): void {
+  #handleReachability(reach: ReachabilityNotice): void {
     const { timers, log } = this.#options;
     const nowMs = timers.nowMs();
     const { serverId: server, by } = reach;
-    const wasDark = this.#fleet.isUnreachable(server, nowMs);
+    const wasUnreachable = this.#fleet.isUnreachable(server, nowMs);
     this.#fleet.handleReachability(reach, nowMs);
     const isUnreachable = this.#fleet.isUnreachable(server, nowMs);
-    if (isUnreachable === wasDark) return;
+    if (isUnreachable === wasUnreachable) return;
     log.write(isUnreachable ? GATEWAY_EVENTS.serverDark : GATEWAY_EVENTS.serverReached, {
       server,
       by,
@@ -418,7 +418,7 @@
   }
 
   /** What this daemon keeps in the store may be lost. */
-  #noteRestored(): void {
+  #handleStoreRestored(): void {
     this.#crashes.handleStoreRestored();
     this.#peers?.handleStoreRestored();
   }
@@ -428,7 +428,7 @@
     return this.#roster.isLarge ? 'follower' : 'alone';
   }
 
-  #noteRelay(isRelay: boolean): void {
+  #setRelay(isRelay: boolean): void {
     this.#isRelay = isRelay;
     if (isRelay) this.#digest.drop();
   }
--- a/src/shell/gateway/model-planner.ts
+++ b/src/shell/gateway/model-planner.ts
@@ -25,7 +25,7 @@
 /** A request is taken to be in time when it is expected within this part of its target. */
 const IN_TIME_SHARE = 0.9;
 /** Streams often take so much longer than those of their size did on average. */
-const STREAM_SPREAD = 2;
+const LONG_STREAM_FACTOR = 2;
 /** From here on a prompt is work for an engine that only reads. */
 const LONG_PROMPT_TOKENS = 1_000;
 
@@ -42,7 +42,7 @@
 export class ModelPlanner {
   readonly #exchange: Exchange;
   readonly #context: AttemptContext;
-  #isDemandNoted = false;
+  #isDemandRecorded = false;
 
   constructor(exchange: Exchange, context: AttemptContext) {
     this.#exchange = exchange;
@@ -54,7 +54,7 @@
     const plan = this.#bestPlan(limits);
     if (plan === undefined) return undefined;
     this.#logPlan(plan);
-    this.#noteDemand(plan);
+    this.#recordDemand(plan);
     return plan;
   }
 
@@ -62,7 +62,7 @@
   admissionCheck(limits: PlanLimits): ModelAdmissionCheck | undefined {
     const first = this.#bestPlan(limits);
     if (first === undefined) return undefined;
-    this.#noteDemand(first);
+    this.#recordDemand(first);
     return new ModelAdmissionCheck(this.#exchange, this.#context, {
       first,
       latencyBudgetMs: IN_TIME_SHARE * this.#exchange.options.route.targetLatencyMs,
@@ -123,7 +123,7 @@
     const { stopsAtMs, description } = this.#exchange.options;
     const stopMs = stopsAtMs();
     if (stopMs === undefined) return false;
-    const runMs = STREAM_SPREAD * description.maxOutputTokens * this.#speed.tokenMs;
+    const runMs = LONG_STREAM_FACTOR * description.maxOutputTokens * this.#speed.tokenMs;
     return this.#nowMs() + runMs > stopMs;
   }
 
@@ -235,20 +235,20 @@
   }
 
   /** The work that a request asks for, whichever way it goes. */
-  #noteDemand(plan: EnginePlan): void {
-    if (this.#isDemandNoted) return;
-    this.#isDemandNoted = true;
+  #recordDemand(plan: EnginePlan): void {
+    if (this.#isDemandRecorded) return;
+    this.#isDemandRecorded = true;
     const { service, description } = this.#exchange.options;
     const { fleet } = this.#context;
     const missing = plan.kind === 'direct' ? plan.missingTokens : plan.prefill.missingTokens;
     const speed = this.#speed;
     const isLong = missing >= LONG_PROMPT_TOKENS;
     const traits = engineTraits(this.#exchange);
-    const handedOverMs = traits === undefined ? 0 : kvTransferMs(description.promptTokens, traits);
+    const handoverMs = traits === undefined ? 0 : kvTransferMs(description.promptTokens, traits);
     const slots = traits?.slots ?? 1;
     const generateMs = (description.maxOutputTokens * speed.tokenMs) / slots;
     const work = isLong
-      ? { prefillMs: speed.prefillBusyMs(missing), decodeMs: handedOverMs + generateMs }
+      ? { prefillMs: speed.prefillBusyMs(missing), decodeMs: handoverMs + generateMs }
       : { prefillMs: 0, decodeMs: speed.decodeBusyMs(missing) + generateMs };
     fleet.demand
       .of(service)
--- a/src/shell/gateway/retry-budget-reporter.ts
+++ b/src/shell/gateway/retry-budget-reporter.ts
@@ -10,8 +10,8 @@
 import type { CancelTimer, TimerService } from './timer-service.js';
 
 /** A line for each service and second at most; a process that is killed takes its last one with it. */
-const REPORT_GAP_MS = 1_000;
-const NOTHING: RetryBudgetCounts = { requests: 0, taken: 0, givenBack: 0, denied: 0 };
+const REPORT_INTERVAL_MS = 1_000;
+const ZERO_COUNTS: RetryBudgetCounts = { requests: 0, taken: 0, givenBack: 0, denied: 0 };
 
 /** What a reporter is built from. */
 export interface RetryBudgetReporterOptions {
@@ -41,7 +41,7 @@
   }
 
   start(): void {
-    this.#cancel = this.#options.timers.after(REPORT_GAP_MS, () => {
+    this.#cancel = this.#options.timers.after(REPORT_INTERVAL_MS, () => {
       this.#reportAll();
       this.start();
     });
@@ -86,12 +86,12 @@
   #report(service: string, budget: RetryBudget): void {
     const { fleet, log, metrics, timers } = this.#options;
     const now = budget.counts;
-    const unrecorded = difference(now, this.#recorded.get(service) ?? NOTHING);
+    const unrecorded = difference(now, this.#recorded.get(service) ?? ZERO_COUNTS);
     this.#recorded.set(service, now);
     metrics.recordRetryBudget(service, unrecorded, budget.level);
     if (unrecorded.taken + unrecorded.givenBack + unrecorded.denied === 0) return;
     const nowMs = timers.nowMs();
-    const last = this.#logged.get(service) ?? { counts: NOTHING, atMs: this.#startedMs };
+    const last = this.#logged.get(service) ?? { counts: ZERO_COUNTS, atMs: this.#startedMs };
     this.#logged.set(service, { counts: now, atMs: nowMs });
     log.write(GATEWAY_EVENTS.retryBudgetUsed, {
       service,
--- a/src/shell/gateway/stage-controller.ts
+++ b/src/shell/gateway/stage-controller.ts
@@ -29,25 +29,25 @@
 
 const TICK_MS = 250;
 /** A change has to be wanted for this long, and a random while more, before the lease is sought. */
-const SETTLE_MS = 600;
-const SETTLE_SPREAD_MS = 900;
+const LEASE_DELAY_MS = 600;
+const LEASE_DELAY_SPREAD_MS = 900;
 /** Other daemons send an engine nothing more, and what it has ends, before it is ordered. */
-const EMPTYING_MS = 300;
+const DRAIN_MS = 300;
 /**
  * A change has to be wanted for this many times as long as an engine is away for it: a demand that ends
  * sooner has cost more than the change brought, once for the way there and once for the way back.
  */
-const WANTED_SWITCHES = 2;
+const MIN_WANTED_SWITCHES = 2;
 /** An order back has to wait until the last one has paid for the time that the engine was away. */
-const REVERSAL_SWITCHES = 4;
+const MIN_REVERSAL_SWITCHES = 4;
 /** Nor does the split follow a mix that swings faster than it is seen. */
-const LEAST_REVERSAL_MS = 2 * DEMAND_SPAN_MS;
+const MIN_REVERSAL_MS = 2 * DEMAND_SPAN_MS;
 /** No engine that generates can be reached for this long: longer than a lost packet, and for two looks. */
-const RESCUE_SETTLE_MS = 400;
+const RECOVERY_DELAY_MS = 400;
 /** A rescue that came to nothing, as its engines were lost as well, is tried again after this time. */
-const RESCUE_GAP_MS = 2_000;
+const MIN_RECOVERY_INTERVAL_MS = 2_000;
 /** Between two orders, so that not all engines are away at once. */
-const ORDER_GAP_MS = 500;
+const MIN_ORDER_INTERVAL_MS = 500;
 const LEASE_MARGIN_SHARE = 0.2;
 const RESOURCE = 'engine-stages';
 const ENTROPY_RANGE = 2 ** 32;
@@ -74,13 +74,13 @@
   #lease: LeaseState;
   #cancelTick: CancelTimer | undefined;
   #wantedSinceMs: number | undefined;
-  #leastWantMs = 0;
-  #lostSinceMs: number | undefined;
+  #minWantedMs = 0;
+  #decodeLostSinceMs: number | undefined;
   /** Services of which an engine that generates could be reached before. */
-  readonly #onceGenerated = new Set<string>();
-  #settleMs: number;
+  readonly #hadReachableDecode = new Set<string>();
+  #leaseDelayMs: number;
   #lastOrderMs = Number.NEGATIVE_INFINITY;
-  #lastRescueMs = Number.NEGATIVE_INFINITY;
+  #lastRecoveryMs = Number.NEGATIVE_INFINITY;
   #lastStage: EngineStage | undefined;
   #isStopped = false;
 
@@ -93,7 +93,7 @@
         this.#lastStage = stage;
       },
     });
-    this.#settleMs = drawSettleMs();
+    this.#leaseDelayMs = drawLeaseDelayMs();
     this.#lease = initialLeaseState({
       resource: RESOURCE,
       daemon: options.daemon,
@@ -115,59 +115,59 @@
     this.#isStopped = true;
     this.#orders.stop();
     this.#cancelTick?.();
-    if (!isReleased(this.#lease) && this.#isQuiet()) this.#step({ kind: 'release' });
+    if (!isReleased(this.#lease) && this.#hasNoRecentOrder()) this.#step({ kind: 'release' });
   }
 
   #tick(): void {
     const nowMs = this.#options.timers.nowMs();
-    const rescue = this.#wantedRescue(nowMs);
-    const changes = rescue.length > 0 ? [] : this.#wantedChanges(nowMs);
-    this.#noteWant(changes.length > 0, nowMs);
-    const isCandidate = rescue.length > 0 || this.#isCandidate(nowMs);
+    const recovery = this.#wantedRecovery(nowMs);
+    const changes = recovery.length > 0 ? [] : this.#wantedChanges(nowMs);
+    this.#recordWanted(changes.length > 0, nowMs);
+    const isCandidate = recovery.length > 0 || this.#isCandidate(nowMs);
     this.#step({ kind: 'want', candidate: isCandidate && this.#options.mayOrder() });
     this.#step({ kind: 'tick' });
-    if (rescue.length > 0) this.#rescueIfAllowed(rescue, nowMs);
+    if (recovery.length > 0) this.#recoverIfAllowed(recovery, nowMs);
     else if (changes.length > 0) this.#orderIfAllowed(changes, nowMs);
   }
 
   /** Engines to be ordered over at once, as nothing that generates has been reached for a while. */
-  #wantedRescue(nowMs: number): readonly StageChange[] {
+  #wantedRecovery(nowMs: number): readonly StageChange[] {
     const { fleet } = this.#options;
     const changes: StageChange[] = [];
     for (const service of fleet.inForce?.configuration.services.values() ?? []) {
       if (service.engine === undefined) continue;
       const engines = fleet.expectedServers(service.name, nowMs);
       // While servers are only being listed, those that generate may come last.
-      const generates = engines.some(
+      const hasReachableDecode = engines.some(
         ({ id, stage }) => stage === 'decode' && fleet.isReachable(id, nowMs),
       );
-      if (generates) this.#onceGenerated.add(service.name);
-      if (!this.#onceGenerated.has(service.name)) continue;
-      const rescue = planDecodeRecovery({
+      if (hasReachableDecode) this.#hadReachableDecode.add(service.name);
+      if (!this.#hadReachableDecode.has(service.name)) continue;
+      const recovery = planDecodeRecovery({
         engines,
         busyOf: (id) => fleet.busyOf(id, nowMs),
         isReachable: (id) => fleet.isReachable(id, nowMs),
       });
-      changes.push(...rescue);
+      changes.push(...recovery);
     }
-    if (changes.length === 0) this.#lostSinceMs = undefined;
-    else this.#lostSinceMs ??= nowMs;
-    const isSettled =
-      this.#lostSinceMs !== undefined && nowMs - this.#lostSinceMs >= RESCUE_SETTLE_MS;
-    return isSettled ? changes : [];
+    if (changes.length === 0) this.#decodeLostSinceMs = undefined;
+    else this.#decodeLostSinceMs ??= nowMs;
+    const isLasting =
+      this.#decodeLostSinceMs !== undefined && nowMs - this.#decodeLostSinceMs >= RECOVERY_DELAY_MS;
+    return isLasting ? changes : [];
   }
 
   /** What damps changes for the sake of load has no say here, but an order under way is waited for. */
-  #rescueIfAllowed(changes: readonly StageChange[], nowMs: number): void {
-    if (nowMs - this.#lastRescueMs < RESCUE_GAP_MS) return;
+  #recoverIfAllowed(changes: readonly StageChange[], nowMs: number): void {
+    if (nowMs - this.#lastRecoveryMs < MIN_RECOVERY_INTERVAL_MS) return;
     const epoch = this.#authority();
     if (epoch === undefined) return;
-    this.#lastRescueMs = nowMs;
+    this.#lastRecoveryMs = nowMs;
     this.#lastOrderMs = nowMs;
     for (const change of changes) {
       this.#options.log.write(GATEWAY_EVENTS.stageLost, {
         server: change.engine.id,
-        lostMs: Math.round(nowMs - (this.#lostSinceMs ?? nowMs)),
+        lostMs: Math.round(nowMs - (this.#decodeLostSinceMs ?? nowMs)),
       });
       void this.#orders.order(change, epoch, 0);
     }
@@ -193,51 +193,51 @@
         busyOf: (id) => fleet.busyOf(id, nowMs),
         paceOf: (id) => paceOf(id) * limitShareOf(id),
       });
-      const paidFor = changes.filter((change) => this.#isPaidFor(change, traits, nowMs));
-      if (paidFor.length === 0) continue;
-      this.#leastWantMs = WANTED_SWITCHES * traits.roleSwitchMs;
-      return paidFor;
+      const dueChanges = changes.filter((change) => this.#isReversalDue(change, traits, nowMs));
+      if (dueChanges.length === 0) continue;
+      this.#minWantedMs = MIN_WANTED_SWITCHES * traits.roleSwitchMs;
+      return dueChanges;
     }
     return [];
   }
 
   /** A change that undoes the last one comes no sooner than that has been of use. */
-  #isPaidFor(change: StageChange, traits: EngineTraits, nowMs: number): boolean {
+  #isReversalDue(change: StageChange, traits: EngineTraits, nowMs: number): boolean {
     if (this.#lastStage === undefined || this.#lastStage === change.stage) return true;
-    const gapMs = Math.max(LEAST_REVERSAL_MS, REVERSAL_SWITCHES * traits.roleSwitchMs);
+    const gapMs = Math.max(MIN_REVERSAL_MS, MIN_REVERSAL_SWITCHES * traits.roleSwitchMs);
     return nowMs - this.#lastOrderMs >= gapMs;
   }
 
-  #noteWant(isWanted: boolean, nowMs: number): void {
+  #recordWanted(isWanted: boolean, nowMs: number): void {
     if (isWanted) {
       this.#wantedSinceMs ??= nowMs;
       return;
     }
-    if (this.#wantedSinceMs !== undefined) this.#settleMs = drawSettleMs();
+    if (this.#wantedSinceMs !== undefined) this.#leaseDelayMs = drawLeaseDelayMs();
     this.#wantedSinceMs = undefined;
   }
 
   /** A holder stays one until its last order is older than the lease: no quick turns. */
   #isCandidate(nowMs: number): boolean {
-    return !this.#isQuiet() || this.#wantedForMs(nowMs) >= this.#settleMs;
+    return !this.#hasNoRecentOrder() || this.#wantedForMs(nowMs) >= this.#leaseDelayMs;
   }
 
   #wantedForMs(nowMs: number): number {
     return this.#wantedSinceMs === undefined ? 0 : nowMs - this.#wantedSinceMs;
   }
 
-  #isQuiet(): boolean {
+  #hasNoRecentOrder(): boolean {
     const { timers, leaseMs } = this.#options;
     return timers.nowMs() - this.#lastOrderMs > 2 * leaseMs;
   }
 
   #orderIfAllowed(changes: readonly StageChange[], nowMs: number): void {
-    if (nowMs - this.#lastOrderMs < ORDER_GAP_MS) return;
-    if (this.#wantedForMs(nowMs) < this.#leastWantMs) return;
+    if (nowMs - this.#lastOrderMs < MIN_ORDER_INTERVAL_MS) return;
+    if (this.#wantedForMs(nowMs) < this.#minWantedMs) return;
     const epoch = this.#authority();
     if (epoch === undefined) return;
     this.#lastOrderMs = nowMs;
-    for (const change of changes) void this.#orders.order(change, epoch, EMPTYING_MS);
+    for (const change of changes) void this.#orders.order(change, epoch, DRAIN_MS);
   }
 
   #step(event: LeaseEvent): void {
@@ -266,6 +266,6 @@
   }
 }
 
-function drawSettleMs(): number {
-  return SETTLE_MS + Math.random() * SETTLE_SPREAD_MS;
+function drawLeaseDelayMs(): number {
+  return LEASE_DELAY_MS + Math.random() * LEASE_DELAY_SPREAD_MS;
 }
--- a/src/shell/gateway/stage-orders.ts
+++ b/src/shell/gateway/stage-orders.ts
@@ -16,10 +16,10 @@
 import { callWithTimeout, delay, type TimerService } from './timer-service.js';
 
 /** An ordered engine is asked this often whether its change is over, and the others are told. */
-const FOLLOW_GAP_MS = 400;
+const FOLLOW_INTERVAL_MS = 400;
 /** A change that takes longer is followed no more; the platform's list will show it. */
-const MOST_FOLLOWED_SWITCHES = 5;
-const MOST_FOLLOWED_MS = 5_000;
+const MAX_FOLLOWED_SWITCHES = 5;
+const MAX_FOLLOWED_MS = 5_000;
 const ORDER_TIMEOUT_MS = 1_000;
 const CONNECT_TIMEOUT_MS = 300;
 const MAX_ANSWER_BYTES = 65_536;
@@ -62,15 +62,15 @@
   }
 
   /** Empties an engine, orders it if the authority still holds by then, and follows its change. */
-  async order(change: StageChange, epoch: number, emptyingMs: number): Promise<void> {
+  async order(change: StageChange, epoch: number, drainMs: number): Promise<void> {
     const { daemon, codec, timers, log } = this.#options;
     const { engine, stage } = change;
-    this.#tellStage({ engineId: engine.id, stage, phase: 'changing' });
-    await delay(timers, emptyingMs);
+    this.#advertiseStage({ engineId: engine.id, stage, phase: 'changing' });
+    await delay(timers, drainMs);
     const report = await this.#readReport(engine);
     // The engine is looked at first; by then the lease may have run out, or another life of it have begun.
     if (report === undefined || report.isBusy || report.stage === stage) return;
-    if (this.#isOtherLife(engine, report)) return;
+    if (this.#isOtherBoot(engine, report)) return;
     if (this.#options.currentEpoch() !== epoch) return;
     const expectedSequence = report.orderSequence;
     log.write(GATEWAY_EVENTS.orderSent, {
@@ -94,17 +94,17 @@
     const { timers, fleet, log } = this.#options;
     const startedAtMs = timers.nowMs();
     const traits = fleet.inForce?.configuration.services.get(engine.service)?.engine;
-    const mostMs = MOST_FOLLOWED_MS + MOST_FOLLOWED_SWITCHES * (traits?.roleSwitchMs ?? 0);
-    while (!this.#isStopped && timers.nowMs() - startedAtMs < mostMs) {
-      this.#tellStage({ engineId: engine.id, stage, phase: 'changing' });
-      await delay(timers, FOLLOW_GAP_MS);
-      const isGone = fleet.directory.get(engine.id) === undefined;
-      if (isGone || fleet.directory.isSuperseded(engine)) return;
+    const maxFollowMs = MAX_FOLLOWED_MS + MAX_FOLLOWED_SWITCHES * (traits?.roleSwitchMs ?? 0);
+    while (!this.#isStopped && timers.nowMs() - startedAtMs < maxFollowMs) {
+      this.#advertiseStage({ engineId: engine.id, stage, phase: 'changing' });
+      await delay(timers, FOLLOW_INTERVAL_MS);
+      const isRemoved = fleet.directory.get(engine.id) === undefined;
+      if (isRemoved || fleet.directory.isSuperseded(engine)) return;
       const report = await this.#readReport(engine);
       // An order is forgotten with the life that took it.
-      if (report !== undefined && this.#isOtherLife(engine, report)) return;
+      if (report !== undefined && this.#isOtherBoot(engine, report)) return;
       if (report === undefined || report.isBusy || report.stage !== stage) continue;
-      this.#tellStage({ engineId: engine.id, stage, phase: 'changed' });
+      this.#advertiseStage({ engineId: engine.id, stage, phase: 'changed' });
       const elapsedMs = Math.round(timers.nowMs() - startedAtMs);
       log.write(GATEWAY_EVENTS.stageChanged, { server: engine.id, stage, elapsedMs });
       return;
@@ -112,12 +112,12 @@
   }
 
   /** Whether a report is of another life than the one that was planned with; its order sequence began anew. */
-  #isOtherLife(engine: ServerRecord, { bornMs }: EngineReport): boolean {
+  #isOtherBoot(engine: ServerRecord, { bornMs }: EngineReport): boolean {
     if (this.#options.fleet.directory.isSuperseded(engine)) return true;
     return bornMs !== undefined && engine.bornMs !== undefined && bornMs !== engine.bornMs;
   }
 
-  #tellStage(notice: StageNotice): void {
+  #advertiseStage(notice: StageNotice): void {
     const { fleet, timers, broadcastStage } = this.#options;
     fleet.stageNotices.take(notice, timers.nowMs());
     broadcastStage(notice);
--- a/src/shell/gateway/tenant-usage.ts
+++ b/src/shell/gateway/tenant-usage.ts
@@ -28,20 +28,20 @@
 /** Answers of servers that began within a window have come by then: a web request takes about a second at most. */
 const SETTLE_MS = 1_200;
 /** Others step in when the holder has not reported by then, the first of them first. */
-const FIRST_TURN_MS = 3_000;
-const TURN_GAP_MS = 600;
+const FIRST_TAKEOVER_MS = 3_000;
+const TAKEOVER_INTERVAL_MS = 600;
 /** Later ones all wait equally long. */
-const MOST_TURNS = 6;
+const MAX_TAKEOVER_STEPS = 6;
 /** A report that is sent so late may not come in time any more. */
 const SEND_MARGIN_MS = 200;
 /** How often an open window is looked at. */
-const STEP_MS = 250;
+const POLL_INTERVAL_MS = 250;
 /** Daemons that did not answer are asked again, so often: datagrams are lost, and some daemons are gone. */
-const ASK_GAP_MS = 250;
-const MOST_ASKS = 5;
+const COLLECT_ROUND_MS = 250;
+const MAX_COLLECT_ROUNDS = 5;
 const CALL_TIMEOUT_MS = 1_500;
 const FIRST_BACKOFF_MS = 250;
-const LONGEST_BACKOFF_MS = 2_000;
+const MAX_BACKOFF_MS = 2_000;
 
 const recordSchema = z.object({
   holder: z.string(),
@@ -101,8 +101,8 @@
       case 'usage-asked':
         for (const part of this.#ownParts(message.window)) reply({ kind: 'usage-counted', part });
         // Whoever asks may lack the record of it, as the store came back from an older copy.
-        if (this.#knownReported() >= message.window) {
-          reply({ kind: 'usage-reported', window: this.#knownReported() });
+        if (this.#lastReportedWindow() >= message.window) {
+          reply({ kind: 'usage-reported', window: this.#lastReportedWindow() });
         }
         return;
       case 'usage-counted':
@@ -118,7 +118,7 @@
   async run(): Promise<void> {
     const { timers } = this.#options;
     while (!this.#stopped.signal.aborted) {
-      await delay(timers, this.#nextLookMs(), this.#stopped.signal);
+      await delay(timers, this.#nextPollMs(), this.#stopped.signal);
       if (!this.#stopped.signal.aborted) await this.#step();
     }
   }
@@ -128,30 +128,30 @@
   }
 
   /** An open window is looked at often; else this daemon sleeps until the next may be its to report. */
-  #nextLookMs(): number {
+  #nextPollMs(): number {
     const { windowMs, wallClock } = this.#options;
     const sinceEndMs = wallClock() % windowMs;
-    const waitMs = this.#duty.isHolder ? SETTLE_MS : this.#turnMs();
+    const waitMs = this.#duty.isHolder ? SETTLE_MS : this.#takeoverDelayMs();
     const window = windowAt(wallClock() - waitMs, windowMs) - 1;
-    if (window > this.#knownReported()) return STEP_MS;
+    if (window > this.#lastReportedWindow()) return POLL_INTERVAL_MS;
     const untilMs = (waitMs % windowMs) - sinceEndMs;
     return untilMs > 0 ? untilMs : untilMs + windowMs;
   }
 
-  #knownReported(): number {
+  #lastReportedWindow(): number {
     return Math.max(this.#duty.reportedWindow, this.#reportedByOther);
   }
 
   /** How long after the end of a window this daemon steps in for it. */
-  #turnMs(): number {
-    const place = this.#options.roster.positionFor(RECORD_KEY);
-    return FIRST_TURN_MS + TURN_GAP_MS * Math.min(MOST_TURNS, place);
+  #takeoverDelayMs(): number {
+    const position = this.#options.roster.positionFor(RECORD_KEY);
+    return FIRST_TAKEOVER_MS + TAKEOVER_INTERVAL_MS * Math.min(MAX_TAKEOVER_STEPS, position);
   }
 
   async #step(): Promise<void> {
     const { windowMs, dueMs, wallClock, leaseTimers } = this.#options;
     const unixMs = wallClock();
-    const waitMs = this.#duty.isHolder ? SETTLE_MS : this.#turnMs();
+    const waitMs = this.#duty.isHolder ? SETTLE_MS : this.#takeoverDelayMs();
     const action = this.#duty.next(
       {
         nowMs: leaseTimers.nowMs(),
@@ -172,9 +172,9 @@
       case 'collect':
         return this.#collect(action.window);
       case 'read':
-        return this.#takeRecord(this.#record.read(signal));
+        return this.#applyRecord(this.#record.read(signal));
       case 'write':
-        return this.#takeRecord(this.#record.write(action.record, action.expectedVersion, signal));
+        return this.#applyRecord(this.#record.write(action.record, action.expectedVersion, signal));
       case 'report':
         return this.#report(action.record);
     }
@@ -190,11 +190,11 @@
     const collection = new UsageCollection(window);
     this.#collection = collection;
     for (const part of this.#ownParts(window)) collection.take(part);
-    for (let asks = 0; asks < MOST_ASKS; asks += 1) {
-      const silent = roster.allPeers().filter(({ name }) => !collection.hasAnswered(name));
-      if (silent.length === 0) break;
-      peers()?.sendMessage(silent, { kind: 'usage-asked', window });
-      await delay(timers, ASK_GAP_MS, this.#stopped.signal);
+    for (let round = 0; round < MAX_COLLECT_ROUNDS; round += 1) {
+      const unanswered = roster.allPeers().filter(({ name }) => !collection.hasAnswered(name));
+      if (unanswered.length === 0) break;
+      peers()?.sendMessage(unanswered, { kind: 'usage-asked', window });
+      await delay(timers, COLLECT_ROUND_MS, this.#stopped.signal);
     }
     this.#collection = undefined;
     this.#collected = { window, counts: Object.fromEntries(collection.total()) };
@@ -205,7 +205,7 @@
     });
   }
 
-  async #takeRecord(call: Promise<SentOutcome<UsageRecord>>): Promise<void> {
+  async #applyRecord(call: Promise<SentOutcome<UsageRecord>>): Promise<void> {
     const { outcome, sentMs } = await call;
     this.#duty.takeRecord(outcome, sentMs, this.#options.leaseTimers.nowMs());
     if (outcome.kind !== 'seen') return this.#backOff();
@@ -247,7 +247,7 @@
     this.#failuresInARow += 1;
     const waitMs = FIRST_BACKOFF_MS * 2 ** (this.#failuresInARow - 1);
     const { timers } = this.#options;
-    await delay(timers, Math.min(LONGEST_BACKOFF_MS, waitMs), this.#stopped.signal);
+    await delay(timers, Math.min(MAX_BACKOFF_MS, waitMs), this.#stopped.signal);
   }
 }
 
--- a/test/gateway/capacity-controller.test.ts
+++ b/test/gateway/capacity-controller.test.ts
@@ -78,28 +78,28 @@
   return { timers, fleet, orders, events, controller };
 }
 
-async function pass({ timers }: Setup, spanMs: number): Promise<void> {
+async function advanceTime({ timers }: Setup, spanMs: number): Promise<void> {
   for (let passedMs = 0; passedMs < spanMs; passedMs += 50) {
     timers.advance(50);
     for (let turn = 0; turn < 20; turn += 1) await new Promise((resolve) => setImmediate(resolve));
   }
 }
 
-async function settled(bearsLoss: boolean, spotPrice?: number): Promise<Setup> {
+async function setUpSettled(bearsLoss: boolean, spotPrice?: number): Promise<Setup> {
   const setup = setUp(bearsLoss, spotPrice);
   void setup.controller.run();
-  await pass(setup, BOOT_MS + 2_500);
+  await advanceTime(setup, BOOT_MS + 2_500);
   return setup;
 }
 
 test('servers of a zone that say that they leave are ordered elsewhere within half a second', async () => {
-  const setup = await settled(true);
+  const setup = await setUpSettled(true);
   const before = setup.orders.length;
   setup.fleet.directory.apply(
     serversOf('a', 'draining').filter(({ isSpot }) => isSpot),
     [],
   );
-  await pass(setup, 500);
+  await advanceTime(setup, 500);
   const answers = setup.orders.slice(before);
   setup.controller.stop();
   assert.ok(answers.length > 0);
@@ -113,13 +113,13 @@
 });
 
 test('switched off, a loss is not ordered in other zones, and nothing is written down of it', async () => {
-  const setup = await settled(false);
+  const setup = await setUpSettled(false);
   setup.fleet.directory.apply(
     serversOf('a', 'draining').filter(({ isSpot }) => isSpot),
     [],
   );
   const before = setup.orders.length;
-  await pass(setup, 500);
+  await advanceTime(setup, 500);
   setup.controller.stop();
   assert.deepEqual(
     setup.orders.slice(before).filter(({ zone }) => zone !== 'a'),
@@ -130,7 +130,7 @@
 });
 
 test('where spot servers cost no less the same is ordered, whether it is switched on or off', async () => {
-  const [on, off] = [await settled(true, 1), await settled(false, 1)];
+  const [on, off] = [await setUpSettled(true, 1), await setUpSettled(false, 1)];
   on.controller.stop();
   off.controller.stop();
   assert.ok(off.orders.every(({ isSpot, servers }) => !isSpot || servers === 0));
--- a/test/gateway/fleet-demand.test.ts
+++ b/test/gateway/fleet-demand.test.ts
@@ -84,16 +84,16 @@
   const gapsMs = fc.array(fc.record({ gapMs: fc.nat(3_000), workMs: fc.nat(100) }));
   fc.assert(
     fc.property(gapsMs, (steps) => {
-      const kept = new StageDemand(DEMAND_SPAN_MS);
-      const noted: { readonly atMs: number; readonly workMs: number }[] = [];
+      const stageDemand = new StageDemand(DEMAND_SPAN_MS);
+      const recorded: { readonly atMs: number; readonly workMs: number }[] = [];
       let nowMs = 0;
       for (const { gapMs, workMs } of steps) {
         nowMs += gapMs;
-        noted.push({ atMs: nowMs, workMs });
-        kept.recordRequest('short-prompt', { prefillMs: workMs, decodeMs: 0 }, nowMs);
-        const inSpan = noted.filter(({ atMs }) => atMs > nowMs - DEMAND_SPAN_MS);
+        recorded.push({ atMs: nowMs, workMs });
+        stageDemand.recordRequest('short-prompt', { prefillMs: workMs, decodeMs: 0 }, nowMs);
+        const inSpan = recorded.filter(({ atMs }) => atMs > nowMs - DEMAND_SPAN_MS);
         const expected = inSpan.reduce((sum, entry) => sum + entry.workMs, 0);
-        const { prefillMs, requests, shortRequests } = kept.sums(nowMs);
+        const { prefillMs, requests, shortRequests } = stageDemand.sums(nowMs);
         assert.equal(prefillMs, expected);
         assert.equal(requests, inSpan.length);
         assert.equal(shortRequests, inSpan.length);
--- a/test/gateway/retry-budget-births.test.ts
+++ b/test/gateway/retry-budget-births.test.ts
@@ -24,7 +24,7 @@
 /** From the first reading of the list to the second. */
 const READ_AGAIN_MS = 1_000;
 
-interface Course {
+interface Scenario {
   readonly daemons: number;
   readonly slack: number;
   readonly killsAtMs: readonly number[];
@@ -33,21 +33,21 @@
 }
 
 /** Evenly spread requests, all turned away, over a fleet whose processes are killed together. */
-function play({ daemons, slack, killsAtMs, listAfterMs }: Course): WorstWindow {
+function play({ daemons, slack, killsAtMs, listAfterMs }: Scenario): WorstWindow {
   const options = { ratio: RATIO, slack };
   const fleet = new FleetOfBudgets(options, daemons);
   const everyDaemon = Array.from({ length: daemons }, (_, daemon) => daemon);
   for (const daemon of [...everyDaemon, ...everyDaemon]) fleet.readList(daemon, daemons);
-  const births = killsAtMs.map((atMs) => atMs + DOWN_MS);
+  const restartsMs = killsAtMs.map((atMs) => atMs + DOWN_MS);
   const isDown = (nowMs: number) =>
     killsAtMs.some((atMs) => nowMs >= atMs && nowMs < atMs + DOWN_MS);
   const passed = (times: readonly number[], nowMs: number) =>
     times.some((atMs) => atMs > nowMs - REQUEST_GAP_MS && atMs <= nowMs);
   for (let request = 0; request * REQUEST_GAP_MS < RUN_MS; request += 1) {
     const nowMs = request * REQUEST_GAP_MS;
-    if (passed(births, nowMs)) for (const daemon of everyDaemon) fleet.restart(daemon);
+    if (passed(restartsMs, nowMs)) for (const daemon of everyDaemon) fleet.restart(daemon);
     const isListRead = passed(
-      births.flatMap((atMs) => [atMs + listAfterMs, atMs + listAfterMs + READ_AGAIN_MS]),
+      restartsMs.flatMap((atMs) => [atMs + listAfterMs, atMs + listAfterMs + READ_AGAIN_MS]),
       nowMs,
     );
     if (isListRead) for (const daemon of everyDaemon) fleet.readList(daemon, daemons);
@@ -65,8 +65,8 @@
     for (const killsAtMs of [[12_000], [12_000, 17_000], [10_000, 13_000, 16_000]]) {
       for (const listAfterMs of [0, 100, 400, 1_000, 5_000]) {
         const { repeats, allowed } = play({ daemons, slack, killsAtMs, listAfterMs });
-        const course = `${daemons} daemons, killed at ${killsAtMs} ms, list after ${listAfterMs} ms`;
-        assert.ok(repeats <= allowed, `${course}: ${repeats} repeats of ${allowed}`);
+        const scenario = `${daemons} daemons, killed at ${killsAtMs} ms, list after ${listAfterMs} ms`;
+        assert.ok(repeats <= allowed, `${scenario}: ${repeats} repeats of ${allowed}`);
       }
     }
   }
--- a/test/gateway/retry-budget-list.test.ts
+++ b/test/gateway/retry-budget-list.test.ts
@@ -15,7 +15,7 @@
 const OPTIONS = { ratio: 0.2, slack: 158 };
 const DAEMONS = 59;
 const REQUEST_GAP_MS = 2.5;
-const WELL_MS = 20_000;
+const HEALTHY_MS = 20_000;
 const RUN_MS = 40_000;
 const EVERY_DAEMON = Array.from({ length: DAEMONS }, (_, daemon) => daemon);
 
@@ -23,13 +23,13 @@
 function playFrom(fleet: FleetOfBudgets): void {
   for (let request = 0; request * REQUEST_GAP_MS < RUN_MS; request += 1) {
     const nowMs = request * REQUEST_GAP_MS;
-    fleet.request(request, nowMs < WELL_MS ? 0 : 4, nowMs);
+    fleet.request(request, nowMs < HEALTHY_MS ? 0 : 4, nowMs);
   }
 }
 
-function assertWithinBound(fleet: FleetOfBudgets, course: string): void {
+function assertWithinBound(fleet: FleetOfBudgets, scenario: string): void {
   const { repeats, allowed } = worstWindow(fleet.seen, OPTIONS);
-  assert.ok(repeats <= allowed, `${course}: ${repeats} repeats of ${allowed}`);
+  assert.ok(repeats <= allowed, `${scenario}: ${repeats} repeats of ${allowed}`);
 }
 
 test('daemons whose list is short keep the bound', () => {
--- a/test/gateway/retry-budget.test.ts
+++ b/test/gateway/retry-budget.test.ts
@@ -15,7 +15,7 @@
 interface RequestEvent {
   readonly kind: 'request';
   readonly daemon: number;
-  readonly turnedAway: number;
+  readonly refusals: number;
   readonly afterMs: number;
 }
 
@@ -25,17 +25,17 @@
   readonly afterMs: number;
 }
 
-const MOST_DAEMONS = 66;
+const MAX_DAEMONS = 66;
 
 const requestEvent = fc.record<RequestEvent>({
   kind: fc.constant('request'),
-  daemon: fc.nat(MOST_DAEMONS - 1),
-  turnedAway: fc.nat(4),
+  daemon: fc.nat(MAX_DAEMONS - 1),
+  refusals: fc.nat(4),
   afterMs: fc.nat(120),
 });
 const restartEvent = fc.record<RestartEvent>({
   kind: fc.constant('restart'),
-  daemon: fc.nat(MOST_DAEMONS - 1),
+  daemon: fc.nat(MAX_DAEMONS - 1),
   afterMs: fc.nat(120),
 });
 const history = fc.array(
@@ -44,13 +44,13 @@
 );
 
 /** Times of requests and repeats as servers and callers see them. */
-interface Seen {
+interface ObservedTimes {
   readonly requestsMs: number[];
   readonly repeatsMs: number[];
 }
 
-function play(events: readonly (RequestEvent | RestartEvent)[], daemons: number): Seen {
-  const seen: Seen = { requestsMs: [], repeatsMs: [] };
+function play(events: readonly (RequestEvent | RestartEvent)[], daemons: number): ObservedTimes {
+  const seen: ObservedTimes = { requestsMs: [], repeatsMs: [] };
   const options = { ratio: RATIO, slack: SLACK };
   const budgets = Array.from({ length: daemons }, () => new RetryBudget(options, daemons));
   let nowMs = 0;
@@ -66,7 +66,7 @@
     budget.countRequest();
     seen.requestsMs.push(nowMs);
     const meter = new SendMeter();
-    for (let send = 0; send <= event.turnedAway; send += 1) {
+    for (let send = 0; send <= event.refusals; send += 1) {
       if (meter.tryBegin('run', budget) === undefined) break;
       if (send > 0) seen.repeatsMs.push(nowMs);
     }
@@ -75,7 +75,7 @@
 }
 
 /** How far the worst window is over the bound; windows begin just before a repeat. */
-function worstExcess({ requestsMs, repeatsMs }: Seen): number {
+function worstExcess({ requestsMs, repeatsMs }: ObservedTimes): number {
   let worst = Number.NEGATIVE_INFINITY;
   for (const startMs of repeatsMs) {
     const isInside = (atMs: number) => atMs >= startMs && atMs < startMs + WINDOW_MS;
@@ -87,7 +87,7 @@
 
 test('no window holds more repeats than the ratio and the slack allow', () => {
   fc.assert(
-    fc.property(history, fc.integer({ min: 1, max: MOST_DAEMONS }), (events, daemons) => {
+    fc.property(history, fc.integer({ min: 1, max: MAX_DAEMONS }), (events, daemons) => {
       assert.ok(worstExcess(play(events, daemons)) <= 0);
     }),
     { seed: 47, numRuns: 150 },
--- a/test/gateway/stage-controller.test.ts
+++ b/test/gateway/stage-controller.test.ts
@@ -57,7 +57,7 @@
   return Promise.resolve({ kind: 'answered', answer } as unknown as CallResult);
 }
 
-function fleetWithTooFewPrefillEngines(nowMs: number): FleetView {
+function fleetShortOfPrefillEngines(nowMs: number): FleetView {
   const fleet = new FleetView({ ratio: 0.2, slack: 48 });
   const engine = {
     slots: 8,
@@ -103,7 +103,7 @@
 
 function setUp(): Setup {
   const timers = new ManualTimers();
-  const fleet = fleetWithTooFewPrefillEngines(timers.nowMs());
+  const fleet = fleetShortOfPrefillEngines(timers.nowMs());
   return {
     timers,
     suspendedMs: 0,
@@ -145,7 +145,7 @@
 }
 
 /** Lets time pass while long prompts keep coming. */
-async function pass(setup: Setup, spanMs: number): Promise<void> {
+async function advanceTime(setup: Setup, spanMs: number): Promise<void> {
   for (let passedMs = 0; passedMs < spanMs; passedMs += 50) {
     const nowMs = setup.timers.nowMs();
     setup.fleet.demand
@@ -159,7 +159,7 @@
 test('a wanted change is ordered under the lease, with its epoch and the engine’s own sequence', async () => {
   const setup = setUp();
   startController(setup, 'front-1');
-  await pass(setup, 10_000);
+  await advanceTime(setup, 10_000);
   const order = setup.engines.orders[0];
   assert.deepEqual(
     [order?.holder, order?.fence, order?.stage, order?.expectedRevision],
@@ -171,11 +171,11 @@
   const setup = setUp();
   startController(setup, 'front-1');
   const usable = () => setup.fleet.candidates('reader', setup.timers.nowMs());
-  while (setup.notices.length === 0) await pass(setup, 50);
+  while (setup.notices.length === 0) await advanceTime(setup, 50);
   const engineId = setup.notices[0]?.engineId;
   assert.equal(setup.engines.orders.length, 0, 'it is emptied first');
   assert.ok(usable().every(({ id }) => id !== engineId));
-  await pass(setup, 2_000);
+  await advanceTime(setup, 2_000);
   const phases = setup.notices.filter((notice) => notice.engineId === engineId);
   assert.equal(phases.at(-1)?.phase, 'changed');
   assert.equal(usable().find(({ id }) => id === engineId)?.stage, 'prefill');
@@ -185,7 +185,7 @@
   const setup = setUp();
   startController(setup, 'front-1');
   startController(setup, 'front-22');
-  await pass(setup, 20_000);
+  await advanceTime(setup, 20_000);
   assert.equal(new Set(setup.engines.orders.map((order) => order.holder)).size, 1);
   assert.ok(setup.engines.orders.length >= 2);
 });
@@ -193,11 +193,11 @@
 test('a holder that cannot renew stops ordering before its lease ends', async () => {
   const setup = setUp();
   startController(setup, 'front-1');
-  await pass(setup, 10_000);
+  await advanceTime(setup, 10_000);
   setup.table.isDown = true;
-  await pass(setup, LEASE_MS);
+  await advanceTime(setup, LEASE_MS);
   const ordersAtEnd = setup.engines.orders.length;
-  await pass(setup, 10_000);
+  await advanceTime(setup, 10_000);
   assert.equal(setup.engines.orders.length, ordersAtEnd);
 });
 
@@ -205,11 +205,11 @@
   // A steady clock does not count the time of a suspension: the holder took its lease for as young as before.
   const setup = setUp();
   startController(setup, 'front-1');
-  while (setup.notices.length === 0) await pass(setup, 50);
+  while (setup.notices.length === 0) await advanceTime(setup, 50);
   assert.equal(setup.engines.orders.length, 0, 'an engine is emptied before it is ordered');
   setup.table.isDown = true;
   setup.suspendedMs = LEASE_MS;
-  await pass(setup, 2_000);
+  await advanceTime(setup, 2_000);
   assert.equal(setup.engines.orders.length, 0);
 });
 
@@ -217,11 +217,11 @@
   const setup = setUp();
   const first = startController(setup, 'front-1');
   // Stopped after its first order, while more changes are wanted.
-  while (setup.engines.orders.length === 0) await pass(setup, 50);
+  while (setup.engines.orders.length === 0) await advanceTime(setup, 50);
   first.stop();
   startController(setup, 'front-22');
   const before = setup.engines.orders.length;
-  await pass(setup, 15_000);
+  await advanceTime(setup, 15_000);
   const later = setup.engines.orders.slice(before);
   assert.ok(later.length > 0);
   assert.deepEqual(
@@ -234,14 +234,14 @@
   const setup = setUp();
   setup.table.isDown = true;
   startController(setup, 'front-1');
-  await pass(setup, 15_000);
+  await advanceTime(setup, 15_000);
   assert.deepEqual(setup.engines.orders, []);
 });
 
 const LOST_IDS = ['e6', 'e7'];
 
 /** Two of eight engines generate, and from now on neither answers. */
-function loseAllThatGenerate(setup: Setup): void {
+function loseAllDecodeEngines(setup: Setup): void {
   for (const record of [...setup.fleet.directory.all()]) {
     const stage = LOST_IDS.includes(record.id) ? 'decode' : 'prefill';
     setup.fleet.directory.apply([{ ...record, stage }], []);
@@ -251,23 +251,25 @@
 }
 
 /** Lets time pass while every attempt to reach the lost engines fails. */
-async function passWhileLost(setup: Setup, spanMs: number): Promise<void> {
+async function advanceTimeWhileLost(setup: Setup, spanMs: number): Promise<void> {
   for (let passedMs = 0; passedMs < spanMs; passedMs += 200) {
     for (const id of LOST_IDS) setup.fleet.healthOf(id).recordSilent(setup.timers.nowMs());
-    await pass(setup, 200);
+    await advanceTime(setup, 200);
   }
 }
 
 test('when all that generate are lost, engines are ordered over at once, right after an order as well', async () => {
   const setup = setUp();
   startController(setup, 'front-1');
-  while (setup.engines.orders.length === 0) await pass(setup, 50);
+  while (setup.engines.orders.length === 0) await advanceTime(setup, 50);
   const before = setup.engines.orders.length;
-  loseAllThatGenerate(setup);
-  await passWhileLost(setup, 1_600);
-  const rescues = setup.engines.orders.slice(before).filter(({ stage }) => stage === 'decode');
-  assert.equal(rescues.length, 3);
-  assert.equal(new Set(rescues.map(({ address }) => address)).size, 3);
+  loseAllDecodeEngines(setup);
+  await advanceTimeWhileLost(setup, 1_600);
+  const recoveryOrders = setup.engines.orders
+    .slice(before)
+    .filter(({ stage }) => stage === 'decode');
+  assert.equal(recoveryOrders.length, 3);
+  assert.equal(new Set(recoveryOrders.map(({ address }) => address)).size, 3);
   const generating = setup.fleet
     .candidates('reader', setup.timers.nowMs())
     .filter(({ stage }) => stage === 'decode');
@@ -277,40 +279,42 @@
 test('engines that are lost for a moment only cause no order', async () => {
   const setup = setUp();
   startController(setup, 'front-1');
-  await pass(setup, 250);
-  loseAllThatGenerate(setup);
+  await advanceTime(setup, 250);
+  loseAllDecodeEngines(setup);
   setup.timers.advance(250);
   for (const id of LOST_IDS) setup.fleet.healthOf(id).recordReached();
   for (const id of LOST_IDS) setup.fleet.healthOf(id).recordSuccess(1);
-  await pass(setup, 500);
+  await advanceTime(setup, 500);
   assert.deepEqual(setup.engines.orders, []);
 });
 
 test('when the daemon that orders is lost as well, another one brings the stage back', async () => {
   const setup = setUp();
   const first = startController(setup, 'front-1');
-  while (setup.engines.orders.length === 0) await pass(setup, 50);
+  while (setup.engines.orders.length === 0) await advanceTime(setup, 50);
   first.stop();
   startController(setup, 'front-22');
-  await pass(setup, 250);
+  await advanceTime(setup, 250);
   const before = setup.engines.orders.length;
-  loseAllThatGenerate(setup);
-  await passWhileLost(setup, LEASE_MS + 3_000);
-  const rescues = setup.engines.orders.slice(before).filter(({ stage }) => stage === 'decode');
-  assert.ok(rescues.length >= 3);
-  assert.deepEqual(new Set(rescues.map(({ fence }) => fence)), new Set([2]));
+  loseAllDecodeEngines(setup);
+  await advanceTimeWhileLost(setup, LEASE_MS + 3_000);
+  const recoveryOrders = setup.engines.orders
+    .slice(before)
+    .filter(({ stage }) => stage === 'decode');
+  assert.ok(recoveryOrders.length >= 3);
+  assert.deepEqual(new Set(recoveryOrders.map(({ fence }) => fence)), new Set([2]));
 });
 
 test('without the store no order can be fenced, so none is given, and it is once the store is back', async () => {
   const setup = setUp();
   setup.table.isDown = true;
   startController(setup, 'front-1');
-  await pass(setup, 250);
-  loseAllThatGenerate(setup);
-  await passWhileLost(setup, 4_000);
+  await advanceTime(setup, 250);
+  loseAllDecodeEngines(setup);
+  await advanceTimeWhileLost(setup, 4_000);
   assert.deepEqual(setup.engines.orders, []);
   setup.table.isDown = false;
-  await passWhileLost(setup, 4_000);
+  await advanceTimeWhileLost(setup, 4_000);
   assert.equal(setup.engines.orders.filter(({ stage }) => stage === 'decode').length, 3);
 });
 
@@ -330,43 +334,43 @@
 test('a daemon that may not order takes no part', async () => {
   const setup = setUp();
   startController(setup, 'front-1', () => false);
-  await pass(setup, 250);
-  loseAllThatGenerate(setup);
-  await passWhileLost(setup, 4_000);
+  await advanceTime(setup, 250);
+  loseAllDecodeEngines(setup);
+  await advanceTimeWhileLost(setup, 4_000);
   assert.deepEqual(setup.engines.orders, []);
 });
 
 const BORN_MS = 1_800_000_000_000;
 
 /** The list says that all engines started then. */
-function bearEngines({ fleet }: Setup, bornMs: number): void {
+function setListedBornMs({ fleet }: Setup, bornMs: number): void {
   fleet.directory.replaceAll([...fleet.directory.all()].map((engine) => ({ ...engine, bornMs })));
 }
 
 test('an engine that says it has started again is not ordered by what was planned for its life before', async () => {
   const setup = setUp();
-  bearEngines(setup, BORN_MS);
+  setListedBornMs(setup, BORN_MS);
   setup.engines.bornMs = BORN_MS + 1;
   const controller = startController(setup, 'front-1');
-  await pass(setup, 10_000);
+  await advanceTime(setup, 10_000);
   assert.ok(setup.notices.length > 0);
   assert.deepEqual(setup.engines.orders, []);
   setup.engines.bornMs = BORN_MS;
-  await pass(setup, 10_000);
+  await advanceTime(setup, 10_000);
   assert.ok(setup.engines.orders.length > 0);
   controller.stop();
 });
 
 test('an engine that starts again while it is emptied is not ordered, and the notice of it is forgotten', async () => {
   const setup = setUp();
-  bearEngines(setup, BORN_MS);
+  setListedBornMs(setup, BORN_MS);
   const controller = startController(setup, 'front-1');
-  while (setup.notices.length === 0) await pass(setup, 50);
+  while (setup.notices.length === 0) await advanceTime(setup, 50);
   const { directory } = setup.fleet;
   const engine = directory.get(setup.notices[0]?.engineId ?? '');
   assert.ok(engine);
   setup.fleet.forgetEnded(directory.apply([{ ...engine, bornMs: BORN_MS + 1 }], []));
-  await pass(setup, 400);
+  await advanceTime(setup, 400);
   assert.deepEqual(
     setup.engines.orders.filter(({ address }) => address === engine.address),
     [],
--- a/test/gateway/support/repeats-of-fleet.ts
+++ b/test/gateway/support/repeats-of-fleet.ts
@@ -41,12 +41,12 @@
   }
 
   /** A request arrives, and so many servers turn it away before one takes it. */
-  request(daemon: number, turnedAway: number, nowMs: number): void {
+  request(daemon: number, refusals: number, nowMs: number): void {
     const budget = this.#viewOf(daemon).budgetOf(SERVICE);
     budget.countRequest();
     this.seen.requestsMs.push(nowMs);
     const meter = new SendMeter();
-    for (let send = 0; send <= turnedAway; send += 1) {
+    for (let send = 0; send <= refusals; send += 1) {
       if (meter.tryBegin('run', budget) === undefined) break;
       if (send > 0) this.seen.repeatsMs.push(nowMs);
     }
