--- a/src/core/gateway/configuration.ts
+++ b/src/core/gateway/configuration.ts
@@ -1,90 +1,91 @@
 /**
- * The configuration of described requests: routes by host and path, the services behind them and
- * what a caller may send. It is written by an operator elsewhere and only read here.
+ * The configuration of a gateway: routes by host and path, the services behind them, and limits on what callers may
+ * send. An operator writes it to the platform's store; a gateway only reads it.
  */
 
 /** How a route's requests may be run and answered. */
 export type RouteKind =
-  /** May run more than once. */
+  /** Requests may run more than once. */
   | 'idempotent'
-  /** Runs at most once. */
+  /** Requests run at most once. */
   | 'non-idempotent'
-  /** Answered by events; runs at most once unless `resumable`. */
+  /** Requests are answered by a stream of events; they run at most once unless the route is `resumable`. */
   | 'streaming';
 
-/** One part of a route's traffic. */
+/** The share of a route's traffic that a service receives. */
 export interface TrafficShare {
   readonly service: string;
   /** Relative weight, not negative. */
   readonly weight: number;
 }
 
-/** Where requests of one host and path prefix go, and within which bounds. */
+/** The services for requests of one host and path prefix, and the bounds on these requests. */
 export interface Route {
   readonly name: string;
   readonly host: string;
   /** Begins and ends with a slash. */
   readonly pathPrefix: string;
   readonly kind: RouteKind;
-  /** Whether requests without an API key are taken, where there are tenants. */
+  /** Whether requests without an API key are accepted even if the configuration has tenants. */
   readonly isPublic: boolean;
-  /** Whether a stream may be taken up at another server after its last event. */
+  /** Whether a broken stream may be resumed at another server after its last event. */
   readonly resumable: boolean;
-  /** The longest time a request is held. */
+  /** Maximum time until a request ends. */
   readonly timeoutMs: number;
-  /** Within this time an answer (a stream's first event) has its full value. */
+  /** An answer (for a stream, its first event) within this time counts as in time. */
   readonly targetLatencyMs: number;
   /** 0 is the most urgent. */
   readonly priority: number;
-  /** How many servers one request may run on. */
+  /** Maximum number of servers that one request may run on. */
   readonly attempts: number;
   readonly traffic: readonly TrafficShare[];
 }
 
-/** What is known of a service's model engines. */
+/** Properties of a service's model engines. */
 export interface EngineTraits {
   readonly slots: number;
   readonly kvTokens: number;
   readonly kvTokenBytes: number;
   readonly linkMbps: number;
-  /** How long an engine is away to change its stage, once its work is done. */
+  /** Time for which an engine does no work while it changes its stage, once its running work is done. */
   readonly roleSwitchMs: number;
-  /** Held news calls that one engine takes from all daemons together. */
+  /** Long polls for cache events that one engine accepts from all daemons together. */
   readonly maxNewsCalls: number;
 }
 
-/** Between how many servers a zone may have of a service that is paid by the second, and what they cost. */
+/** Bounds on the number of servers of a service that is billed by the second, and their prices. */
 export interface ScalingLimits {
-  /** Of both kinds together, for each zone. */
+  /** Minimum per zone, spot servers and others together. */
   readonly min: number;
+  /** Maximum per zone, spot servers and others together. */
   readonly max: number;
-  /** From the order until a server serves. */
+  /** Time from the order until a server accepts work. */
   readonly bootMs: number;
-  /** The price of a spot server against the others; 1 where there are none. */
+  /** The price of a spot server relative to that of the others; 1 if there are none. */
   readonly spotPrice: number;
-  /** The price of a second of a server, by zone: the zones in which the service may run. */
+  /** The price of a server per second, by zone; its keys are the zones in which the service may run. */
   readonly zonePrices: ReadonlyMap<string, number>;
 }
 
 /** A group of interchangeable servers. */
 export interface Service {
   readonly name: string;
-  /** Absent for plain web servers. */
+  /** Undefined for web servers. */
   readonly engine: EngineTraits | undefined;
-  /** Undefined where the number of servers is not ordered. */
+  /** Undefined if the number of servers is not controlled by the gateways. */
   readonly scaling: ScalingLimits | undefined;
 }
 
-/** Whoever requests are run, counted and billed for. */
+/** A customer whose requests are identified by API keys, counted and billed. */
 export interface Tenant {
   readonly name: string;
-  /** Secrets: they are compared, and never logged or sent on. */
+  /** Secrets: they are only compared, never logged or forwarded. */
   readonly apiKeys: readonly string[];
-  /** 0 is the most urgent; undefined goes after all that have one. */
+  /** 0 is the most urgent; undefined ranks after all tenants that have a priority. */
   readonly priority: number | undefined;
 }
 
-/** What a caller may send and how long it may take. */
+/** Limits on the size of a caller's requests and on the time to send them. */
 export interface CallerLimits {
   readonly maxHeaderBytes: number;
   readonly maxBodyBytes: number;
@@ -92,17 +93,17 @@
   readonly idleTimeoutMs: number;
 }
 
-/** One version of the whole configuration. */
+/** One version of the complete configuration. */
 export interface GatewayConfiguration {
   readonly version: number;
   readonly routes: readonly Route[];
   readonly services: ReadonlyMap<string, Service>;
-  /** Undefined where requests need no API key. */
+  /** Undefined if requests need no API key. */
   readonly tenants: readonly Tenant[] | undefined;
   readonly limits: CallerLimits;
 }
 
-/** Whether a request of this route may run on more than one server. */
+/** Whether a request of this route may be run again on another server. */
 export function isRepeatable(route: Route): boolean {
   switch (route.kind) {
     case 'idempotent':
--- a/src/core/gateway/index.ts
+++ b/src/core/gateway/index.ts
@@ -1,4 +1,4 @@
-/** Described requests: routes, servers, and the choices that are made for each request. */
+/** The decisions of a gateway: routes, servers, and the choice of servers for each request. */
 export {
   chooseDecodeEngine,
   type EnginePlan,
--- a/src/core/gateway/retry-budget.ts
+++ b/src/core/gateway/retry-budget.ts
@@ -1,47 +1,48 @@
 /**
- * Bounds how much more a service is sent than callers asked for, over any window of time and all
- * daemons together, without a message between them: a token bucket.
+ * A token bucket that bounds the repeated sends to a service, over every sliding window and all daemons together,
+ * without messages between the daemons.
  *
- * Each request earns a part of a repeat, each repeat takes a whole one, and what is saved up is capped
- * at this daemon's share of the slack. Whatever the window, a daemon's repeats in it are at most what
- * its requests in it earned and what it had saved before. A life begins with nothing, so that no number of
- * lives adds to that. The sum over daemons stays under `ratio` x requests + slack for every sliding window,
- * also when daemons die, start or are cut off in it. Where the slack is less than two repeats a daemon, the
- * bound rests on daemons not spending all that they saved at once: each may save up a whole one.
+ * Each request earns `ratio` of a repeat, each repeat costs one, and the saved repeats are capped at this daemon's
+ * share of the slack. In any window a daemon's repeats are at most those that its requests in the window earned plus
+ * those saved before it. A new incarnation begins with none, so that restarts add nothing. The sum over all daemons
+ * thus stays below `ratio` x requests + slack for every sliding window, also if daemons die, start or are partitioned
+ * in it. If the slack is less than two repeats per daemon, the bound relies on the daemons not spending all their saved
+ * repeats at once, because each may save one full repeat.
  */
 
-/** The slack is parted so even where fewer daemons are known. */
+/** The slack is divided into at least this many shares, even if fewer daemons are known. */
 const MIN_SHARES = 12;
-/** Room for daemons that are not known yet. */
+/** Shares per known daemon, which leaves some for daemons that are not known yet. */
 const SHARES_PER_DAEMON = 1.5;
-/** Kept back for requests that were sent before a window and arrive in it. */
+/** The share of the slack that is divided; the rest covers requests sent before a window that arrive in it. */
 const USABLE_SLACK_SHARE = 0.8;
 
-/** What the budget is built from. */
+/** The bound on repeats. */
 export interface RetryBudgetOptions {
   /** Repeats earned by each request. */
   readonly ratio: number;
-  /** Repeats that all daemons together are allowed in a window without any request. */
+  /** Repeats allowed to all daemons together in a window without requests. */
   readonly slack: number;
 }
 
-/** What came to a budget since it was created. */
+/** What a budget has counted since it was created. */
 export interface RetryBudgetCounts {
   readonly requests: number;
-  /** Repeats that were taken, also those given back later. */
+  /** Repeats taken, including those given back later. */
   readonly taken: number;
   readonly givenBack: number;
-  /** Repeats that there was no room for. */
+  /** Repeats that the budget did not allow. */
   readonly denied: number;
 }
 
-/** A daemon's share of one service's repeats. */
+/** A daemon's share of the retry budget of one service. */
 export class RetryBudget {
   readonly #options: RetryBudgetOptions;
   #share: number;
   /**
-   * A life that begins with more than its requests earned breaks the bound when many begin at once: with a quarter of a
-   * share each, 195 lives sent 2,145 repeats of 1,134 in a window, now 880 of 1,230 (virtual time, all killed once).
+   * Starts at 0: if each incarnation began with saved repeats, many that start together would exceed the bound. With a
+   * quarter of a share each, 195 daemons that were all killed once sent 2,145 repeats in a window that allowed 1,134;
+   * starting at 0, they sent 880 of 1,230 (in virtual time).
    */
   #level = 0;
   #requests = 0;
@@ -49,7 +50,7 @@
   #givenBack = 0;
   #denied = 0;
 
-  /** @param daemons undefined while it is not known how many share the slack: this one then has no part of it */
+  /** @param daemons number of daemons that share the slack; undefined while unknown, then this one gets no share */
   constructor(options: RetryBudgetOptions, daemons: number | undefined) {
     this.#options = options;
     this.#share = daemons === undefined ? 0 : shareOf(options, daemons);
@@ -60,7 +61,7 @@
     return this.#level;
   }
 
-  /** Repeats that can be saved up: a whole one, and what one request earns, however small the share of the slack. */
+  /** Maximum of saved repeats: at least one and what one request earns, however small the share of the slack. */
   get cap(): number {
     const { ratio } = this.#options;
     return ratio > 0 ? Math.max(1, ratio, this.#share) : this.#share;
@@ -75,7 +76,7 @@
     };
   }
 
-  /** Parts the slack among the daemons there are. */
+  /** Divides the slack anew among this many daemons. */
   setDaemonCount(daemons: number): void {
     this.#share = shareOf(this.#options, daemons);
     this.#level = Math.min(this.#level, this.cap);
@@ -86,7 +87,7 @@
     this.#earn(this.#options.ratio);
   }
 
-  /** Takes one repeat if there is one. */
+  /** Takes one repeat if one is saved. */
   tryTake(): boolean {
     if (this.#level < 1) {
       this.#denied += 1;
@@ -97,7 +98,7 @@
     return true;
   }
 
-  /** Gives back a repeat that turned out to be none. */
+  /** Gives back a repeat that turned out not to be one. */
   giveBack(): void {
     this.#givenBack += 1;
     this.#earn(1);
--- a/src/core/gateway/route-table.ts
+++ b/src/core/gateway/route-table.ts
@@ -1,6 +1,6 @@
 /**
- * Finds the route of a request: of the routes for its host, the one with the longest prefix of its
- * path. Splits a route's traffic over its services by weight.
+ * Finds the route of a request: the one with the longest matching path prefix among the routes of its host. Splits a
+ * route's traffic over its services by weight.
  */
 import type { Route, TrafficShare } from './configuration.js';
 
@@ -32,12 +32,12 @@
   }
 }
 
-/** Deals requests over weighted services evenly, without a random source. */
+/** Distributes the requests of a route over its services by weight, by smooth weighted round robin. */
 export class TrafficSplitter {
-  /** Smooth weighted round robin: credit by service, for each route's name. */
+  /** Round-robin credits by service, for each route by name. */
   readonly #credits = new Map<string, Map<string, number>>();
 
-  /** The service whose turn it is; undefined when no share has a weight. */
+  /** The service for the next request; undefined if no share has a weight above 0. */
   choose(route: Route): string | undefined {
     const shares = route.traffic.filter((share) => share.weight > 0);
     if (shares.length <= 1) return shares[0]?.service;
--- a/src/shell/gateway/capacity-controller.ts
+++ b/src/shell/gateway/capacity-controller.ts
@@ -1,6 +1,6 @@
 /**
- * Orders how many servers each zone is to have of the services that are paid by the second. `src/core/capacity/`
- * decides; this tells it what there is, and makes its calls one after the other.
+ * Orders server capacity per zone for services whose servers are billed by the second. `src/core/capacity/` decides;
+ * this controller supplies its inputs and makes the calls that it asks for, one at a time.
  */
 import * as z from 'zod/mini';
 import {
@@ -24,9 +24,12 @@
 
 const RECORD_KEY = 'capacity-duty';
 const POLL_INTERVAL_MS = 500;
-/** Where a loss is to be answered at once it is looked for more often than callers notice it. */
+/** Used while `bearsLoss` is set: short enough to replace lost servers before callers notice the loss. */
 const LOSS_POLL_INTERVAL_MS = 200;
-/** Candidates spread their first look over this time, so that the first has taken the duty. */
+/**
+ * Daemons start polling at a random time within this span, so that the first of them has taken the duty before the
+ * others try.
+ */
 const INITIAL_DELAY_SPREAD_MS = 1_000;
 const CALL_TIMEOUT_MS = 1_500;
 const FAILURE_BACKOFF_MS = 1_000;
@@ -46,32 +49,32 @@
   targets: z.optional(z.array(orderSchema)),
 });
 
-/** What a controller is built from. */
+/** Dependencies and settings of a capacity controller. */
 export interface CapacityControllerOptions {
   readonly daemon: string;
   readonly incarnation: number;
   readonly leaseMs: number;
-  /** Whether servers are ordered with room for a loss, and made up at once after one. */
+  /** Whether spare servers are ordered, and lost ones replaced at once. */
   readonly bearsLoss: boolean;
   readonly fleet: FleetView;
   readonly duties: PlatformDuties;
   readonly table: TableService;
-  /** Whether this daemon knows enough of the fleet to order anything. */
+  /** Whether this daemon knows the demand of the whole fleet, without which it must not order. */
   readonly mayOrder: () => boolean;
   readonly timers: TimerService;
-  /** Whose clock counts the time of a suspended machine. */
+  /** Timers whose clock includes the time during which the machine was suspended. */
   readonly leaseTimers: TimerService;
   readonly log: Pick<GatewayLog, 'write'>;
 }
 
-/** A daemon's part in ordering capacity. */
+/** Orders capacity while this daemon holds the capacity duty. */
 export class CapacityController {
   readonly #options: CapacityControllerOptions;
   readonly #duty: CapacityDuty;
   readonly #record: DutyRecordRow<CapacityRecord>;
   readonly #stopped = new AbortController();
   readonly #settling = new ServerListSettling();
-  /** What was last logged of each service. */
+  /** The plan last logged, by service. */
   readonly #lastLogged = new Map<string, string>();
   #wasHolder = false;
 
@@ -97,7 +100,7 @@
     this.#stopped.abort();
   }
 
-  /** @returns whether there may be more to do at once */
+  /** @returns whether another step may be due without delay */
   async #step(): Promise<boolean> {
     const nowMs = this.#options.timers.nowMs();
     const services = this.#scaledServices(nowMs);
@@ -146,11 +149,11 @@
       status: outcome.kind === 'refused' ? outcome.status : 0,
       reason: outcome.kind === 'lost' ? outcome.reason : '',
     });
-    // Where none are to be had, others are ordered elsewhere without delay.
+    // A conflict may mean that the zone has none of the ordered servers: they are ordered in other zones without delay.
     return outcome.kind === 'accepted' || (bearsLoss && outcome.kind === 'conflict');
   }
 
-  /** What is believed of this daemon's services, for the figures. */
+  /** This daemon's estimates for each service, for the metrics. */
   get beliefs(): readonly CapacityBelief[] {
     return this.#options.mayOrder() ? this.#duty.beliefs : [];
   }
@@ -161,7 +164,7 @@
     const fields = { service, needed, wanted, present, coming, zonesWithoutSpot };
     const { log } = this.#options;
     if (lost > 0) log.write(GATEWAY_EVENTS.spotServersTaken, { ...fields, lost });
-    // Servers come one by one, and the work changes by the moment: neither is news by itself.
+    // Only changes of the plan are logged: `present`, `coming` and `needed` change too often.
     const loggedState = `${wanted} ${zonesWithoutSpot}`;
     if (this.#lastLogged.get(service) === loggedState) return;
     this.#lastLogged.set(service, loggedState);
@@ -196,7 +199,7 @@
     return [{ service: name, limits: scaling, zones, neededInAll, neededWithRoom }];
   }
 
-  /** At the start of a fleet servers are listed one by one. */
+  /** Servers of a fleet that has just started are listed one by one; nothing is ordered before the list has settled. */
   #hasSettled(services: readonly ScaledService[], nowMs: number): boolean {
     const zones = services.flatMap((service) => service.zones);
     const listed = zones.reduce((sum, { plain, spot }) => sum + plain + spot, 0);
--- a/src/shell/gateway/duties.ts
+++ b/src/shell/gateway/duties.ts
@@ -1,6 +1,6 @@
 /**
- * The daemon's part in what the platform asks of one daemon at a time: usage reports, where the settings ask for
- * them, and orders of capacity.
+ * Duties, which one daemon of the fleet at a time performs for the platform: usage reports, where the settings
+ * configure them, and capacity orders.
  */
 import type { CapacityBelief } from '../../core/capacity/index.js';
 import type { PeerRoster, Tenant } from '../../core/gateway/index.js';
@@ -16,25 +16,25 @@
 
 const MILLISECONDS_PER_SECOND = 1_000;
 
-/** What duties are built from. */
+/** Dependencies and settings of the duties. */
 export interface DutiesOptions {
   readonly settings: Pick<GatewaySettings, 'name' | 'bounds' | 'duties' | 'decisions'>;
   readonly adapter: Pick<PlatformAdapter, 'duties' | 'table'>;
-  /** Another with each start of the process. */
+  /** Drawn anew with each start of the process. */
   readonly incarnation: number;
   readonly fleet: FleetView;
   readonly roster: PeerRoster;
-  /** Absent where this daemon tells no others. */
+  /** Returns undefined where this daemon does not exchange messages with others. */
   readonly peers: () => Pick<PeerExchange, 'sendMessage'> | undefined;
-  /** Whether this daemon knows enough of the fleet to order anything. */
+  /** Whether this daemon knows the demand of the whole fleet, without which it must not order. */
   readonly mayOrderCapacity: () => boolean;
   readonly timers: TimerService;
-  /** Whose clock counts the time of a suspended machine. */
+  /** Timers whose clock includes the time during which the machine was suspended. */
   readonly leaseTimers: TimerService;
   readonly log: Pick<GatewayLog, 'write'>;
 }
 
-/** The duties that this daemon may come to have; none where the platform asks for none. */
+/** The duties that this daemon may take over; none where the platform has none. */
 export class Duties {
   readonly #usage: UsageReporter | undefined;
   readonly #capacity: CapacityController | undefined;
@@ -76,22 +76,22 @@
     this.#capacity?.stop();
   }
 
-  /** What is believed of the services that are paid by the second; none where this daemon orders nothing. */
+  /** Estimates for the services whose servers are billed by the second; none where this daemon orders nothing. */
   get capacityBeliefs(): readonly CapacityBelief[] {
     return this.#capacity?.beliefs ?? [];
   }
 
-  /** Servers of a service that are on their way, as far as this daemon knows. */
+  /** Servers of a service that are ordered or booting, as far as this daemon knows. */
   comingServers(service: string): number {
     return this.capacityBeliefs.find((known) => known.service === service)?.coming ?? 0;
   }
 
-  /** A tenant's request began to run, so long ago. */
+  /** Records that a tenant's request began to run `agoMs` ago. */
   recordRunStart(tenant: Tenant | undefined, agoMs: number): void {
     if (tenant !== undefined) this.#usage?.recordRunStart(tenant.name, agoMs);
   }
 
-  /** What another daemon tells of usage, or asks. */
+  /** Handles another daemon's message on usage. */
   handleUsage(message: UsageMessage, reply: Reply): void {
     this.#usage?.take(message, reply);
   }
--- a/src/shell/gateway/duty-record.ts
+++ b/src/shell/gateway/duty-record.ts
@@ -1,4 +1,4 @@
-/** The record of a duty in the store: read, and written on the version last seen. */
+/** Reads a duty's record in the store, and writes it by compare-and-set on its version. */
 import type * as z from 'zod/mini';
 import type { DutyRecord, RecordOutcome } from '../../core/duty/index.js';
 import { GATEWAY_EVENTS } from '../../core/logging/catalogue/gateway.js';
@@ -9,23 +9,23 @@
 import { callTable } from './table-call.js';
 import type { TimerService } from './timer-service.js';
 
-/** What a record is reached by. */
+/** Where a duty's record is stored, and how it is read. */
 export interface DutyRecordOptions<Content extends DutyRecord> {
   readonly key: string;
   readonly schema: z.ZodMiniType<Content>;
   readonly table: TableService;
-  /** Whose clock counts the time of a suspended machine: what a record allows is counted by it. */
+  /** Timers whose clock includes the time during which the machine was suspended: leases are counted by it. */
   readonly leaseTimers: TimerService;
   readonly log: Pick<GatewayLog, 'write'>;
 }
 
-/** What became of a call, and when it was sent: what it allows is counted from then on. */
+/** The outcome of a call and the time at which it was sent, from which a lease is counted. */
 export interface SentOutcome<Content extends DutyRecord> {
   readonly outcome: RecordOutcome<Content>;
   readonly sentMs: number;
 }
 
-/** One duty's record. */
+/** The row of one duty's record. */
 export class DutyRecordRow<Content extends DutyRecord> {
   readonly #options: DutyRecordOptions<Content>;
 
@@ -37,7 +37,7 @@
     return this.#call({ kind: 'get', keys: [this.#options.key] }, signal);
   }
 
-  /** @param expectedVersion 0 where there is none yet */
+  /** @param expectedVersion 0 where there is no record yet */
   write(
     record: Content,
     expectedVersion: number,
@@ -57,7 +57,7 @@
     return { outcome, sentMs };
   }
 
-  /** A record that cannot be read is taken for one that could not be had: nothing is done on it. */
+  /** A malformed record is treated like a refused call, so that no decision is made on it. */
   #outcomeOf(result: TableResult): RecordOutcome<Content> {
     switch (result.kind) {
       case 'unavailable':
--- a/src/shell/gateway/fleet-demand.ts
+++ b/src/shell/gateway/fleet-demand.ts
@@ -1,6 +1,6 @@
 /**
- * What the services are asked for, by this daemon's callers and by all: the work of each stage, what others have sent that
- * does not show yet, and what limits of servers leave of their engines.
+ * The demand on each service, from this daemon's callers and from the whole fleet: the work for each stage, the work
+ * that other daemons have sent but not yet advertised, and how far rate limits reduce the throughput of engines.
  */
 import {
   type DemandSums,
@@ -17,11 +17,11 @@
 } from '../../core/gateway/index.js';
 import { getOrCreate } from './entry-of.js';
 
-/** The mix of work is judged over this time. */
+/** Demand is measured over a sliding window of this length. */
 export const DEMAND_SPAN_MS = 6_000;
 const MILLISECONDS_PER_SECOND = 1_000;
 
-/** What it is worked out from. */
+/** What the demand is computed from. */
 export interface FleetDemandSources {
   readonly peerLoads: PeerLoads;
   readonly paces: Pick<FleetPaces, 'pacesOf'>;
@@ -29,7 +29,7 @@
   readonly limits: Pick<NamedLimits, 'of' | 'count'>;
   /** Servers of a service that may be sent new work. */
   readonly candidates: (service: string, nowMs: number) => readonly ServerRecord[];
-  /** Servers of a service that are there and stay. */
+  /** Servers of a service that are listed as ready and have not reported that they are leaving. */
   readonly readyOf: (service: string, nowMs: number) => readonly ServerRecord[];
 }
 
@@ -42,12 +42,12 @@
     this.#sources = sources;
   }
 
-  /** What this daemon is asked for. */
+  /** The demand from this daemon's own callers. */
   of(service: string): StageDemand {
     return getOrCreate(this.#demands, service, () => new StageDemand(DEMAND_SPAN_MS));
   }
 
-  /** What other daemons have sent for a service that does not show yet; undefined where all shows at once. */
+  /** Work that other daemons have sent but not yet advertised; undefined in fleets where they advertise it at once. */
   unseenOf(service: string, nowMs: number): UnseenWork | undefined {
     return unseenWork({
       daemons: this.#sources.size.listed,
@@ -60,7 +60,7 @@
     });
   }
 
-  /** What this daemon was asked for lately, for its peers. */
+  /** This daemon's own recent demand, to be advertised to its peers. */
   own(nowMs: number): readonly ServiceDemand[] {
     const demands = [...this.#demands].map(([service, demand]) => ({
       service,
@@ -69,7 +69,7 @@
     return demands.filter(({ requests }) => requests > 0);
   }
 
-  /** Short prompts that a decode engine of the usual pace gets in a millisecond, from all daemons. */
+  /** Short prompts per millisecond that a decode engine of typical pace receives from all daemons. */
   shortReadsPerMs(service: string, nowMs: number): number {
     const paceOf = this.#sources.paces.pacesOf(service);
     const engines = this.#sources
@@ -80,7 +80,7 @@
     return shortRequests / DEMAND_SPAN_MS / Math.max(1, paces);
   }
 
-  /** The work of a service, in engines of the usual pace that it keeps busy. */
+  /** The work of a service, as the number of engines of typical pace that it keeps busy. */
   needOf(service: string, nowMs: number): StageNeed {
     const { prefillMs, decodeMs, requests } = this.#fleetDemandOf(service, nowMs);
     return {
@@ -90,7 +90,7 @@
     };
   }
 
-  /** The demand that all daemons see; while none is heard, as if all saw as much as this one. */
+  /** The fleet's demand; until a peer has reported, this daemon's own demand times the number of daemons. */
   #fleetDemandOf(service: string, nowMs: number): DemandSums {
     const own = this.of(service).sums(nowMs);
     if (!this.#sources.peerLoads.hasReceived(nowMs))
@@ -101,7 +101,10 @@
     return total ?? own;
   }
 
-  /** By server, the part of its pace that its limit leaves it: what it takes of what each of its stage gets; 1 without one. */
+  /**
+   * By server, the share of its work that its rate limit allows: the limit against the mean request rate per server of
+   * its stage, at most 1; 1 without a limit.
+   */
   limitSharesOf(service: string, nowMs: number): (serverId: string) => number {
     if (this.#sources.limits.count === 0) return () => 1;
     const { requests } = this.#fleetDemandOf(service, nowMs);
@@ -117,7 +120,7 @@
   }
 }
 
-/** The work is multiplied, but not what it was seen from. */
+/** Scales the work, but not `requests`: the number of requests from which the work was measured. */
 function scaled(demand: DemandSums, factor: number): DemandSums {
   return {
     prefillMs: demand.prefillMs * factor,
--- a/src/shell/gateway/fleet-view.ts
+++ b/src/shell/gateway/fleet-view.ts
@@ -1,6 +1,6 @@
 /**
- * What a gateway believes at this moment: the configuration in force, the listed servers, and what
- * it has seen of each. The configuration never goes back to a lower version.
+ * A gateway's current view of the fleet: the configuration in force, the listed servers, and what this daemon has
+ * observed or received about each. The configuration never goes back to a lower version.
  */
 import {
   type DirectoryChange,
@@ -41,7 +41,7 @@
 import { type LoadDecisions, USUAL_LOAD_DECISIONS } from './gateway-settings.js';
 import type { EngineCacheEvents } from './peer-messages.js';
 
-/** Entries for web servers in one message, beside those for engines: crowded services have few servers. */
+/** Web servers per message, in addition to the engines; enough, as crowded services have few servers. */
 const MAX_WEB_ENTRIES = 16;
 
 /** A configuration with its indexes. */
@@ -52,10 +52,10 @@
   readonly sinceMs: number;
 }
 
-/** How a new configuration was met. */
+/** What became of a received configuration. */
 export type ConfigurationOutcome = 'taken' | 'older' | 'same';
 
-/** The beliefs that requests are decided from. */
+/** The state of the fleet on which requests are routed. */
 export class FleetView {
   readonly directory = new ServerDirectory();
   readonly availability = new ServerAvailability();
@@ -83,9 +83,9 @@
   readonly #countsOverdue: boolean;
 
   /**
-   * @param budgetOptions the bound on repeats that all daemons share
-   * @param onBudgetCreated told when a service's first request creates its budget
-   * @param decisions which decisions under load are made
+   * @param budgetOptions the bound on repeats, shared by all daemons
+   * @param onBudgetCreated called when a service's first request creates its budget
+   * @param decisions the load decisions that are switched on
    */
   constructor(
     budgetOptions: RetryBudgetOptions,
@@ -129,7 +129,7 @@
     return 'taken';
   }
 
-  /** Forgets what was known of servers that are gone, and of lives that are over. */
+  /** Forgets the state of removed servers and of earlier boots of restarted ones. */
   forgetEnded({ removed, restarted }: Pick<DirectoryChange, 'removed' | 'restarted'>): void {
     for (const server of [...removed, ...restarted]) {
       this.#health.delete(server.id);
@@ -140,7 +140,7 @@
       this.paces.forget(server);
       this.webLoads.forget(server.id);
     }
-    // What it said of its limit holds on: an entry may lapse and come back while the store is away.
+    // The reported limit stays in force: a server's entry may lapse and return while the store is unreachable.
     for (const { id } of removed) this.permits.forget(id);
   }
 
@@ -149,7 +149,7 @@
     return this.#usableOf(service, nowMs, ['open']);
   }
 
-  /** The same, and those that nothing but their limit keeps from it. */
+  /** The candidates and those servers that only their rate limit keeps from being candidates. */
   candidatesWithLimited(service: string, nowMs: number): ServerRecord[] {
     return this.#usableOf(service, nowMs, ['open', 'at-limit']);
   }
@@ -166,7 +166,7 @@
     return this.stageNotices.usable(sendable, nowMs);
   }
 
-  /** Whether a server may be sent a caller's request now, by its own word and the permits that there are. */
+  /** Whether a server may be sent a caller's request now, by its reported availability and the available permits. */
   availabilityOf(server: ServerRecord, nowMs: number): SendAvailability {
     const availability = this.availability.of(server, nowMs);
     const limit = this.limits.of(server.id);
@@ -176,25 +176,25 @@
     return { kind: 'at-limit', toldAgoMs: nowMs - limit.reportedAtMs, forMs };
   }
 
-  /** Servers of a service that nothing but their limit keeps from being sent work. */
+  /** Servers of a service that only their rate limit keeps from being sent work. */
   atLimit(service: string, nowMs: number): ServerRecord[] {
     return this.limits.count === 0 ? [] : this.#usableOf(service, nowMs, ['at-limit']);
   }
 
-  /** Servers of a service that are there and stay: listed as ready, and none has said that it leaves. */
+  /** Servers of a service that are listed as ready and have not reported that they are leaving. */
   readyOf(service: string, nowMs: number): ServerRecord[] {
     return this.directory
       .readyOf(service)
       .filter((server) => this.availability.of(server, nowMs).kind !== 'leaving');
   }
 
-  /** Whether a life of a server was one to stay, also if another one has followed since. */
+  /** Whether a boot of a server was ready and not leaving, even if the server has been restarted since. */
   wasReady(server: ServerRecord, nowMs: number): boolean {
     const isLeaving = this.availability.of(server, nowMs).kind === 'leaving';
     return !isLeaving && this.directory.wasReady(server);
   }
 
-  /** How many ready servers of a service have said that they leave or want rest. */
+  /** How many ready servers of a service have reported that they are leaving or backing off. */
   unavailableOf(
     service: string,
     nowMs: number,
@@ -206,20 +206,20 @@
     };
   }
 
-  /** Whether a server answers no connection, as far as is known. */
+  /** Whether a server is known to accept no connections. */
   isUnreachable(serverId: string, nowMs: number): boolean {
     return this.#health.get(serverId)?.isUnreachable(nowMs) === true;
   }
 
-  /** Whether calls to a server are expected to come through. */
+  /** Whether calls to a server are expected to succeed: it is neither unreachable nor ejected. */
   isReachable(serverId: string, nowMs: number): boolean {
     const health = this.#health.get(serverId);
     return health === undefined || !(health.isUnreachable(nowMs) || health.isEjected(nowMs));
   }
 
   /**
-   * When there may be room for a request that no server took: as soon as the first of those that were
-   * passed over is tried again. Undefined where none was passed over.
+   * Time until there may be capacity for a request that no server accepted: until the first skipped server is eligible
+   * again. Undefined if none is skipped.
    */
   roomExpectedInMs(service: string, nowMs: number): number | undefined {
     const waitsMs = this.readyOf(service, nowMs)
@@ -229,7 +229,7 @@
     return waitsMs.length === 0 ? undefined : Math.min(...waitsMs);
   }
 
-  /** How many of all listed servers have said that they leave, or want rest now. */
+  /** How many of all listed servers report that they are leaving, or backing off now. */
   saidSo(kind: Unavailable['kind'], nowMs: number): number {
     return this.#countOf(kind, [...this.directory.all()], nowMs);
   }
@@ -244,19 +244,19 @@
     return Math.max(waitMs, this.#health.get(server.id)?.skippedForMs(nowMs) ?? 0);
   }
 
-  /** A server that another daemon found silent, or back. */
+  /** Applies another daemon's notice that a server does not answer, or answers again. */
   handleReachability(notice: ReachabilityNotice, nowMs: number): void {
     if (this.directory.get(notice.serverId) === undefined) return;
     this.healthOf(notice.serverId).applyReachNotice(notice, nowMs);
   }
 
-  /** Servers of a service, those that are changing their stage as they will be. */
+  /** Servers of a service; those that are changing their stage are given with the new stage. */
   expectedServers(service: string, nowMs: number): ServerRecord[] {
     return this.stageNotices.expected(this.readyOf(service, nowMs), nowMs);
   }
 
   healthOf(serverId: string): ServerHealth {
-    // A plan asks for all engines: where there is an entry, no function is made to create one.
+    // Each plan reads the health of all engines: for an existing entry no closure is allocated.
     return (
       this.#health.get(serverId) ?? getOrCreate(this.#health, serverId, () => new ServerHealth())
     );
@@ -267,13 +267,16 @@
     return known ?? getOrCreate(this.#loads, serverId, () => new EngineLoad(this.#countsOverdue));
   }
 
-  /** What an engine has under way from all daemons; only good to compare engines. */
+  /**
+   * An engine's work from all daemons, as running requests plus milliseconds of waiting prompts: only good to compare
+   * engines.
+   */
   busyOf(engineId: string, nowMs: number): number {
     const running = this.loadOf(engineId).running + this.peerLoads.running(engineId, nowMs);
     return running + this.waitingMs(engineId, nowMs);
   }
 
-  /** What waits at the busiest of the engines that only read against their mean; 0 while nothing waits. */
+  /** Waiting work at the busiest prefill engine, relative to the mean of all prefill engines; 0 while nothing waits. */
   busiestToMean(nowMs: number): number {
     const services = [...(this.#inForce?.configuration.services.keys() ?? [])];
     const engines = services.flatMap((service) => this.candidates(service, nowMs));
@@ -284,22 +287,22 @@
     return totalMs > 0 ? (Math.max(...waitsMs) * waitsMs.length) / totalMs : 0;
   }
 
-  /** The prompts of all daemons that wait at an engine, as far as they are known here. */
+  /** Milliseconds of prompts, from all daemons, that are known to wait at an engine. */
   waitingMs(engineId: string, nowMs: number): number {
     const load = this.loadOf(engineId);
     const ownMs = load.pendingMs('in-time', nowMs) + load.pendingMs('late', nowMs);
     return ownMs + this.peerLoads.waitMs(engineId, 'late', nowMs);
   }
 
-  /** Whether a service has fewer slots than there are daemons, so that each sees little of its servers' work. */
+  /** Whether a service has fewer slots than there are daemons, so that each sees only a small part of its work. */
   isCrowded(service: string): boolean {
     const slots = this.directory.readyOf(service).reduce((sum, server) => sum + server.slots, 0);
     return (this.#size.listed ?? 1) > slots;
   }
 
   /**
-   * The work expected at the web servers of a service.
-   * @param isAdvertised whether other daemons tell of their calls there
+   * The estimated load of the web servers of a service.
+   * @param isAdvertised whether other daemons advertise their calls to these servers
    */
   webLoadsOf(
     service: string,
@@ -319,7 +322,7 @@
     };
   }
 
-  /** This daemon's calls to web servers of crowded services, for its peers; the most first. */
+  /** This daemon's calls to web servers of crowded services, to be advertised to its peers; the busiest first. */
   ownWebWork(): LoadReport['work'] {
     const work: EngineWork[] = [];
     const crowded = new Map<string, boolean>();
@@ -334,7 +337,7 @@
     return byCalls.slice(0, MAX_WEB_ENTRIES);
   }
 
-  /** This daemon's work at engines, for its peers. */
+  /** This daemon's work at engines, to be advertised to its peers. */
   ownWork(nowMs: number): LoadReport['work'] {
     const work: EngineWork[] = [];
     for (const [engineId, load] of this.#loads) {
@@ -347,7 +350,7 @@
     return work;
   }
 
-  /** Takes an engine's cache news that another daemon passed on. */
+  /** Applies an engine's cache events that another daemon forwarded. */
   applyCacheEvents(change: EngineCacheEvents, nowMs: number): void {
     const { engineId, isReset, events } = change;
     if (this.directory.get(engineId) === undefined) return;
@@ -361,22 +364,22 @@
     return getOrCreate(this.#speeds, service, () => new ReadSpeed(this.paces.sharesLine));
   }
 
-  /** An engine's pace against the usual one of its service, by which its part of the work is counted. */
+  /** An engine's pace relative to the typical one of its service. */
   paceOf(engineId: string): number {
     return this.paces.paceOf(engineId);
   }
 
-  /** How long prompts of an urgency wait, against what the work that is known says. */
+  /** How long prompts of an urgency wait, relative to what is forecast from the known work. */
   waitScaleOf(service: string, urgency: Urgency): ForecastScale {
     return getOrCreate(this.#waitScales, `${urgency} ${service}`, () => new ForecastScale());
   }
 
-  /** What was sent to a service lately, by rank. */
+  /** The work recently sent to a service, by rank. */
   rankSharesOf(service: string): RankShares {
     return getOrCreate(this.#rankShares, service, () => new RankShares());
   }
 
-  /** How long the more urgent kinds of a service can wait. */
+  /** How long the more urgent ranks of a service can still wait. */
   slackOf(service: string): UrgentSlack {
     return getOrCreate(this.#slacks, service, () => new UrgentSlack());
   }
@@ -389,17 +392,17 @@
     });
   }
 
-  /** The retry budgets of the services that were asked for. */
+  /** The retry budgets, by service; a service has one from its first request on. */
   get budgets(): ReadonlyMap<string, RetryBudget> {
     return this.#budgets;
   }
 
-  /** How many daemons there are, as far as their lists say. */
+  /** The number of daemons, as known from the lists read. */
   get size(): Pick<FleetSize, 'listed' | 'sharers'> {
     return this.#size;
   }
 
-  /** How many daemons a list holds that was read, or that the zone's relay has as well. */
+  /** Records the length of a list of daemons that was read, or that was found equal to the list of the zone's relay. */
   setDaemonCount(daemons: number): void {
     this.#size.take(daemons);
     const { sharers } = this.#size;
--- a/src/shell/gateway/gateway-gauges.ts
+++ b/src/shell/gateway/gateway-gauges.ts
@@ -1,4 +1,4 @@
-/** Figures of a gateway that are read when they are asked for. */
+/** Gauges of a gateway, read when the metrics are scraped. */
 import type { CapacityBelief } from '../../core/capacity/index.js';
 import type { BackendConnections } from './backend-connections.js';
 import type { CallerListener } from './caller-listener.js';
@@ -13,7 +13,7 @@
 import type { TimerService } from './timer-service.js';
 import type { WebWork } from './web-work.js';
 
-/** What gauges read. */
+/** The components that the gauges read. */
 export interface GaugeSources {
   readonly fleet: FleetView;
   readonly follower: Pick<
@@ -38,7 +38,7 @@
   readonly log: Pick<GatewayLog, 'droppedTotal'>;
 }
 
-/** Engines that are told of one by one, the most unlike first: more series than this cost more than they tell. */
+/** Engines with a series of their own, largest deviation first; bounds the cost of the metric. */
 const MAX_ENGINE_SERIES = 64;
 
 interface Gauge {
@@ -47,14 +47,14 @@
   readonly read: () => number;
 }
 
-/** Adds the gauges of a gateway to its figures. */
+/** Registers the gauges of a gateway. */
 export function addGauges(metrics: GatewayMetrics, sources: GaugeSources): void {
   for (const { name, help, read } of gaugesOf(sources)) {
     metrics.addGauge(`threadfork_gateway_${name}`, help, read);
   }
   metrics.addLabelledGauge(
     'threadfork_gateway_engine_pace',
-    'Pace of an engine against the usual one of its service, of those that differ most',
+    'Pace of an engine relative to the typical one of its service, for the engines that deviate most',
     'server',
     () => sources.fleet.paces.largestDeviations(MAX_ENGINE_SERIES),
   );
@@ -66,27 +66,27 @@
   return [
     {
       name: 'configuration_version',
-      help: 'Version in force',
+      help: 'Version of the configuration in force',
       read: () => fleet.inForce?.configuration.version ?? 0,
     },
     {
       name: 'configuration_highest_version',
-      help: 'Newest version that any daemon is known to have in force',
+      help: 'Highest configuration version that any daemon is known to have in force',
       read: () => follower.highestVersion,
     },
     {
       name: 'store_era',
-      help: 'Era of the store: rises each time that it comes back from an older copy',
+      help: 'Era of the store: rises each time the store is restored from an older copy',
       read: () => follower.storeEra,
     },
     {
       name: 'store_tables_unread',
-      help: 'Watched tables that are to be read whole before their changes are followed',
+      help: 'Watched tables that need a complete read before their changes can be followed',
       read: () => follower.unreadTables,
     },
     {
       name: 'configuration_look_age_ms',
-      help: "Age of the last look for a newer configuration, this daemon's own or its relay's",
+      help: 'Age of the last check for a newer configuration, by this daemon or its relay',
       read: () => follower.configurationCheckAgeMs(),
     },
     {
@@ -97,37 +97,37 @@
     { name: 'store_calls', help: 'Calls to the store', read: () => follower.callsTotal },
     {
       name: 'store_silent_ms',
-      help: 'Age of the last answer',
+      help: 'Age of the last answer of the store, for the watched table with the oldest one',
       read: () => follower.silentMs(),
     },
     {
       name: 'server_rows_unreadable',
-      help: 'Rows of the list of servers that cannot be read; they name no server to use',
+      help: 'Malformed rows in the list of servers; the servers that they name are not used',
       read: () => follower.unreadableServers,
     },
     {
       name: 'peers',
-      help: 'Daemons heard of lately',
+      help: 'Daemons whose load reports were received recently',
       read: () => fleet.peerLoads.count(timers.nowMs()),
     },
     {
       name: 'fleet_daemons',
-      help: 'Daemons of the last list, this one counted; 0 until one was read',
+      help: 'Daemons in the last list read, including this one; 0 until a list was read',
       read: () => fleet.size.listed ?? 0,
     },
     {
       name: 'engine_wait_busiest_to_mean',
-      help: 'What waits at the busiest engine that only reads, against the mean of these; 0 while nothing waits',
+      help: 'Waiting work at the busiest prefill engine, relative to the mean of all; 0 while none waits',
       read: () => fleet.busiestToMean(timers.nowMs()),
     },
     {
       name: 'requests_in_flight',
-      help: 'Requests without a final answer',
+      help: 'Requests in progress',
       read: () => callers.inFlight,
     },
     {
       name: 'requests_waiting',
-      help: 'Requests that wait for room',
+      help: 'Requests that wait for capacity',
       read: () => admission.waiting,
     },
     {
@@ -137,72 +137,72 @@
     },
     {
       name: 'server_loads_unreadable',
-      help: 'Reports of web servers on their load that could not be read, since the start',
+      help: 'Malformed load reports of web servers since the start',
       read: () => webWork.unreadableTotal,
     },
     {
       name: 'servers_said_leaving',
-      help: 'Listed servers that have said in an answer to this daemon that they leave',
+      help: 'Listed servers that reported to this daemon that they are leaving',
       read: () => fleet.saidSo('leaving', timers.nowMs()),
     },
     {
       name: 'servers_resting',
-      help: 'Listed servers that want nothing from this daemon for a time, as they asked',
+      help: 'Listed servers that asked this daemon to back off for a time',
       read: () => fleet.saidSo('resting', timers.nowMs()),
     },
     {
       name: 'servers_limited',
-      help: 'Servers that name a limit of requests a second, as far as this daemon knows',
+      help: 'Servers known to this daemon to limit the requests per second',
       read: () => fleet.limits.count,
     },
     {
       name: 'limit_permits',
-      help: 'Requests that this daemon may send to servers that name a limit at this moment',
+      help: 'Requests that this daemon may send now to servers with a limit, by its unused permits',
       read: () => fleet.permits.count(timers.nowMs()),
     },
     {
       name: 'limit_servers_granted',
-      help: 'Servers that name a limit, or did lately, whose requests this daemon grants to all',
+      help: 'Servers with a limit, or recently with one, whose permits this daemon grants to the fleet',
       read: () => limits.grantedServers,
     },
     {
       name: 'requests_quarantined',
-      help: 'Requests that are not sent any more, as servers ended while they ran',
+      help: 'Requests that are no longer sent because servers ended while running them',
       read: () => crashes.quarantined,
     },
     {
       name: 'requests_suspected',
-      help: 'Requests that ran at a server when it ended, or did so until they were cleared',
+      help: 'Requests that ran on a server when it ended, including those cleared since',
       read: () => crashes.suspected,
     },
-    { name: 'log_lines_dropped', help: 'Log lines left out', read: () => log.droppedTotal },
+    { name: 'log_lines_dropped', help: 'Log lines dropped', read: () => log.droppedTotal },
     ...capacityGauges(sources),
   ];
 }
 
-/** Of all services that are paid by the second; 0 at daemons that order nothing. */
+/** Gauges summed over all services whose servers are billed by the second; 0 at daemons that order nothing. */
 function capacityGauges({ duties }: GaugeSources): readonly Gauge[] {
   const sumOf = (read: (belief: CapacityBelief) => number) => () =>
     duties().capacityBeliefs.reduce((sum, belief) => sum + read(belief), 0);
   return [
     {
       name: 'capacity_needed',
-      help: 'Servers that the work needs, with room for its unevenness',
+      help: 'Servers that the work needs, with headroom for uneven arrivals',
       read: sumOf(({ needed }) => needed),
     },
     {
       name: 'capacity_wanted',
-      help: 'Servers that there are to be, the spare ones counted',
+      help: 'Servers wanted, including spare ones',
       read: sumOf(({ wanted }) => wanted),
     },
     {
       name: 'capacity_present',
-      help: 'Servers that take work',
+      help: 'Servers that accept work',
       read: sumOf(({ present }) => present),
     },
     {
       name: 'capacity_coming',
-      help: 'Servers under order or booting',
+      help: 'Servers ordered or booting',
       read: sumOf(({ coming }) => coming),
     },
   ];
--- a/src/shell/gateway/gateway-metrics.ts
+++ b/src/shell/gateway/gateway-metrics.ts
@@ -15,7 +15,7 @@
   readonly reason: string;
 }
 
-/** A gateway's own figures. */
+/** The metrics of one gateway. */
 export class GatewayMetrics {
   readonly #registry = new Registry();
   readonly #requests = new Counter({
@@ -26,14 +26,14 @@
   });
   readonly #waits = new Histogram({
     name: 'threadfork_gateway_wait_seconds',
-    help: 'Time that requests waited for room at a server before they went, by rank',
+    help: 'Time that requests waited for capacity at a server before they were sent, by rank',
     labelNames: ['rank'],
     buckets: LATENCY_BUCKETS_SECONDS,
     registers: [this.#registry],
   });
   readonly #capacityRefusals = new Counter({
     name: 'threadfork_gateway_room_refusals_total',
-    help: 'Requests refused for want of room, by reason and rank',
+    help: 'Requests refused for lack of capacity, by reason and rank',
     labelNames: ['reason', 'rank'],
     registers: [this.#registry],
   });
@@ -53,37 +53,37 @@
   });
   readonly #attempts = new Counter({
     name: 'threadfork_gateway_attempts_total',
-    help: 'Calls to backends that have ended, by what came of them',
+    help: 'Calls to backends that have ended, by result',
     labelNames: ['result'],
     registers: [this.#registry],
   });
 
   readonly #reportedAvailability = new Counter({
     name: 'threadfork_gateway_told_availability_total',
-    help: 'Answers of servers that say that they leave, ask for rest, name, change or end a limit, or say so unreadably',
+    help: 'Answers of servers that report leaving, back-off, or a new, changed or ended limit, or that are malformed',
     labelNames: ['what'],
     registers: [this.#registry],
   });
   readonly #heldBack = new Counter({
     name: 'threadfork_gateway_calls_held_back_total',
-    help: 'Calls that were not made as their server had said that it leaves, wants rest, or takes no more a second',
+    help: 'Calls not made because the server had reported that it is leaving, backing off or at its limit',
     labelNames: ['why'],
     registers: [this.#registry],
   });
   readonly #callsToLimited = new Counter({
     name: 'threadfork_gateway_calls_to_limited_total',
-    help: 'Requests of callers sent to servers that name a limit of requests a second',
+    help: 'Requests of callers sent to servers that limit the requests per second',
     registers: [this.#registry],
   });
   readonly #permits = new Counter({
     name: 'threadfork_gateway_limit_permits_total',
-    help: 'Requests to servers that name a limit for which this daemon asked, was granted, or gave back unused',
+    help: 'Permits for servers with a limit that this daemon requested, was granted or returned unused',
     labelNames: ['what'],
     registers: [this.#registry],
   });
   readonly #retryBudget = new Counter({
     name: 'threadfork_gateway_retry_budget_total',
-    help: 'Requests that earned repeats, and repeats taken, given back and denied, by service',
+    help: 'Requests counted by the retry budget, and repeats taken, given back and denied, by service',
     labelNames: ['service', 'what'],
     registers: [this.#registry],
   });
@@ -106,7 +106,7 @@
     this.#firstEvent.observe({ way }, elapsedMs / MILLISECONDS_PER_SECOND);
   }
 
-  /** A request went after it had waited for room. */
+  /** Records a request that was sent after waiting for capacity. */
   recordWait(rank: number, waitedMs: number): void {
     this.#waits.observe({ rank }, waitedMs / MILLISECONDS_PER_SECOND);
   }
@@ -119,27 +119,27 @@
     this.#attempts.inc({ result });
   }
 
-  /** An answer said something of its server. */
+  /** Records what an answer reported about the availability of its server. */
   recordToldAvailability(what: string): void {
     this.#reportedAvailability.inc({ what });
   }
 
-  /** A call was given up before it was sent. */
+  /** Records a call that was abandoned before it was sent. */
   recordHeldBack(why: string): void {
     this.#heldBack.inc({ why });
   }
 
-  /** A caller's request was sent to a server that names a limit. */
+  /** Records a caller's request that was sent to a server with a limit. */
   recordCallToLimited(): void {
     this.#callsToLimited.inc();
   }
 
-  /** Permits for servers that name a limit were asked for, granted or given back. */
+  /** Records permits for servers with a limit. */
   recordPermits(what: 'asked' | 'granted' | 'given-back', count: number): void {
     this.#permits.inc({ what }, count);
   }
 
-  /** What came to a service's retry budget since it was last recorded, and its level now. */
+  /** Records what a service's retry budget has counted since the last call, and its current level. */
   recordRetryBudget(service: string, since: RetryBudgetCounts, level: number): void {
     this.#retryBudget.inc({ service, what: 'requests' }, since.requests);
     this.#retryBudget.inc({ service, what: 'taken' }, since.taken);
@@ -148,7 +148,7 @@
     this.#retryBudgetLevel.set({ service }, level);
   }
 
-  /** Adds a figure that is read when it is asked for. */
+  /** Registers a gauge that is read at each scrape. */
   addGauge(name: string, help: string, read: () => number): void {
     const registers = [this.#registry];
     new Gauge({
@@ -161,7 +161,7 @@
     });
   }
 
-  /** Adds a figure with one label, whose values are read anew each time. */
+  /** Registers a gauge with one label, whose series are read anew at each scrape. */
   addLabelledGauge(
     name: string,
     help: string,
@@ -176,7 +176,7 @@
       registers,
       collect() {
         this.reset();
-        for (const [of, value] of read()) this.set({ [label]: of }, value);
+        for (const [labelValue, value] of read()) this.set({ [label]: labelValue }, value);
       },
     });
   }
--- a/src/shell/gateway/gateway-settings.ts
+++ b/src/shell/gateway/gateway-settings.ts
@@ -1,6 +1,6 @@
 /**
- * The settings of a gateway, read from a YAML file and checked whole. A wrong file is told with the
- * key, what was found there and what to do.
+ * The settings of a gateway, read from a YAML file and validated as a whole. A problem is reported with the key, the
+ * value found there and a remedy.
  */
 import { err, ok, type Result } from 'neverthrow';
 import { parse } from 'yaml';
@@ -20,26 +20,26 @@
 );
 
 /**
- * Decisions under load that an operator can switch off one by one, to see what each is worth or to rule it out as a
- * cause. Each changes nothing where its load is absent.
+ * Load decisions that an operator can switch off one by one, to measure the effect of each or to rule it out as the
+ * cause of a problem. Without the load that it is made for, a decision changes nothing.
  */
 const decisionsSchema = z.object({
-  /** Requests wait at the daemon for room, in the operator's order, and are refused when none can come in time. */
+  /** Requests wait at the daemon for capacity, by priority, and are refused if none can be free in time. */
   waiting: z._default(z.boolean(), true),
-  /** Servers paid by the second are ordered with room for a loss, and made up at once after one. */
+  /** Spare servers are ordered for services billed by the second, and lost ones are replaced at once. */
   spareCapacity: z._default(z.boolean(), true),
-  /** Each engine has a pace of its own, learnt by all daemons together: only where they are shown to be unlike. */
+  /** Each engine gets a pace of its own, learnt by all daemons together; by default only if the engines differ. */
   enginePaces: z._default(z.enum(['never', 'where-unlike', 'always']), 'where-unlike'),
-  /** Daemons that decide by the same sums spread what they send. */
+  /** Daemons that decide on the same advertised sums draw among nearly equal engines. */
   spreading: z._default(z.boolean(), true),
-  /** Web servers are chosen by the work of all daemons there. */
+  /** Web servers are chosen by their load from all daemons. */
   webServerLoad: z._default(z.boolean(), true),
 });
 
-/** Which decisions under load are made. */
+/** The load decisions, as switched on or off. */
 export type LoadDecisions = z.infer<typeof decisionsSchema>;
 
-/** Those that are made where the settings say nothing. */
+/** The load decisions of settings that do not mention them. */
 export const USUAL_LOAD_DECISIONS: LoadDecisions = decisionsSchema.parse({});
 
 const settingsSchema = z.object({
@@ -52,27 +52,27 @@
     peers: z.optional(endpoint),
   }),
   store: endpoint,
-  /** Calls to the platform that one daemon at a time makes. */
+  /** Duties: calls to the platform that one daemon at a time makes. */
   duties: z.optional(
     z.object({
       address: endpoint,
-      /** Usage is reported for windows of this length, in true time; absent where it is not asked for. */
+      /** Usage is reported for windows of this length, aligned to Unix time; absent where no reports are wanted. */
       usageWindowSeconds: z.optional(z.number().check(z.minimum(0.1))),
-      /** How long after its end a window has to be reported. */
+      /** A window has to be reported within this time after its end. */
       usageDueSeconds: z._default(spanSeconds, 10),
     }),
   ),
   bounds: z.object({
-    /** After this long with a path to the store a daemon is bound by all that the store says. */
+    /** Once a daemon has been able to reach the store for this long, it has to act on all that the store holds. */
     contactMs: spanMs,
-    /** From the signal to stop until the process is ended. */
+    /** Time from the stop signal until the process is killed. */
     stopGraceSeconds: spanSeconds,
-    /** Lease of the daemon that orders engines. */
+    /** Lease of the daemon that holds a duty or orders stage changes. */
     leaseMs: spanMs,
   }),
   retryBudget: z.object({
     ratio: z.number().check(z.minimum(0)),
-    /** Shared by all daemons. */
+    /** Repeats allowed in a window beyond the ratio, shared by all daemons. */
     slack: z.number().check(z.minimum(0)),
   }),
   logging: z.object({ maxLinesPerSecond: z.number().check(z.minimum(1)) }),
@@ -82,14 +82,14 @@
 /** A gateway's settings. */
 export type GatewaySettings = z.infer<typeof settingsSchema>;
 
-/** What is wrong with a settings file. */
+/** A problem in a settings file. */
 export interface SettingsProblem {
   readonly key: string;
   readonly found: string;
   readonly remedy: string;
 }
 
-/** Reads settings from a file's text. */
+/** Parses and validates the text of a settings file. */
 export function parseGatewaySettings(document: string): Result<GatewaySettings, SettingsProblem> {
   const parsed = parseYaml(document);
   if (parsed.isErr()) return err(parsed.error);
@@ -100,7 +100,7 @@
   return err({
     key: path.join('.') || '(the whole file)',
     found: describe(valueAt(parsed.value, path)),
-    remedy: `Set it as docs/OPERATING.md says (${issue?.message ?? 'wrong value'}).`,
+    remedy: `Set it as described in docs/OPERATING.md (${issue?.message ?? 'wrong value'}).`,
   });
 }
 
@@ -111,7 +111,7 @@
     return err({
       key: '(the whole file)',
       found: cause instanceof Error ? (cause.message.split('\n', 1)[0] ?? '') : String(cause),
-      remedy: 'Correct the YAML at this place.',
+      remedy: 'Correct the YAML syntax at this place.',
     });
   }
 }
--- a/src/shell/gateway/gateway.ts
+++ b/src/shell/gateway/gateway.ts
@@ -1,6 +1,6 @@
 /**
- * A gateway: takes described requests and runs them on listed servers as the configuration says.
- * It keeps nothing on its machine; configuration and servers come from the platform's store.
+ * A gateway: accepts described requests and runs them on the listed servers as configured. It keeps no state on its
+ * machine; configuration and servers come from the platform's store.
  */
 import { randomInt } from 'node:crypto';
 import type { Server } from 'node:http';
@@ -39,16 +39,16 @@
 import { maxDigestAgeMs, recheckSpans, type WatchRole, watchTiming } from './watch-timing.js';
 import { WebWork } from './web-work.js';
 
-/** The platform looks twice, a second apart, before it sends no more connections. */
+/** The platform probes readiness twice, a second apart, before it stops sending connections. */
 const NOT_READY_NOTICE_MS = 2_600;
-/** Kept between the end of running requests and the end of the grace period. */
+/** Requests have to end this long before the grace period does. */
 const STOP_MARGIN_MS = 700;
 const STOP_POLL_MS = 50;
-/** Lives of a daemon are told apart by a number below this. */
+/** Incarnation numbers, which tell the starts of a daemon apart, are below this. */
 const INCARNATION_LIMIT = 2 ** 47;
 const MILLISECONDS_PER_SECOND = 1_000;
 
-/** What a gateway is built from. */
+/** Dependencies and settings of a gateway. */
 export interface GatewayOptions {
   readonly settings: GatewaySettings;
   readonly adapter: PlatformAdapter;
@@ -57,7 +57,7 @@
   readonly log: GatewayLog;
 }
 
-/** The ports that a gateway listens at. */
+/** The ports on which a gateway listens. */
 export interface GatewayAddresses {
   readonly callersPort: number;
   readonly readinessPort: number;
@@ -80,7 +80,7 @@
   readonly #follower: FleetFollower;
   readonly #cacheEventWatchers: CacheEventWatchers;
   readonly #stages: StageController;
-  /** Absent where the settings name no address for it. */
+  /** Undefined if the settings name no address for peers. */
   readonly #peers: PeerExchange | undefined;
   readonly #admission: AdmissionGate;
   readonly #digest: RelayDigest;
@@ -155,7 +155,7 @@
       isSpreading: settings.decisions.spreading,
       onLoadChange: () => this.#peers?.scheduleReport(),
       noteRead: (read) => this.#peers?.noteRead(read),
-      advertiseReachability: (reach) => this.#peers?.advertiseReachability(reach),
+      advertiseReachability: (notice) => this.#peers?.advertiseReachability(notice),
       crashes: this.#crashes,
       webWork,
       recordRunStart: ({ options: { tenant } }, agoMs) =>
@@ -226,7 +226,7 @@
     });
   }
 
-  /** Listens and begins to follow the store; gives the addresses it listens at. */
+  /** Starts to follow the store and to listen; resolves to the ports it listens on. */
   async start(): Promise<GatewayAddresses> {
     const { settings, adapter, log } = this.#options;
     const { callers, readiness, metrics } = settings.listen;
@@ -252,14 +252,14 @@
     return { callersPort, readinessPort };
   }
 
-  /** Takes settings that were read again; listeners keep their addresses until a restart. */
+  /** Compares re-read settings with those in use and logs whether a restart is needed; none is applied before. */
   reload(settings: GatewaySettings): void {
     const { log } = this.#options;
     const needsRestart = JSON.stringify(settings) !== JSON.stringify(this.#options.settings);
     log.write(GATEWAY_EVENTS.settingsReloaded, { needsRestart });
   }
 
-  /** Stops without cutting a request that can end within the grace period. */
+  /** Stops without cutting off requests that can end within the grace period. */
   async stop(): Promise<void> {
     if (this.#isStopping) return;
     this.#isStopping = true;
@@ -271,7 +271,7 @@
     this.#admission.beginStop();
     this.#stages.stop();
     await delay(timers, Math.min(NOT_READY_NOTICE_MS, graceMs / 2));
-    // Where too few daemons are ready, new connections keep coming; they go elsewhere from here on.
+    // If too few daemons are ready, the platform still sends connections here; closing the listener turns them away.
     this.#callers.server.close();
     while (this.#callers.inFlight > 0 && timers.nowMs() < endMs) await delay(timers, STOP_POLL_MS);
     log.write(GATEWAY_EVENTS.stopped, { inFlight: this.#callers.inFlight });
@@ -279,7 +279,7 @@
     log.flush();
   }
 
-  /** Ends at once; what is under way is cut. */
+  /** Stops at once and cuts off running requests. */
   abort(): void {
     this.#isStopping = true;
     this.#follower.stop();
@@ -303,7 +303,7 @@
     return port;
   }
 
-  /** A daemon that has no address for peers is taken to be alone. */
+  /** Whether the demand of the whole fleet is known; a daemon without an address for peers is taken to be alone. */
   get #knowsDemand(): boolean {
     return this.#peers === undefined || this.#roster.knowsFleetDemand(this.#isRelay);
   }
@@ -369,7 +369,7 @@
       table: adapter.table,
       roster: this.#roster,
       log,
-      handleReachability: (reach) => this.#handleReachability(reach),
+      handleReachability: (notice) => this.#handleReachability(notice),
       handleRead: (read) => this.#fleet.prefixIndex.expectRead(read, timers.nowMs()),
       onRelayChange: (isRelay) => this.#setRelay(isRelay),
       tableDigest: () => this.#follower.digestToSend(),
@@ -402,13 +402,13 @@
     this.#retryBudgets.recordDaemonCount(before, daemons);
   }
 
-  /** What other daemons say of a server; a change of belief is a line in the log. */
-  #handleReachability(reach: ReachabilityNotice): void {
+  /** Applies another daemon's notice on a server; logs it if it changes whether the server counts as reachable. */
+  #handleReachability(notice: ReachabilityNotice): void {
     const { timers, log } = this.#options;
     const nowMs = timers.nowMs();
-    const { serverId: server, by } = reach;
+    const { serverId: server, by } = notice;
     const wasUnreachable = this.#fleet.isUnreachable(server, nowMs);
-    this.#fleet.handleReachability(reach, nowMs);
+    this.#fleet.handleReachability(notice, nowMs);
     const isUnreachable = this.#fleet.isUnreachable(server, nowMs);
     if (isUnreachable === wasUnreachable) return;
     log.write(isUnreachable ? GATEWAY_EVENTS.serverDark : GATEWAY_EVENTS.serverReached, {
@@ -417,7 +417,7 @@
     });
   }
 
-  /** What this daemon keeps in the store may be lost. */
+  /** After the store was restored from a copy, rows that this daemon wrote may be missing. */
   #handleStoreRestored(): void {
     this.#crashes.handleStoreRestored();
     this.#peers?.handleStoreRestored();
--- a/src/shell/gateway/index.ts
+++ b/src/shell/gateway/index.ts
@@ -1,4 +1,4 @@
-/** Described requests over sockets: listeners, calls to backends, and watches of the store. */
+/** The gateway's I/O: listeners for callers and peers, calls to backends, and watches of the store. */
 export { Gateway, type GatewayAddresses, type GatewayOptions } from './gateway.js';
 export {
   type GatewaySettings,
--- a/src/shell/gateway/model-planner.ts
+++ b/src/shell/gateway/model-planner.ts
@@ -1,6 +1,6 @@
 /**
- * Plans one model request from what the daemon believes, and tells those beliefs how it went: the plan and
- * its priorities, the work that it asks of each stage, and the times that were seen.
+ * Plans one model request on the daemon's view of the fleet, and updates this view: with the demand of the request on
+ * each stage, and with the times measured while it ran.
  */
 import {
   type ArrivalRefusal,
@@ -22,23 +22,23 @@
 import { ModelAdmissionCheck } from './model-room-ask.js';
 import { hadShortQueue } from './prompt-reading.js';
 
-/** A request is taken to be in time when it is expected within this part of its target. */
+/** A request counts as in time if its answer is expected within this share of the target latency. */
 const IN_TIME_SHARE = 0.9;
-/** Streams often take so much longer than those of their size did on average. */
+/** Streams often take up to this many times the average for their size. */
 const LONG_STREAM_FACTOR = 2;
-/** From here on a prompt is work for an engine that only reads. */
+/** A prompt with at least this many uncached tokens counts as work for a prefill engine. */
 const LONG_PROMPT_TOKENS = 1_000;
 
-/** How a run came to its engine: with the memory of another, or as planned. */
+/** How a run reached its engine: as planned, or handed over with the KV cache of another engine. */
 export type RunWay = EnginePlan['kind'] | 'hand-over';
 
-/** What a plan may use. */
+/** Restrictions on a plan. */
 export interface PlanLimits {
-  /** False once a reading at another engine came to nothing. */
+  /** False once a prefill at another engine has failed. */
   readonly mayPrefill: boolean;
 }
 
-/** The planning of one exchange. */
+/** Plans one exchange. */
 export class ModelPlanner {
   readonly #exchange: Exchange;
   readonly #context: AttemptContext;
@@ -49,7 +49,7 @@
     this.#context = context;
   }
 
-  /** The best way to run the request now; undefined when no engine that generates is left. */
+  /** The best way to run the request now; undefined if no decode engine is left. */
   plan(limits: PlanLimits): EnginePlan | undefined {
     const plan = this.#bestPlan(limits);
     if (plan === undefined) return undefined;
@@ -58,7 +58,7 @@
     return plan;
   }
 
-  /** What the request asks of the waiting room; undefined when no engine that generates is left. */
+  /** The admission check of the request; undefined if no decode engine is left. */
   admissionCheck(limits: PlanLimits): ModelAdmissionCheck | undefined {
     const first = this.#bestPlan(limits);
     if (first === undefined) return undefined;
@@ -82,8 +82,9 @@
   }
 
   /**
-   * The engines at their limit that the request would go to if they took more. Where its prompt is read elsewhere, the
-   * one that goes on only counts where no other is left, as its permit would be too old by then.
+   * The engines to request permits for: those at their limit that the request would otherwise be sent to. After a
+   * prefill at another engine, the decode engine is included only if none is usable without a permit: a permit granted
+   * now would expire during the prefill.
    */
   limitedChoice(limits: PlanLimits): readonly ServerRecord[] {
     const { fleet } = this.#context;
@@ -99,8 +100,8 @@
   }
 
   /**
-   * The engine at its limit that would go on from a prompt read at `source` if it took more.
-   * @param where 'no-other': only where no engine is left that goes on without a permit
+   * The decode engine at its limit that would continue after a prefill at `source` if it accepted more requests.
+   * @param where 'no-other': only if no decode engine is usable without a permit
    */
   limitedRunChoice(source: ServerRecord, where: 'any' | 'no-other'): readonly ServerRecord[] {
     const { fleet } = this.#context;
@@ -113,12 +114,12 @@
     return atLimit.filter(({ id }) => id === chosen?.id);
   }
 
-  /** The engine that goes on from a prompt read at `source`, by the list as it is now. */
+  /** The decode engine that continues after a prefill at `source`, chosen among the current candidates. */
   decodeEngineAfter(source: ServerRecord): ServerRecord | undefined {
     return chooseDecodeEngine(this.#choiceInput(), source);
   }
 
-  /** Whether a stream that begins now is expected to go on when this daemon has to end. */
+  /** Whether a stream that begins now is expected to be cut off by the stop of this daemon. */
   isCutByStop(): boolean {
     const { stopsAtMs, description } = this.#exchange.options;
     const stopMs = stopsAtMs();
@@ -139,21 +140,21 @@
     });
   }
 
-  /** The priority of reading the prompt. */
+  /** The priority of the prefill. */
   priorityOf(plan: EnginePlan): number {
     const { route, rank } = this.#exchange.options;
     const readShareOfTarget = plan.read.readMs / route.targetLatencyMs;
     return promptPriority({ rank, urgency: plan.read.urgency, readShareOfTarget });
   }
 
-  /** A prompt that was read is nearly done: it goes on before those that are not. */
+  /** The priority of the run; after a prefill it precedes requests whose prompts are still to be read. */
   runPriorityOf(plan: EnginePlan): number {
     if (plan.kind === 'direct') return this.priorityOf(plan);
     const { rank } = this.#exchange.options;
     return promptPriority({ rank, urgency: 'in-time', readShareOfTarget: 0 });
   }
 
-  /** The head of an answer came, and with it the first token. */
+  /** Learns from the time until the head of an answer, which comes with the first token. */
   noteHead(way: RunWay, plan: EnginePlan, elapsedMs: number): void {
     if (way === 'hand-over') this.#speed.learnHandOver(elapsedMs);
     else if (plan.kind === 'direct') {
@@ -163,7 +164,7 @@
     }
   }
 
-  /** A run has ended, so long after its head. */
+  /** Learns from the time between the head of an answer and the end of its run. */
   noteRun(elapsedMs: number): void {
     const { description } = this.#exchange.options;
     if (this.#exchange.signal.aborted) return;
@@ -234,7 +235,7 @@
     });
   }
 
-  /** The work that a request asks for, whichever way it goes. */
+  /** Records the demand of the request on each stage, once, whichever way it is sent. */
   #recordDemand(plan: EnginePlan): void {
     if (this.#isDemandRecorded) return;
     this.#isDemandRecorded = true;
--- a/src/shell/gateway/ports.ts
+++ b/src/shell/gateway/ports.ts
@@ -1,6 +1,6 @@
 /**
- * What an adapter to a platform provides: how described requests are spoken with callers and
- * backends, and the tables of the platform's store. An adapter translates and decides nothing.
+ * The interface of a platform adapter: the translation of described requests to and from the wire format of callers
+ * and backends, and the tables of the platform's store. An adapter translates and decides nothing.
  */
 import type { IncomingHttpHeaders } from 'node:http';
 import type { CapacityOrder } from '../../core/capacity/index.js';
@@ -16,91 +16,91 @@
 import type { StorePosition } from '../../core/platform/store-position.js';
 import type { TableCall, TableResult } from '../../core/platform/table.js';
 
-/** Header names and values in turn, as node:http takes them. */
+/** Alternating header names and values, as node:http accepts them. */
 export type RawHeaders = readonly string[];
 
-/** Where a prompt's memory lies. */
+/** Where the KV cache of a prefilled prompt is kept for handover. */
 export interface MemorySource {
-  /** IP:PORT of the engine that read the prompt. */
+  /** IP:PORT of the engine that ran the prefill. */
   readonly address: string;
   readonly handle: string;
 }
 
-/** What the product says to a backend beside the caller's own headers. */
+/** What the gateway sends to a backend in addition to the caller's own headers. */
 export interface SendInstructions {
-  /** Any other server must not run the request. */
+  /** The only server that may run the request. */
   readonly serverId: string;
   /** Time left, in whole milliseconds. */
   readonly deadlineMs: number;
-  /** The name of the tenant whose request it is; undefined where it has none. */
+  /** The name of the request's tenant; undefined for a request without one. */
   readonly tenant: string | undefined;
-  /** 0 is the most urgent; undefined for plain web servers. */
+  /** 0 is the most urgent; undefined for web servers. */
   readonly priority: number | undefined;
-  /** Only read the prompt and keep its memory. */
+  /** Run only the prefill and keep the KV cache. */
   readonly prefillOnly: boolean;
   readonly memorySource: MemorySource | undefined;
-  /** IP:PORT of an engine to take missing parts of the prompt from. */
+  /** IP:PORT of an engine from which to fetch uncached parts of the prompt. */
   readonly fetchFrom: string | undefined;
-  /** Go on after this event; undefined keeps what the caller said. */
+  /** Resume the stream after this event; undefined keeps the caller's own header. */
   readonly resumeAfterEventId: string | undefined;
 }
 
-/** The marks by which a backend's answer is told from others. */
+/** What the status and headers of a backend's answer say about the answer and its server. */
 export interface AnswerMarks {
   readonly attemptId: string | undefined;
   readonly isStamped: boolean;
-  /** The server says that the request has not run there. */
+  /** The server reports that it has not run the request. */
   readonly isNotExecuted: boolean;
-  /** What the server says of its load; undefined where it says nothing. */
+  /** The load that the server reports; undefined if it reports none. */
   readonly load?: ToldLoad | undefined;
 }
 
-/** A server's own word on its load. */
+/** The load that a server reports. */
 export type ToldLoad =
   | { readonly kind: 'figures'; readonly figures: LoadFigures }
-  /** Not as servers write it; it says nothing. */
+  /** Malformed, and otherwise ignored. */
   | { readonly kind: 'unreadable'; readonly text: string };
 
-/** A server's word on whether it takes work, as an answer has it. */
+/** Whether a server accepts work, as read from one of its answers. */
 export interface SaidAvailability extends ReportedAvailability {
-  /** What the answer says of it that is not as servers write it; empty where there is nothing such. */
+  /** The malformed headers of the answer on this, for the log; empty if there are none. */
   readonly unreadable: string;
 }
 
-/** A prompt that was read. */
+/** The answer to a request of which only the prefill ran. */
 export interface PrefillAnswer {
   readonly handle: string;
   readonly tokens: number;
 }
 
-/** A change of an engine's cache. */
+/** A change of an engine's prefix cache. */
 export interface CacheEvent {
   readonly partId: string;
-  /** Tokens of the part that are kept now; 0 when it was given up. */
+  /** Tokens of the part that are cached now; 0 if it was evicted. */
   readonly tokens: number;
 }
 
-/** An engine's cache news since a number. */
+/** An engine's cache events since an event number. */
 export interface CacheNews {
   readonly epoch: string;
   readonly nextNumber: number;
-  /** Events between the asked number and these are lost. */
+  /** Whether events between the requested number and the first of these are lost. */
   readonly hasGap: boolean;
   readonly events: readonly CacheEvent[];
 }
 
-/** What an engine says of itself. */
+/** An engine's report on itself. */
 export interface EngineReport {
   readonly stage: EngineStage;
-  /** An order is being carried out. */
+  /** Whether an order is being carried out. */
   readonly isBusy: boolean;
-  /** Orders taken since its start. */
+  /** Number of orders accepted since the engine started. */
   readonly orderSequence: number;
-  /** Unix milliseconds of its start; undefined where it does not say. */
+  /** Unix milliseconds of the engine's start; undefined if the report lacks it. */
   readonly bornMs?: number | undefined;
 }
 
-/** An order that gives an engine another stage. */
+/** An order to an engine to change its stage. */
 export interface StageOrder {
   readonly stage: EngineStage;
   readonly holder: string;
@@ -108,7 +108,7 @@
   readonly expectedSequence: number;
 }
 
-/** A call of the product's own to a backend. */
+/** A call that the gateway makes to a backend on its own behalf. */
 export interface EngineCall {
   readonly method: string;
   readonly path: string;
@@ -116,23 +116,23 @@
   readonly body: Buffer;
 }
 
-/** How described requests are spoken. */
+/** Translates described requests and calls to and from the platform's wire format. */
 export interface RequestCodec {
-  /** What the caller states; undefined when it gives no attempt id. */
+  /** The caller's description of its request; undefined without an attempt id. */
   describe(headers: IncomingHttpHeaders): RequestDescription | undefined;
-  /** The caller's API key; undefined when it gives none. A secret. */
+  /** The caller's API key, a secret; undefined without one. */
   apiKey(headers: IncomingHttpHeaders): string | undefined;
   /**
-   * The headers for a backend: the caller's own, less those that only the product sets.
-   * @param callerHeaders those of the message, without those of its connection
+   * The headers for a backend: the caller's own without the reserved ones, and those of the instructions.
+   * @param callerHeaders the end-to-end headers, without hop-by-hop ones
    */
   backendHeaders(callerHeaders: RawHeaders, instructions: SendInstructions): string[];
   readMarks(status: number, headers: IncomingHttpHeaders): AnswerMarks;
-  /** What any answer of a server says of whether it takes work; undefined where it says nothing. */
+  /** Whether the server accepts work, from any of its answers; undefined if the answer does not say. */
   readAvailability(status: number, headers: IncomingHttpHeaders): SaidAvailability | undefined;
-  /** What any answer of a server says of the requests a second that it takes from all daemons together. */
+  /** The server's limit of requests per second, from all daemons together, as read from any of its answers. */
   readLimit(status: number, headers: IncomingHttpHeaders): LimitReading;
-  /** The answer to a prompt that was only read; undefined when it is none. */
+  /** Parses the answer to a prefill-only request; undefined if it is malformed. */
   readPrefillAnswer(body: Buffer): PrefillAnswer | undefined;
   freeHandle(handle: string, serverId: string): EngineCall;
   cacheNews(since: number, waitMs: number): EngineCall;
@@ -148,7 +148,7 @@
       readonly kind: 'value';
       readonly key: string;
       readonly value: Value;
-      /** The value as the store holds it, to be passed on; absent where that is not done. */
+      /** The value as stored, to be forwarded to other daemons; absent where it is not forwarded. */
       readonly encoded?: Buffer;
     }
   | { readonly kind: 'gone'; readonly key: string }
@@ -161,51 +161,51 @@
   | {
       readonly kind: 'failed';
       readonly reason: string;
-      /** Undefined where no answer came. */
+      /** Undefined if no answer came. */
       readonly era?: number | undefined;
-      /** The store answered that it does nothing now, so it has not cut a call that it held. */
+      /** Whether the store refused the call, as opposed to a held call that was cut off. */
       readonly wasRefused: boolean;
     };
 
-/** A table of the store that the product only reads. */
+/** A table of the store that the gateway only reads. */
 export interface WatchedTable<Value> {
   readonly name: string;
   readAll(signal: AbortSignal): Promise<WatchAnswer<Value>>;
-  /** Held until a row changes or the wait is over. */
+  /** A long poll: the store answers when a row changes, or after `waitMs`. */
   changesAfter(revision: number, waitMs: number, signal: AbortSignal): Promise<WatchAnswer<Value>>;
-  /** Reads a row's value as the store holds it. */
+  /** Decodes a row's value from its stored form. */
   decode(key: string, encoded: Buffer): WatchedRow<Value>;
 }
 
-/** The product's own rows in the store, changed by compare-and-set. */
+/** The gateways' own rows in the store, changed by compare-and-set. */
 export interface TableService {
   call(call: TableCall, signal: AbortSignal): Promise<TableResult>;
 }
 
-/** Who makes a call that one daemon at a time makes, and its fencing token. */
+/** The holder of a duty and its fencing token. */
 export interface DutyAuthority {
   readonly holder: string;
   /** Rises with each change of the holder. */
   readonly fence: number;
 }
 
-/** How often requests of each tenant began to run in a window of true time. */
+/** How many requests of each tenant began to run in a window of Unix time. */
 export interface UsageReport {
   readonly window: number;
   readonly counts: Readonly<Record<string, number>>;
 }
 
-/** What the platform says of a duty's call. */
+/** The outcome of a duty's call to the platform. */
 export type DutyOutcome =
   | { readonly kind: 'accepted' }
-  /** Another daemon has used a higher fence, or what was asked for is not to be had. */
+  /** Another daemon has used a higher fence, or the ordered servers are not available. */
   | { readonly kind: 'conflict' }
   /** Nothing was done. */
   | { readonly kind: 'refused'; readonly status: number }
-  /** It may have been done, or may be done later. */
+  /** No answer: the call may have taken effect, or may still do so. */
   | { readonly kind: 'lost'; readonly reason: string };
 
-/** Calls to the platform that one daemon at a time makes. */
+/** The duties: calls to the platform that one daemon at a time makes. */
 export interface PlatformDuties {
   reportUsage(
     report: UsageReport,
@@ -219,14 +219,14 @@
   ): Promise<DutyOutcome>;
 }
 
-/** A platform, as far as described requests need one. */
+/** What a gateway needs of a platform. */
 export interface PlatformAdapter {
   readonly requests: RequestCodec;
   readonly configurations: WatchedTable<GatewayConfiguration>;
   readonly servers: WatchedTable<ServerRecord>;
   readonly table: TableService;
-  /** Undefined where the platform asks for none. */
+  /** Undefined for a platform without duties. */
   readonly duties: PlatformDuties | undefined;
-  /** The path of readiness questions. */
+  /** The path of readiness probes. */
   readonly readinessPath: string;
 }
--- a/src/shell/gateway/retry-budget-reporter.ts
+++ b/src/shell/gateway/retry-budget-reporter.ts
@@ -1,6 +1,6 @@
 /**
- * Says what this daemon's retry budgets began with, what was taken from them and how many daemons it
- * believes to share them: over the logs of all daemons, the repeats of any span can be added up.
+ * Logs what this daemon's retry budgets started with, what was taken from them, and among how many daemons the slack is
+ * shared, so that the repeats of any time span can be added up from the logs of all daemons.
  */
 import type { RetryBudget, RetryBudgetCounts } from '../../core/gateway/index.js';
 import { GATEWAY_EVENTS } from '../../core/logging/catalogue/gateway.js';
@@ -9,11 +9,11 @@
 import type { GatewayLog } from './request-log.js';
 import type { CancelTimer, TimerService } from './timer-service.js';
 
-/** A line for each service and second at most; a process that is killed takes its last one with it. */
+/** At most one log line per service in this time; a killed process loses the counts since its last line. */
 const REPORT_INTERVAL_MS = 1_000;
 const ZERO_COUNTS: RetryBudgetCounts = { requests: 0, taken: 0, givenBack: 0, denied: 0 };
 
-/** What a reporter is built from. */
+/** Dependencies of a reporter. */
 export interface RetryBudgetReporterOptions {
   readonly fleet: FleetView;
   readonly timers: TimerService;
@@ -26,12 +26,13 @@
   readonly atMs: number;
 }
 
-/** Reports on the budgets of one daemon. */
+/** Reports the retry budgets of one daemon. */
 export class RetryBudgetReporter {
   readonly #options: RetryBudgetReporterOptions;
   readonly #startedMs: number;
-  /** What the figures have, and what the log has: its lines span the seconds that were quiet. */
+  /** The counts last added to the metrics. */
   readonly #recorded = new Map<string, RetryBudgetCounts>();
+  /** The counts last logged; the next line also covers the seconds without a line. */
   readonly #logged = new Map<string, LoggedCounts>();
   #cancel: CancelTimer | undefined;
 
@@ -47,13 +48,13 @@
     });
   }
 
-  /** Says what is not yet said; nothing comes after it. */
+  /** Reports the remaining counts and stops. */
   stop(): void {
     this.#cancel?.();
     this.#reportAll();
   }
 
-  /** To be called when a service's first request creates its budget. */
+  /** Called when a service's first request creates its budget. */
   noteBegun(service: string, budget: RetryBudget): void {
     const { fleet, log } = this.#options;
     log.write(GATEWAY_EVENTS.retryBudgetBegun, {
@@ -65,7 +66,7 @@
     });
   }
 
-  /** To be called when the list of daemons was read. */
+  /** Called when a list of daemons was read. */
   recordDaemonCount(before: number | undefined, daemons: number): void {
     if (daemons === before) return;
     this.#options.log.write(GATEWAY_EVENTS.fleetSizeChanged, {
--- a/src/shell/gateway/stage-controller.ts
+++ b/src/shell/gateway/stage-controller.ts
@@ -1,7 +1,7 @@
 /**
- * Orders engines to change their stage, under a lease: of all daemons at most one acts at a time, and
- * each order carries the lease's epoch as its fence. A daemon that wants no change takes no part, and in a
- * large fleet only the relays do, which know most of the work.
+ * Orders engines to change their stage, under a lease: at most one daemon acts at a time, and each order carries the
+ * lease's epoch as its fencing token. Only daemons that want a change seek the lease; in a large fleet only the relays
+ * may order, as they know most of the work.
  */
 import {
   type EngineStage,
@@ -28,46 +28,46 @@
 import type { CancelTimer, TimerService } from './timer-service.js';
 
 const TICK_MS = 250;
-/** A change has to be wanted for this long, and a random while more, before the lease is sought. */
+/** The lease is sought once a change has been wanted for this long, plus a random time up to the spread. */
 const LEASE_DELAY_MS = 600;
 const LEASE_DELAY_SPREAD_MS = 900;
-/** Other daemons send an engine nothing more, and what it has ends, before it is ordered. */
+/** Time between the notice to the other daemons and the order: the engine gets no new work and finishes what it has. */
 const DRAIN_MS = 300;
 /**
- * A change has to be wanted for this many times as long as an engine is away for it: a demand that ends
- * sooner has cost more than the change brought, once for the way there and once for the way back.
+ * A change has to be wanted for this many times the duration of a stage change, in which the engine does no work.
+ * Demand that ends sooner does not pay for the change to the other stage and the change back.
  */
 const MIN_WANTED_SWITCHES = 2;
-/** An order back has to wait until the last one has paid for the time that the engine was away. */
+/** A reversal waits this many times the duration of a stage change, until the last change has paid for its downtime. */
 const MIN_REVERSAL_SWITCHES = 4;
-/** Nor does the split follow a mix that swings faster than it is seen. */
+/** Minimum time before a reversal: the split must not follow a mix of work that varies faster than it is measured. */
 const MIN_REVERSAL_MS = 2 * DEMAND_SPAN_MS;
-/** No engine that generates can be reached for this long: longer than a lost packet, and for two looks. */
+/** Recovery starts after no decode engine was reachable for this long: longer than a lost packet, and two ticks. */
 const RECOVERY_DELAY_MS = 400;
-/** A rescue that came to nothing, as its engines were lost as well, is tried again after this time. */
+/** Minimum time between two recoveries, after which one whose engines were lost as well is repeated. */
 const MIN_RECOVERY_INTERVAL_MS = 2_000;
-/** Between two orders, so that not all engines are away at once. */
+/** Minimum time between two orders, so that not all engines change their stage at once. */
 const MIN_ORDER_INTERVAL_MS = 500;
 const LEASE_MARGIN_SHARE = 0.2;
 const RESOURCE = 'engine-stages';
 const ENTROPY_RANGE = 2 ** 32;
 
-/** What a controller is built from. */
+/** Dependencies and settings of a stage controller. */
 export interface StageControllerOptions
   extends Omit<StageOrdersOptions, 'currentEpoch' | 'noteSent'> {
-  /** Another with each start of the process. */
+  /** Drawn anew with each start of the process. */
   readonly incarnation: number;
   readonly leaseMs: number;
-  /** Whose clock counts the time of a suspended machine. */
+  /** Timers whose clock includes the time during which the machine was suspended. */
   readonly leaseTimers: TimerService;
   readonly table: TableService;
   /** Whether this daemon may order engines at all. */
   readonly mayOrder: () => boolean;
-  /** Engines of a service under order or booting, as far as is known. */
+  /** Number of a service's engines that are known to be ordered or booting. */
   readonly startingEngines: (service: string) => number;
 }
 
-/** A daemon's part in ordering engines. */
+/** Orders stage changes while this daemon holds the lease. */
 export class StageController {
   readonly #options: StageControllerOptions;
   readonly #orders: StageOrders;
@@ -76,7 +76,7 @@
   #wantedSinceMs: number | undefined;
   #minWantedMs = 0;
   #decodeLostSinceMs: number | undefined;
-  /** Services of which an engine that generates could be reached before. */
+  /** Services of which a decode engine has been reachable at some time. */
   readonly #hadReachableDecode = new Set<string>();
   #leaseDelayMs: number;
   #lastOrderMs = Number.NEGATIVE_INFINITY;
@@ -110,7 +110,7 @@
     });
   }
 
-  /** Gives the lease up; orders that were sent stand. */
+  /** Releases the lease unless an order was sent recently; orders that were sent stay valid. */
   stop(): void {
     this.#isStopped = true;
     this.#orders.stop();
@@ -130,14 +130,14 @@
     else if (changes.length > 0) this.#orderIfAllowed(changes, nowMs);
   }
 
-  /** Engines to be ordered over at once, as nothing that generates has been reached for a while. */
+  /** Changes of prefill engines to decode that are due at once, as no decode engine has been reachable for a time. */
   #wantedRecovery(nowMs: number): readonly StageChange[] {
     const { fleet } = this.#options;
     const changes: StageChange[] = [];
     for (const service of fleet.inForce?.configuration.services.values() ?? []) {
       if (service.engine === undefined) continue;
       const engines = fleet.expectedServers(service.name, nowMs);
-      // While servers are only being listed, those that generate may come last.
+      // At the start of a fleet the prefill engines may be listed first: without a decode engine nothing is lost yet.
       const hasReachableDecode = engines.some(
         ({ id, stage }) => stage === 'decode' && fleet.isReachable(id, nowMs),
       );
@@ -157,7 +157,7 @@
     return isLasting ? changes : [];
   }
 
-  /** What damps changes for the sake of load has no say here, but an order under way is waited for. */
+  /** Recovery ignores the delays for load-driven changes; it only waits for the lease and the last recovery. */
   #recoverIfAllowed(changes: readonly StageChange[], nowMs: number): void {
     if (nowMs - this.#lastRecoveryMs < MIN_RECOVERY_INTERVAL_MS) return;
     const epoch = this.#authority();
@@ -184,7 +184,8 @@
       const { engine: traits } = service;
       if (traits === undefined) continue;
       const paceOf = fleet.paces.pacesOf(service.name);
-      // An engine that names a limit does a part of what others do: counted whole, its stage would be short of engines.
+      // An engine with a rate limit does only a share of the work of others: counted as one, it would leave its stage
+      // short of engines.
       const limitShareOf = fleet.demand.limitSharesOf(service.name, nowMs);
       const changes = planStageChanges({
         engines: fleet.expectedServers(service.name, nowMs),
@@ -193,7 +194,7 @@
         busyOf: (id) => fleet.busyOf(id, nowMs),
         paceOf: (id) => paceOf(id) * limitShareOf(id),
       });
-      const dueChanges = changes.filter((change) => this.#isReversalDue(change, traits, nowMs));
+      const dueChanges = changes.filter((change) => this.#isDue(change, traits, nowMs));
       if (dueChanges.length === 0) continue;
       this.#minWantedMs = MIN_WANTED_SWITCHES * traits.roleSwitchMs;
       return dueChanges;
@@ -201,8 +202,8 @@
     return [];
   }
 
-  /** A change that undoes the last one comes no sooner than that has been of use. */
-  #isReversalDue(change: StageChange, traits: EngineTraits, nowMs: number): boolean {
+  /** Whether a change may be ordered now: a reversal of the last one waits until that one has paid off. */
+  #isDue(change: StageChange, traits: EngineTraits, nowMs: number): boolean {
     if (this.#lastStage === undefined || this.#lastStage === change.stage) return true;
     const gapMs = Math.max(MIN_REVERSAL_MS, MIN_REVERSAL_SWITCHES * traits.roleSwitchMs);
     return nowMs - this.#lastOrderMs >= gapMs;
@@ -217,7 +218,7 @@
     this.#wantedSinceMs = undefined;
   }
 
-  /** A holder stays one until its last order is older than the lease: no quick turns. */
+  /** A holder remains a candidate until its last order is older than two leases, so that the lease does not flap. */
   #isCandidate(nowMs: number): boolean {
     return !this.#hasNoRecentOrder() || this.#wantedForMs(nowMs) >= this.#leaseDelayMs;
   }
--- a/src/shell/gateway/stage-orders.ts
+++ b/src/shell/gateway/stage-orders.ts
@@ -1,6 +1,6 @@
 /**
- * Orders to engines and what becomes of them: an engine is emptied, looked at, ordered under the fence of the
- * lease, and followed until it says that its change is over, while the other daemons are told.
+ * Carries out one stage change: the engine is drained, its report read, the order sent with the lease's epoch as its
+ * fencing token, and the engine polled until it reports the new stage. The other daemons are notified meanwhile.
  */
 import type {
   EngineStage,
@@ -15,9 +15,9 @@
 import type { CallPurpose, ServerCalls } from './server-calls.js';
 import { callWithTimeout, delay, type TimerService } from './timer-service.js';
 
-/** An ordered engine is asked this often whether its change is over, and the others are told. */
+/** Interval at which an ordered engine is polled for the end of its change, and the notice to the others repeated. */
 const FOLLOW_INTERVAL_MS = 400;
-/** A change that takes longer is followed no more; the platform's list will show it. */
+/** A change that takes longer is no longer polled for; the platform's list of servers shows it later. */
 const MAX_FOLLOWED_SWITCHES = 5;
 const MAX_FOLLOWED_MS = 5_000;
 const ORDER_TIMEOUT_MS = 1_000;
@@ -25,29 +25,29 @@
 const MAX_ANSWER_BYTES = 65_536;
 const STATUS_ACCEPTED = 202;
 
-/** What orders are built from. */
+/** Dependencies of the orders. */
 export interface StageOrdersOptions {
   readonly daemon: string;
   readonly fleet: FleetView;
   readonly calls: Pick<ServerCalls, 'call'>;
   readonly codec: RequestCodec;
-  /** Tells the other daemons of an engine that changes. */
+  /** Sends the other daemons a notice on an engine's stage change. */
   readonly broadcastStage: (notice: StageNotice) => void;
-  /** The epoch of the lease while this daemon holds it. */
+  /** The epoch of the lease; undefined while this daemon does not hold it. */
   readonly currentEpoch: () => number | undefined;
-  /** Told when an order is sent. */
+  /** Called before an order is sent. */
   readonly noteSent: (stage: EngineStage) => void;
   readonly timers: TimerService;
   readonly log: GatewayLog;
 }
 
 interface EngineAnswer {
-  /** A status, or why there is none. */
+  /** The status, or the reason why there is none. */
   readonly outcome: number | string;
   readonly body: Buffer | undefined;
 }
 
-/** Gives orders; whoever calls holds the lease. */
+/** Sends orders to engines; the caller holds the lease. */
 export class StageOrders {
   readonly #options: StageOrdersOptions;
   #isStopped = false;
@@ -56,19 +56,19 @@
     this.#options = options;
   }
 
-  /** Follows no engine any more; orders that were sent stand. */
+  /** Stops polling the ordered engines; orders that were sent stay valid. */
   stop(): void {
     this.#isStopped = true;
   }
 
-  /** Empties an engine, orders it if the authority still holds by then, and follows its change. */
+  /** Drains an engine, sends the order if the lease still holds after that, and polls until the change is over. */
   async order(change: StageChange, epoch: number, drainMs: number): Promise<void> {
     const { daemon, codec, timers, log } = this.#options;
     const { engine, stage } = change;
     this.#advertiseStage({ engineId: engine.id, stage, phase: 'changing' });
     await delay(timers, drainMs);
     const report = await this.#readReport(engine);
-    // The engine is looked at first; by then the lease may have run out, or another life of it have begun.
+    // While the engine drained and reported, the lease may have expired or the engine restarted.
     if (report === undefined || report.isBusy || report.stage === stage) return;
     if (this.#isOtherBoot(engine, report)) return;
     if (this.#options.currentEpoch() !== epoch) return;
@@ -89,7 +89,7 @@
     await this.#follow(engine, stage);
   }
 
-  /** Tells the others that an engine is away, until it says that its change is over. */
+  /** Repeats the notice that an engine is changing until the engine reports the new stage. */
   async #follow(engine: ServerRecord, stage: EngineStage): Promise<void> {
     const { timers, fleet, log } = this.#options;
     const startedAtMs = timers.nowMs();
@@ -101,7 +101,7 @@
       const isRemoved = fleet.directory.get(engine.id) === undefined;
       if (isRemoved || fleet.directory.isSuperseded(engine)) return;
       const report = await this.#readReport(engine);
-      // An order is forgotten with the life that took it.
+      // A restarted engine has lost the order.
       if (report !== undefined && this.#isOtherBoot(engine, report)) return;
       if (report === undefined || report.isBusy || report.stage !== stage) continue;
       this.#advertiseStage({ engineId: engine.id, stage, phase: 'changed' });
@@ -111,7 +111,7 @@
     }
   }
 
-  /** Whether a report is of another life than the one that was planned with; its order sequence began anew. */
+  /** Whether the engine was restarted since the change was planned; a new boot counts its orders from the start. */
   #isOtherBoot(engine: ServerRecord, { bornMs }: EngineReport): boolean {
     if (this.#options.fleet.directory.isSuperseded(engine)) return true;
     return bornMs !== undefined && engine.bornMs !== undefined && bornMs !== engine.bornMs;
--- a/src/shell/gateway/tenant-usage.ts
+++ b/src/shell/gateway/tenant-usage.ts
@@ -1,6 +1,6 @@
 /**
- * Counts the runs of tenants that this daemon began, answers whoever asks for them, and has this daemon's part
- * in reporting the usage of all daemons (`src/core/tenant-usage/report-duty.ts` decides).
+ * Counts the runs that this daemon starts for each tenant, sends the counts to daemons that request them, and reports
+ * the usage of all daemons while this daemon holds the duty (`src/core/tenant-usage/report-duty.ts` decides).
  */
 import * as z from 'zod/mini';
 import type { PeerRoster } from '../../core/gateway/index.js';
@@ -25,18 +25,21 @@
 
 /** The key of the duty's record. */
 const RECORD_KEY = 'usage-duty';
-/** Answers of servers that began within a window have come by then: a web request takes about a second at most. */
+/**
+ * The holder reports a window this long after its end, when the answers to runs that began in it have arrived: a web
+ * request takes about a second at most.
+ */
 const SETTLE_MS = 1_200;
-/** Others step in when the holder has not reported by then, the first of them first. */
+/** If the holder has not reported this long after a window's end, the first other daemon takes over. */
 const FIRST_TAKEOVER_MS = 3_000;
 const TAKEOVER_INTERVAL_MS = 600;
-/** Later ones all wait equally long. */
+/** Daemons at this position or a later one all wait equally long. */
 const MAX_TAKEOVER_STEPS = 6;
-/** A report that is sent so late may not come in time any more. */
+/** A report that is sent less than this before it is due may arrive too late. */
 const SEND_MARGIN_MS = 200;
-/** How often an open window is looked at. */
+/** Interval of the steps while a window is still to be reported. */
 const POLL_INTERVAL_MS = 250;
-/** Daemons that did not answer are asked again, so often: datagrams are lost, and some daemons are gone. */
+/** Counts are requested again from daemons that have not answered: datagrams get lost, and some daemons are down. */
 const COLLECT_ROUND_MS = 250;
 const MAX_COLLECT_ROUNDS = 5;
 const CALL_TIMEOUT_MS = 1_500;
@@ -51,27 +54,27 @@
   counts: z.record(z.string(), z.number()),
 });
 
-/** What a reporter is built from. */
+/** Dependencies and settings of a usage reporter. */
 export interface UsageReporterOptions {
   readonly daemon: string;
   readonly incarnation: number;
   readonly leaseMs: number;
   readonly windowMs: number;
-  /** How long after its end a window has to be reported. */
+  /** A window has to be reported within this time after its end. */
   readonly dueMs: number;
   readonly duties: PlatformDuties;
   readonly table: TableService;
   readonly roster: Pick<PeerRoster, 'allPeers' | 'positionFor'>;
-  /** Absent where this daemon tells no others. */
+  /** Returns undefined where this daemon does not exchange messages with others. */
   readonly peers: () => Pick<PeerExchange, 'sendMessage'> | undefined;
   readonly wallClock: WallClock;
   readonly timers: TimerService;
-  /** Whose clock counts the time of a suspended machine. */
+  /** Timers whose clock includes the time during which the machine was suspended. */
   readonly leaseTimers: TimerService;
   readonly log: Pick<GatewayLog, 'write'>;
 }
 
-/** The daemon's part in counting and reporting usage. */
+/** Counts this daemon's usage, and reports that of all daemons while this daemon holds the duty. */
 export class UsageReporter {
   readonly #options: UsageReporterOptions;
   readonly #counts: UsageCounts;
@@ -90,17 +93,17 @@
     this.#record = new DutyRecordRow({ ...options, key: RECORD_KEY, schema: recordSchema });
   }
 
-  /** A tenant's request began to run, so long ago. */
+  /** Records that a tenant's request began to run `agoMs` ago. */
   recordRunStart(tenant: string, agoMs: number): void {
     this.#counts.note(tenant, this.#options.wallClock() - agoMs);
   }
 
-  /** What another daemon tells, or asks. */
+  /** Handles another daemon's message on usage. */
   take(message: UsageMessage, reply: Reply): void {
     switch (message.kind) {
       case 'usage-asked':
         for (const part of this.#ownParts(message.window)) reply({ kind: 'usage-counted', part });
-        // Whoever asks may lack the record of it, as the store came back from an older copy.
+        // The requester may not know of the report if the store was restored from a copy without its record.
         if (this.#lastReportedWindow() >= message.window) {
           reply({ kind: 'usage-reported', window: this.#lastReportedWindow() });
         }
@@ -127,7 +130,7 @@
     this.#stopped.abort();
   }
 
-  /** An open window is looked at often; else this daemon sleeps until the next may be its to report. */
+  /** Short while a window is to be reported; otherwise the time until this daemon may have to report the next one. */
   #nextPollMs(): number {
     const { windowMs, wallClock } = this.#options;
     const sinceEndMs = wallClock() % windowMs;
@@ -142,7 +145,7 @@
     return Math.max(this.#duty.reportedWindow, this.#reportedByOther);
   }
 
-  /** How long after the end of a window this daemon steps in for it. */
+  /** Time after the end of a window after which this daemon takes over its report. */
   #takeoverDelayMs(): number {
     const position = this.#options.roster.positionFor(RECORD_KEY);
     return FIRST_TAKEOVER_MS + TAKEOVER_INTERVAL_MS * Math.min(MAX_TAKEOVER_STEPS, position);
