--- a/test/gateway/capacity-controller.test.ts
+++ b/test/gateway/capacity-controller.test.ts
@@ -1,4 +1,4 @@
-/** The shell of capacity: what it counts as lost, what it writes down, and that it can be switched off. */
+/** The capacity controller: how it answers a loss of servers, what it logs, and that this can be switched off. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import type { CapacityOrder } from '../../src/core/capacity/index.js';
@@ -92,7 +92,7 @@
   return setup;
 }
 
-test('servers of a zone that say that they leave are ordered elsewhere within half a second', async () => {
+test('replacements for draining spot servers of a zone are ordered in other zones within half a second', async () => {
   const setup = await setUpSettled(true);
   const before = setup.orders.length;
   setup.fleet.directory.apply(
@@ -107,12 +107,16 @@
   assert.ok(setup.events.includes(SPOT_TAKEN));
   assert.ok(setup.events.includes(PLANNED));
   const [belief] = setup.controller.beliefs;
-  assert.equal(belief?.wanted, 63, 'before any work was seen, with a zone to spare');
+  assert.equal(
+    belief?.wanted,
+    63,
+    'before any work was measured, with enough spare servers for the loss of a zone',
+  );
   assert.deepEqual(belief?.zonesWithoutSpot, ['a']);
   assert.ok((belief?.coming ?? 0) >= 12);
 });
 
-test('switched off, a loss is not ordered in other zones, and nothing is written down of it', async () => {
+test('with spare capacity switched off, lost servers are not ordered in other zones, and no plan is logged', async () => {
   const setup = await setUpSettled(false);
   setup.fleet.directory.apply(
     serversOf('a', 'draining').filter(({ isSpot }) => isSpot),
@@ -129,7 +133,7 @@
   assert.deepEqual(setup.controller.beliefs, []);
 });
 
-test('where spot servers cost no less the same is ordered, whether it is switched on or off', async () => {
+test('if spot servers are no cheaper, the same orders are placed with spare capacity on and off', async () => {
   const [on, off] = [await setUpSettled(true, 1), await setUpSettled(false, 1)];
   on.controller.stop();
   off.controller.stop();
--- a/test/gateway/duty-client.test.ts
+++ b/test/gateway/duty-client.test.ts
@@ -1,4 +1,4 @@
-/** Calls to the platform that one daemon at a time makes, over TCP. */
+/** The client for the duties' calls to the platform, over TCP. */
 import assert from 'node:assert/strict';
 import { afterEach, beforeEach, test } from 'node:test';
 import { createPlatformAdapter } from '../../platform/index.js';
@@ -29,7 +29,7 @@
   return duties().reportUsage(REPORT, AUTHORITY, new AbortController().signal);
 }
 
-test('a usage report names its holder and fence, and its counts by tenant', async () => {
+test('a usage report carries its holder, its fencing token and the counts by tenant', async () => {
   assert.deepEqual(await report(), { kind: 'accepted' });
   const [seen] = platform.seen;
   assert.equal(`${seen?.method} ${seen?.url}`, 'POST /usage');
@@ -46,7 +46,7 @@
 ];
 
 for (const [status, outcome] of STATUSES) {
-  test(`an answer of ${status} is told as ${outcome.kind}`, async () => {
+  test(`an answer with status ${status} gives the outcome ${outcome.kind}`, async () => {
     platform.script = ({ response }) => void response.writeHead(status).end('not JSON');
     assert.deepEqual(await report(), outcome);
   });
@@ -54,18 +54,18 @@
 
 const resetting: Script = ({ response }) => void response.destroy();
 
-test('a connection that is reset leaves open whether it was done', async () => {
+test('a call whose connection is reset has the outcome lost', async () => {
   platform.script = resetting;
   assert.equal((await report()).kind, 'lost');
 });
 
-test('a call that is given up leaves open whether it was done', async () => {
-  const given = new AbortController();
-  platform.script = () => given.abort();
-  const outcome = await duties().reportUsage(REPORT, AUTHORITY, given.signal);
+test('an aborted call has the outcome lost', async () => {
+  const abortController = new AbortController();
+  platform.script = () => abortController.abort();
+  const outcome = await duties().reportUsage(REPORT, AUTHORITY, abortController.signal);
   assert.equal(outcome.kind, 'lost');
 });
 
-test('without an address there are no duties', () => {
+test('without an address for duties the adapter has none', () => {
   assert.equal(createPlatformAdapter({ host: '127.0.0.1', port: 1 }).duties, undefined);
 });
--- a/test/gateway/fleet-demand.test.ts
+++ b/test/gateway/fleet-demand.test.ts
@@ -1,4 +1,4 @@
-/** The demand of the whole fleet, from which the split of engines is decided. */
+/** The demand of the whole fleet, on which the division of the engines between the stages is decided. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import fc from 'fast-check';
@@ -29,7 +29,7 @@
 
 const requestsOf = (demands: readonly ServiceDemand[]) => demands[0]?.requests;
 
-test('a relay adds up its zone for the others, and all zones for its own', () => {
+test('a relay sums the demand of its zone for other zones, and of all zones for its own', () => {
   const loads = new PeerLoads();
   loads.take(report('a', 3), 0);
   loads.take(report('b', 4), 0);
@@ -38,21 +38,25 @@
   assert.equal(requestsOf(loads.totalDemand([demand(1)], 0)), 18);
 });
 
-test('a follower takes what its relay says, which holds its own, until the relay falls silent', () => {
+test('a follower uses the sums of its relay, which include its own demand, until they expire', () => {
   const loads = new PeerLoads();
   loads.applySums(sums('r', 50), [], 0);
   assert.equal(requestsOf(loads.totalDemand([demand(5)], 100)), 50);
   assert.equal(requestsOf(loads.totalDemand([demand(5)], 3_000)), 5);
 });
 
-test('the need of a stage is that of all daemons, however unevenly callers come', () => {
+test('the need of a stage covers all daemons, however unevenly the callers are distributed', () => {
   const fleet = new FleetView({ ratio: 0.2, slack: 50 });
   fleet.setDaemonCount(8);
   for (let request = 0; request < 6; request += 1) {
     fleet.demand.of('m').recordRequest('long-prompt', { prefillMs: 100, decodeMs: 1 }, 0);
   }
   const alone = fleet.demand.needOf('m', 0);
-  assert.equal(alone.requests, 6, 'what nobody told is not counted as seen');
+  assert.equal(
+    alone.requests,
+    6,
+    'only measured requests are counted, not those estimated for other daemons',
+  );
   assert.equal(alone.prefillEngines, (8 * 600) / DEMAND_SPAN_MS);
   fleet.peerLoads.take(report('a', 40), 0);
   const together = fleet.demand.needOf('m', 0);
@@ -60,7 +64,7 @@
   assert.equal(together.prefillEngines, 4_600 / DEMAND_SPAN_MS);
 });
 
-test('sums of demand do not depend on order, and services are kept apart', () => {
+test('sums of demand do not depend on the order of the entries, and are separate for each service', () => {
   const services = fc.constantFrom('m', 'n');
   const entries = fc.array(
     fc.record({ service: services, requests: fc.nat(50) }).map(({ service, requests }) => ({
@@ -80,7 +84,7 @@
   );
 });
 
-test('the sums that are kept are those of the entries in the span, whatever comes and goes', () => {
+test('the running sums of demand equal those of the entries within the window', () => {
   const gapsMs = fc.array(fc.record({ gapMs: fc.nat(3_000), workMs: fc.nat(100) }));
   fc.assert(
     fc.property(gapsMs, (steps) => {
@@ -103,7 +107,7 @@
   );
 });
 
-test('an engine that names a limit counts by what it takes of what each of its stage gets', () => {
+test('an engine with a rate limit counts by the share of the mean request rate of its stage that it accepts', () => {
   const fleet = new FleetView({ ratio: 0.2, slack: 50 });
   const engine = { service: 'm', zone: 'z', slots: 8, state: 'ready', isSpot: false } as const;
   const engines = ['e1', 'e2', 'e3', 'e4'].map((id, place) => {
@@ -113,7 +117,7 @@
   fleet.directory.replaceAll(engines);
   fleet.peerLoads.take(report('a', 180), 0);
   assert.equal(fleet.demand.limitSharesOf('m', 0)('e2'), 1);
-  // 180 requests in 6 s are 10 a second for each of three that generate.
+  // 180 requests in 6 s are 10 per second for each of the three decode engines.
   fleet.limits.applyAdvertised('e2', { perSecond: 2, reportedAgoMs: 0 }, 0);
   fleet.limits.applyAdvertised('e3', { perSecond: 50, reportedAgoMs: 0 }, 0);
   const shareOf = fleet.demand.limitSharesOf('m', 0);
--- a/test/gateway/platform-names.test.ts
+++ b/test/gateway/platform-names.test.ts
@@ -1,4 +1,4 @@
-/** The platform's names stand in `platform/` only, and its folder stays small. */
+/** The platform's names are spelled out in `platform/` only, and that folder stays small. */
 import assert from 'node:assert/strict';
 import { readdirSync, readFileSync } from 'node:fs';
 import { join, resolve } from 'node:path';
@@ -8,9 +8,9 @@
 
 const PROJECT_ROOT = resolve(fileURLToPath(new URL('../../..', import.meta.url)));
 const MAX_ADAPTER_LINES = 1_200;
-/** Words of HTTP itself, or too common to be told from others. */
+/** Names of web standards, or too common to be searched for. */
 const COMMON_NAMES = new Set(['last-event-id', '/ready', '/report', '/order']);
-/** Words that modules have in their paths too; as a text of their own they are the platform's. */
+/** Names that also occur in module paths; as complete string literals they are the platform's. */
 const QUOTED_NAMES = new Set<string>([PATHS.usage, PATHS.scale]);
 
 function sourcesUnder(folder: string): readonly string[] {
@@ -19,7 +19,7 @@
     .map((path) => join(PROJECT_ROOT, folder, path));
 }
 
-test('no source outside the adapter spells a name of the platform', () => {
+test('no source file outside the adapter contains a name of the platform', () => {
   const names = [
     ...Object.values(HEADERS),
     ...Object.values(SENT_HEADERS),
@@ -36,7 +36,7 @@
   assert.deepEqual(leaks, []);
 });
 
-test('the adapter is small and keeps no time', () => {
+test('the adapter is small, and uses neither timers, clocks nor random numbers', () => {
   let lines = 0;
   for (const path of sourcesUnder('platform')) {
     const text = readFileSync(path, 'utf8');
--- a/test/gateway/retry-budget-births.test.ts
+++ b/test/gateway/retry-budget-births.test.ts
@@ -1,17 +1,14 @@
 /**
- * Symptom: the servers of one service got more arrivals beyond the first of each request, in a window of
- * ten seconds and over all 59 daemons, than `ratio` x requests + `slack`.
+ * Guards against exceeding the fleet's bound on repeats, `ratio` x requests + `slack` in any 10 s window, when all
+ * daemons restart together. Engines refuse requests, so that repeats are wanted all the time; all processes are killed
+ * at once and run again about a second later while the store is slow, so that requests arrive before a new incarnation
+ * has read the list of daemons.
  *
- * Sequence: engines turn requests away, so that repeats are wanted all the time; all processes are killed at
- * the same moment and run again a second later, while the store is slow; requests come before a life has
- * read the list of daemons.
- *
- * Cause: such a life took its share of the slack as one of twelve daemons, and began with a quarter of it, which
- * no request had earned. So 59 lives began with 155 repeats, the whole slack of 158, beside what the lives
- * before them had saved and spent in the same window.
- *
- * Settled by: event 6036 of 58 and then 59 of 59 lives said `daemons` 0 and a `cap` of 10.53 in place of 1.43, in a run whose
- * servers counted 1,934 repeats of 1,906; the mended code kept the bound in the same run.
+ * In the fault, such an incarnation took its share of the slack as one of twelve daemons and began with a quarter of
+ * that share, which no request had earned. 59 incarnations thus began with 155 repeats, nearly the whole slack of 158,
+ * in addition to what the incarnations before them spent in the same window: servers counted 1,934 repeats of 1,906
+ * allowed. Log event 6036 (`retryBudgetBegun`) of these incarnations had `daemons` 0 and a `cap` of 10.53 instead of
+ * 1.43.
  */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
@@ -21,18 +18,18 @@
 const REQUEST_GAP_MS = 2.5;
 const DOWN_MS = 1_200;
 const RUN_MS = 30_000;
-/** From the first reading of the list to the second. */
+/** Time between the first and the second read of the list of daemons. */
 const READ_AGAIN_MS = 1_000;
 
 interface Scenario {
   readonly daemons: number;
   readonly slack: number;
   readonly killsAtMs: readonly number[];
-  /** From the start of a life until it has read the list of daemons. */
+  /** Time from the start of an incarnation until it has read the list of daemons. */
   readonly listAfterMs: number;
 }
 
-/** Evenly spread requests, all turned away, over a fleet whose processes are killed together. */
+/** Sends evenly distributed requests, all refused, to a fleet whose processes are killed together. */
 function play({ daemons, slack, killsAtMs, listAfterMs }: Scenario): WorstWindow {
   const options = { ratio: RATIO, slack };
   const fleet = new FleetOfBudgets(options, daemons);
@@ -56,7 +53,7 @@
   return worstWindow(fleet.seen, options);
 }
 
-test('lives that begin together, before they have read the list of daemons, keep the bound', () => {
+test('daemons that restart together and have not read the list of daemons stay within the bound on repeats', () => {
   for (const [daemons, slack] of [
     [59, 158],
     [195, 430],
--- a/test/gateway/retry-budget-list.test.ts
+++ b/test/gateway/retry-budget-list.test.ts
@@ -1,12 +1,11 @@
 /**
- * Symptom: as in `retry-budget-births.test.ts`, more repeats in a window than all daemons together may make.
+ * Guards against exceeding the fleet's bound on repeats when lists of daemons are incomplete. Daemons that the relay of
+ * their zone cannot hear for long are removed from the list although they still serve callers; and the first list that
+ * is read after a common start lacks the daemons that have not written their rows yet. Then engines refuse requests.
  *
- * Sequence: a part of the fleet is silent towards its zone's relay for long, so that their rows are taken out of the
- * list of daemons, while they still serve callers; or daemons start together, and the first list that each
- * reads lacks those that have not written their rows yet. Then engines turn requests away.
- *
- * Cause: a daemon took its share of the slack by the last list that it had read, so a list that was short made the
- * shares larger than the slack: 59 daemons that believe in 15 sent 1,109 repeats of 958 in the worst window.
+ * In the fault, a daemon computed its share of the slack from the last list that it had read, so that with a short list
+ * the shares added up to more than the slack: 59 daemons whose list had 15 sent 1,109 repeats in a window that allowed
+ * 958.
  */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
@@ -19,7 +18,7 @@
 const RUN_MS = 40_000;
 const EVERY_DAEMON = Array.from({ length: DAEMONS }, (_, daemon) => daemon);
 
-/** Requests that a first server takes, so that repeats are saved up; then all are turned away. */
+/** Sends requests that the first server accepts, so that repeats are saved up, then ones that servers refuse. */
 function playFrom(fleet: FleetOfBudgets): void {
   for (let request = 0; request * REQUEST_GAP_MS < RUN_MS; request += 1) {
     const nowMs = request * REQUEST_GAP_MS;
@@ -32,7 +31,7 @@
   assert.ok(repeats <= allowed, `${scenario}: ${repeats} repeats of ${allowed}`);
 }
 
-test('daemons whose list is short keep the bound', () => {
+test('daemons with an incomplete list of daemons stay within the bound on repeats', () => {
   for (const listed of [30, 15, 1]) {
     const shrinking = new FleetOfBudgets(OPTIONS, DAEMONS);
     for (const daemon of EVERY_DAEMON) {
@@ -44,6 +43,6 @@
     const starting = new FleetOfBudgets(OPTIONS, DAEMONS);
     for (const daemon of EVERY_DAEMON) starting.readList(daemon, listed);
     playFrom(starting);
-    assertWithinBound(starting, `a first list of ${listed}, and none after it`);
+    assertWithinBound(starting, `only a first list of ${listed}`);
   }
 });
--- a/test/gateway/retry-budget-reporter.test.ts
+++ b/test/gateway/retry-budget-reporter.test.ts
@@ -1,4 +1,4 @@
-/** What the log and the figures say of retry budgets: enough to add up all repeats of a span. */
+/** The log events and metrics of retry budgets, from which all repeats of a time span can be added up. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import { GATEWAY_EVENTS } from '../../src/core/logging/catalogue/gateway.js';
@@ -26,7 +26,7 @@
   return { timers, metrics, fleet, reporter, fieldsOf };
 }
 
-test('repeats are reported each second, as they came since the last report', () => {
+test('the repeats since the last report are logged each second, unless there were none', () => {
   const { timers, fleet, reporter, fieldsOf } = setUp();
   fleet.setDaemonCount(1);
   fleet.setDaemonCount(1);
@@ -52,7 +52,7 @@
   assert.equal(fieldsOf(GATEWAY_EVENTS.retryBudgetUsed).length, 2, 'a second without repeats');
 });
 
-test('a budget begun before the list of daemons was read says so', () => {
+test('a budget created before a list of daemons was read is logged with 0 daemons', () => {
   const { fleet, reporter, fieldsOf } = setUp();
   fleet.budgetOf('m');
   reporter.recordDaemonCount(fleet.size.listed, 59);
@@ -72,10 +72,10 @@
     { before: change?.before, daemons: change?.daemons },
     { before: 0, daemons: 59 },
   );
-  assert.deepEqual(others, [], 'the same number again is no change');
+  assert.deepEqual(others, [], 'the same number of daemons is not logged again');
 });
 
-test('the figures have the same counts, and the level', async () => {
+test('the metrics have the counts and the level of a budget', async () => {
   const { fleet, reporter, metrics } = setUp();
   const budget = fleet.budgetOf('m');
   for (let request = 0; request < 10; request += 1) budget.countRequest();
--- a/test/gateway/retry-budget.test.ts
+++ b/test/gateway/retry-budget.test.ts
@@ -1,6 +1,6 @@
 /**
- * The budget of repeats: over every sliding window and all daemons, whoever starts, dies or is cut off,
- * arrivals beyond the first of each request stay under ratio x requests + slack.
+ * The retry budget: over every sliding window and all daemons, the arrivals at servers beyond the first of each request
+ * stay below ratio x requests + slack, even if daemons start, die or are partitioned.
  */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
@@ -11,7 +11,7 @@
 const SLACK = 54;
 const WINDOW_MS = 10_000;
 
-/** What happens to one request: how many of its sends are turned away before one is taken. */
+/** A request, of which this many sends are refused before one is accepted. */
 interface RequestEvent {
   readonly kind: 'request';
   readonly daemon: number;
@@ -43,7 +43,7 @@
   { minLength: 200, maxLength: 900 },
 );
 
-/** Times of requests and repeats as servers and callers see them. */
+/** Times at which callers sent requests and repeats arrived at servers. */
 interface ObservedTimes {
   readonly requestsMs: number[];
   readonly repeatsMs: number[];
@@ -74,7 +74,7 @@
   return seen;
 }
 
-/** How far the worst window is over the bound; windows begin just before a repeat. */
+/** The largest excess over the bound in any window; it is enough to try windows that begin at a repeat. */
 function worstExcess({ requestsMs, repeatsMs }: ObservedTimes): number {
   let worst = Number.NEGATIVE_INFINITY;
   for (const startMs of repeatsMs) {
@@ -85,7 +85,7 @@
   return worst;
 }
 
-test('no window holds more repeats than the ratio and the slack allow', () => {
+test('no window has more repeats than the ratio and the slack allow', () => {
   fc.assert(
     fc.property(history, fc.integer({ min: 1, max: MAX_DAEMONS }), (events, daemons) => {
       assert.ok(worstExcess(play(events, daemons)) <= 0);
@@ -94,7 +94,7 @@
   );
 });
 
-test('a quiet window after a busy one is not given what the busy one asked for', () => {
+test('after many requests, at most the slack can be spent on repeats in a window without requests', () => {
   const budget = new RetryBudget({ ratio: RATIO, slack: 12 }, 1);
   for (let request = 0; request < 1_000; request += 1) budget.countRequest();
   let repeats = 0;
@@ -103,7 +103,7 @@
   assert.ok(repeats >= 1);
 });
 
-test('a life begins with no repeat, whatever it knows of the fleet', () => {
+test('a new budget has no saved repeats, whatever the known number of daemons', () => {
   for (const daemons of [undefined, 1, 7, 59, 340]) {
     const budget = new RetryBudget({ ratio: RATIO, slack: SLACK }, daemons);
     assert.equal(budget.tryTake(), false, `one of ${daemons} daemons`);
@@ -112,7 +112,7 @@
   }
 });
 
-test('however many daemons there are, their shares of the slack stay under the whole', () => {
+test('new budgets of any number of daemons together allow no more repeats than the slack', () => {
   for (const daemons of [1, 7, 12, 13, 40, 88, 340]) {
     let taken = 0;
     for (let daemon = 0; daemon < daemons; daemon += 1) {
@@ -124,7 +124,7 @@
   }
 });
 
-test('however many daemons there are, what they have saved stays under the slack', () => {
+test('the saved repeats of any number of daemons together stay within the slack', () => {
   for (const daemons of [1, 7, 12, 13, 40, 88, 340]) {
     const slack = Math.max(SLACK, 2 * daemons);
     for (const isKnown of [true, false]) {
@@ -139,38 +139,42 @@
   }
 });
 
-test('in a fleet larger than its slack a daemon still earns a repeat by its requests', () => {
+test('in a fleet with more daemons than slack, requests still earn a daemon a repeat', () => {
   const budget = new RetryBudget({ ratio: RATIO, slack: SLACK }, 340);
   assert.equal(budget.tryTake(), false);
   for (let request = 0; request < 5; request += 1) budget.countRequest();
   assert.equal(budget.tryTake(), true);
 });
 
-test('without a ratio or a slack no repeat is made', () => {
+test('with a ratio and a slack of 0 no repeat is allowed', () => {
   const budget = new RetryBudget({ ratio: 0, slack: 0 }, 1);
   for (let request = 0; request < 100; request += 1) budget.countRequest();
   assert.equal(budget.tryTake(), false);
 });
 
-test('the first reading that a server takes up is no arrival; any other reading is', () => {
+test('the first completed prefill of a request is not counted as an arrival', () => {
   const budget = new RetryBudget({ ratio: 0, slack: 0 }, 1);
   const meter = new SendMeter();
   const reading = meter.tryBegin('prefill', budget);
   assert.ok(reading !== undefined);
   meter.end(reading, 'read', budget);
   const run = meter.tryBegin('run', budget);
-  assert.ok(run !== undefined, 'the run after a reading is the first arrival');
+  assert.ok(run !== undefined, 'the run after a prefill is the first arrival');
   meter.end(run, 'arrived', budget);
   assert.equal(meter.tryBegin('run', budget), undefined);
 });
 
-test('a reading that is turned away counts, also after another send', () => {
+test('a prefill that a server refuses is counted as a repeat after another send', () => {
   const budget = new RetryBudget({ ratio: 1, slack: 0 }, 1);
   const meter = new SendMeter();
   const first = meter.tryBegin('run', budget);
   assert.ok(first !== undefined);
   meter.end(first, 'arrived', budget);
-  assert.equal(meter.tryBegin('prefill', budget), undefined, 'it is reserved before it is sent');
+  assert.equal(
+    meter.tryBegin('prefill', budget),
+    undefined,
+    'a repeat is reserved before it is sent',
+  );
   budget.countRequest();
   const reading = meter.tryBegin('prefill', budget);
   assert.ok(reading !== undefined);
@@ -178,7 +182,7 @@
   assert.equal(budget.level, 0);
 });
 
-test('a repeat that never reached a server is given back', () => {
+test('a repeat that did not reach a server is given back', () => {
   const budget = new RetryBudget({ ratio: 1, slack: 0 }, 1);
   budget.countRequest();
   const meter = new SendMeter();
--- a/test/gateway/stage-controller.test.ts
+++ b/test/gateway/stage-controller.test.ts
@@ -1,4 +1,4 @@
-/** Stage orders: only under a lease that holds, fenced by its epoch, and at most one at a time. */
+/** Stage orders: sent only under a valid lease, fenced by its epoch, by one daemon at a time. */
 import assert from 'node:assert/strict';
 import type { IncomingMessage } from 'node:http';
 import { test } from 'node:test';
@@ -25,11 +25,11 @@
   readonly address: string;
 }
 
-/** Engines that report and take every order, and change at once. */
+/** Engines that answer report calls, accept every order and change their stage at once. */
 class MemoryEngines {
   readonly orders: Order[] = [];
   readonly #stages = new Map<string, string>();
-  /** When an engine says that it started; nothing where it does not say. */
+  /** The start time in the engines' reports; undefined if the reports lack it. */
   bornMs: number | undefined;
 
   setStage(address: string, stage: string): void {
@@ -93,7 +93,7 @@
 
 interface Setup {
   readonly timers: ManualTimers;
-  /** For how long the machine was suspended; its steady clock stood still meanwhile. */
+  /** How long the machine was suspended; the steady clock stands still while it is. */
   suspendedMs: number;
   readonly table: MemoryTable;
   readonly engines: MemoryEngines;
@@ -144,7 +144,7 @@
   return controller;
 }
 
-/** Lets time pass while long prompts keep coming. */
+/** Advances the time while long prompts keep arriving. */
 async function advanceTime(setup: Setup, spanMs: number): Promise<void> {
   for (let passedMs = 0; passedMs < spanMs; passedMs += 50) {
     const nowMs = setup.timers.nowMs();
@@ -156,7 +156,7 @@
   }
 }
 
-test('a wanted change is ordered under the lease, with its epoch and the engine’s own sequence', async () => {
+test('an order carries the epoch of the lease and the order sequence of the engine', async () => {
   const setup = setUp();
   startController(setup, 'front-1');
   await advanceTime(setup, 10_000);
@@ -167,13 +167,13 @@
   );
 });
 
-test('others are told before an engine is ordered, and again when it says that it has changed', async () => {
+test('other daemons are notified before an engine is ordered, and again when it reports the new stage', async () => {
   const setup = setUp();
   startController(setup, 'front-1');
   const usable = () => setup.fleet.candidates('reader', setup.timers.nowMs());
   while (setup.notices.length === 0) await advanceTime(setup, 50);
   const engineId = setup.notices[0]?.engineId;
-  assert.equal(setup.engines.orders.length, 0, 'it is emptied first');
+  assert.equal(setup.engines.orders.length, 0, 'it is drained first');
   assert.ok(usable().every(({ id }) => id !== engineId));
   await advanceTime(setup, 2_000);
   const phases = setup.notices.filter((notice) => notice.engineId === engineId);
@@ -181,7 +181,7 @@
   assert.equal(usable().find(({ id }) => id === engineId)?.stage, 'prefill');
 });
 
-test('of two daemons that want a change one orders', async () => {
+test('of two daemons that want a change only one sends orders', async () => {
   const setup = setUp();
   startController(setup, 'front-1');
   startController(setup, 'front-22');
@@ -190,7 +190,7 @@
   assert.ok(setup.engines.orders.length >= 2);
 });
 
-test('a holder that cannot renew stops ordering before its lease ends', async () => {
+test('a holder that cannot renew its lease sends no orders after the lease has ended', async () => {
   const setup = setUp();
   startController(setup, 'front-1');
   await advanceTime(setup, 10_000);
@@ -201,22 +201,22 @@
   assert.equal(setup.engines.orders.length, ordersAtEnd);
 });
 
-test('a holder whose machine was suspended past its lease orders nothing under it', async () => {
-  // A steady clock does not count the time of a suspension: the holder took its lease for as young as before.
+test('a holder whose machine was suspended past the end of its lease sends no order under it', async () => {
+  // By the steady clock, which does not include the suspension, the lease would seem to be still valid.
   const setup = setUp();
   startController(setup, 'front-1');
   while (setup.notices.length === 0) await advanceTime(setup, 50);
-  assert.equal(setup.engines.orders.length, 0, 'an engine is emptied before it is ordered');
+  assert.equal(setup.engines.orders.length, 0, 'an engine is drained before it is ordered');
   setup.table.isDown = true;
   setup.suspendedMs = LEASE_MS;
   await advanceTime(setup, 2_000);
   assert.equal(setup.engines.orders.length, 0);
 });
 
-test('the next holder waits for the lease of one that fell silent, and takes the next epoch', async () => {
+test('after a holder has stopped, the next one waits for the end of its lease and takes the next epoch', async () => {
   const setup = setUp();
   const first = startController(setup, 'front-1');
-  // Stopped after its first order, while more changes are wanted.
+  // The first controller is stopped after its first order, while more changes are wanted.
   while (setup.engines.orders.length === 0) await advanceTime(setup, 50);
   first.stop();
   startController(setup, 'front-22');
@@ -230,7 +230,7 @@
   );
 });
 
-test('without the store nobody orders', async () => {
+test('while the store is unavailable no orders are sent', async () => {
   const setup = setUp();
   setup.table.isDown = true;
   startController(setup, 'front-1');
@@ -240,7 +240,7 @@
 
 const LOST_IDS = ['e6', 'e7'];
 
-/** Two of eight engines generate, and from now on neither answers. */
+/** Makes two of the eight engines the only decode engines, and both unreachable. */
 function loseAllDecodeEngines(setup: Setup): void {
   for (const record of [...setup.fleet.directory.all()]) {
     const stage = LOST_IDS.includes(record.id) ? 'decode' : 'prefill';
@@ -250,7 +250,7 @@
   for (const id of LOST_IDS) setup.fleet.healthOf(id).recordSilent(setup.timers.nowMs());
 }
 
-/** Lets time pass while every attempt to reach the lost engines fails. */
+/** Advances the time while every attempt to reach the lost engines fails. */
 async function advanceTimeWhileLost(setup: Setup, spanMs: number): Promise<void> {
   for (let passedMs = 0; passedMs < spanMs; passedMs += 200) {
     for (const id of LOST_IDS) setup.fleet.healthOf(id).recordSilent(setup.timers.nowMs());
@@ -258,9 +258,10 @@
   }
 }
 
-test('when all that generate are lost, engines are ordered over at once, right after an order as well', async () => {
+test('when all decode engines are lost, prefill engines are ordered to decode at once', async () => {
   const setup = setUp();
   startController(setup, 'front-1');
+  // Recovery has to follow right after a load-driven order, without waiting for the usual time between orders.
   while (setup.engines.orders.length === 0) await advanceTime(setup, 50);
   const before = setup.engines.orders.length;
   loseAllDecodeEngines(setup);
@@ -276,7 +277,7 @@
   assert.equal(generating.length, 3);
 });
 
-test('engines that are lost for a moment only cause no order', async () => {
+test('decode engines that are unreachable only for a moment cause no orders', async () => {
   const setup = setUp();
   startController(setup, 'front-1');
   await advanceTime(setup, 250);
@@ -288,7 +289,7 @@
   assert.deepEqual(setup.engines.orders, []);
 });
 
-test('when the daemon that orders is lost as well, another one brings the stage back', async () => {
+test('when the lease holder and all decode engines are lost, another daemon restores the decode stage', async () => {
   const setup = setUp();
   const first = startController(setup, 'front-1');
   while (setup.engines.orders.length === 0) await advanceTime(setup, 50);
@@ -305,7 +306,7 @@
   assert.deepEqual(new Set(recoveryOrders.map(({ fence }) => fence)), new Set([2]));
 });
 
-test('without the store no order can be fenced, so none is given, and it is once the store is back', async () => {
+test('the decode stage is restored only once the store is available, as no order can be fenced before', async () => {
   const setup = setUp();
   setup.table.isDown = true;
   startController(setup, 'front-1');
@@ -318,7 +319,7 @@
   assert.equal(setup.engines.orders.filter(({ stage }) => stage === 'decode').length, 3);
 });
 
-test('engines that read and are listed before those that generate are not ordered over', async () => {
+test('prefill engines that are listed before the decode engines are not ordered to decode', async () => {
   const setup = setUp();
   const all = [...setup.fleet.directory.all()];
   setup.fleet.directory.replaceAll(all.slice(0, 1));
@@ -331,7 +332,7 @@
   assert.deepEqual(setup.engines.orders, []);
 });
 
-test('a daemon that may not order takes no part', async () => {
+test('a daemon that may not order sends no orders', async () => {
   const setup = setUp();
   startController(setup, 'front-1', () => false);
   await advanceTime(setup, 250);
@@ -342,12 +343,12 @@
 
 const BORN_MS = 1_800_000_000_000;
 
-/** The list says that all engines started then. */
+/** Sets the start time of all listed engines. */
 function setListedBornMs({ fleet }: Setup, bornMs: number): void {
   fleet.directory.replaceAll([...fleet.directory.all()].map((engine) => ({ ...engine, bornMs })));
 }
 
-test('an engine that says it has started again is not ordered by what was planned for its life before', async () => {
+test('an engine that reports a later start than the listed one is not ordered', async () => {
   const setup = setUp();
   setListedBornMs(setup, BORN_MS);
   setup.engines.bornMs = BORN_MS + 1;
@@ -361,7 +362,7 @@
   controller.stop();
 });
 
-test('an engine that starts again while it is emptied is not ordered, and the notice of it is forgotten', async () => {
+test('an engine that restarts while it is drained is not ordered, and the notice on it is forgotten', async () => {
   const setup = setUp();
   setListedBornMs(setup, BORN_MS);
   const controller = startController(setup, 'front-1');
--- a/test/gateway/support/repeats-of-fleet.ts
+++ b/test/gateway/support/repeats-of-fleet.ts
@@ -1,6 +1,6 @@
 /**
- * A fleet of gateways' beliefs in virtual time, asked for more than its servers take: when repeats were
- * sent, and how the worst window stands against the bound that all daemons share.
+ * Simulates the retry budgets of a fleet of gateways in virtual time while servers refuse requests, and finds the
+ * window with the most repeats relative to the bound that all daemons share.
  */
 import assert from 'node:assert/strict';
 import { type RetryBudgetOptions, SendMeter } from '../../../src/core/gateway/index.js';
@@ -9,7 +9,7 @@
 const SERVICE = 'm';
 const WINDOW_MS = 10_000;
 
-/** Times of requests and repeats as servers and callers see them, in rising order. */
+/** Times at which callers sent requests and repeats arrived at servers, in ascending order. */
 export interface SeenTimes {
   readonly requestsMs: number[];
   readonly repeatsMs: number[];
@@ -30,17 +30,17 @@
     return this.#views.length;
   }
 
-  /** A daemon's process is killed, and another life of it begins with no list of daemons. */
+  /** Kills a daemon's process and starts a new incarnation, which has read no list of daemons. */
   restart(daemon: number): void {
     this.#views[daemon % this.size] = new FleetView(this.#options);
   }
 
-  /** A daemon reads a list of so many daemons from the store. */
+  /** Lets a daemon read a list of `listed` daemons from the store. */
   readList(daemon: number, listed: number): void {
     this.#viewOf(daemon).setDaemonCount(listed);
   }
 
-  /** A request arrives, and so many servers turn it away before one takes it. */
+  /** Sends a request that `refusals` servers refuse before one accepts it. */
   request(daemon: number, refusals: number, nowMs: number): void {
     const budget = this.#viewOf(daemon).budgetOf(SERVICE);
     budget.countRequest();
@@ -59,7 +59,7 @@
   }
 }
 
-/** The window that is furthest over the bound, or nearest to it; windows begin just before a repeat. */
+/** The window that exceeds the bound most, or comes closest to it; it is enough to try those that begin at a repeat. */
 export interface WorstWindow {
   readonly startMs: number;
   readonly repeats: number;
@@ -78,7 +78,7 @@
   return worst;
 }
 
-/** How many of the rising times lie before one. */
+/** The number of times before `timeMs`; `times` are in ascending order. */
 function lowerBound(times: readonly number[], timeMs: number): number {
   let low = 0;
   let high = times.length;
--- a/test/gateway/tenants.test.ts
+++ b/test/gateway/tenants.test.ts
@@ -1,4 +1,4 @@
-/** API keys and tenants: whose a request is, and what servers, callers and the log are told of it. */
+/** API keys and tenants: how a request's tenant is found, and what servers, callers and the log get to see of it. */
 import assert from 'node:assert/strict';
 import { afterEach, beforeEach, test } from 'node:test';
 import { type Tenant, TenantTable } from '../../src/core/gateway/index.js';
@@ -30,7 +30,7 @@
   return server;
 }
 
-test('a server is told the tenant and never the key, whatever the caller says', async () => {
+test('a server is sent the tenant and never the key, whatever headers the caller sends', async () => {
   const server = await startWith([LEIDEN]);
   const headers = { 'aPI-kEY': OLD_KEY, 'X-TENANT': 'delft', 'x-Custom': 'kept' };
   const answer = await fixture.call({ path: '/tiles/1', headers });
@@ -41,7 +41,7 @@
   assert.ok(!JSON.stringify(fixture.lines).includes(OLD_KEY));
 });
 
-test('an engine that reads a prompt and one that goes on are both told the tenant', async () => {
+test('the prefill engine and the decode engine of a request are both sent the tenant', async () => {
   await startWith([LEIDEN]);
   const traits = { service: 'reader', slots: 8, models: [] };
   const reader = await fixture.addServer('e-1', engine(3), { ...traits, stage: 'prefill' });
@@ -54,16 +54,16 @@
   };
   const answer = await fixture.call({ path: '/read/1', headers });
   assert.equal(answer.status, 200);
-  const told = [...reader.seen, ...writer.seen].filter(({ url }) => url === '/read/1');
-  assert.ok(told.some((seen) => seen.headers['x-stage'] === 'prefill'));
-  for (const seen of told) assert.equal(seen.headers['x-tenant'], 'leiden');
+  const sent = [...reader.seen, ...writer.seen].filter(({ url }) => url === '/read/1');
+  assert.ok(sent.some((seen) => seen.headers['x-stage'] === 'prefill'));
+  for (const seen of sent) assert.equal(seen.headers['x-tenant'], 'leiden');
 });
 
 for (const [name, headers] of [
   ['no key', {}],
   ['an unknown key', { 'Api-Key': 'key-of-nobody' }],
   ['an empty key', { 'Api-Key': '' }],
-  ['a key and more', { 'Api-Key': `${OLD_KEY}, ${OLD_KEY}` }],
+  ['more than a key in the header', { 'Api-Key': `${OLD_KEY}, ${OLD_KEY}` }],
   ['a very long key', { 'Api-Key': 'k'.repeat(8_000) }],
 ] as const) {
   test(`a request with ${name} is refused at once and reaches no server`, async () => {
@@ -77,7 +77,7 @@
   });
 }
 
-test('two headers with one key each are no key', async () => {
+test('a request with two API key headers is refused', async () => {
   const server = await startWith([LEIDEN]);
   const raw = await fixture.callRaw([
     'POST /tiles/1 HTTP/1.1',
@@ -91,7 +91,7 @@
   assert.equal(server.seen.length, 0);
 });
 
-test('a public route takes requests without a key, and keeps an unknown one from the server', async () => {
+test('a public route accepts a request with an unknown key, and does not forward the key', async () => {
   const server = await startWith([LEIDEN]);
   const answer = await fixture.call({ path: '/open/1', headers: { 'Api-Key': 'key-of-nobody' } });
   assert.equal(answer.status, 200);
@@ -99,14 +99,14 @@
   assert.equal(server.seen[0]?.headers['api-key'], undefined);
 });
 
-test('without tenants no request needs a key, and none can name a tenant', async () => {
+test('without tenants no request needs a key, and a tenant header of the caller is dropped', async () => {
   const server = await startWith(undefined);
   const answer = await fixture.call({ path: '/tiles/1', headers: { 'X-Tenant': 'delft' } });
   assert.equal(answer.status, 200);
   assert.equal(server.seen[0]?.headers['x-tenant'], undefined);
 });
 
-test('a version that changes keys takes effect on requests from then on', async () => {
+test('a new configuration version with other keys applies to the requests after it', async () => {
   await startWith([LEIDEN]);
   const call = (key: string) => fixture.call({ path: '/tiles/1', headers: { 'Api-Key': key } });
   assert.equal((await call(NEW_KEY)).status, 401);
@@ -120,14 +120,14 @@
   assert.equal((await call(NEW_KEY)).status, 200);
 });
 
-test('a key that two tenants have is said, and counts for the first of them', async () => {
+test('a key that two tenants have is logged, and identifies the first of them', async () => {
   const server = await startWith([LEIDEN, { name: 'delft', apiKeys: [OLD_KEY, NEW_KEY] }]);
   await fixture.logged(GATEWAY_EVENTS.keysShared, (fields) => fields.sharedKeys === 1);
   await fixture.call({ path: '/tiles/1', headers: { 'Api-Key': OLD_KEY } });
   assert.equal(server.seen[0]?.headers['x-tenant'], 'leiden');
 });
 
-test('a request ranks by its tenant first and by its route among equals', () => {
+test('a request ranks by the priority of its tenant, then by that of its route', () => {
   const tenant = (name: string, priority?: number): Tenant => ({ name, apiKeys: [name], priority });
   const first = tenant('first', 2);
   const second = tenant('second', 7);
