--- a/src/shell/gateway/fleet-view.ts
+++ b/src/shell/gateway/fleet-view.ts
@@ -194,7 +194,7 @@
     return !isLeaving && this.directory.wasReady(server);
   }
 
-  /** How many ready servers of a service have reported that they are leaving or backing off. */
+  /** How many ready servers of a service have reported that they are leaving, or asked for a back-off. */
   unavailableOf(
     service: string,
     nowMs: number,
@@ -229,7 +229,7 @@
     return waitsMs.length === 0 ? undefined : Math.min(...waitsMs);
   }
 
-  /** How many of all listed servers report that they are leaving, or backing off now. */
+  /** How many of all listed servers have reported that they are leaving, or are in a back-off period now. */
   saidSo(kind: Unavailable['kind'], nowMs: number): number {
     return this.#countOf(kind, [...this.directory.all()], nowMs);
   }
--- a/src/shell/gateway/gateway-metrics.ts
+++ b/src/shell/gateway/gateway-metrics.ts
@@ -66,7 +66,7 @@
   });
   readonly #heldBack = new Counter({
     name: 'threadfork_gateway_calls_held_back_total',
-    help: 'Calls not made because the server had reported that it is leaving, backing off or at its limit',
+    help: 'Calls not made because the server is leaving, in a back-off period or at its limit, as it had reported',
     labelNames: ['why'],
     registers: [this.#registry],
   });
--- a/src/shell/gateway/tenant-usage.ts
+++ b/src/shell/gateway/tenant-usage.ts
@@ -30,7 +30,10 @@
  * request takes about a second at most.
  */
 const SETTLE_MS = 1_200;
-/** If the holder has not reported this long after a window's end, the first other daemon takes over. */
+/**
+ * If the holder has not reported this long after a window's end, another daemon takes over; each waits one interval
+ * longer than the daemon at the position before it.
+ */
 const FIRST_TAKEOVER_MS = 3_000;
 const TAKEOVER_INTERVAL_MS = 600;
 /** Daemons at this position or a later one all wait equally long. */
