--- a/test/gateway/capacity-controller.test.ts
+++ b/test/gateway/capacity-controller.test.ts
@@ -116,7 +116,7 @@
   assert.ok((belief?.coming ?? 0) >= 12);
 });
 
-test('with spare capacity switched off, lost servers are not ordered in other zones, and no plan is logged', async () => {
+test('with spare capacity switched off, lost servers are not replaced in other zones and no plan is logged', async () => {
   const setup = await setUpSettled(false);
   setup.fleet.directory.apply(
     serversOf('a', 'draining').filter(({ isSpot }) => isSpot),
