--- a/test/gateway/capacity-controller.test.ts
+++ b/test/gateway/capacity-controller.test.ts
@@ -1,4 +1,4 @@
-/** The shell of capacity: what it counts as lost, what it writes down, and that it can be switched off. */
+/** The capacity controller: how it answers a loss of servers, what it logs, and that this can be switched off. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import type { CapacityOrder } from '../../src/core/capacity/index.js';
@@ -78,28 +78,28 @@
   return { timers, fleet, orders, events, controller };
 }
 
-async function pass({ timers }: Setup, spanMs: number): Promise<void> {
+async function advanceTime({ timers }: Setup, spanMs: number): Promise<void> {
   for (let passedMs = 0; passedMs < spanMs; passedMs += 50) {
     timers.advance(50);
     for (let turn = 0; turn < 20; turn += 1) await new Promise((resolve) => setImmediate(resolve));
   }
 }
 
-async function settled(bearsLoss: boolean, spotPrice?: number): Promise<Setup> {
+async function setUpSettled(bearsLoss: boolean, spotPrice?: number): Promise<Setup> {
   const setup = setUp(bearsLoss, spotPrice);
   void setup.controller.run();
-  await pass(setup, BOOT_MS + 2_500);
+  await advanceTime(setup, BOOT_MS + 2_500);
   return setup;
 }
 
-test('servers of a zone that say that they leave are ordered elsewhere within half a second', async () => {
-  const setup = await settled(true);
+test('replacements for draining spot servers of a zone are ordered in other zones within half a second', async () => {
+  const setup = await setUpSettled(true);
   const before = setup.orders.length;
   setup.fleet.directory.apply(
     serversOf('a', 'draining').filter(({ isSpot }) => isSpot),
     [],
   );
-  await pass(setup, 500);
+  await advanceTime(setup, 500);
   const answers = setup.orders.slice(before);
   setup.controller.stop();
   assert.ok(answers.length > 0);
@@ -107,19 +107,23 @@
   assert.ok(setup.events.includes(SPOT_TAKEN));
   assert.ok(setup.events.includes(PLANNED));
   const [belief] = setup.controller.beliefs;
-  assert.equal(belief?.wanted, 63, 'before any work was seen, with a zone to spare');
+  assert.equal(
+    belief?.wanted,
+    63,
+    'before any work was measured, with enough spare servers for the loss of a zone',
+  );
   assert.deepEqual(belief?.zonesWithoutSpot, ['a']);
   assert.ok((belief?.coming ?? 0) >= 12);
 });
 
-test('switched off, a loss is not ordered in other zones, and nothing is written down of it', async () => {
-  const setup = await settled(false);
+test('with spare capacity switched off, lost servers are not replaced in other zones and no plan is logged', async () => {
+  const setup = await setUpSettled(false);
   setup.fleet.directory.apply(
     serversOf('a', 'draining').filter(({ isSpot }) => isSpot),
     [],
   );
   const before = setup.orders.length;
-  await pass(setup, 500);
+  await advanceTime(setup, 500);
   setup.controller.stop();
   assert.deepEqual(
     setup.orders.slice(before).filter(({ zone }) => zone !== 'a'),
@@ -129,8 +133,8 @@
   assert.deepEqual(setup.controller.beliefs, []);
 });
 
-test('where spot servers cost no less the same is ordered, whether it is switched on or off', async () => {
-  const [on, off] = [await settled(true, 1), await settled(false, 1)];
+test('if spot servers are no cheaper, the same orders are placed with spare capacity on and off', async () => {
+  const [on, off] = [await setUpSettled(true, 1), await setUpSettled(false, 1)];
   on.controller.stop();
   off.controller.stop();
   assert.ok(off.orders.every(({ isSpot, servers }) => !isSpot || servers === 0));
