--- a/src/core/configuration/change-answers.ts
+++ b/src/core/configuration/change-answers.ts
@@ -1,4 +1,4 @@
-/** The final answers to changes. */
+/** The final answers to configuration changes. */
 import type { Fault } from '../errors/fault.js';
 import { refusedNotRun } from '../errors/fault.js';
 import { CONFIGURATION_EVENTS } from '../logging/catalogue/configuration.js';
@@ -7,23 +7,23 @@
 import { inForceVersion } from './in-force.js';
 import type { ChangeProgress, ConfigurationStep } from './state.js';
 
-/** The store's answer to the commit was lost and the store can't be asked. */
+/** The store's answer to the commit was lost, and the store cannot be read to find out. */
 export function maybeRecorded(id: string): ChangeOutcome {
-  const message = `The store's answer was lost and it can't be asked now. Ask later: changes where id = "${id}"; or send the same change under the same id, which takes effect once.`;
+  const message = `The store's answer to the commit was lost and the store cannot be read now. Query later: changes where id = "${id}"; or send the same change under the same id, which takes effect once.`;
   return { kind: 'unknown', id, message, recordedVersion: null, waitingFor: [] };
 }
 
-/** Recorded, but some have not confirmed. */
+/** The change is recorded, but some daemons have not confirmed its version within the deadline. */
 export function notInForceEverywhere(
   id: string,
   version: number,
   waitingFor: readonly string[],
 ): ChangeOutcome {
-  const message = `Version ${version} is recorded and will come into force on each daemon as it is reached, but ${waitingFor.length} of them have not confirmed it. Ask later: changes where id = "${id}".`;
+  const message = `Version ${version} is recorded and will come into force on each daemon as it is reached, but ${waitingFor.length} of them have not confirmed it. Query later: changes where id = "${id}".`;
   return { kind: 'unknown', id, message, recordedVersion: version, waitingFor };
 }
 
-/** The store did not answer, and nothing was sent to it that could still take effect. */
+/** The store did not answer, and no transaction was sent that could still take effect. */
 export function storeUnavailable(
   step: ConfigurationStep,
   progress: ChangeProgress,
@@ -37,15 +37,15 @@
   return refusal(step, progress.request.id, fault, inForceVersion(step));
 }
 
-/** The operator saw another version than the current one. */
+/** The change was made for a version that is not the current one. */
 export function versionMoved(seen: number, current: number): Fault {
   return refusedNotRun(
     'version-conflict',
-    `The change is for version ${seen} but version ${current} is current. Look at it and send the change again for that version.`,
+    `The change is for version ${seen} but version ${current} is current. Review the current version and send the change again for it.`,
   );
 }
 
-/** The change's id names other commands. */
+/** The change's id was used before, for other commands. */
 export function idUsedTwice(id: string): Fault {
   return refusedNotRun(
     'idempotency-conflict',
@@ -53,7 +53,7 @@
   );
 }
 
-/** Nothing was done and nothing will be. */
+/** The change was refused: it has had no effect and will have none. */
 export function refusal(
   step: ConfigurationStep,
   id: string,
@@ -64,7 +64,7 @@
   return { kind: 'refused', id, fault, currentVersion };
 }
 
-/** Gives all that wait for a change its final answer and forgets it. */
+/** Sends the final answer to every call that waits for the change, and drops the change. */
 export function answerChange(
   step: ConfigurationStep,
   progress: ChangeProgress,
@@ -80,7 +80,7 @@
   step.effects.push(log(CONFIGURATION_EVENTS.changeAnswered, fields));
 }
 
-/** Remembers how far a change has come. */
+/** Stores the progress of a change. */
 export function putChange(step: ConfigurationStep, progress: ChangeProgress): void {
   const changes = new Map(step.state.changes).set(progress.request.id, progress);
   step.change({ changes });
--- a/src/core/configuration/change-confirmation.ts
+++ b/src/core/configuration/change-confirmation.ts
@@ -1,4 +1,4 @@
-/** Waiting until a recorded change is in force on every daemon that may still be running. */
+/** Waits until a recorded change is in force on every daemon that may still be running. */
 import { mayLackDaemons } from '../membership/index.js';
 import { datagram } from '../peer/index.js';
 import { answerChange, notInForceEverywhere, putChange } from './change-answers.js';
@@ -9,7 +9,7 @@
 
 type ConfirmingPhase = Extract<ChangePhase, { kind: 'confirming' }>;
 
-/** The change is recorded: waits until its version is in force everywhere. */
+/** Starts waiting until the recorded change's version is in force on every daemon. */
 export function awaitConfirmation(
   step: ConfigurationStep,
   progress: ChangeProgress,
@@ -23,7 +23,10 @@
   continueConfirming(step, confirming, phase);
 }
 
-/** Answers once all have confirmed or the time is up, and asks the others again meanwhile. */
+/**
+ * Answers the change once every daemon has confirmed its version or the deadline has passed. Until
+ * then announces the version again to daemons that have not confirmed it.
+ */
 export function continueConfirming(
   step: ConfigurationStep,
   progress: ChangeProgress,
@@ -33,7 +36,7 @@
   const { version } = phase;
   const own = inForceVersion(step);
   const { inForce, waitingFor } = confirmationOf(step.membership, own, version);
-  // One that does not know the others yet would count itself alone.
+  // A daemon that has not discovered the others yet would count only itself.
   const knowsAll = !mayLackDaemons(step.membership, step.now);
   if (knowsAll && waitingFor.length === 0 && own >= version) {
     answerChange(step, progress, { kind: 'applied', id, version, inForce });
--- a/src/core/configuration/change-outcome.ts
+++ b/src/core/configuration/change-outcome.ts
@@ -1,11 +1,11 @@
 /**
- * What became of an operator's change. Exactly one of these answers every command; `applied` is
- * given only once the new version is in force on every daemon that may still be running.
+ * The outcome of an operator's change. Every change gets exactly one of these answers; `applied`
+ * only once the new version is in force on every daemon that may still be running.
  */
 import type { ChangeId, DaemonName } from '../common/identifiers.js';
 import type { Fault } from '../errors/fault.js';
 
-/** The change is in force on every daemon that the fleet still counts. */
+/** The change is in force on every daemon that is present or still in the machine list. */
 export interface ChangeApplied {
   readonly kind: 'applied';
   readonly id: ChangeId;
@@ -14,12 +14,12 @@
   readonly inForce: number;
 }
 
-/** Nothing was changed, and nothing will be. */
+/** The change has had no effect and will have none. */
 export interface ChangeRefused {
   readonly kind: 'refused';
   readonly id: ChangeId;
   readonly fault: Fault;
-  /** The version in force that the operator should look at, when it is known. */
+  /** The current version, for the operator to review; null when it is not known. */
   readonly currentVersion: number | null;
 }
 
@@ -28,17 +28,17 @@
   readonly kind: 'unknown';
   readonly id: ChangeId;
   readonly message: string;
-  /** The version under which the table holds the change; null when not even that is known. */
+  /** The version that recorded the change; null when it is unknown whether it is recorded. */
   readonly recordedVersion: number | null;
   /** Daemons that have not confirmed the recorded version. */
   readonly waitingFor: readonly DaemonName[];
 }
 
-/** What the change would do; nothing was written. */
+/** The differences that the change would make; nothing was written. */
 export interface ChangeDryRun {
   readonly kind: 'dry-run';
   readonly id: ChangeId;
-  /** The version that the change was tried against. */
+  /** The version to which the change was applied for the dry run. */
   readonly version: number;
   /** One sentence for each difference. */
   readonly description: readonly string[];
--- a/src/core/configuration/change.ts
+++ b/src/core/configuration/change.ts
@@ -1,6 +1,6 @@
 /**
- * An operator's change: read the row, apply the commands, write the document and the change's
- * record in one transaction, then wait until the version is in force everywhere.
+ * An operator's change: reads the row, applies the commands, writes the document and the change's
+ * record in one transaction, then waits until the version is in force on every daemon.
  */
 import { refusedNotRun } from '../errors/fault.js';
 import { CONFIGURATION_EVENTS } from '../logging/catalogue/configuration.js';
@@ -29,7 +29,7 @@
 import type { ChangeProgress, ChangeRequest, ConfigurationStep, PreparedChange } from './state.js';
 import { readSoon } from './store-read.js';
 
-/** Starts a change, or joins the one under way under the same id. */
+/** Starts a change, or joins the running change with the same id. */
 export function startChange(step: ConfigurationStep, request: ChangeRequest): void {
   const running = step.state.changes.get(request.id);
   if (running === undefined) {
@@ -51,7 +51,7 @@
   }
 }
 
-/** Takes in the result of a table call that belongs to a change. */
+/** Handles the result of a table call that belongs to a change. */
 export function receiveChangeTable(
   step: ConfigurationStep,
   progress: ChangeProgress,
@@ -65,7 +65,7 @@
       receiveCommit(step, progress, result.rows);
       break;
     case 'conflict':
-      applyAnew(step, progress);
+      retryAfterConflict(step, progress);
       break;
     case 'unavailable':
       receiveUnavailable(step, progress, result.retryAfterMs);
@@ -100,7 +100,7 @@
     commit(step, progress, unsettled);
     return;
   }
-  // The version has moved on, so a transaction whose answer was lost can no longer take effect.
+  // The version has increased, so a transaction whose answer was lost can no longer take effect.
   const settled: ChangeProgress = { ...progress, unsettled: null };
   if (request.ifVersion !== null && request.ifVersion !== version) {
     answerChange(
@@ -146,7 +146,7 @@
   if (parsed.isErr()) {
     const fault = refusedNotRun(
       'internal',
-      `The stored configuration can't be used: ${parsed.error}. Look at the row ${CURRENT_KEY}.`,
+      `The stored configuration cannot be used: ${parsed.error}. Check the row ${CURRENT_KEY}.`,
     );
     answerChange(step, progress, refusal(step, progress.request.id, fault, version));
   } else if (parsed.value.kind === 'inline') {
@@ -185,7 +185,7 @@
   }
 }
 
-/** Takes in the result of an object store call that belongs to a change. */
+/** Handles the result of an object store call that belongs to a change. */
 export function receiveChangeObject(
   step: ConfigurationStep,
   progress: ChangeProgress,
@@ -216,12 +216,12 @@
   }
   const fault = refusedNotRun(
     'internal',
-    `The stored configuration can't be used: ${parsed.error}. Look at the object that ${CURRENT_KEY} names.`,
+    `The stored configuration cannot be used: ${parsed.error}. Check the object that ${CURRENT_KEY} names.`,
   );
   answerChange(step, progress, refusal(step, progress.request.id, fault, version));
 }
 
-/** The transaction's checks let it take effect at most once, however often it is sent. */
+/** Sends the transaction. Its version checks let it take effect at most once if it is repeated. */
 function commit(step: ConfigurationStep, progress: ChangeProgress, prepared: PreparedChange): void {
   const { id, digest, author } = progress.request;
   const { base, object, document, description } = prepared;
@@ -257,8 +257,8 @@
   awaitConfirmation(step, { ...progress, unsettled: null }, version);
 }
 
-/** Another change came first: the commands are applied to the newer document. */
-function applyAnew(step: ConfigurationStep, progress: ChangeProgress): void {
+/** Another change was committed first: applies the commands again, to the newer document. */
+function retryAfterConflict(step: ConfigurationStep, progress: ChangeProgress): void {
   const attempts = progress.attempts + 1;
   if (attempts < MAX_CHANGE_ATTEMPTS) {
     readRows(step, { ...progress, attempts });
@@ -271,7 +271,7 @@
   }
   const fault = refusedNotRun(
     'version-conflict',
-    'Other changes came first each time. Look at the newer version and send the change again.',
+    'Each attempt conflicted with another change. Review the newer version and send the change again.',
     { retryable: true },
   );
   answerChange(step, progress, refusal(step, id, fault, step.state.highestVersion));
@@ -300,23 +300,23 @@
   putChange(step, { ...progress, phase: { kind: 'pausing', until }, storeToken: '' });
 }
 
-/** Carries all changes further: pauses that end, confirmations that came, deadlines that passed. */
+/** Advances all changes: ends pauses, checks confirmations and enforces deadlines. */
 export function continueChanges(step: ConfigurationStep): void {
   for (const progress of step.state.changes.values()) {
     if (progress.phase.kind === 'confirming') {
       continueConfirming(step, progress, progress.phase);
     } else if (step.now >= progress.deadline) {
-      giveUpRecording(step, progress);
+      timeOutRecording(step, progress);
     } else if (progress.phase.kind === 'pausing' && step.now >= progress.phase.until) {
       readRows(step, progress);
     }
   }
 }
 
-function giveUpRecording(step: ConfigurationStep, progress: ChangeProgress): void {
+function timeOutRecording(step: ConfigurationStep, progress: ChangeProgress): void {
   const { id } = progress.request;
-  const mayBeDone = progress.unsettled !== null || progress.phase.kind === 'committing';
-  if (!mayBeDone) {
+  const mayBeRecorded = progress.unsettled !== null || progress.phase.kind === 'committing';
+  if (!mayBeRecorded) {
     answerChange(step, progress, storeUnavailable(step, progress, STORE_RETRY_MS));
     return;
   }
--- a/src/core/configuration/confirmation.ts
+++ b/src/core/configuration/confirmation.ts
@@ -1,25 +1,25 @@
-/** Whether a version is in force on every daemon that may still be running. */
+/** Determines whether a version is in force on every daemon that may still be running. */
 import type { DaemonName } from '../common/identifiers.js';
 import { isPresent, type MembershipState } from '../membership/index.js';
 import type { Endpoint } from '../registry/backend.js';
 
-/** A daemon whose confirmation is wanted. */
+/** A daemon that has not confirmed the version. */
 export interface Unconfirmed {
   readonly name: DaemonName;
   readonly endpoint: Endpoint;
 }
 
-/** How far a version has come. */
+/** Which daemons have confirmed a version. */
 export interface Confirmation {
-  /** Daemons that have it or a later one, this one included when it does. */
+  /** The number of daemons with this version or a later one in force, including this daemon. */
   readonly inForce: number;
   readonly waitingFor: readonly Unconfirmed[];
 }
 
 /**
- * Counts every daemon that membership holds present or the machine list still names. A daemon that
- * was given up but is still listed counts too: it may be cut off and still serve. Only one that
- * announced its leave, or is both given up and delisted, does not.
+ * Counts every daemon that is present in the membership or still in the machine list. A daemon
+ * declared dead counts while it is listed: it may be partitioned and still serving. Not counted are
+ * daemons that announced that they leave, and daemons that are both dead and no longer listed.
  */
 export function confirmationOf(
   membership: MembershipState,
--- a/src/core/configuration/in-force.ts
+++ b/src/core/configuration/in-force.ts
@@ -1,4 +1,4 @@
-/** Brings a configuration into force: never a lower version than the one that is. */
+/** Brings a configuration into force, never one with a lower version than that in force. */
 import { CONFIGURATION_EVENTS } from '../logging/catalogue/configuration.js';
 import { log } from '../logging/log-event.js';
 import { isPresent, type Member } from '../membership/index.js';
@@ -7,10 +7,10 @@
 import { ANNOUNCE_FANOUT, ORIGIN_FANOUT } from './settings.js';
 import type { ConfigurationStep } from './state.js';
 
-/** Where a configuration came from. `change`: recorded by this daemon for an operator. */
+/** The source of a configuration. `change`: this daemon recorded it for an operator. */
 export type ConfigurationSource = 'store' | 'peer' | 'change';
 
-/** Brings a configuration into force unless it is not newer; tells others. */
+/** Brings a configuration into force if it is newer, and announces it to other daemons. */
 export function bringIntoForce(
   step: ConfigurationStep,
   configuration: VersionedConfiguration,
@@ -34,14 +34,14 @@
   return step.state.inForce?.version ?? -1;
 }
 
-/** Remembers that a version exists. */
+/** Raises the highest known version to `version`. */
 export function noteVersion(step: ConfigurationStep, version: number): void {
   if (version > step.state.highestVersion) {
     step.change({ highestVersion: version });
   }
 }
 
-/** A daemon is ready once nothing higher than what it has in force has been heard of. */
+/** Marks the daemon ready once the version in force is at least the highest known version. */
 function becomeReady(step: ConfigurationStep): void {
   if (!step.state.ready && inForceVersion(step) >= step.state.highestVersion) {
     step.change({ ready: true });
@@ -66,7 +66,7 @@
   }
 }
 
-/** All other daemons that are present. */
+/** All other daemons that are present in the membership. */
 export function otherMembers(step: ConfigurationStep): readonly Member[] {
   return [...step.membership.members.values()].filter(
     (member) => member.name !== step.state.self.name && isPresent(member),
--- a/src/core/configuration/index.ts
+++ b/src/core/configuration/index.ts
@@ -1,6 +1,6 @@
 /**
  * The configuration in force: one versioned document, changed by compare-and-set in the table
- * service, spread from daemon to daemon, never replaced by a lower version.
+ * service, distributed from daemon to daemon and never replaced by a lower version.
  */
 export type {
   ChangeApplied,
--- a/src/core/configuration/peers.ts
+++ b/src/core/configuration/peers.ts
@@ -1,4 +1,4 @@
-/** Learning of versions from other daemons, pulling them, and answering pulls. */
+/** Learns which versions other daemons hold, pulls newer ones, and answers pulls. */
 import { CONFIGURATION_EVENTS } from '../logging/catalogue/configuration.js';
 import { log } from '../logging/log-event.js';
 import { endpointOf } from '../membership/index.js';
@@ -16,13 +16,13 @@
 } from './settings.js';
 import type { ConfigurationStep } from './state.js';
 
-/** Takes in what a message shows of its sender's version, then the message itself. */
+/** Records the versions in the message's header, then handles the message. */
 export function receiveFromPeer(step: ConfigurationStep, event: PeerReceivedEvent): void {
   const { header, message } = event;
   noteVersion(step, header.highestVersion);
   if (header.inForce !== null) {
     noteVersion(step, header.inForce);
-    noteHolder(step, header.sender, header.inForce);
+    recordHolder(step, header.sender, header.inForce);
   }
   switch (message.kind) {
     case 'configuration-announce':
@@ -40,7 +40,7 @@
   }
 }
 
-function noteHolder(step: ConfigurationStep, daemon: string, version: number): void {
+function recordHolder(step: ConfigurationStep, daemon: string, version: number): void {
   const { holders } = step.state;
   if (version <= inForceVersion(step) || holders.get(daemon) === version) {
     return;
@@ -75,7 +75,7 @@
   return [origin, ...others].slice(0, MAX_ORIGINS);
 }
 
-/** Pulls from a random daemon that holds a higher version, one at a time. */
+/** Pulls from a random daemon that holds a higher version; at most one pull runs at a time. */
 export function continuePulling(step: ConfigurationStep): void {
   const { pull } = step.state;
   if (pull !== null && step.now >= pull.until) {
@@ -111,7 +111,7 @@
   if (inForce === null || inForce.version <= above) {
     return;
   }
-  if (!mayServe(step)) {
+  if (!tryCountPull(step)) {
     const busy = { kind: 'configuration-busy', version: inForce.version } as const;
     step.effects.push(datagram(replyTo, busy));
     return;
@@ -121,8 +121,8 @@
   step.effects.push(stream(replyTo, { kind: 'configuration-content', version, hash, document }));
 }
 
-/** Counts an answer against the window's limit. */
-function mayServe(step: ConfigurationStep): boolean {
+/** Counts a pull in the current window; false when the window's limit is reached. */
+function tryCountPull(step: ConfigurationStep): boolean {
   const { since, count } = step.state.served;
   if (step.now - since >= PULL_WINDOW_MS) {
     step.change({ served: { since: step.now, count: 1 } });
--- a/src/core/configuration/row.ts
+++ b/src/core/configuration/row.ts
@@ -30,15 +30,15 @@
   at: z.string().optional(),
 });
 
-/** What a change did, recorded in the transaction that did it. */
+/** The record of a change, written in the same transaction as the document. */
 export type ChangeRecord = z.infer<typeof changeRecordSchema>;
 
-/** Where the configuration of a row is found. */
+/** The content of the row: the document itself, or the name of the object that holds it. */
 export type CurrentRow =
   | { readonly kind: 'inline'; readonly version: number; readonly document: ConfigurationDocument }
   | { readonly kind: 'object'; readonly version: number; readonly object: string };
 
-/** Reads `configuration/current`; the error says what is wrong with it. */
+/** Parses `configuration/current`; the error describes what is invalid. */
 export function parseCurrentRow(row: TableRow | undefined): Result<CurrentRow, string> {
   if (row === undefined || row.value === null) {
     const version = row?.version ?? 0;
@@ -58,7 +58,7 @@
   }));
 }
 
-/** Reads a document that came from the store or from another daemon. */
+/** Parses a document received from the store or from another daemon. */
 export function parseDocument(content: unknown): Result<ConfigurationDocument, string> {
   const parsed = configurationSchema.safeParse(content);
   if (parsed.success) {
@@ -70,7 +70,7 @@
   );
 }
 
-/** Reads `change/<id>`; null when the change is not recorded. */
+/** Parses `change/<id>`; null when the change is not recorded. */
 export function parseChangeRow(row: TableRow | undefined): ChangeRecord | null {
   const parsed = changeRecordSchema.safeParse(row?.value);
   return parsed.success ? parsed.data : null;
--- a/src/core/configuration/settings.ts
+++ b/src/core/configuration/settings.ts
@@ -1,43 +1,43 @@
-/** The constants of configuration spread. docs/decisions/configuration-spread.md has the figures. */
+/** The constants of configuration distribution; see docs/decisions/configuration-spread.md. */
 import type { Milliseconds } from '../common/time.js';
 
-/** Documents whose JSON is longer than this go through the object store. */
+/** Documents whose JSON is longer than this are kept in the object store instead of the table. */
 export const MAX_INLINE_CHARACTERS = 131_072;
-/** How long a change may take to be recorded, and then to come into force everywhere. */
+/** The time limit for recording a change, and again for its coming into force on every daemon. */
 export const CHANGE_DEADLINE_MS: Milliseconds = 10_000;
-/** How often a change is applied anew to a document that another operator changed meanwhile. */
+/** The maximum attempts to commit a change when other changes are committed in between. */
 export const MAX_CHANGE_ATTEMPTS = 5;
-/** Pause before a lost or refused store call is made again. */
+/** The pause before a lost or refused store call is retried. */
 export const STORE_RETRY_MS: Milliseconds = 250;
-/** The longest pause between failed reads of the store. */
+/** The maximum back-off after failed reads of the store, before jitter. */
 export const MAX_READ_BACKOFF_MS: Milliseconds = 30_000;
-/** The first read of the store is spread over this long for each daemon listed. */
+/** The first reads of the store are spread over this time multiplied by the fleet's size. */
 export const FIRST_READ_SPREAD_MS: Milliseconds = 20;
-/** The longest that the first read is put off. */
+/** The maximum delay of the first read. */
 export const MAX_FIRST_READ_DELAY_MS: Milliseconds = 5_000;
-/** All daemons together read the store about once in this time, whatever their number. */
+/** All daemons together read the store about once in this interval, independent of fleet size. */
 export const FLEET_READ_INTERVAL_MS: Milliseconds = 2_000;
-/** One daemon reads the store at most this often once it has a configuration. */
+/** The minimum mean interval between one daemon's regular reads of the store. */
 export const MIN_READ_INTERVAL_MS: Milliseconds = 15_000;
-/** A daemon that knows of a version which no other holds reads the store at most this often. */
+/** The minimum interval between reads for a known version that no reachable daemon holds. */
 export const MIN_CATCH_UP_INTERVAL_MS: Milliseconds = 2_000;
-/** The daemon that recorded a change tells this many others at once. */
+/** The number of daemons to which the daemon that recorded a change announces it at once. */
 export const ORIGIN_FANOUT = 16;
-/** A daemon on which a version came into force tells this many others. */
+/** The number of daemons to which a daemon announces a version that came into force on it. */
 export const ANNOUNCE_FANOUT = 3;
-/** How often the daemon that recorded a change asks those that have not confirmed it. */
+/** The interval of repeated announcements to daemons that have not confirmed a change. */
 export const CONFIRM_INTERVAL_MS: Milliseconds = 500;
-/** How many of those are asked at once. */
+/** The maximum number of daemons in one repeated announcement. */
 export const CONFIRM_FANOUT = 64;
-/** How long a pull waits for its content. */
+/** The time limit for the answer to a pull. */
 export const PULL_TIMEOUT_MS: Milliseconds = 1_000;
-/** A pull that follows from a mere heartbeat is put off by up to this. */
+/** The maximum random delay of a pull triggered by a message header or retried when busy. */
 export const PULL_JITTER_MS: Milliseconds = 200;
-/** How many daemons are remembered as holding a higher version. */
+/** The maximum number of daemons remembered as holding a higher version. */
 export const MAX_HOLDERS = 8;
-/** How many daemons are remembered as waiting to hear that a version is in force here. */
+/** The maximum number of daemons remembered as waiting for this daemon's confirmation. */
 export const MAX_ORIGINS = 4;
 /** A daemon answers at most this many pulls in each window. */
 export const PULLS_PER_WINDOW = 8;
-/** The length of that window. */
+/** The length of the window for `PULLS_PER_WINDOW`. */
 export const PULL_WINDOW_MS: Milliseconds = 250;
--- a/src/core/configuration/state.ts
+++ b/src/core/configuration/state.ts
@@ -1,4 +1,4 @@
-/** Configuration's state, and the working copy that one step fills in. */
+/** The state of configuration, and the working copy that one step modifies. */
 import type { Result } from 'neverthrow';
 import type { ChangeId, DaemonName } from '../common/identifiers.js';
 import type { MonotonicMs } from '../common/time.js';
@@ -19,39 +19,39 @@
   readonly description: readonly string[];
 }
 
-/** Who asked for a change, and when. */
+/** The operator who requested a change, and the time. */
 export interface ChangeAuthor {
   /** The name of the operator's token, or `unauthenticated`. */
   readonly operator: string;
-  /** The wall-clock time of the daemon that took the change, as ISO 8601. For people only. */
+  /** The wall-clock time at which a daemon received the change, as ISO 8601; informational. */
   readonly at: string;
 }
 
-/** An operator's change as the language hands it over. */
+/** An operator's change as the command language produces it. */
 export interface ChangeRequest {
-  /** Names this call; the answer carries it. */
+  /** Identifies this call; the answer carries the same token. */
   readonly token: string;
   readonly id: ChangeId;
   /** Identifies the commands, so that one id with two different changes is refused. */
   readonly digest: string;
-  /** The version that the operator saw; null when the change may apply to any. */
+  /** The version that the change requires to be current; null accepts any version. */
   readonly ifVersion: number | null;
   readonly dryRun: boolean;
-  /** Recorded with the change. */
+  /** Stored with the change's record. */
   readonly author?: ChangeAuthor;
-  /** Applies the commands and validates the outcome whole. Pure: it may run more than once. */
+  /** Applies the commands and validates the resulting document. Pure: may run more than once. */
   readonly apply: (document: ConfigurationDocument) => Result<ChangedDocument, Fault>;
 }
 
 /** A changed document ready to be written. */
 export interface PreparedChange extends ChangedDocument {
-  /** The version of `configuration/current` that it was made from and replaces. */
+  /** The version of `configuration/current` that this document was derived from and replaces. */
   readonly base: number;
-  /** The object that holds the document, when it is too large for the table. */
+  /** The object that holds the document when it is too large for the table; otherwise null. */
   readonly object: string | null;
 }
 
-/** How far a change has come. */
+/** The phase of a running change. */
 export type ChangePhase =
   | { readonly kind: 'reading' }
   | { readonly kind: 'pausing'; readonly until: MonotonicMs }
@@ -64,68 +64,68 @@
       readonly nextAnnounceAt: MonotonicMs;
     };
 
-/** A change under way. */
+/** A running change. */
 export interface ChangeProgress {
   readonly request: ChangeRequest;
-  /** The calls to answer: a repeat under the same id while it runs joins it. */
+  /** Tokens of the calls to answer: a call that repeats a running change's id joins that change. */
   readonly waiters: readonly string[];
   readonly phase: ChangePhase;
-  /** The store call in flight; results under other tokens are not for it. */
+  /** The token of the store call in flight; results with other tokens belong to other calls. */
   readonly storeToken: string;
   readonly attempts: number;
-  /** A transaction whose answer was lost: it may have been done, or may yet be. */
+  /** A transaction whose answer was lost: it may have taken effect, or may still do so. */
   readonly unsettled: PreparedChange | null;
   readonly deadline: MonotonicMs;
 }
 
-/** A pull under way. */
+/** A pull in progress. */
 export interface Pull {
   readonly from: DaemonName;
   readonly until: MonotonicMs;
 }
 
-/** A read of the store under way. */
+/** A read of the store in progress. */
 export interface StoreRead {
   readonly token: string;
   /** The version whose object is being fetched; null while the row is read. */
   readonly objectVersion: number | null;
 }
 
-/** Everything that configuration remembers. */
+/** The state of configuration on one daemon. */
 export interface ConfigurationState {
   readonly self: { readonly name: DaemonName; readonly endpoint: Endpoint };
-  /** Null until the store or another daemon has given one. Never replaced by a lower version. */
+  /** Null until received from the store or another daemon. Never replaced by a lower version. */
   readonly inForce: VersionedConfiguration | null;
-  /** The highest version that any source has shown. */
+  /** The highest version known from any source. */
   readonly highestVersion: number;
-  /** True once a configuration at least as high as any heard of has been in force. */
+  /** True once a version at least as high as every known one has been in force; never reset. */
   readonly ready: boolean;
   readonly read: StoreRead | null;
   readonly nextReadAt: MonotonicMs | null;
-  /** True once the store was read, or need not be at the start. */
+  /** True once the store was read, or another daemon supplied the configuration before that. */
   readonly firstReadDone: boolean;
   readonly failedReads: number;
-  /** When the last read that succeeded ended. */
+  /** The end of the last successful read. */
   readonly readEndedAt: MonotonicMs;
-  /** Daemons that showed a higher version, with that version. */
+  /** Daemons with a higher version in force than this daemon, with that version. */
   readonly holders: ReadonlyMap<DaemonName, number>;
   readonly pull: Pull | null;
   readonly nextPullAt: MonotonicMs;
-  /** Daemons that want to hear when the version that they announced is in force here. */
+  /** Daemons that wait for this daemon's confirmation of an announced version. */
   readonly origins: readonly Endpoint[];
   readonly served: { readonly since: MonotonicMs; readonly count: number };
   readonly changes: ReadonlyMap<ChangeId, ChangeProgress>;
   readonly nextToken: number;
 }
 
-/** Gives an operator the final answer to a change. */
+/** Sends the final answer to a change's caller. */
 export interface ChangeAnswerEffect {
   readonly kind: 'change-answer';
   readonly token: string;
   readonly outcome: ChangeOutcome;
 }
 
-/** What configuration asks of the shell. */
+/** The effects that configuration requests from the shell. */
 export type ConfigurationEffect =
   | PeerEffect
   | TableEffect
@@ -133,7 +133,7 @@
   | LogEffect
   | ChangeAnswerEffect;
 
-/** One step's working copy: functions replace `state` and append to `effects`. */
+/** The working copy of one step: functions replace `state` and append to `effects`. */
 export class ConfigurationStep {
   state: ConfigurationState;
   readonly effects: ConfigurationEffect[] = [];
@@ -149,7 +149,7 @@
     this.membership = membership;
   }
 
-  /** The step's random draws. */
+  /** The step's random number generator. */
   get random(): StepRandom {
     this.generator ??= new StepRandom(this.entropy);
     return this.generator;
@@ -160,33 +160,33 @@
     this.state = { ...this.state, ...fields };
   }
 
-  /** Asks for a table call; returns the token of its result. */
+  /** Requests a table call; returns the token of its result. */
   callTable(call: TableCall): string {
-    const token = this.takeToken();
+    const token = this.allocateToken();
     this.effects.push({ kind: 'table', token, call });
     return token;
   }
 
-  /** Asks for an object store call; returns the token of its result. */
+  /** Requests an object store call; returns the token of its result. */
   callObject(call: ObjectCall): string {
-    const token = this.takeToken();
+    const token = this.allocateToken();
     this.effects.push({ kind: 'object', token, call });
     return token;
   }
 
-  private takeToken(): string {
+  private allocateToken(): string {
     const token = `configuration-${this.state.nextToken}`;
     this.change({ nextToken: this.state.nextToken + 1 });
     return token;
   }
 
-  /** The outcome of the step. */
+  /** The new state and the effects of the step. */
   finish(): Transition<ConfigurationState, ConfigurationEffect> {
     return { state: this.state, effects: this.effects };
   }
 }
 
-/** The state at a daemon's start: nothing is in force. */
+/** The state at a daemon's start: no configuration is in force. */
 export function createConfiguration(self: ConfigurationState['self']): ConfigurationState {
   return {
     self,
--- a/src/core/configuration/step.ts
+++ b/src/core/configuration/step.ts
@@ -1,4 +1,4 @@
-/** Configuration's reducer. */
+/** The reducer of configuration. */
 import type { StepContext, Transition } from '../common/transition.js';
 import type { MembershipState } from '../membership/index.js';
 import type { PeerReceivedEvent } from '../peer/index.js';
@@ -15,7 +15,7 @@
 } from './state.js';
 import { continueReading, receiveObject, receiveRead } from './store-read.js';
 
-/** What configuration listens to. Ticks are wanted about every 100 ms. */
+/** The events that configuration handles. Ticks are expected about every 100 ms. */
 export type ConfigurationEvent =
   | { readonly kind: 'tick' }
   | PeerReceivedEvent
@@ -23,7 +23,7 @@
   | ObjectResultEvent
   | { readonly kind: 'change'; readonly request: ChangeRequest };
 
-/** One step of configuration. `membership` must have taken in the same event before. */
+/** One step of configuration. `membership` must be the state after it handled the same event. */
 export function stepConfiguration(
   state: ConfigurationState,
   event: ConfigurationEvent,
--- a/src/core/configuration/store-read.ts
+++ b/src/core/configuration/store-read.ts
@@ -1,4 +1,4 @@
-/** Reading the store: soon after the start, then rarely, and less often while it fails. */
+/** Reads the store soon after the start, then at long intervals, with back-off after failures. */
 import { CONFIGURATION_EVENTS } from '../logging/catalogue/configuration.js';
 import { log } from '../logging/log-event.js';
 import type { ObjectResult } from '../platform/object.js';
@@ -16,13 +16,13 @@
 } from './settings.js';
 import type { ConfigurationStep } from './state.js';
 
-/** Starts a read when it is time. */
+/** Starts a read when one is due. */
 export function continueReading(step: ConfigurationStep): void {
   if (step.state.nextReadAt === null) {
-    step.change({ nextReadAt: step.now + firstDelay(step) });
+    step.change({ nextReadAt: step.now + firstReadDelay(step) });
   }
-  putOffFirstRead(step);
-  hastenReadWhenBehind(step);
+  postponeFirstRead(step);
+  scheduleCatchUpRead(step);
   if (step.state.read !== null || step.now < (step.state.nextReadAt ?? 0)) {
     return;
   }
@@ -30,19 +30,19 @@
   step.change({ read: { token, objectVersion: null } });
 }
 
-/** A daemon that got its configuration from another one before its first read need not hurry. */
-function putOffFirstRead(step: ConfigurationStep): void {
+/** Postpones the first read of a daemon that has already received a configuration from another. */
+function postponeFirstRead(step: ConfigurationStep): void {
   const { inForce, firstReadDone, ready } = step.state;
   if (inForce !== null && !firstReadDone) {
     step.change({ firstReadDone: true });
     if (ready && step.state.read === null) {
-      step.change({ nextReadAt: step.now + secondDelay(step) });
+      step.change({ nextReadAt: step.now + secondReadDelay(step) });
     }
   }
 }
 
-/** A version is known of that no reachable daemon holds: the store must have it. */
-function hastenReadWhenBehind(step: ConfigurationStep): void {
+/** Reads the store soon when a higher version is known but no reachable daemon holds it. */
+function scheduleCatchUpRead(step: ConfigurationStep): void {
   const { highestVersion, holders, pull, read, failedReads, readEndedAt } = step.state;
   const isBehind = highestVersion > inForceVersion(step);
   if (!isBehind || holders.size > 0 || pull !== null || read !== null || failedReads > 0) {
@@ -60,13 +60,13 @@
   step.change({ nextReadAt: step.now });
 }
 
-/** Spread over a whole interval, so that daemons that started at once don't read at once. */
-function secondDelay(step: ConfigurationStep): number {
-  return step.random.below(regularInterval(step));
+/** Random within a full interval, so that daemons started together do not read together. */
+function secondReadDelay(step: ConfigurationStep): number {
+  return step.random.below(regularReadInterval(step));
 }
 
-/** The larger the fleet, the less often each daemon reads. */
-function regularInterval(step: ConfigurationStep): number {
+/** Proportional to the fleet's size, so that the fleet's read rate stays constant. */
+function regularReadInterval(step: ConfigurationStep): number {
   return Math.max(MIN_READ_INTERVAL_MS, FLEET_READ_INTERVAL_MS * fleetSize(step));
 }
 
@@ -74,13 +74,13 @@
   return Math.max(step.membership.listed.length, otherMembers(step).length) + 1;
 }
 
-/** All daemons may start at once: the larger the fleet, the longer the first reads are spread. */
-function firstDelay(step: ConfigurationStep): number {
+/** Random within a span that grows with the fleet's size, since all daemons may start at once. */
+function firstReadDelay(step: ConfigurationStep): number {
   const spread = Math.min(MAX_FIRST_READ_DELAY_MS, FIRST_READ_SPREAD_MS * fleetSize(step));
   return step.random.below(spread + 1);
 }
 
-/** Takes in the row. */
+/** Handles the result of reading `configuration/current`. */
 export function receiveRead(step: ConfigurationStep, result: TableResult): void {
   if (result.kind !== 'rows') {
     failRead(step, result.kind === 'unavailable' ? result.retryAfterMs : 0);
@@ -109,7 +109,7 @@
   finishRead(step);
 }
 
-/** Takes in a large document. */
+/** Handles the result of fetching a document from the object store. */
 export function receiveObject(
   step: ConfigurationStep,
   version: number,
@@ -131,7 +131,7 @@
 
 function finishRead(step: ConfigurationStep): void {
   const isFirst = !step.state.firstReadDone;
-  const pause = isFirst ? secondDelay(step) : jittered(step, regularInterval(step));
+  const pause = isFirst ? secondReadDelay(step) : jittered(step, regularReadInterval(step));
   const nextReadAt = step.now + pause;
   step.change({
     read: null,
@@ -152,7 +152,7 @@
   }
 }
 
-/** Between half and one and a half times the given span. */
+/** A random duration between 0.5 and 1.5 times the given one. */
 function jittered(step: ConfigurationStep, milliseconds: number): number {
   return milliseconds / 2 + step.random.below(milliseconds + 1);
 }
--- a/src/core/configuration/validate.ts
+++ b/src/core/configuration/validate.ts
@@ -1,23 +1,23 @@
 /**
- * Checks of a whole configuration document: its shape by schema, then what one part says of another.
- * A document is checked whole before it is written, so that none that is wrong is ever in force.
+ * Validates a complete configuration document: its shape by schema, then the references between its
+ * parts. A document is validated before it is written, so that no invalid one comes into force.
  */
 import { err, ok, type Result } from 'neverthrow';
 import type { z } from 'zod';
 import { type Fault, refusedNotRun } from '../errors/fault.js';
 import { type ConfigurationDocument, configurationSchema } from './document.js';
 
-/** Reads a document of unknown shape, fills in defaults and checks it whole. */
+/** Parses a document of unknown shape, fills in defaults and validates it. */
 export function parseDocument(value: unknown): Result<ConfigurationDocument, Fault> {
   const parsed = configurationSchema.safeParse(value);
   if (!parsed.success) {
     return err(documentFault(describeIssues(parsed.error)));
   }
-  const [problem] = findCrossProblems(parsed.data);
+  const [problem] = findCrossReferenceProblems(parsed.data);
   return problem === undefined ? ok(parsed.data) : err(documentFault(problem));
 }
 
-/** Checks a document whole. The fault names the first thing that is wrong and its remedy. */
+/** Validates a complete document. The fault names what is wrong and its remedy. */
 export function validateDocument(document: unknown): Result<void, Fault> {
   return parseDocument(document).map(() => undefined);
 }
@@ -34,11 +34,11 @@
     return `${key}: ${issue.message}`;
   });
   const more = error.issues.length - named.length;
-  const rest = more > 0 ? `; and ${more} more` : '';
-  return `The configuration is not valid: ${named.join('; ')}${rest}. Correct the named keys.`;
+  const suffix = more > 0 ? `; and ${more} more` : '';
+  return `The configuration is not valid: ${named.join('; ')}${suffix}. Correct the named keys.`;
 }
 
-function findCrossProblems(document: ConfigurationDocument): readonly string[] {
+function findCrossReferenceProblems(document: ConfigurationDocument): readonly string[] {
   return [
     ...tenantProblems(document),
     ...anonymousTenantProblems(document),
@@ -69,7 +69,7 @@
   ];
 }
 
-/** A key must name one tenant. Digests are not repeated in the message. */
+/** A key must identify one tenant. The message does not contain the digest. */
 function keyDigestProblems({ tenants }: ConfigurationDocument): readonly string[] {
   const owners = new Map<string, string>();
   const problems: string[] = [];
@@ -78,7 +78,7 @@
       const owner = owners.get(digest);
       if (owner !== undefined) {
         problems.push(
-          `The tenants "${owner}" and "${name}" state the same key digest twice. Give each key to one tenant, once.`,
+          `The same key digest is listed for the tenants "${owner}" and "${name}". Give each key to one tenant, once.`,
         );
       }
       owners.set(digest, name);
@@ -87,7 +87,7 @@
   return problems;
 }
 
-/** Callers name an adapter as they name a model, so that one name must mean one thing. */
+/** Callers select adapters and models by one name, so each name must be unique among both. */
 function adapterProblems({ models }: ConfigurationDocument): readonly string[] {
   const owners = new Map<string, string>();
   const problems: string[] = [];
--- a/test/configuration/changes.test.ts
+++ b/test/configuration/changes.test.ts
@@ -7,7 +7,7 @@
   return outcomes.map((outcome) => outcome.kind).sort();
 }
 
-test('an applied change is in force on every daemon at the time of the answer', () => {
+test('a change answered as applied is in force on every daemon at the time of the answer', () => {
   for (const seed of [1, 2, 3]) {
     const fleet = startFleet({ seed, daemons: 8, network: { loss: 0.01 } });
     const outcome = outcomeOf(fleet, placeAt(fleet, 3), setModel('c1', 'labels', 'v1'));
@@ -16,7 +16,7 @@
   }
 });
 
-test('of two operators who saw the same version one wins and the other sees the newer one', () => {
+test('of two changes for the same version one is applied and the other is refused with the newer version', () => {
   const fleet = startFleet({ daemons: 4 });
   outcomeOf(fleet, placeAt(fleet, 0), setModel('c0', 'labels', 'v1'));
   const one = setModel('c1', 'labels', 'v2', { ifVersion: 1 });
@@ -33,7 +33,7 @@
   assert.equal(refused.currentVersion, 2);
 });
 
-test('changes at the same moment without a version both take effect, or the one that no longer fits is refused', () => {
+test('concurrent changes without a version are all applied, except those that are invalid on the newer document', () => {
   const fleet = startFleet({ daemons: 4 });
   const requests = [
     setModel('c1', 'labels', 'v1'),
@@ -56,7 +56,7 @@
   assert.deepEqual(Object.keys(models).sort(), ['bags', 'labels', 'tiles']);
 });
 
-test('the same id takes effect once, at once and later, through any daemon', () => {
+test('a change repeated under the same id takes effect once, concurrently or later, through any daemon', () => {
   const fleet = startFleet({ daemons: 4 });
   const repeats = [0, 0, 1].map((index) => {
     const request = setModel('c1', 'labels', 'v1');
@@ -73,7 +73,7 @@
   assert.deepEqual(new Set(versionsOf(fleet)), new Set([1]));
 });
 
-test('a dry run describes and writes nothing', () => {
+test('a dry run describes the change and writes nothing', () => {
   const fleet = startFleet({ daemons: 2 });
   const request = setModel('c1', 'labels', 'v1', { dryRun: true });
   const outcome = outcomeOf(fleet, placeAt(fleet, 0), request);
@@ -84,7 +84,7 @@
 });
 
 for (const lost of ['loseCalls', 'loseAnswers'] as const) {
-  test(`a commit that is lost (${lost}) is found out and takes effect once`, () => {
+  test(`a change whose commit call or answer is lost (${lost}) is applied once`, () => {
     const fleet = startFleet({ daemons: 4 });
     const faults = { writesOnly: true, [lost]: { kind: 'next', calls: 1 } };
     fleet.store.platform.setFaults({ table: faults });
@@ -93,7 +93,7 @@
   });
 }
 
-test('with the store down a change is refused as not done, and nothing changes later', () => {
+test('with the store down a change is refused as not run, and does not take effect later', () => {
   const fleet = startFleet({ daemons: 4 });
   fleet.store.platform.setFaults({ table: { down: true } });
   const outcome = outcomeOf(fleet, placeAt(fleet, 0), setModel('c1', 'labels', 'v1'));
@@ -105,7 +105,7 @@
   assert.deepEqual(new Set(versionsOf(fleet)), new Set([0]));
 });
 
-test('an answer lost just before the store goes down leaves the outcome unknown until asked again', () => {
+test('a commit answer lost just before the store goes down gives outcome unknown, and a repeat gives applied', () => {
   const fleet = startFleet({ daemons: 4 });
   const loseAnswers = { kind: 'next', calls: 1 } as const;
   fleet.store.platform.setFaults({ table: { writesOnly: true, loseAnswers } });
@@ -122,7 +122,7 @@
   assert.deepEqual(again, { kind: 'applied', id: 'c1', version: 1, inForce: 4 });
 });
 
-test('with a zone cut off nothing is called applied that is not in force there', () => {
+test('with a zone partitioned a change is not answered as applied until it is in force there', () => {
   const fleet = startFleet({ daemons: 9 });
   fleet.network.cut = (from, to) => (from.zone === 'zone-2') !== (to.zone === 'zone-2');
   const outcome = outcomeOf(fleet, placeAt(fleet, 0), setModel('c1', 'labels', 'v1'));
@@ -136,7 +136,7 @@
   assert.deepEqual(again, { kind: 'applied', id: 'c1', version: 1, inForce: 9 });
 });
 
-test('a daemon that is down is waited for while it is listed and no longer', () => {
+test('a change waits for a daemon that is down while it is listed, and not once it is delisted', () => {
   const fleet = startFleet({ daemons: 4 });
   fleet.kill(placeAt(fleet, 3));
   fleet.run(30_000);
--- a/test/configuration/reducer.test.ts
+++ b/test/configuration/reducer.test.ts
@@ -25,7 +25,7 @@
   anonymousTenant: null,
 };
 
-/** One daemon's configuration, stepped by hand. */
+/** One daemon's configuration reducer, stepped manually. */
 class Configuration {
   state: ConfigurationState = createConfiguration(IDENTITY);
   effects: readonly ConfigurationEffect[] = [];
@@ -57,16 +57,16 @@
     this.step({ kind: 'peer-received', from: IDENTITY.endpoint, header, message });
   }
 
-  /** Ticks until the store is asked for a row, and answers. */
+  /** Ticks until the store is read for the wanted key, and answers the call. */
   answerTable(
     answer: (keys: readonly string[]) => readonly TableRow[],
-    wanted = 'configuration/current',
+    wantedKey = 'configuration/current',
   ): void {
     for (let ticks = 0; ticks < 1_000; ticks += 1) {
-      const asked = this.effects.find((effect) => effect.kind === 'table');
-      if (asked?.call.kind === 'get' && asked.call.keys.includes(wanted)) {
-        const result = { kind: 'rows', rows: answer(asked.call.keys) } as const;
-        this.step({ kind: 'table-result', token: asked.token, result });
+      const call = this.effects.find((effect) => effect.kind === 'table');
+      if (call?.call.kind === 'get' && call.call.keys.includes(wantedKey)) {
+        const result = { kind: 'rows', rows: answer(call.call.keys) } as const;
+        this.step({ kind: 'table-result', token: call.token, result });
         return;
       }
       this.step({ kind: 'tick' });
@@ -87,7 +87,7 @@
   return { key: 'configuration/current', version, value: { version, document: DOCUMENT } };
 }
 
-test('a lower version is taken neither from a daemon nor from the store', () => {
+test('a lower version is accepted neither from a daemon nor from the store', () => {
   const configuration = new Configuration();
   configuration.receiveContent(5, 5);
   configuration.receiveContent(3, 3);
@@ -99,7 +99,7 @@
   assert.equal(configuration.version, 6);
 });
 
-test('a starting daemon is not ready while it knows of a higher version than it has', () => {
+test('a starting daemon is not ready while it knows of a version higher than the one in force', () => {
   const configuration = new Configuration();
   configuration.receiveContent(5, 7);
   assert.equal(configuration.version, 5);
@@ -107,10 +107,10 @@
   configuration.receiveContent(7, 7);
   assert.equal(configuration.state.ready, true);
   configuration.receiveContent(7, 8);
-  assert.equal(configuration.state.ready, true, 'readiness is not lost again');
+  assert.equal(configuration.state.ready, true, 'a daemon that was ready stays ready');
 });
 
-test('content that differs from its hash and a row of another form are not taken', () => {
+test('content that does not match its hash and a row with an invalid document are rejected', () => {
   const configuration = new Configuration();
   configuration.receiveContent(5, 5, 'wrong');
   assert.equal(configuration.version, undefined);
@@ -122,7 +122,7 @@
   assert.equal(configuration.state.ready, false);
 });
 
-test('a repeat that read the rows at different moments does not take effect again', () => {
+test('a repeated change that read the rows at different times does not take effect again', () => {
   const table = new VersionedTable();
   const record = { version: 1, digest: 'labels v1', description: [] };
   table.transact(
@@ -150,7 +150,7 @@
   assert.equal(configuration.state.changes.get('c1')?.phase.kind, 'confirming');
 });
 
-test('once a commit was lost the change is never called not done on the store’s refusals', () => {
+test('after a lost commit answer, refusals by the store do not lead to the answer refused-not-run', () => {
   const configuration = new Configuration();
   const absent = (keys: readonly string[]) => keys.map((key) => ({ key, version: 0, value: null }));
   const answers = () =>
--- a/test/configuration/spread.test.ts
+++ b/test/configuration/spread.test.ts
@@ -16,7 +16,7 @@
   fleet.startAll();
 }
 
-test('after a restart of all at once every daemon comes back with the accepted version', () => {
+test('after a simultaneous restart of all daemons every one has the applied version in force', () => {
   const fleet = startFleet({ daemons: 12 });
   outcomeOf(fleet, placeAt(fleet, 0), setModel('c1', 'labels', 'v1'));
   restartAll(fleet);
@@ -27,7 +27,7 @@
   assert.ok(fleet.running.every((daemon) => daemon.configuration.ready));
 });
 
-test('with the store down a restarted daemon takes its configuration from another one', () => {
+test('with the store down a restarted daemon gets its configuration from another daemon', () => {
   const fleet = startFleet({ daemons: 6 });
   outcomeOf(fleet, placeAt(fleet, 0), setModel('c1', 'labels', 'v1'));
   fleet.store.platform.setFaults({ table: { down: true } });
@@ -41,7 +41,7 @@
   }
 });
 
-test('with the store down and nobody left to ask, no daemon is ready until it is back', () => {
+test('with the store down and all daemons restarted, no daemon is ready until the store is back', () => {
   const fleet = startFleet({ daemons: 6 });
   outcomeOf(fleet, placeAt(fleet, 0), setModel('c1', 'labels', 'v1'));
   fleet.store.platform.setFaults({ table: { down: true } });
@@ -56,7 +56,7 @@
   assert.ok(fleet.running.every((daemon) => daemon.configuration.ready));
 });
 
-test('a change whose daemon dies with its commit still comes into force everywhere', () => {
+test('a change whose daemon crashes right after the commit still comes into force everywhere', () => {
   const fleet = startFleet({ daemons: 6 });
   fleet.network.cut = (from) => from.name === 'daemon-0';
   fleet.change(placeAt(fleet, 0), setModel('c1', 'labels', 'v1'));
@@ -68,7 +68,7 @@
   );
 });
 
-test('a document too large for the table goes through the object store', () => {
+test('a document too large for the table is kept in the object store', () => {
   const fleet = startFleet({ daemons: 4 });
   const large = setModel('c1', 'labels', 'v1', { digest: 'large' });
   const models = Object.fromEntries(
@@ -96,11 +96,11 @@
 });
 
 /**
- * Random restarts of one and of all, zone cuts, store outages, lost answers and changes, while the
- * version of each place is watched: within a life it never falls, and after an accepted change no
- * daemon is ready with less.
+ * Injects random restarts of one daemon or all, zone partitions, store outages, lost answers and
+ * changes. Checks that a daemon's version never decreases within one incarnation, and that no daemon
+ * is ready with a version lower than that of an applied change.
  */
-test('no version ever falls, through random faults', () => {
+test('under random faults no version decreases and no ready daemon is behind an applied change', () => {
   for (const seed of [1, 2, 3, 4]) {
     const fleet = startFleet({
       seed,
@@ -115,11 +115,17 @@
       for (const place of fleet.places) {
         const { daemon } = place;
         if (daemon === null) continue;
-        const life = `${place.name} ${place.life}`;
-        assert.ok(daemon.version >= (highest.get(life) ?? -1), `${life} fell, seed ${seed}`);
-        highest.set(life, daemon.version);
+        const incarnation = `${place.name} ${place.life}`;
+        assert.ok(
+          daemon.version >= (highest.get(incarnation) ?? -1),
+          `the version of ${incarnation} decreased, seed ${seed}`,
+        );
+        highest.set(incarnation, daemon.version);
         if (daemon.configuration.ready) {
-          assert.ok(daemon.version >= accepted, `${life} is behind ${accepted}, seed ${seed}`);
+          assert.ok(
+            daemon.version >= accepted,
+            `${incarnation} is ready below version ${accepted}, seed ${seed}`,
+          );
         }
       }
       for (const outcome of fleet.answers.values()) {
--- a/test/configuration/support.ts
+++ b/test/configuration/support.ts
@@ -1,4 +1,4 @@
-/** Changes for tests of the configuration's spread. */
+/** Helpers for tests of configuration changes and their distribution. */
 import { err, ok } from 'neverthrow';
 import type { ChangeOutcome, ChangeRequest } from '../../src/core/configuration/index.js';
 import { refusedNotRun } from '../../src/core/errors/fault.js';
@@ -7,7 +7,7 @@
 
 let tokens = 0;
 
-/** A change that sets a model's version, or is refused when the model must be absent and is not. */
+/** A change that sets a model's version; refused if `mustBeAbsent` and the model is present. */
 export function setModel(
   id: string,
   model: string,
@@ -37,7 +37,7 @@
   };
 }
 
-/** Puts a change to a daemon and runs until it is answered. */
+/** Sends a change to a daemon and runs the simulation until it is answered. */
 export function outcomeOf(
   fleet: FleetSimulation,
   place: Place,
@@ -51,7 +51,7 @@
   return outcome;
 }
 
-/** The versions in force, one for each running daemon. */
+/** The version in force on each running daemon. */
 export function versionsOf(fleet: FleetSimulation): readonly number[] {
   return fleet.running.map((daemon) => daemon.version);
 }
