--- a/src/core/controller/budget.ts
+++ b/src/core/controller/budget.ts
@@ -1,5 +1,6 @@
 /**
- * How many engines of a pool planned changes may keep away at once, and which must stay.
+ * How many engines of a pool planned changes may keep out of service at once, and which engines
+ * must keep serving. An engine is out of service while it is drained or changed.
  */
 import type { BackendName, ModelName } from '../common/identifiers.js';
 import type { MonotonicMs } from '../common/time.js';
@@ -7,26 +8,26 @@
 import type { EngineView } from '../registry/backend.js';
 import type { ControllerState, EngineControl } from './state.js';
 
-/** The pool's engines as the limits count them. Taken anew after each change that is begun. */
+/** The pool's engines as the limits count them; recomputed after each change that is begun. */
 export interface PoolCensus {
   readonly poolSize: number;
   readonly away: ReadonlySet<BackendName>;
-  /** The engines that take work now, by the models that they hold. */
+  /** The engines that accept new requests now, by the models that they hold. */
   readonly serving: ReadonlyMap<ModelName, ReadonlySet<BackendName>>;
-  /** The engines that hold a model or are to hold it, whether they take work or not. */
+  /** The engines that hold a model or are to hold it, whether they accept requests or not. */
   readonly holding: ReadonlyMap<ModelName, ReadonlySet<BackendName>>;
 }
 
-/** Counts the pool. */
+/** Computes the pool's availability from the latest reports and planned changes. */
 export function takeCensus(state: ControllerState, now: MonotonicMs): PoolCensus {
   const away = new Set<BackendName>();
   const serving = new Map<ModelName, Set<BackendName>>();
   const holding = new Map<ModelName, Set<BackendName>>();
   for (const [engine, view] of state.views) {
     const control = state.engines.get(engine);
-    if (control === undefined || isAway(control)) away.add(engine);
-    // The last report of an engine that is being drained may still call it open.
-    const isServing = !away.has(engine) && takesWork(view, now, state.settings.reportFreshMs);
+    if (control === undefined || mayBeOutOfService(control)) away.add(engine);
+    // The last report of an engine that is being drained may still state an open intake.
+    const isServing = !away.has(engine) && acceptsWork(view, now, state.settings.reportFreshMs);
     for (const { model } of view.report?.models ?? []) {
       if (isServing) add(serving, model, engine);
       add(holding, model, engine);
@@ -36,20 +37,20 @@
   return { poolSize: state.views.size, away, serving, holding };
 }
 
-/** Whether an engine may be taken away now without breaking the pool's limits. */
+/** Whether an engine may be taken out of service now within the pool's limits. */
 export function mayTakeAway(
   state: ControllerState,
   census: PoolCensus,
   engine: BackendName,
 ): boolean {
   const { maxAwayShare, minServing } = state.settings;
-  const mostAway = Math.max(1, Math.floor(census.poolSize * maxAwayShare));
-  if (countOthers(census.away, engine) >= mostAway) return false;
-  for (const [model, servers] of census.serving) {
-    if (!servers.has(engine)) continue;
-    // The only engine of a model has no stand-in; its change is wanted all the same.
+  const maxOutOfService = Math.max(1, Math.floor(census.poolSize * maxAwayShare));
+  if (countOthers(census.away, engine) >= maxOutOfService) return false;
+  for (const [model, servingEngines] of census.serving) {
+    if (!servingEngines.has(engine)) continue;
+    // The minimum cannot exceed the other holders: a model's only engine must still be changeable.
     const others = countOthers(census.holding.get(model), engine);
-    if (countOthers(servers, engine) < Math.min(minServing, others)) return false;
+    if (countOthers(servingEngines, engine) < Math.min(minServing, others)) return false;
   }
   return true;
 }
@@ -69,15 +70,15 @@
   return engines.has(engine) ? engines.size - 1 : engines.size;
 }
 
-/** Whether a planned change keeps the engine away, or might for all that is known. */
-function isAway(control: EngineControl): boolean {
+/** Whether a planned change keeps, or may keep, the engine out of service; true while unknown. */
+function mayBeOutOfService(control: EngineControl): boolean {
   if (control.intent === null || control.write !== null) return true;
   return isUnresolved(control.intent.value) || control.intake === 'closed';
 }
 
-function takesWork(view: EngineView, now: MonotonicMs, freshMs: number): boolean {
+function acceptsWork(view: EngineView, now: MonotonicMs, maxAgeMs: number): boolean {
   const report = view.report;
-  if (report === null || now > view.reportedAt + freshMs) return false;
+  if (report === null || now > view.reportedAt + maxAgeMs) return false;
   if (view.machine.state === 'leaving' || report.leaving || report.busy) return false;
   return report.intake === 'open';
 }
--- a/src/core/controller/decide.ts
+++ b/src/core/controller/decide.ts
@@ -1,6 +1,6 @@
 /**
- * What to do next for one engine: a pure function of what the controller knows. Called only while
- * the authority is in force and nothing of the engine's is in flight.
+ * Decides the next move for one engine, as a pure function of the controller's state. Called only
+ * while the authority is in force and the engine has no message or write in flight.
  */
 import type { MonotonicMs } from '../common/time.js';
 import type { IntentRow, OrderAction } from '../orders/index.js';
@@ -11,7 +11,7 @@
 import type { ControllerState, EngineControl, KnownIntent } from './state.js';
 import type { DesiredEngine } from './types.js';
 
-/** One thing to do for an engine. */
+/** A message, a write or a wait that the controller decides on for one engine. */
 export type Move =
   | { readonly kind: 'wait' }
   | {
@@ -26,10 +26,10 @@
   | { readonly kind: 'order' }
   | { readonly kind: 'query' };
 
-/** Nothing to do now. */
+/** No message or write is due now. */
 export const WAIT: Move = { kind: 'wait' };
 
-/** An engine whose row has been read and that has been heard from. */
+/** An engine whose intent row has been read and that has reported. */
 interface Subject {
   readonly state: ControllerState;
   readonly census: PoolCensus;
@@ -57,7 +57,7 @@
   return isUnresolved(row) ? decideUnresolved(subject, row) : decideResolved(subject);
 }
 
-/** An intent is unresolved: bring it to its end before anything else. */
+/** An unresolved intent must be settled before any other change. */
 function decideUnresolved(subject: Subject, row: IntentRow): Move {
   const { control } = subject;
   if (hasEnded(subject, row)) return { kind: 'settle', outcome: 'failed' };
@@ -86,7 +86,10 @@
   }
 }
 
-/** The order is known not to have run; a late copy of it may still arrive unless it is sealed. */
+/**
+ * The order has not run. A delayed copy may still arrive until the engine has acknowledged a fence
+ * higher than the order's: only then may the intent be abandoned.
+ */
 function decideNotRun(subject: Subject, row: IntentRow): Move {
   const { control } = subject;
   if (!isStillWanted(subject, row)) {
@@ -97,7 +100,7 @@
   return isDrained(subject, row) ? { kind: 'order' } : WAIT;
 }
 
-/** No intent is unresolved: raise the fence once, then change or open. */
+/** Without an unresolved intent: raise the fence once, then begin a change or open the intake. */
 function decideResolved(subject: Subject): Move {
   const { control, report, now } = subject;
   if (control.outranked || now < control.retryAt) return WAIT;
@@ -125,13 +128,13 @@
   return { kind: 'hold', intake: 'closed', boot: row.boot };
 }
 
-/** The engine life that the order was for is over, by a report newer than the row or by its word. */
+/** Whether the order's boot has ended, by the engine's answer or a report newer than the row. */
 function hasEnded(subject: Subject, row: IntentRow): boolean {
   if (subject.control.endedBoot === row.boot) return true;
   return subject.report.boot !== row.boot && subject.view.reportedAt > subject.intent.knownAt;
 }
 
-/** Whether the order is still what the desired state asks for and its drain is within the limit. */
+/** Whether the desired state still requires the order and its drain is within the time limit. */
 function isStillWanted(subject: Subject, row: IntentRow): boolean {
   const { control, desired, report, state, now } = subject;
   if (control.drainStartedAt === null || desired === undefined) return false;
@@ -140,7 +143,7 @@
   return action !== null && sameAction(action, row.action);
 }
 
-/** No grant is left anywhere, and a report asked for after that shows the engine idle. */
+/** Whether all grants have lapsed and a report requested after that shows the engine idle. */
 function isDrained(subject: Subject, row: IntentRow): boolean {
   const { control, report, state, view } = subject;
   if (control.closedAt === null || report.boot !== row.boot) return false;
--- a/src/core/controller/engine-answers.ts
+++ b/src/core/controller/engine-answers.ts
@@ -1,5 +1,5 @@
 /**
- * What an engine's answers tell a controller.
+ * Handles engines' answers to orders and to queries of an order's state.
  */
 import { backoff } from '../common/jitter.js';
 import type { Milliseconds } from '../common/time.js';
@@ -16,11 +16,11 @@
 type PendingOrder = Exclude<PendingSend, { kind: 'query' }>;
 type Refusal = Extract<OrderAnswer, { kind: 'refused' }>;
 
-/** How often a running order's state is asked for. */
+/** The interval of queries for a running order's state. */
 const ORDER_POLL_MS: Milliseconds = 200;
 const SEND_BACKOFF = { firstMs: 100, mostMs: 3_000 } as const;
 
-/** Takes in the answer to a hold or an order; answers no longer awaited are ignored. */
+/** Handles the answer to a hold or an order; answers that are no longer awaited are ignored. */
 export function receiveOrderAnswer(
   state: ControllerState,
   event: Extract<ControllerEvent, { kind: 'order-answer' }>,
@@ -28,11 +28,11 @@
 ): ControllerTransition {
   const control = state.engines.get(event.engine);
   const send = control?.send ?? null;
-  if (control === undefined || send === null || send.kind === 'query') return same(state);
+  if (control === undefined || send === null || send.kind === 'query') return unchanged(state);
   if (send.orderId !== event.orderId || send.fence.sequence !== event.fence.sequence) {
-    return same(state);
+    return unchanged(state);
   }
-  if (send.fence.epoch !== event.fence.epoch) return same(state);
+  if (send.fence.epoch !== event.fence.epoch) return unchanged(state);
   const answered: EngineControl = { ...control, send: null };
   switch (event.answer.kind) {
     case 'lost':
@@ -44,14 +44,15 @@
   }
 }
 
-/** Takes in what an engine says of an order. */
+/** Handles an engine's answer to a query of an order's state. */
 export function receiveOrderState(
   state: ControllerState,
   event: Extract<ControllerEvent, { kind: 'order-state' }>,
   context: StepContext,
 ): ControllerTransition {
   const control = state.engines.get(event.engine);
-  if (control?.send?.kind !== 'query' || control.send.orderId !== event.orderId) return same(state);
+  if (control?.send?.kind !== 'query' || control.send.orderId !== event.orderId)
+    return unchanged(state);
   const answered: EngineControl = { ...control, send: null };
   if (event.state === 'lost') return update(state, retryLater(answered, context));
   const progress = progressOf(event.state);
@@ -74,7 +75,10 @@
   return { ...control, progress: orderState, retryAt, failures: 0 };
 }
 
-/** The fence has risen, so an order known not to have run must be asked for once more. */
+/**
+ * The engine acknowledged a higher fence. A delayed copy of an order reported as not run may have
+ * started before that, so the order's state is queried again.
+ */
 function holdAccepted(
   control: EngineControl,
   send: Extract<PendingSend, { kind: 'hold' }>,
@@ -102,7 +106,7 @@
   const later = retryLater(control, context);
   switch (answer.reason) {
     case 'wrong-boot':
-      return update(state, lifeEnded(later, send.boot), [
+      return update(state, markBootEnded(later, send.boot), [
         log(ORDER_EVENTS.engineRestarted, { engine: control.engine, order: send.orderId }),
       ]);
     case 'stale-fence':
@@ -116,7 +120,7 @@
   }
 }
 
-function lifeEnded(control: EngineControl, boot: string): EngineControl {
+function markBootEnded(control: EngineControl, boot: string): EngineControl {
   return { ...control, endedBoot: boot, fencedBoot: null, intake: null, closedAt: null };
 }
 
@@ -149,6 +153,6 @@
   return { state: withControl(state, control), effects };
 }
 
-function same(state: ControllerState): ControllerTransition {
+function unchanged(state: ControllerState): ControllerTransition {
   return { state, effects: [] };
 }
--- a/src/core/controller/index.ts
+++ b/src/core/controller/index.ts
@@ -1,4 +1,4 @@
-/** The controller of a pool: brings its engines to their desired state by fenced, durable orders. */
+/** The controller of a pool: brings engines to their desired state by fenced, durable orders. */
 export { resourceOfPool } from './resource.js';
 export {
   type ControllerState,
--- a/src/core/controller/moves.ts
+++ b/src/core/controller/moves.ts
@@ -1,5 +1,5 @@
 /**
- * Carries out a move: table writes and messages to the engine.
+ * Executes a move by table writes and messages to the engine.
  */
 import type { Transition } from '../common/transition.js';
 import type { Authority } from '../lease/index.js';
@@ -16,7 +16,7 @@
 
 type ControllerTransition = Transition<ControllerState, ControllerOutput>;
 
-/** Carries out a move under an authority that the caller has checked. */
+/** Executes a move under an authority that the caller has checked. */
 export function carryOut(
   state: ControllerState,
   control: EngineControl,
@@ -80,7 +80,7 @@
   return write(state, control, { ...row, phase: 'settled', outcome }, authority);
 }
 
-/** Writes the intent row if neither it nor the lease's epoch has changed. */
+/** Writes the intent row on condition that neither the row nor the lease's epoch has changed. */
 function write(
   state: ControllerState,
   control: EngineControl,
@@ -123,7 +123,7 @@
   const orderId = `${control.engine}.${fence.epoch}.${fence.sequence}.hold`;
   const { intake, boot } = move;
   const pending: PendingSend = { kind: 'hold', orderId, fence, boot, intake };
-  // From here on the engine may be open, whether or not it answers.
+  // From here on the engine's intake may be open even if its answer is lost.
   const opening = intake === 'open' ? { intake: null, closedAt: null } : {};
   const next = { ...control, ...opening, sequence: fence.sequence, send: pending };
   const order = buildOrder(control, { kind: 'hold', intake }, orderId, boot, fence, false);
--- a/src/core/controller/next-action.ts
+++ b/src/core/controller/next-action.ts
@@ -1,11 +1,11 @@
 /**
- * The difference between an engine's report and its desired state, one order at a time.
+ * Derives the next order from the difference between an engine's report and its desired state.
  */
 import type { OrderAction } from '../orders/index.js';
 import type { EngineReport, LoadedModel } from '../registry/backend.js';
 import type { DesiredEngine } from './types.js';
 
-/** The next order towards the desired state, or null when the report agrees with it. */
+/** The next order towards the desired state, or null when the report matches it. */
 export function nextAction(desired: DesiredEngine, report: EngineReport): OrderAction | null {
   const loading = desired.models === null ? null : nextModelAction(desired.models, report.models);
   if (loading !== null) return loading;
@@ -42,11 +42,11 @@
 
 function unloadAction(loaded: LoadedModel, wanted: readonly LoadedModel[]): OrderAction | null {
   const { model, version } = loaded;
-  const kept = find(wanted, loaded);
-  if (kept === undefined) return { kind: 'unload-model', model, version };
+  const wantedModel = find(wanted, loaded);
+  if (wantedModel === undefined) return { kind: 'unload-model', model, version };
   for (const { adapter } of loaded.adapters) {
-    const isKept = kept.adapters.some((candidate) => candidate.adapter === adapter);
-    if (!isKept) return { kind: 'unload-adapter', model, adapter };
+    const isWanted = wantedModel.adapters.some((candidate) => candidate.adapter === adapter);
+    if (!isWanted) return { kind: 'unload-adapter', model, adapter };
   }
   return null;
 }
--- a/src/core/controller/state.ts
+++ b/src/core/controller/state.ts
@@ -12,7 +12,7 @@
 export interface KnownIntent {
   readonly version: number;
   readonly value: IntentRow | null;
-  /** When it was read or written: a report asked for later is newer than the row. */
+  /** When the row was read or written: a report requested later is newer than the row. */
   readonly knownAt: MonotonicMs;
 }
 
@@ -40,47 +40,47 @@
 }
 
 /**
- * What this controller knows of the order of an unresolved intent in phase `ordered`.
- * `unasked`: it may have been received; ask the engine. `not-run`: the engine has said that it knows
- * nothing of it, or refused it without running it.
+ * What this controller knows about the order of an unresolved intent in phase `ordered`.
+ * `unasked`: the engine may have received the order and must be queried. `not-run`: the order was
+ * not sent, or the engine reported it unknown or refused it without running it.
  */
 export type OrderProgress = 'unasked' | 'not-run' | 'running' | 'done' | 'failed';
 
-/** What a controller knows of one engine under the present epoch. */
+/** What a controller knows about one engine under the current epoch. */
 export interface EngineControl {
   readonly engine: BackendName;
-  /** Null until read. */
+  /** Null while the row must be read: at first, and after a conflicting or lost write. */
   readonly intent: KnownIntent | null;
   readonly write: PendingWrite | null;
   readonly send: PendingSend | null;
   /** The last sequence used in a fence for this engine. */
   readonly sequence: number;
-  /** The engine life that has acknowledged a fence of this epoch. */
+  /** The engine boot that has acknowledged a fence of this epoch. */
   readonly fencedBoot: BootId | null;
   /** The sequence of the last acknowledged hold. */
   readonly fencedSequence: number;
   /** The intake that the fenced boot last acknowledged. */
   readonly intake: Intake | null;
-  /** When the closing of the intake was acknowledged, while it stays closed. */
+  /** When the engine acknowledged closing its intake; null unless the intake is closed. */
   readonly closedAt: MonotonicMs | null;
-  /** When the engine last refused the order as busy: only a later report can show it idle. */
+  /** When the engine last refused the order as busy: only a later report can prove it idle. */
   readonly busyAt: MonotonicMs | null;
   readonly progress: OrderProgress;
-  /** The highest sequence under which the present order was sent; 0 when it was not. */
+  /** The highest sequence under which the current order was sent; 0 when it was not sent. */
   readonly orderSequence: number;
-  /** When this controller began the drain or took it over; null when no intent is unresolved. */
+  /** When this controller began or took over the drain; null when no intent is unresolved. */
   readonly drainStartedAt: MonotonicMs | null;
-  /** A life of the engine that is known to have ended. */
+  /** A boot of the engine that is known to have ended. */
   readonly endedBoot: BootId | null;
   /** Nothing is sent to the engine before this time. */
   readonly retryAt: MonotonicMs;
-  /** Messages in a row that were lost or refused. */
+  /** The number of consecutive messages that were lost or refused. */
   readonly failures: number;
   /** No new intent is begun before this time. */
   readonly nextChangeAt: MonotonicMs;
-  /** Intents in a row that failed or were abandoned. */
+  /** The number of consecutive intents that failed or were abandoned. */
   readonly failedChanges: number;
-  /** True when the engine has seen a higher epoch than this controller's. */
+  /** True when the engine has seen a higher epoch than that of this controller. */
   readonly outranked: boolean;
 }
 
@@ -94,7 +94,7 @@
 export interface ControllerState {
   readonly settings: ControllerSettings;
   readonly authority: Authority | null;
-  /** An epoch that a conflict in the table has shown to be over; 0 when none. */
+  /** The last own epoch that a table conflict has shown to be superseded; 0 when none. */
   readonly deposedEpoch: number;
   readonly views: ReadonlyMap<BackendName, EngineView>;
   readonly desired: ReadonlyMap<BackendName, DesiredEngine>;
@@ -102,9 +102,9 @@
   readonly read: PendingRead | null;
   readonly tableRetryAt: MonotonicMs;
   readonly tableFailures: number;
-  /** Table calls made, for tokens. */
+  /** The number of table calls made; makes their tokens unique. */
   readonly calls: number;
-  /** Intents begun under this epoch, for order ids. */
+  /** The number of intents begun under this epoch; makes order ids unique. */
   readonly intents: number;
 }
 
@@ -125,7 +125,7 @@
   };
 }
 
-/** What is known of an engine before its intent row has been read. */
+/** The control state of an engine before its intent row has been read. */
 export function initialEngineControl(engine: BackendName): EngineControl {
   return {
     engine,
--- a/src/core/controller/step.ts
+++ b/src/core/controller/step.ts
@@ -1,6 +1,6 @@
 /**
- * The reducer of a pool's controller. Every event is first taken into the state; then, while the
- * authority is in force, each engine without anything in flight gets its next move.
+ * The reducer of a pool's controller. Each event is first applied to the state; then, while the
+ * authority is in force, each engine with no message or write in flight gets its next move.
  */
 import type { BackendName } from '../common/identifiers.js';
 import type { StepContext, Transition } from '../common/transition.js';
@@ -14,8 +14,8 @@
 import { receiveTableResult } from './table-answers.js';
 import type { ControllerEvent, ControllerOutput } from './types.js';
 
-/** The most rows that one read of the table service may ask for. */
-const MOST_ROWS_A_READ = 100;
+/** The maximum number of rows in one read of the table service. */
+const MAX_ROWS_PER_READ = 100;
 
 type ControllerTransition = Transition<ControllerState, ControllerOutput>;
 
@@ -25,19 +25,19 @@
   event: ControllerEvent,
   context: StepContext,
 ): ControllerTransition {
-  const taken = takeIn(state, event, context);
-  const acted = act(taken.state, context);
-  return { state: acted.state, effects: [...taken.effects, ...acted.effects] };
+  const applied = applyEvent(state, event, context);
+  const acted = act(applied.state, context);
+  return { state: acted.state, effects: [...applied.effects, ...acted.effects] };
 }
 
-function takeIn(
+function applyEvent(
   state: ControllerState,
   event: ControllerEvent,
   context: StepContext,
 ): ControllerTransition {
   switch (event.kind) {
     case 'tick':
-      return { state: takeInputs(state, event), effects: [] };
+      return { state: applyTick(state, event), effects: [] };
     case 'table-result':
       return receiveTableResult(state, event, context);
     case 'order-answer':
@@ -47,21 +47,22 @@
   }
 }
 
-function takeInputs(
+function applyTick(
   state: ControllerState,
   event: Extract<ControllerEvent, { kind: 'tick' }>,
 ): ControllerState {
-  const isOver = event.authority !== null && event.authority.epoch <= state.deposedEpoch;
-  const authority = isOver ? null : event.authority;
+  const isDeposed = event.authority !== null && event.authority.epoch <= state.deposedEpoch;
+  const authority = isDeposed ? null : event.authority;
   const epochChanged = authority !== null && authority.epoch !== state.authority?.epoch;
-  const base = epochChanged ? underNewEpoch(state) : state;
+  const base = epochChanged ? resetForNewEpoch(state) : state;
   const engines = new Map(base.engines);
   for (const { machine } of event.engines) {
     if (!engines.has(machine.name)) engines.set(machine.name, initialEngineControl(machine.name));
   }
   return {
     ...base,
-    // The last authority is kept, lapsed, so that its epoch's state is known when it resumes.
+    // Without an authority the last one is kept as lapsed, so that the state of its epoch is still
+    // valid when the same epoch resumes.
     authority: authority ?? lapsed(state.authority),
     views: new Map(event.engines.map((view) => [view.machine.name, view])),
     desired: new Map(event.desired.map((desired) => [desired.engine, desired])),
@@ -69,8 +70,8 @@
   };
 }
 
-/** Nothing learnt under an earlier epoch is trusted: all rows are read again. */
-function underNewEpoch(state: ControllerState): ControllerState {
+/** Discards the state of the earlier epoch, which may be outdated: all rows are read again. */
+function resetForNewEpoch(state: ControllerState): ControllerState {
   return { ...state, engines: new Map(), read: null, intents: 0 };
 }
 
@@ -82,29 +83,29 @@
   const authority = state.authority;
   const mayAct = isInForce(authority, context.now) && authority.epoch > state.deposedEpoch;
   if (!mayAct) return { state, effects: [] };
-  const read = readUnread(state, context);
+  const read = readUnknownIntents(state, context);
   const effects: ControllerOutput[] = [...read.effects];
   let next = read.state;
   let census = takeCensus(next, context.now);
   for (const engine of state.views.keys()) {
-    const move = moveFor(next, census, engine, context);
+    const move = nextMove(next, census, engine, context);
     const control = next.engines.get(engine);
     if (move.kind === 'wait' || control === undefined) continue;
-    const moved = carryOut(next, control, move, authority);
-    next = moved.state;
-    effects.push(...moved.effects);
+    const executed = carryOut(next, control, move, authority);
+    next = executed.state;
+    effects.push(...executed.effects);
     if (move.kind === 'begin') census = takeCensus(next, context.now);
   }
   return { state: next, effects };
 }
 
-/** Reads the intent rows that are not known, all in one call. */
-function readUnread(state: ControllerState, context: StepContext): ControllerTransition {
+/** Reads unknown intent rows, up to `MAX_ROWS_PER_READ` in one call. */
+function readUnknownIntents(state: ControllerState, context: StepContext): ControllerTransition {
   if (state.read !== null || context.now < state.tableRetryAt) return { state, effects: [] };
   const engines = [...state.engines.values()]
     .filter((control) => control.intent === null && control.write === null)
     .map((control) => control.engine)
-    .slice(0, MOST_ROWS_A_READ);
+    .slice(0, MAX_ROWS_PER_READ);
   if (engines.length === 0) return { state, effects: [] };
   const calls = state.calls + 1;
   const token = `controller/${state.settings.pool}/${calls}`;
@@ -114,8 +115,8 @@
   };
 }
 
-/** The next move for an engine; none while something of it is in flight. */
-function moveFor(
+/** The next move for an engine; `WAIT` while a message or write of the engine is in flight. */
+function nextMove(
   state: ControllerState,
   census: PoolCensus,
   engine: BackendName,
--- a/src/core/controller/table-answers.ts
+++ b/src/core/controller/table-answers.ts
@@ -1,5 +1,5 @@
 /**
- * What table results tell a controller: intent rows read, writes committed, conflicts, lost answers.
+ * Handles table results: intent rows read, writes committed, conflicts, lost answers.
  */
 import { backoff } from '../common/jitter.js';
 import type { StepContext, Transition } from '../common/transition.js';
@@ -16,10 +16,10 @@
 type ControllerTransition = Transition<ControllerState, ControllerOutput>;
 
 const TABLE_BACKOFF = { firstMs: 100, mostMs: 5_000 } as const;
-/** How long to wait after an intent that failed or was abandoned before the next for its engine. */
+/** The back-off before an engine's next intent after one that failed or was abandoned. */
 const CHANGE_BACKOFF = { firstMs: 2_000, mostMs: 120_000 } as const;
 
-/** Takes in a table result; results of calls that are no longer awaited are ignored. */
+/** Handles a table result; results of calls that are no longer awaited are ignored. */
 export function receiveTableResult(
   state: ControllerState,
   event: TableResultEvent,
@@ -54,13 +54,13 @@
     const control = state.engines.get(engine);
     const row = result.rows.find((candidate) => candidate.key === intentKey(engine));
     if (control === undefined || row === undefined) continue;
-    next = withControl(next, learnIntent(control, row, context));
+    next = withControl(next, recordIntent(control, row, context));
     effects.push(...logTakeOver(state, control, row));
   }
   return { state: next, effects };
 }
 
-function learnIntent(control: EngineControl, row: TableRow, context: StepContext): EngineControl {
+function recordIntent(control: EngineControl, row: TableRow, context: StepContext): EngineControl {
   const value = row.value as IntentRow | null;
   const drainStartedAt = isUnresolved(value) ? (control.drainStartedAt ?? context.now) : null;
   const intent = { version: row.version, value, knownAt: context.now };
@@ -89,7 +89,7 @@
   switch (result.kind) {
     case 'committed': {
       const written = result.rows.find((candidate) => candidate.key === key);
-      if (written === undefined) return forget(state, control);
+      if (written === undefined) return invalidateIntent(state, control);
       const cleared: ControllerState = { ...state, tableFailures: 0 };
       return settleWrite(cleared, control, row, written.version, context);
     }
@@ -112,7 +112,7 @@
   const intent = { version, value: row, knownAt: context.now };
   if (row.phase !== 'settled') {
     const drainStartedAt = control.drainStartedAt ?? context.now;
-    // Neither phase's writer has sent the order yet: it is sent only once `ordered` is committed.
+    // The order has not been sent yet: it is sent only after the write of `ordered` is committed.
     const next: EngineControl = { ...control, intent, drainStartedAt, progress: 'not-run' };
     return { state: withControl(state, next), effects: [] };
   }
@@ -134,8 +134,9 @@
 }
 
 /**
- * The epoch row moved on: this controller is deposed. Otherwise the intent row did: an earlier copy
- * of this very write may have taken effect late; anything else is read again.
+ * Handles a write conflict. If the epoch row has changed, this controller is deposed. If the intent
+ * row has changed, either an earlier attempt of the same write took effect late and counts as
+ * committed, or the row is read again.
  */
 function receiveConflict(
   state: ControllerState,
@@ -154,7 +155,7 @@
   if (present !== undefined && value !== null && isSameRow(value, row)) {
     return settleWrite(state, control, row, present.version, context);
   }
-  return forget(state, control);
+  return invalidateIntent(state, control);
 }
 
 function isSameRow(left: IntentRow, right: IntentRow): boolean {
@@ -166,7 +167,7 @@
   );
 }
 
-function forget(state: ControllerState, control: EngineControl): ControllerTransition {
+function invalidateIntent(state: ControllerState, control: EngineControl): ControllerTransition {
   return { state: withControl(state, { ...control, intent: null }), effects: [] };
 }
 
@@ -176,8 +177,8 @@
   context: StepContext,
 ): ControllerTransition {
   const tableFailures = state.tableFailures + 1;
-  const asked = result.kind === 'unavailable' ? result.retryAfterMs : 0;
-  const wait = Math.max(asked, backoff(TABLE_BACKOFF, tableFailures, context.entropy));
+  const requestedDelayMs = result.kind === 'unavailable' ? result.retryAfterMs : 0;
+  const wait = Math.max(requestedDelayMs, backoff(TABLE_BACKOFF, tableFailures, context.entropy));
   const effects =
     tableFailures === 1
       ? [log(ORDER_EVENTS.tableUnavailable, { pool: state.settings.pool, result: result.kind })]
--- a/src/core/controller/types.ts
+++ b/src/core/controller/types.ts
@@ -1,5 +1,5 @@
 /**
- * What the controller of a pool is told, what it asks for, and its settings.
+ * The events, effects and settings of a pool's controller.
  */
 import type { BackendName, OrderId, PoolName } from '../common/identifiers.js';
 import type { Milliseconds } from '../common/time.js';
@@ -19,19 +19,22 @@
 /** Limits of one pool's controller. */
 export interface ControllerSettings {
   readonly pool: PoolName;
-  /** How long after an acknowledged closing no grant is left: `GRANT_LAPSE_MS`. */
+  /** How long after an acknowledged intake closing all grants have lapsed: `GRANT_LAPSE_MS`. */
   readonly grantLapseMs: Milliseconds;
-  /** A drain that has not ended after this long is abandoned and undone. */
+  /** The time limit of a drain; a drain that exceeds it is abandoned and the intake reopened. */
   readonly drainLimitMs: Milliseconds;
-  /** The most engines that planned changes may keep away at once, as a share of the pool. */
+  /** The maximum share of the pool that planned changes may keep out of service (min. 1 engine). */
   readonly maxAwayShare: number;
-  /** Engines that must go on serving while another is away; at most one less than the pool has. */
+  /**
+   * The number of engines of a model that must keep serving while another is out of service; less
+   * when no more engines hold the model.
+   */
   readonly minServing: number;
-  /** How old a report may be for its engine to count as serving. */
+  /** The maximum age of a report for its engine to count as serving. */
   readonly reportFreshMs: Milliseconds;
 }
 
-/** Settings of a controller unless the daemon's say otherwise. */
+/** The default limits of a controller. */
 export const DEFAULT_CONTROLLER_LIMITS = {
   drainLimitMs: 60_000,
   maxAwayShare: 0.25,
@@ -39,21 +42,21 @@
   reportFreshMs: 3_000,
 } as const;
 
-/** The state wanted of one engine. */
+/** The desired state of one engine. */
 export interface DesiredEngine {
   readonly engine: BackendName;
-  /** Null leaves the role as it is. */
+  /** Null leaves the role unchanged. */
   readonly role: EngineRole | null;
-  /** The models and adapters to hold, and no others; null leaves them as they are. */
+  /** The exact models and adapters to hold; null leaves them unchanged. */
   readonly models: readonly LoadedModel[] | null;
-  /** Why, for `explain engine`. */
+  /** The reason, shown by `explain engine`. */
   readonly reason: string;
 }
 
-/** What an engine says of an order. `lost`: the question or its answer was lost. */
+/** The answer to a query of an order's state. `lost`: the query or its answer was lost. */
 export type AskedOrderState = EngineOrderState | 'unknown' | 'lost';
 
-/** What a controller reacts to. The shell answers every effect, with `lost` where it can't tell. */
+/** The events of a controller. The shell answers every effect; `lost` means an unknown outcome. */
 export type ControllerEvent =
   | {
       readonly kind: 'tick';
@@ -77,7 +80,7 @@
       readonly state: AskedOrderState;
     };
 
-/** What a controller asks the engine shell for. The shell checks `maySendUnder` before it writes. */
+/** The requests to the engine shell, which checks `maySendUnder` before it writes. */
 export type ControllerEffect =
   | { readonly kind: 'send-order'; readonly order: Order; readonly endpoint: Endpoint }
   | {
@@ -87,5 +90,5 @@
       readonly endpoint: Endpoint;
     };
 
-/** Everything that a controller asks for. */
+/** All effects of a controller. */
 export type ControllerOutput = ControllerEffect | TableEffect | LogEffect;
--- a/src/core/orders/fence.ts
+++ b/src/core/orders/fence.ts
@@ -7,7 +7,7 @@
   return left.sequence - right.sequence;
 }
 
-/** Whether an engine that has seen `highest` must refuse `fence`, another order's, as stale. */
+/** Whether an engine that has seen `highest` must refuse another order with `fence` as stale. */
 export function isStale(fence: Fence, highest: Fence | null): boolean {
   return highest !== null && compareFences(fence, highest) <= 0;
 }
--- a/src/core/orders/intent.ts
+++ b/src/core/orders/intent.ts
@@ -1,4 +1,4 @@
-/** Helpers over the durable intent rows. */
+/** Helpers for durable intent rows. */
 import type { BackendName } from '../common/identifiers.js';
 import type { IntentRow, OrderAction } from './types.js';
 
@@ -12,12 +12,12 @@
   return row !== null && row.phase !== 'settled';
 }
 
-/** Whether two orders ask the same of an engine. */
+/** Whether two actions are equal. */
 export function sameAction(left: OrderAction, right: OrderAction): boolean {
   return describeAction(left) === describeAction(right);
 }
 
-/** An order's action in words for logs and operators, for example `load-model labels 2`. */
+/** An order's action as text for logs and operators, for example `load-model labels 2`. */
 export function describeAction(action: OrderAction): string {
   switch (action.kind) {
     case 'hold':
--- a/src/core/orders/types.ts
+++ b/src/core/orders/types.ts
@@ -1,5 +1,5 @@
 /**
- * Orders to engines and the durable intent rows that precede them.
+ * Orders to engines and the durable intent rows written before them.
  */
 import type {
   AdapterName,
@@ -11,7 +11,7 @@
 } from '../common/identifiers.js';
 import type { EngineOrderState, EngineRole, Fence, Intake } from '../registry/backend.js';
 
-/** What an order asks of an engine. `hold` changes only the fence and the intake label. */
+/** The action that an order requests. `hold` changes only the fence and the intake label. */
 export type OrderAction =
   | { readonly kind: 'hold'; readonly intake: Intake }
   | { readonly kind: 'set-role'; readonly role: EngineRole }
@@ -29,7 +29,7 @@
 export interface Order {
   readonly id: OrderId;
   readonly engine: BackendName;
-  /** The engine life the order is for; another boot refuses it. */
+  /** The engine boot that the order is for; an engine under another boot refuses the order. */
   readonly boot: BootId;
   readonly fence: Fence;
   readonly action: OrderAction;
@@ -37,7 +37,7 @@
   readonly onlyIfIdle: boolean;
 }
 
-/** An engine's answer to an order. `failed` only where an order is repeated that has failed since. */
+/** An engine's answer. State `failed` occurs only for a repeated order that failed meanwhile. */
 export type OrderAnswer =
   | { readonly kind: 'accepted'; readonly state: EngineOrderState }
   | {
@@ -48,18 +48,18 @@
     }
   | { readonly kind: 'lost'; readonly reason: string };
 
-/** The phases of a durable intent. Only `settled` lets the next intent for the engine be written. */
+/** The phases of an intent. The engine's next intent may be written only after `settled`. */
 export type IntentPhase = 'draining' | 'ordered' | 'settled';
 
 /** The value of the row `intent/<engine>`: at most one unresolved order for each engine. */
 export interface IntentRow {
   readonly orderId: OrderId;
-  /** The engine life the order is for. An engine under another boot cannot run it any more. */
+  /** The engine boot that the order is for. An engine under another boot refuses the order. */
   readonly boot: BootId;
   readonly action: OrderAction;
   readonly epoch: number;
   readonly phase: IntentPhase;
   readonly outcome: 'pending' | 'done' | 'failed' | 'abandoned';
-  /** Why the order was given, for `explain engine`. */
+  /** The reason for the order, shown by `explain engine`. */
   readonly reason: string;
 }
--- a/src/core/registry/backend.ts
+++ b/src/core/registry/backend.ts
@@ -1,5 +1,5 @@
 /**
- * What the fleet is made of, as the platform's machine list and the engines' own reports state it.
+ * The members of the fleet, as stated by the platform's machine list and the engines' reports.
  */
 import type {
   AdapterName,
@@ -14,16 +14,16 @@
 } from '../common/identifiers.js';
 import type { MonotonicMs } from '../common/time.js';
 
-/** The phase of inference that an engine serves. `mixed` serves both in one batch. */
+/** The inference phase that an engine serves. `mixed` serves both phases in one batch. */
 export type EngineRole = 'prefill' | 'decode' | 'mixed';
 
-/** Whether an engine's controller lets daemons send it new requests. Engines repeat it in reports. */
+/** Whether the engine's controller allows new requests to it. Engines include it in reports. */
 export type Intake = 'open' | 'closed';
 
-/** The state of a machine in the platform's (lagging) list. */
+/** The state of a machine in the platform's list, which may be outdated. */
 export type MachineState = 'live' | 'leaving';
 
-/** An IP number and port. */
+/** An IP address and port. */
 export interface Endpoint {
   readonly address: string;
   readonly port: number;
@@ -44,14 +44,14 @@
   /** Accelerator generation, for example `new` or `old`; a hint for expected speed. */
   readonly accelerator: string;
   /**
-   * The pool whose controller gives this engine its orders. Stated by the platform and constant for
-   * the engine's life, so that never two leases (with epochs that can't be compared) cover one
-   * engine. `DEFAULT_POOL` where absent.
+   * The pool whose controller sends this engine its orders; `DEFAULT_POOL` where absent. The
+   * platform assigns the pool, constant for the engine's lifetime, so that one engine is never
+   * covered by two leases, whose epochs could not be compared.
    */
   readonly pool?: PoolName;
 }
 
-/** The pool of engines whose machine row names none. */
+/** The pool of engines whose machine row has no pool. */
 export const DEFAULT_POOL: PoolName = 'default';
 
 /** The pool an engine belongs to. */
@@ -71,15 +71,15 @@
   readonly kind: 'daemon';
 }
 
-/** A fence: orders with a lower one are refused by the engine. Ordered by epoch, then sequence. */
+/** A fencing token: engines refuse orders with a lower one. Ordered by epoch, then sequence. */
 export interface Fence {
-  /** The lease's epoch under which the order was written. */
+  /** The epoch of the lease under which the order was sent. */
   readonly epoch: number;
-  /** The place of the order among that epoch's orders to this engine. */
+  /** The number of the order among that epoch's orders to this engine. */
   readonly sequence: number;
 }
 
-/** The load an engine reports, as of `Report.load.ageMs` before the answer was sent. */
+/** The load that an engine reports, measured `ageMs` before the report was sent. */
 export interface EngineLoad {
   readonly ageMs: number;
   /** Requests in the running batch. */
@@ -90,59 +90,60 @@
   readonly queuedPrefillTokens: number;
   /** Fraction of the KV cache in use, 0 to 1. */
   readonly kvUsed: number;
-  /** Smoothed prefill speed in tokens a second over the last steps; 0 when unknown. */
+  /** Smoothed prefill speed in tokens per second over the last steps; 0 when unknown. */
   readonly prefillTokensPerSecond: number;
-  /** Smoothed time of a decode step in milliseconds; 0 when unknown. */
+  /** Smoothed duration of a decode step in milliseconds; 0 when unknown. */
   readonly decodeStepMs: number;
 }
 
-/** A model held in an engine's memory. */
+/** A model loaded in an engine's memory. */
 export interface LoadedModel {
   readonly model: ModelName;
   readonly version: VersionName;
   readonly adapters: readonly LoadedAdapter[];
 }
 
-/** An adapter held in an engine's memory. */
+/** An adapter loaded in an engine's memory. */
 export interface LoadedAdapter {
   readonly adapter: AdapterName;
   readonly version: VersionName;
 }
 
-/** The state of the last order an engine took. `done` and `failed` are final. */
+/** The state of the last order that an engine accepted. `done` and `failed` are final. */
 export type EngineOrderState = 'running' | 'done' | 'failed';
 
-/** What an engine says of itself. All but `load` is current when the answer is sent. */
+/** An engine's report of its state. All fields but `load` are current when the report is sent. */
 export interface EngineReport {
   readonly engine: BackendName;
   readonly boot: BootId;
   readonly role: EngineRole;
   readonly intake: Intake;
-  /** True while a role change or a load takes the engine away. */
+  /** True while a role change or a model load keeps the engine out of service. */
   readonly busy: boolean;
-  /** True once the engine has been told to stop by its own machine. */
+  /** True once the engine's own machine has ordered it to stop. */
   readonly leaving: boolean;
   readonly models: readonly LoadedModel[];
   /** The highest fence the engine has seen in this boot, or null after a start. */
   readonly fence: Fence | null;
   readonly lastOrder: { readonly id: OrderId; readonly state: EngineOrderState } | null;
   readonly maxBatch: number;
-  /** Requests accepted and not ended, current (not lagging). */
+  /** Requests accepted and not ended, at the time the report is sent. */
   readonly activeRequests: number;
   readonly load: EngineLoad;
 }
 
 /**
- * A daemon's knowledge of one engine. `grantedUntil` bounds how long this daemon may send it new
- * requests: it is derived from the time the report was asked for, so that a daemon cut off from the
- * engine and its watcher stops by itself (see docs/decisions on the drain barrier).
+ * A daemon's knowledge of one engine. `grantedUntil` bounds how long this daemon may send new
+ * requests to the engine. The bound is derived from the time at which the report was requested, so
+ * that a daemon partitioned from the engine and from its watcher stops sending without being told
+ * (see docs/decisions/drain-barrier.md).
  */
 export interface EngineView {
   readonly machine: EngineMachine;
   readonly report: EngineReport | null;
-  /** When the report that `report` holds was taken at the earliest, by this daemon's clock. */
+  /** The earliest time at which `report` can have been made, by this daemon's clock. */
   readonly reportedAt: MonotonicMs;
-  /** New requests may be sent before this time by this daemon's clock. */
+  /** New requests may be sent only before this time, by this daemon's clock. */
   readonly grantedUntil: MonotonicMs;
   /** The daemon that polls this engine. */
   readonly watcher: DaemonName | null;
--- a/test/controller/step-controller.test.ts
+++ b/test/controller/step-controller.test.ts
@@ -27,7 +27,7 @@
 const POOL = 'labels';
 const MODELS = [{ model: 'labels', version: '1', adapters: [] }];
 
-/** A pool with a table, engines and the controller of one daemon, in virtual time. */
+/** A pool with a table, engines and one daemon's controller, in virtual time. */
 class Harness {
   table: ModelTable = EMPTY_TABLE;
   now = 1_000;
@@ -36,13 +36,13 @@
   readonly log: string[] = [];
   controller: ControllerState;
   authority: Authority | null = null;
-  /** Replaces the answer to a send; the order has taken effect when `after` is true. */
+  /** The answer to the next order is lost; the engine has received the order if `after` is true. */
   loseAnswer: { readonly after: boolean } | null = null;
-  /** A request that was late on its way arrives just before the next order. */
+  /** A delayed request arrives at the engine just before the next order. */
   requestBeforeOrder = false;
-  /** While set, no new report comes. */
+  /** While set, replaces all new reports. */
   lastReport: { readonly report: EngineReport; readonly reportedAt: number } | null = null;
-  /** Orders are done at once, after the report of that tick was made. */
+  /** Orders finish immediately, but after the report of the same tick was made. */
   finishAtOnce = false;
 
   constructor(names: readonly string[]) {
@@ -56,7 +56,7 @@
     return initialControllerState({ pool: POOL, ...limits });
   }
 
-  /** Gives this controller, or a new one in its place, the next epoch. */
+  /** Gives the current controller the authority of the next epoch. */
   takeOver(): void {
     const key = epochKey(`pool/${POOL}`);
     const epoch = (this.authority?.epoch ?? 0) + 1;
@@ -84,10 +84,10 @@
     const context = { now: this.now, entropy: 0 };
     const { state, effects } = stepController(this.controller, event, context);
     this.controller = state;
-    for (const effect of effects) this.carryOut(effect);
+    for (const effect of effects) this.performEffect(effect);
   }
 
-  carryOut(effect: ControllerOutput): void {
+  performEffect(effect: ControllerOutput): void {
     if (effect.kind === 'table') {
       const { table, result } = applyCall(this.table, effect.call);
       this.table = table;
@@ -105,10 +105,11 @@
     const loss = isHold ? null : this.loseAnswer;
     let answer: OrderAnswer = { kind: 'lost', reason: 'cut' };
     if (loss === null || loss.after) {
-      if (this.requestBeforeOrder && !isHold) this.letRequestIn(order.engine);
+      if (this.requestBeforeOrder && !isHold) this.admitRequest(order.engine);
       const taken = takeOrder(this.engine(order.engine), order);
       const isStarted = taken.answer.kind === 'accepted' && !isHold;
-      if (isStarted) assert.equal(this.engine(order.engine).active, 0, 'a request was cut');
+      if (isStarted)
+        assert.equal(this.engine(order.engine).active, 0, 'an order interrupted an active request');
       this.engines.set(order.engine, taken.engine);
       if (this.finishAtOnce) this.finish(order.engine);
       if (loss === null) answer = takeOrder(this.engine(order.engine), order).answer;
@@ -119,8 +120,8 @@
     this.send({ kind: 'order-answer', engine: order.engine, orderId, fence, answer });
   }
 
-  /** No report comes after this until it has ended. */
-  letRequestIn(name: string): void {
+  /** Adds an active request and freezes the report made before it. */
+  admitRequest(name: string): void {
     this.requestBeforeOrder = false;
     this.lastReport = { report: reportOf(this.engine(name)), reportedAt: this.now };
     this.engines.set(name, { ...this.engine(name), active: 1 });
@@ -151,10 +152,10 @@
     });
   }
 
-  runUntil(holds: () => boolean, limitMs = 20_000): void {
+  runUntil(condition: () => boolean, limitMs = 20_000): void {
     const end = this.now + limitMs;
-    while (!holds() && this.now < end) this.tick();
-    assert.ok(holds(), 'not reached in time');
+    while (!condition() && this.now < end) this.tick();
+    assert.ok(condition(), 'the condition was not reached within the time limit');
   }
 
   finish(name: string): void {
@@ -166,7 +167,7 @@
   }
 }
 
-test('a role change drains first, is ordered once, and the engine takes work again', () => {
+test('a role change drains the engine, orders the change once, and reopens the intake', () => {
   const harness = new Harness(['e1', 'e2']);
   harness.roles.set('e1', 'decode');
   harness.engines.set('e1', { ...harness.engine('e1'), active: 1 });
@@ -183,7 +184,7 @@
   assert.deepEqual(harness.log, ['e1 set-role']);
 });
 
-test('no order goes out before every grant has lapsed', () => {
+test('no order is sent before every grant has lapsed', () => {
   const harness = new Harness(['e1', 'e2']);
   harness.roles.set('e1', 'decode');
   harness.runUntil(() => harness.engine('e1').intake === 'closed');
@@ -192,7 +193,7 @@
   assert.ok(harness.now >= closedAt + GRANT_LAPSE_MS, `${harness.now - closedAt} ms`);
 });
 
-test('engines of a pool change one after the other', () => {
+test('engines of a small pool change one at a time', () => {
   const harness = new Harness(['e1', 'e2']);
   harness.roles.set('e1', 'decode').set('e2', 'prefill');
   harness.runUntil(() => harness.isRunning('e1'));
@@ -202,7 +203,7 @@
   assert.equal(harness.engine('e1').intake, 'open');
 });
 
-test('of the engines that hold a model one goes on serving, however large the pool', () => {
+test('at least one of the engines that hold a model keeps serving, even in a large pool', () => {
   const harness = new Harness(Array.from({ length: 12 }, (_, index) => `e${index}`));
   for (let index = 2; index < 12; index += 1) {
     const engine = harness.engine(`e${index}`);
@@ -211,13 +212,13 @@
   }
   harness.roles.set('e0', 'decode').set('e1', 'decode').set('e2', 'decode').set('e3', 'decode');
   harness.runUntil(() => harness.isRunning('e0') && harness.isRunning('e2'));
-  assert.equal(harness.engine('e1').intake, 'open', 'both engines of a model away');
-  assert.equal(harness.isRunning('e3'), true, 'three of twelve may be away');
+  assert.equal(harness.engine('e1').intake, 'open', 'both engines of a model are out of service');
+  assert.equal(harness.isRunning('e3'), true, 'three of twelve engines may be out of service');
   harness.finish('e0');
   harness.runUntil(() => harness.isRunning('e1'));
 });
 
-test('a lost answer is asked for, and the order is sent once more only if it was not had', () => {
+test('after a lost answer the order is queried, and sent again only if the engine did not receive it', () => {
   for (const after of [true, false]) {
     const harness = new Harness(['e1']);
     harness.roles.set('e1', 'decode');
@@ -230,14 +231,14 @@
   }
 });
 
-test('an order refused as busy waits for a later report before it is sent again', () => {
+test('an order refused as busy is sent again only after a later report shows the engine idle', () => {
   const harness = new Harness(['e1']);
   harness.roles.set('e1', 'decode');
   harness.requestBeforeOrder = true;
   harness.runUntil(() => harness.log.length > 0);
   const refusedAt = harness.now;
   harness.runUntil(() => harness.now > refusedAt + 5_000);
-  assert.deepEqual(harness.log, ['e1 set-role'], 'sent again on the strength of an old report');
+  assert.deepEqual(harness.log, ['e1 set-role'], 'the order was sent again based on an old report');
   harness.engines.set('e1', { ...harness.engine('e1'), active: 0 });
   harness.lastReport = null;
   harness.runUntil(() => harness.isRunning('e1'));
@@ -258,7 +259,7 @@
   assert.deepEqual(harness.log, ['e1 set-role']);
 });
 
-test('a deposed controller can neither write an intent nor move an engine', () => {
+test('a deposed controller can neither write an intent nor send an order', () => {
   const harness = new Harness(['e1']);
   harness.tick();
   const stale = harness.authority;
@@ -270,7 +271,7 @@
   assert.deepEqual(harness.log, []);
 });
 
-test('an engine that restarts in the middle of an order is reconciled anew', () => {
+test('after an engine restarts during an order, the order fails and a new one is sent', () => {
   const harness = new Harness(['e1']);
   harness.roles.set('e1', 'decode');
   harness.runUntil(() => harness.isRunning('e1'));
@@ -280,7 +281,7 @@
   assert.equal(harness.intent('e1')?.boot, bootId(harness.engine('e1')));
 });
 
-test('a drain that does not end in time is abandoned and undone', () => {
+test('a drain that exceeds its time limit is abandoned and the intake is reopened', () => {
   const harness = new Harness(['e1']);
   harness.roles.set('e1', 'decode');
   harness.engines.set('e1', { ...harness.engine('e1'), active: 1 });
@@ -289,7 +290,7 @@
   assert.deepEqual(harness.log, []);
 });
 
-test('a report of the same instant as the settling is not taken for a newer one', () => {
+test('a report made at the same time as an intent was settled does not start another change', () => {
   const harness = new Harness(['e1']);
   harness.finishAtOnce = true;
   harness.roles.set('e1', 'decode');
@@ -297,5 +298,5 @@
   const orderId = harness.intent('e1')?.orderId;
   const settledAt = harness.now;
   harness.runUntil(() => harness.now > settledAt + 5_000);
-  assert.equal(harness.intent('e1')?.orderId, orderId, 'drained again without need');
+  assert.equal(harness.intent('e1')?.orderId, orderId, 'the engine was drained again without need');
 });
--- a/test/orders/fence.test.ts
+++ b/test/orders/fence.test.ts
@@ -2,7 +2,7 @@
 import { test } from 'node:test';
 import { compareFences, describeAction, isStale, sameAction } from '../../src/core/orders/index.js';
 
-test('fences order by epoch, then by sequence', () => {
+test('fences are ordered by epoch, then by sequence', () => {
   assert.ok(compareFences({ epoch: 2, sequence: 1 }, { epoch: 1, sequence: 9 }) > 0);
   assert.ok(compareFences({ epoch: 1, sequence: 1 }, { epoch: 1, sequence: 2 }) < 0);
   assert.equal(isStale({ epoch: 1, sequence: 2 }, { epoch: 1, sequence: 2 }), true);
@@ -10,7 +10,7 @@
   assert.equal(isStale({ epoch: 1, sequence: 1 }, null), false);
 });
 
-test('actions are the same only when every part is', () => {
+test('two actions are equal only if all their fields are equal', () => {
   const load = { kind: 'load-model', model: 'labels', version: '2' } as const;
   assert.equal(sameAction(load, { ...load }), true);
   assert.equal(sameAction(load, { ...load, version: '3' }), false);
