--- a/src/core/roles/types.ts
+++ b/src/core/roles/types.ts
@@ -114,8 +114,9 @@
 /** The changes that a shift of demand allows; renewed when the mix has shifted again. */
 export interface Allowance {
   readonly changes: number;
-  /** The logarithm of prompt to output tokens when the allowance was granted, and that time. */
+  /** The logarithm of prompt to output tokens from which a shift is measured. */
   readonly mix: number;
+  /** When the allowance was granted. */
   readonly at: MonotonicMs;
   /** Since when the mix differs from `mix` by at least a shift; null while it does not. */
   readonly awaySince: MonotonicMs | null;
