--- a/src/core/configuration/change-confirmation.ts
+++ b/src/core/configuration/change-confirmation.ts
@@ -1,7 +1,7 @@
 /** Waits until a recorded change is in force on every daemon that may still be running. */
 import { mayLackDaemons } from '../membership/index.js';
 import { datagram } from '../peer/index.js';
-import { answerChange, notInForceEverywhere, putChange } from './change-answers.js';
+import { answerChange, confirmationTimedOut, putChange } from './change-answers.js';
 import { confirmationOf } from './confirmation.js';
 import { inForceVersion } from './in-force.js';
 import { CHANGE_DEADLINE_MS, CONFIRM_FANOUT, CONFIRM_INTERVAL_MS } from './settings.js';
@@ -44,7 +44,7 @@
   }
   if (step.now >= progress.deadline) {
     const names = waitingFor.map((daemon) => daemon.name).sort();
-    answerChange(step, progress, notInForceEverywhere(id, version, names));
+    answerChange(step, progress, confirmationTimedOut(id, version, names));
     return;
   }
   if (step.now >= phase.nextAnnounceAt) {
--- a/src/core/controller/budget.ts
+++ b/src/core/controller/budget.ts
@@ -9,9 +9,9 @@
 import type { ControllerState, EngineControl } from './state.js';
 
 /** The pool's engines as the limits count them; recomputed after each change that is begun. */
-export interface PoolCensus {
+export interface PoolAvailability {
   readonly poolSize: number;
-  readonly away: ReadonlySet<BackendName>;
+  readonly outOfService: ReadonlySet<BackendName>;
   /** The engines that accept new requests now, by the models that they hold. */
   readonly serving: ReadonlyMap<ModelName, ReadonlySet<BackendName>>;
   /** The engines that hold a model or are to hold it, whether they accept requests or not. */
@@ -19,37 +19,41 @@
 }
 
 /** Computes the pool's availability from the latest reports and planned changes. */
-export function takeCensus(state: ControllerState, now: MonotonicMs): PoolCensus {
-  const away = new Set<BackendName>();
+export function computePoolAvailability(
+  state: ControllerState,
+  now: MonotonicMs,
+): PoolAvailability {
+  const outOfService = new Set<BackendName>();
   const serving = new Map<ModelName, Set<BackendName>>();
   const holding = new Map<ModelName, Set<BackendName>>();
   for (const [engine, view] of state.views) {
     const control = state.engines.get(engine);
-    if (control === undefined || mayBeOutOfService(control)) away.add(engine);
+    if (control === undefined || mayBeOutOfService(control)) outOfService.add(engine);
     // The last report of an engine that is being drained may still state an open intake.
-    const isServing = !away.has(engine) && acceptsWork(view, now, state.settings.reportFreshMs);
+    const isServing =
+      !outOfService.has(engine) && acceptsWork(view, now, state.settings.maxReportAgeMs);
     for (const { model } of view.report?.models ?? []) {
       if (isServing) add(serving, model, engine);
       add(holding, model, engine);
     }
     for (const { model } of state.desired.get(engine)?.models ?? []) add(holding, model, engine);
   }
-  return { poolSize: state.views.size, away, serving, holding };
+  return { poolSize: state.views.size, outOfService, serving, holding };
 }
 
 /** Whether an engine may be taken out of service now within the pool's limits. */
-export function mayTakeAway(
+export function mayTakeOutOfService(
   state: ControllerState,
-  census: PoolCensus,
+  availability: PoolAvailability,
   engine: BackendName,
 ): boolean {
-  const { maxAwayShare, minServing } = state.settings;
-  const maxOutOfService = Math.max(1, Math.floor(census.poolSize * maxAwayShare));
-  if (countOthers(census.away, engine) >= maxOutOfService) return false;
-  for (const [model, servingEngines] of census.serving) {
+  const { maxOutOfServiceShare, minServing } = state.settings;
+  const maxOutOfService = Math.max(1, Math.floor(availability.poolSize * maxOutOfServiceShare));
+  if (countOthers(availability.outOfService, engine) >= maxOutOfService) return false;
+  for (const [model, servingEngines] of availability.serving) {
     if (!servingEngines.has(engine)) continue;
     // The minimum cannot exceed the other holders: a model's only engine must still be changeable.
-    const others = countOthers(census.holding.get(model), engine);
+    const others = countOthers(availability.holding.get(model), engine);
     if (countOthers(servingEngines, engine) < Math.min(minServing, others)) return false;
   }
   return true;
--- a/src/core/controller/step.ts
+++ b/src/core/controller/step.ts
@@ -6,10 +6,10 @@
 import type { StepContext, Transition } from '../common/transition.js';
 import { type Authority, isInForce } from '../lease/index.js';
 import { intentKey } from '../orders/index.js';
-import { type PoolCensus, takeCensus } from './budget.js';
+import { computePoolAvailability, type PoolAvailability } from './budget.js';
 import { decide, type Move, WAIT } from './decide.js';
 import { receiveOrderAnswer, receiveOrderState } from './engine-answers.js';
-import { carryOut } from './moves.js';
+import { executeMove } from './moves.js';
 import { type ControllerState, initialEngineControl } from './state.js';
 import { receiveTableResult } from './table-answers.js';
 import type { ControllerEvent, ControllerOutput } from './types.js';
@@ -86,15 +86,15 @@
   const read = readUnknownIntents(state, context);
   const effects: ControllerOutput[] = [...read.effects];
   let next = read.state;
-  let census = takeCensus(next, context.now);
+  let availability = computePoolAvailability(next, context.now);
   for (const engine of state.views.keys()) {
-    const move = nextMove(next, census, engine, context);
+    const move = nextMove(next, availability, engine, context);
     const control = next.engines.get(engine);
     if (move.kind === 'wait' || control === undefined) continue;
-    const executed = carryOut(next, control, move, authority);
+    const executed = executeMove(next, control, move, authority);
     next = executed.state;
     effects.push(...executed.effects);
-    if (move.kind === 'begin') census = takeCensus(next, context.now);
+    if (move.kind === 'begin') availability = computePoolAvailability(next, context.now);
   }
   return { state: next, effects };
 }
@@ -118,13 +118,13 @@
 /** The next move for an engine; `WAIT` while a message or write of the engine is in flight. */
 function nextMove(
   state: ControllerState,
-  census: PoolCensus,
+  availability: PoolAvailability,
   engine: BackendName,
   context: StepContext,
 ): Move {
   const control = state.engines.get(engine);
   if (control === undefined || control.write !== null || control.send !== null) return WAIT;
-  const move = decide(state, census, control, context.now);
+  const move = decide(state, availability, control, context.now);
   const isWrite = move.kind === 'begin' || move.kind === 'mark-ordered' || move.kind === 'settle';
   return isWrite && context.now < state.tableRetryAt ? WAIT : move;
 }
--- a/src/core/controller/types.ts
+++ b/src/core/controller/types.ts
@@ -22,24 +22,24 @@
   /** How long after an acknowledged intake closing all grants have lapsed: `GRANT_LAPSE_MS`. */
   readonly grantLapseMs: Milliseconds;
   /** The time limit of a drain; a drain that exceeds it is abandoned and the intake reopened. */
-  readonly drainLimitMs: Milliseconds;
+  readonly drainTimeoutMs: Milliseconds;
   /** The maximum share of the pool that planned changes may keep out of service (min. 1 engine). */
-  readonly maxAwayShare: number;
+  readonly maxOutOfServiceShare: number;
   /**
    * The number of engines of a model that must keep serving while another is out of service; less
    * when no more engines hold the model.
    */
   readonly minServing: number;
   /** The maximum age of a report for its engine to count as serving. */
-  readonly reportFreshMs: Milliseconds;
+  readonly maxReportAgeMs: Milliseconds;
 }
 
 /** The default limits of a controller. */
 export const DEFAULT_CONTROLLER_LIMITS = {
-  drainLimitMs: 60_000,
-  maxAwayShare: 0.25,
+  drainTimeoutMs: 60_000,
+  maxOutOfServiceShare: 0.25,
   minServing: 1,
-  reportFreshMs: 3_000,
+  maxReportAgeMs: 3_000,
 } as const;
 
 /** The desired state of one engine. */
@@ -54,7 +54,7 @@
 }
 
 /** The answer to a query of an order's state. `lost`: the query or its answer was lost. */
-export type AskedOrderState = EngineOrderState | 'unknown' | 'lost';
+export type OrderQueryResult = EngineOrderState | 'unknown' | 'lost';
 
 /** The events of a controller. The shell answers every effect; `lost` means an unknown outcome. */
 export type ControllerEvent =
@@ -77,7 +77,7 @@
       readonly kind: 'order-state';
       readonly engine: BackendName;
       readonly orderId: OrderId;
-      readonly state: AskedOrderState;
+      readonly state: OrderQueryResult;
     };
 
 /** The requests to the engine shell, which checks `maySendUnder` before it writes. */
--- a/src/core/gateway/peer-load.ts
+++ b/src/core/gateway/peer-load.ts
@@ -97,7 +97,7 @@
   #hasReceivedDemand = false;
 
   /** Applies a report unless a newer one of the same incarnation is known. */
-  take(report: LoadReport, nowMs: number): void {
+  applyReport(report: LoadReport, nowMs: number): void {
     const known = this.#byDaemon.get(report.daemon)?.report;
     const isSameRun = known?.incarnation === report.incarnation;
     if (known !== undefined && isSameRun && known.sequence >= report.sequence) return;
--- a/src/core/gateway/server-health.ts
+++ b/src/core/gateway/server-health.ts
@@ -93,7 +93,7 @@
   }
 
   /** Records that an attempt to connect was not answered at all. */
-  recordSilent(nowMs: number): void {
+  recordConnectUnanswered(nowMs: number): void {
     this.recordBroken(nowMs);
     this.#isConnectUnanswered = true;
   }
--- a/src/core/roles/best-change.ts
+++ b/src/core/roles/best-change.ts
@@ -4,9 +4,9 @@
 import type { BackendName } from '../common/identifiers.js';
 import type { EngineRole } from '../registry/backend.js';
 import type { ExpectedDemand } from './demand-forecast.js';
-import { countEngines, type EngineGroup, moved, without } from './engine-groups.js';
+import { countEngines, type EngineGroup, withOneFewer, withRoleChanged } from './engine-groups.js';
 import { splitCapacity, type TokenMix } from './split-goodput.js';
-import type { PlannerCaution, RolePlannerSettings } from './types.js';
+import type { PlannerThresholds, RolePlannerSettings } from './types.js';
 
 /** A role change with its expected effect; rates are in finished requests per second. */
 export interface RoleChange {
@@ -26,7 +26,7 @@
   readonly groups: readonly EngineGroup[];
   readonly demand: ExpectedDemand;
   readonly settings: RolePlannerSettings;
-  readonly caution: PlannerCaution;
+  readonly thresholds: PlannerThresholds;
 }
 
 const ROLES: readonly EngineRole[] = ['prefill', 'decode', 'mixed'];
@@ -68,18 +68,18 @@
   group: EngineGroup,
   role: EngineRole,
 ): RoleChange | null {
-  const { groups, settings, caution } = input;
+  const { groups, settings, thresholds } = input;
   if (group.movable === null || role === group.role) {
     return null;
   }
-  const changed = moved(groups, group, role);
+  const changed = withRoleChanged(groups, group, role);
   if (!keepsRoleFloors(changed, settings.floorShare)) {
     return null;
   }
   const after = goodputs(input, changed);
   const differences = after.map((rate, point) => rate - (before[point] ?? 0));
-  const cautious = mean(differences) - caution.deviations * deviation(differences);
-  const lostRate = mean(before) - mean(goodputs(input, without(groups, group)));
+  const cautious = mean(differences) - thresholds.deviations * deviation(differences);
+  const lostRate = mean(before) - mean(goodputs(input, withOneFewer(groups, group)));
   return {
     engine: group.movable,
     from: group.role,
@@ -87,17 +87,17 @@
     goodputBefore: mean(before),
     goodputAfter: mean(after),
     gain: (cautious * settings.horizonMs) / MS_PER_SECOND,
-    loss: (Math.max(0, lostRate) * settings.awayMs) / MS_PER_SECOND,
+    loss: (Math.max(0, lostRate) * settings.outOfServiceMs) / MS_PER_SECOND,
   };
 }
 
 function meetsThresholds(input: ChangeInput, change: RoleChange): boolean {
-  const { groups, settings, caution } = input;
+  const { groups, settings, thresholds } = input;
   const ratePerEngine = change.goodputBefore / Math.max(1, countEngines(groups));
-  const minRate = caution.minGainOfEngine * ratePerEngine;
+  const minRate = thresholds.minGainShareOfEngine * ratePerEngine;
   const minGain = (minRate * settings.horizonMs) / MS_PER_SECOND;
   const isGainEnough = change.gain > 0 && change.gain >= minGain;
-  return isGainEnough && change.gain >= caution.gainOverLoss * change.loss;
+  return isGainEnough && change.gain >= thresholds.minGainToLossRatio * change.loss;
 }
 
 /** Finished requests per second at each quadrature point of the mix, limited to the demand. */
--- a/src/core/roles/engine-speeds.ts
+++ b/src/core/roles/engine-speeds.ts
@@ -12,15 +12,15 @@
 }
 
 /** The estimate for one engine; 0 while a value is unknown. */
-export interface LearntSpeed {
+export interface SpeedEstimate {
   readonly prefillTokensPerSecond: number;
   readonly decodeStepMs: number;
 }
 
 /** Speed estimates by engine. */
-export type LearntSpeeds = ReadonlyMap<BackendName, LearntSpeed>;
+export type SpeedEstimates = ReadonlyMap<BackendName, SpeedEstimate>;
 
-const UNKNOWN_SPEED: LearntSpeed = { prefillTokensPerSecond: 0, decodeStepMs: 0 };
+const UNKNOWN_SPEED: SpeedEstimate = { prefillTokensPerSecond: 0, decodeStepMs: 0 };
 /** The factor by which a best value is lowered with each report that does not reach it. */
 const RETENTION_PER_REPORT = 0.998;
 /** The assumed ratio of a decode step with a full batch to the shortest reported step. */
@@ -31,8 +31,11 @@
 const MS_PER_SECOND = 1_000;
 
 /** Updates the estimates from the reports, and removes engines that are not among the views. */
-export function learnSpeeds(known: LearntSpeeds, views: readonly EngineView[]): LearntSpeeds {
-  const estimates = new Map<BackendName, LearntSpeed>();
+export function updateSpeedEstimates(
+  known: SpeedEstimates,
+  views: readonly EngineView[],
+): SpeedEstimates {
+  const estimates = new Map<BackendName, SpeedEstimate>();
   for (const view of views) {
     const previous = known.get(view.machine.name) ?? UNKNOWN_SPEED;
     estimates.set(view.machine.name, updateSpeedEstimate(previous, view));
@@ -42,7 +45,7 @@
 
 /** The speeds of each accelerator: the medians over its engines. */
 export function speedsByAccelerator(
-  speeds: LearntSpeeds,
+  speeds: SpeedEstimates,
   views: readonly EngineView[],
 ): ReadonlyMap<string, EngineSpeed> {
   const groups = new Map<string, EngineView[]>();
@@ -59,7 +62,7 @@
   );
 }
 
-function medianSpeed(speeds: LearntSpeeds, group: readonly EngineView[]): EngineSpeed {
+function medianSpeed(speeds: SpeedEstimates, group: readonly EngineView[]): EngineSpeed {
   const estimates = group.map((view) => speeds.get(view.machine.name) ?? UNKNOWN_SPEED);
   const prefill = median(estimates.map((speed) => speed.prefillTokensPerSecond));
   const step = median(estimates.map((speed) => speed.decodeStepMs)) || DEFAULT_DECODE_STEP_MS;
@@ -70,7 +73,7 @@
   };
 }
 
-function updateSpeedEstimate(previous: LearntSpeed, view: EngineView): LearntSpeed {
+function updateSpeedEstimate(previous: SpeedEstimate, view: EngineView): SpeedEstimate {
   const report = view.report;
   if (report === null) {
     return previous;
--- a/src/core/roles/split-goodput.ts
+++ b/src/core/roles/split-goodput.ts
@@ -32,8 +32,8 @@
 /** Requests per second that one engine finishes when it only prefills, or only decodes. */
 interface PhaseRates {
   readonly count: number;
-  readonly read: number;
-  readonly write: number;
+  readonly prefill: number;
+  readonly decode: number;
 }
 
 /** The capacity of the engines in requests per second. */
@@ -47,7 +47,7 @@
   for (const engine of engines) {
     const rates = phaseRates(engine, mix, model);
     if (engine.role === 'prefill') {
-      prefillOnly += rates.count * rates.read;
+      prefillOnly += rates.count * rates.prefill;
     } else {
       flexible.push(rates);
     }
@@ -57,18 +57,18 @@
 
 function phaseRates(engine: RoleSpeed, mix: TokenMix, model: ServingModel): PhaseRates {
   const { role, speed, count } = engine;
-  const read = speed.prefillTokensPerSecond / Math.max(1, mix.promptTokens);
-  const write = speed.decodeTokensPerSecond / Math.max(1, mix.outputTokens);
+  const prefill = speed.prefillTokensPerSecond / Math.max(1, mix.promptTokens);
+  const decode = speed.decodeTokensPerSecond / Math.max(1, mix.outputTokens);
   switch (role) {
     case 'prefill':
-      return { count, read, write: 0 };
+      return { count, prefill, decode: 0 };
     case 'decode':
-      return { count, read: read * model.decodeRolePrefillEfficiency, write };
+      return { count, prefill: prefill * model.decodeRolePrefillEfficiency, decode };
     case 'mixed':
       return {
         count,
-        read: read * model.mixedEfficiency,
-        write: write * model.mixedEfficiency,
+        prefill: prefill * model.mixedEfficiency,
+        decode: decode * model.mixedEfficiency,
       };
   }
 }
@@ -76,8 +76,8 @@
 /** Without hand-over each engine runs both phases of its requests, and prefill engines are idle. */
 function rateWithoutHandOver(engines: readonly PhaseRates[]): number {
   let rate = 0;
-  for (const { count, read, write } of engines) {
-    rate += count / (1 / read + 1 / write);
+  for (const { count, prefill, decode } of engines) {
+    rate += count / (1 / prefill + 1 / decode);
   }
   return rate;
 }
@@ -89,18 +89,18 @@
  */
 function rateWithHandOver(prefillOnlyRate: number, flexible: readonly PhaseRates[]): number {
   const byAdvantage = [...flexible].sort(
-    (left, right) => right.read * left.write - left.read * right.write,
+    (left, right) => right.prefill * left.decode - left.prefill * right.decode,
   );
-  let read = prefillOnlyRate;
-  let write = flexible.reduce((sum, engine) => sum + engine.count * engine.write, 0);
+  let prefill = prefillOnlyRate;
+  let decode = flexible.reduce((sum, engine) => sum + engine.count * engine.decode, 0);
   for (const engine of byAdvantage) {
-    const deficit = write - read;
+    const deficit = decode - prefill;
     if (deficit <= 0) {
       break;
     }
-    const reassigned = Math.min(engine.count, deficit / (engine.read + engine.write));
-    read += reassigned * engine.read;
-    write -= reassigned * engine.write;
+    const reassigned = Math.min(engine.count, deficit / (engine.prefill + engine.decode));
+    prefill += reassigned * engine.prefill;
+    decode -= reassigned * engine.decode;
   }
-  return Math.min(read, write);
+  return Math.min(prefill, decode);
 }
--- a/src/core/roles/step-role-planner.ts
+++ b/src/core/roles/step-role-planner.ts
@@ -14,11 +14,11 @@
 import { bestChange, type RoleChange } from './best-change.js';
 import { type ExpectedDemand, expectDemand, observeDemand } from './demand-forecast.js';
 import { groupEngines, type PlannedEngine } from './engine-groups.js';
-import { learnSpeeds, speedsByAccelerator } from './engine-speeds.js';
+import { speedsByAccelerator, updateSpeedEstimates } from './engine-speeds.js';
 import type {
   Allowance,
   PlannedRole,
-  PlannerCaution,
+  PlannerThresholds,
   RolePlanEffect,
   RolePlannerEvent,
   RolePlannerState,
@@ -49,7 +49,7 @@
 }
 
 function evaluate(before: RolePlannerState, event: Evaluation, now: MonotonicMs): RoleTransition {
-  const caution = before.settings.caution[event.objective];
+  const thresholds = before.settings.thresholds[event.objective];
   const refreshed = refreshState(before, event);
   const plan =
     refreshed.planned.size === before.planned.size ? [] : [planEffect(refreshed.planned)];
@@ -58,13 +58,13 @@
   if (demand === null || isAtMovingLimit(refreshed, engines, event)) {
     return { state: refreshed, effects: plan };
   }
-  const state = updateAllowance(refreshed, { caution, demand, engines: engines.length, now });
+  const state = updateAllowance(refreshed, { thresholds, demand, engines: engines.length, now });
   const groups = groupEngines(engines, speedsByAccelerator(state.speeds, event.engines));
-  const change = bestChange({ groups, demand, settings: state.settings, caution });
+  const change = bestChange({ groups, demand, settings: state.settings, thresholds });
   if (change === null) {
-    return { state: { ...state, wanted: null }, effects: plan };
+    return { state: { ...state, candidate: null }, effects: plan };
   }
-  return considerChange(state, { change, demand, caution, event, plan });
+  return considerChange(state, { change, demand, thresholds, event, plan });
 }
 
 /**
@@ -83,11 +83,11 @@
       planned.set(plan.engine, plan);
     }
   }
-  return { ...state, planned, speeds: learnSpeeds(state.speeds, event.engines) };
+  return { ...state, planned, speeds: updateSpeedEstimates(state.speeds, event.engines) };
 }
 
 interface AllowanceInput {
-  readonly caution: PlannerCaution;
+  readonly thresholds: PlannerThresholds;
   readonly demand: ExpectedDemand;
   readonly engines: number;
   readonly now: MonotonicMs;
@@ -98,25 +98,25 @@
  * `shiftPauseMs` after a grant are treated as part of the same shift.
  */
 function updateAllowance(state: RolePlannerState, input: AllowanceInput): RolePlannerState {
-  const { caution, demand, engines, now } = input;
+  const { thresholds, demand, engines, now } = input;
   const { allowance } = state;
   const mix = Math.log(demand.promptTokens / demand.outputTokens);
-  const byFleetSize = Math.floor(engines * caution.changeSharePerShift);
-  const changes = Math.max(caution.changesPerShift, byFleetSize);
-  const fresh: Allowance = { changes, mix, at: now, awaySince: null };
+  const byFleetSize = Math.floor(engines * thresholds.changeSharePerShift);
+  const changes = Math.max(thresholds.changesPerShift, byFleetSize);
+  const fresh: Allowance = { changes, mix, grantedAt: now, shiftedSince: null };
   if (allowance === null) {
     return { ...state, allowance: fresh };
   }
-  if (now - allowance.at < caution.shiftPauseMs) {
+  if (now - allowance.grantedAt < thresholds.shiftPauseMs) {
     return { ...state, allowance: { ...allowance, mix } };
   }
   const shift = Math.max(MIN_MIX_SHIFT, MIN_SHIFT_DEVIATIONS * demand.mixDeviation);
   if (Math.abs(mix - allowance.mix) < shift) {
-    return { ...state, allowance: { ...allowance, awaySince: null } };
+    return { ...state, allowance: { ...allowance, shiftedSince: null } };
   }
-  const awaySince = allowance.awaySince ?? now;
-  const isLasting = now - awaySince >= MIN_SHIFT_DURATION_MS;
-  return { ...state, allowance: isLasting ? fresh : { ...allowance, awaySince } };
+  const shiftedSince = allowance.shiftedSince ?? now;
+  const isLasting = now - shiftedSince >= MIN_SHIFT_DURATION_MS;
+  return { ...state, allowance: isLasting ? fresh : { ...allowance, shiftedSince } };
 }
 
 /** The serving engines with the roles that they have or are changing to. */
@@ -142,7 +142,7 @@
   event: Evaluation,
   view: EngineView,
 ): PlannedEngine['role'] {
-  const fixed = event.asked.find((request) => request.engine === view.machine.name);
+  const fixed = event.operatorRoles.find((request) => request.engine === view.machine.name);
   return fixed?.role ?? state.planned.get(view.machine.name)?.role ?? view.report?.role ?? 'mixed';
 }
 
@@ -164,18 +164,18 @@
 interface ChangeProposal {
   readonly change: RoleChange;
   readonly demand: ExpectedDemand;
-  readonly caution: PlannerCaution;
+  readonly thresholds: PlannerThresholds;
   readonly event: Evaluation;
   readonly plan: readonly RolePlanEffect[];
 }
 
 /** Plans the change once enough consecutive evaluations proposed a change to the same role. */
 function considerChange(state: RolePlannerState, proposal: ChangeProposal): RoleTransition {
-  const { change, caution, plan } = proposal;
-  const repeats = state.wanted?.role === change.to ? state.wanted.evaluations + 1 : 1;
+  const { change, thresholds, plan } = proposal;
+  const repeats = state.candidate?.role === change.to ? state.candidate.evaluations + 1 : 1;
   const wanted = { engine: change.engine, role: change.to, evaluations: repeats };
-  if (repeats < caution.evaluations || !isAllowed(state, change)) {
-    return { state: { ...state, wanted }, effects: plan };
+  if (repeats < thresholds.evaluations || !isAllowed(state, change)) {
+    return { state: { ...state, candidate: wanted }, effects: plan };
   }
   return planChange(state, proposal);
 }
@@ -215,7 +215,7 @@
       ? null
       : { ...state.allowance, changes: state.allowance.changes - used };
   return {
-    state: { ...state, planned, wanted: null, allowance },
+    state: { ...state, planned, candidate: null, allowance },
     effects: [planEffect(planned), log(ROLE_EVENTS.changePlanned, fields)],
   };
 }
@@ -239,5 +239,5 @@
 }
 
 function isRoleRequested(event: Evaluation, engine: BackendName): boolean {
-  return event.asked.some((request) => request.engine === engine);
+  return event.operatorRoles.some((request) => request.engine === engine);
 }
--- a/src/core/roles/types.ts
+++ b/src/core/roles/types.ts
@@ -4,18 +4,18 @@
 import type { ModelConfiguration } from '../configuration/document.js';
 import type { EngineRole, EngineView } from '../registry/backend.js';
 import type { DemandForecast, DemandWindow } from './demand-forecast.js';
-import type { LearntSpeeds } from './engine-speeds.js';
+import type { SpeedEstimates } from './engine-speeds.js';
 import type { ServingModel } from './split-goodput.js';
 
 /** The objective of a pool's planner. */
 export type RoleObjective = ModelConfiguration['objective'];
 
 /** The thresholds that a change must meet; one set for each objective. */
-export interface PlannerCaution {
+export interface PlannerThresholds {
   /** The minimum gain, as a share of the mean number of requests that one engine finishes. */
-  readonly minGainOfEngine: number;
+  readonly minGainShareOfEngine: number;
   /** The minimum ratio of the gain over the horizon to the work lost by the change. */
-  readonly gainOverLoss: number;
+  readonly minGainToLossRatio: number;
   /** The number of standard deviations, over the uncertain mix, subtracted from the mean gain. */
   readonly deviations: number;
   /** The number of consecutive evaluations that must propose a change to the same role. */
@@ -31,26 +31,26 @@
 export interface RolePlannerSettings {
   readonly horizonMs: Milliseconds;
   /** How long an engine is out of service for a role change, including its drain. */
-  readonly awayMs: Milliseconds;
+  readonly outOfServiceMs: Milliseconds;
   /** The minimum share of engines that can prefill, and of engines that can decode, at any time. */
   readonly floorShare: number;
   /** The maximum share of engines that may change role at once; at least one engine may. */
   readonly maxMovingShare: number;
   readonly model: ServingModel;
-  readonly caution: Readonly<Record<RoleObjective, PlannerCaution>>;
+  readonly thresholds: Readonly<Record<RoleObjective, PlannerThresholds>>;
 }
 
 /** The default settings; docs/decisions/role-planner.md gives the reasons for the values. */
 export const DEFAULT_ROLE_PLANNER_SETTINGS: RolePlannerSettings = {
   horizonMs: 300_000,
-  awayMs: 15_000,
+  outOfServiceMs: 15_000,
   floorShare: 0.25,
   maxMovingShare: 0.25,
   model: { handOver: false, mixedEfficiency: 1, decodeRolePrefillEfficiency: 0.5 },
-  caution: {
+  thresholds: {
     goodput: {
-      minGainOfEngine: 0.2,
-      gainOverLoss: 2,
+      minGainShareOfEngine: 0.2,
+      minGainToLossRatio: 2,
       deviations: 0.5,
       evaluations: 3,
       changesPerShift: 2,
@@ -58,8 +58,8 @@
       shiftPauseMs: 300_000,
     },
     'fewest-changes': {
-      minGainOfEngine: 0.5,
-      gainOverLoss: 4,
+      minGainShareOfEngine: 0.5,
+      minGainToLossRatio: 4,
       deviations: 1,
       evaluations: 6,
       changesPerShift: 1,
@@ -70,7 +70,7 @@
 };
 
 /** A role that an operator has set; the planner does not change this engine's role. */
-export interface AskedRole {
+export interface RequestedRole {
   readonly engine: BackendName;
   readonly role: EngineRole;
 }
@@ -84,7 +84,7 @@
       readonly kind: 'evaluate';
       /** The engines of the pool that hold the model. */
       readonly engines: readonly EngineView[];
-      readonly asked: readonly AskedRole[];
+      readonly operatorRoles: readonly RequestedRole[];
       readonly objective: RoleObjective;
     };
 
@@ -105,7 +105,7 @@
 }
 
 /** A change proposed by recent evaluations. */
-export interface WantedChange {
+export interface CandidateChange {
   readonly engine: BackendName;
   readonly role: EngineRole;
   readonly evaluations: number;
@@ -117,18 +117,18 @@
   /** The logarithm of prompt to output tokens from which a shift is measured. */
   readonly mix: number;
   /** When the allowance was granted. */
-  readonly at: MonotonicMs;
+  readonly grantedAt: MonotonicMs;
   /** Since when the mix differs from `mix` by at least a shift; null while it does not. */
-  readonly awaySince: MonotonicMs | null;
+  readonly shiftedSince: MonotonicMs | null;
 }
 
 /** The state of one pool's planner. */
 export interface RolePlannerState {
   readonly settings: RolePlannerSettings;
   readonly demand: DemandForecast | null;
-  readonly speeds: LearntSpeeds;
+  readonly speeds: SpeedEstimates;
   readonly planned: ReadonlyMap<BackendName, PlannedRole>;
-  readonly wanted: WantedChange | null;
+  readonly candidate: CandidateChange | null;
   /** The changes that the current mix of demand still allows; null before the first evaluation. */
   readonly allowance: Allowance | null;
 }
@@ -142,7 +142,7 @@
     demand: null,
     speeds: new Map(),
     planned: new Map(),
-    wanted: null,
+    candidate: null,
     allowance: null,
   };
 }
--- a/src/shell/gateway/fleet-follower.ts
+++ b/src/shell/gateway/fleet-follower.ts
@@ -57,7 +57,7 @@
 export interface FleetFollowerOptions {
   readonly adapter: PlatformAdapter;
   readonly fleet: FleetView;
-  readonly cacheNews: CacheEventWatchers;
+  readonly cacheEventWatchers: CacheEventWatchers;
   /** The time-outs and delays of the watches, by this daemon's current role. */
   readonly timing: () => WatchTiming;
   /** How long full reads are repeated after a disturbance, since reads may be stale. */
@@ -105,9 +105,9 @@
   constructor(options: FleetFollowerOptions) {
     this.#options = options;
     const { adapter, timing, recheckSpans, random, timers, log, digest } = options;
-    const retryTurns = new WatchRetryQueue(timers);
+    const retryQueue = new WatchRetryQueue(timers);
     const handleEra = (era: number) => this.#handleEra(era);
-    const shared = { timing, recheckSpans, random, retryTurns, timers, log, handleEra };
+    const shared = { timing, recheckSpans, random, retryQueue, timers, log, handleEra };
     const configurations = new TableWatcher({
       table: adapter.configurations,
       consumer: {
@@ -360,12 +360,12 @@
   }
 
   #applyChange(change: DirectoryChange): void {
-    const { fleet, cacheNews, recordServerStart, log } = this.#options;
+    const { fleet, cacheEventWatchers, recordServerStart, log } = this.#options;
     const { added, changed, removed, restarted } = change;
-    fleet.forgetEnded(change);
-    for (const server of removed) cacheNews.remove(server.id);
-    for (const server of added) cacheNews.add(server);
-    for (const server of restarted) cacheNews.restart(server);
+    fleet.forgetEndedBoots(change);
+    for (const server of removed) cacheEventWatchers.remove(server.id);
+    for (const server of added) cacheEventWatchers.add(server);
+    for (const server of restarted) cacheEventWatchers.restart(server);
     for (const server of [...added, ...restarted]) recordServerStart(server);
     for (const server of added) this.#logServer(GATEWAY_EVENTS.serverAdded, server);
     for (const server of changed) this.#logServer(GATEWAY_EVENTS.serverChanged, server);
--- a/src/shell/gateway/limit-asks.ts
+++ b/src/shell/gateway/limit-asks.ts
@@ -197,7 +197,7 @@
     }
     const known = fleet.limits.of(serverId);
     const isUnconfirmed = known !== undefined && nowMs - known.reportedAtMs > UNCONFIRMED_VALID_MS;
-    if (isUnconfirmed && !known.isHeard) this.#expireLimit(serverId, known.perSecond);
+    if (isUnconfirmed && !known.isFirstHand) this.#expireLimit(serverId, known.perSecond);
     else onMayRequest(serverId);
   }
 
--- a/src/shell/gateway/request-room.ts
+++ b/src/shell/gateway/request-room.ts
@@ -34,7 +34,7 @@
   readonly isOn: boolean;
   readonly timers: TimerService;
   readonly log: Pick<GatewayLog, 'write'>;
-  readonly metrics: Pick<GatewayMetrics, 'recordWait' | 'recordRoomRefusal'>;
+  readonly metrics: Pick<GatewayMetrics, 'recordWait' | 'recordCapacityRefusal'>;
 }
 
 /** Admits, holds or refuses the requests of a daemon. */
--- a/src/shell/gateway/whole-exchange.ts
+++ b/src/shell/gateway/whole-exchange.ts
@@ -121,7 +121,7 @@
     const exchange = this.#exchange;
     if (exchange.signal.aborted) exchange.endInterrupted();
     else if (this.#lastFailure !== undefined) exchange.answer(this.#lastFailure);
-    else if (!this.#context.crashes.refuse(exchange)) {
+    else if (!this.#context.crashes.refuseIfQuarantined(exchange)) {
       refuseUnavailable(exchange, this.#context, this.#lastReason);
     }
   }
@@ -144,7 +144,7 @@
   async #requestPermitIfNeeded(): Promise<void> {
     const { fleet, limits } = this.#context;
     const { service, timers } = this.#exchange.options;
-    const atLimit = fleet.atLimit(service, timers.nowMs());
+    const atLimit = fleet.serversAtLimit(service, timers.nowMs());
     if (atLimit.length === 0) return;
     const chosen = this.#choose(fleet.candidatesWithLimited(service, timers.nowMs()));
     await limits.requestPermits(atLimit.filter(({ id }) => id === chosen?.id));
--- a/test/gateway/crash-spread.test.ts
+++ b/test/gateway/crash-spread.test.ts
@@ -169,9 +169,9 @@
   fleet.isStoreUnavailable = (daemon) => daemon === 3;
   fleet.start(3);
   await fleet.advance(CONTACT_MS - 200);
-  assert.ok(!fleet.guard(3).isPrepared);
+  assert.ok(!fleet.guard(3).isReadyToServe);
   await fleet.advance(400);
-  assert.ok(fleet.guard(3).isPrepared);
+  assert.ok(fleet.guard(3).isReadyToServe);
   fleet.isStoreUnavailable = () => false;
   await fleet.advance(1_000);
   assert.deepEqual(fleet.daemonsThatSend(BODY), []);
--- a/test/gateway/engine-paces.test.ts
+++ b/test/gateway/engine-paces.test.ts
@@ -430,7 +430,7 @@
     assert.equal(fleet.paceOf('e1') > 1.7, enginePaces === 'always');
     assert.equal(fleet.paceOf('not listed'), 1);
     const change = fleet.directory.replaceAll([]);
-    fleet.forgetEnded(change);
+    fleet.forgetEndedBoots(change);
     fleet.directory.replaceAll(servers);
     assert.equal(
       fleet.paceOf('e1'),
--- a/test/gateway/pace-teller.test.ts
+++ b/test/gateway/pace-teller.test.ts
@@ -167,7 +167,7 @@
   for (let time = 0; time < 3; time += 1) {
     const message = decodePeerMessage(bytes);
     assert.equal(message?.kind, 'paces');
-    if (message?.kind === 'paces') gossip.take(message.message, () => undefined);
+    if (message?.kind === 'paces') gossip.handleMessage(message.message, () => undefined);
   }
   assert.deepEqual(ignored, [5], 'values ignored soon afterwards are counted for the next line');
   assert.equal(paces.paceOf('e1'), 1);
--- a/test/gateway/request-room.test.ts
+++ b/test/gateway/request-room.test.ts
@@ -29,7 +29,7 @@
     log: { write: (event, fields = {}) => lines.push({ event, fields }) },
     metrics: {
       recordWait: (_rank, waitedMs) => waits.push(waitedMs),
-      recordRoomRefusal: (reason, rank) => refusals.push(`${reason} ${rank}`),
+      recordCapacityRefusal: (reason, rank) => refusals.push(`${reason} ${rank}`),
     },
   });
   return { gate, timers, lines, waits, refusals };
--- a/test/gateway/retry-turns.test.ts
+++ b/test/gateway/retry-turns.test.ts
@@ -12,7 +12,7 @@
   const gone: string[] = [];
   const stopped = new AbortController();
   const wait = (name: string, signal = stopped.signal) =>
-    queue.next(TURN, signal).then(() => gone.push(name));
+    queue.waitForTurn(TURN, signal).then(() => gone.push(name));
   const advanceAndSettle = async (spanMs: number) => {
     timers.advance(spanMs);
     await new Promise((resolve) => setImmediate(resolve));
