--- a/src/core/configuration/change-confirmation.ts
+++ b/src/core/configuration/change-confirmation.ts
@@ -3,8 +3,8 @@
 import { datagram } from '../peer/index.js';
 import { answerChange, confirmationTimedOut, putChange } from './change-answers.js';
 import { confirmationOf } from './confirmation.js';
+import { CHANGE_DEADLINE_MS, CONFIRM_FANOUT, CONFIRM_INTERVAL_MS } from './constants.js';
 import { inForceVersion } from './in-force.js';
-import { CHANGE_DEADLINE_MS, CONFIRM_FANOUT, CONFIRM_INTERVAL_MS } from './settings.js';
 import type { ChangePhase, ChangeProgress, ConfigurationStep } from './state.js';
 
 type ConfirmingPhase = Extract<ChangePhase, { kind: 'confirming' }>;
--- a/src/core/configuration/change.ts
+++ b/src/core/configuration/change.ts
@@ -17,15 +17,15 @@
   versionConflict,
 } from './change-answers.js';
 import { awaitConfirmation, continueConfirming } from './change-confirmation.js';
-import type { ConfigurationDocument } from './document.js';
-import { bringIntoForce, inForceVersion, recordKnownVersion } from './in-force.js';
-import { CURRENT_KEY, changeKey, parseChangeRow, parseCurrentRow, parseDocument } from './row.js';
 import {
   CHANGE_DEADLINE_MS,
   MAX_CHANGE_ATTEMPTS,
   MAX_INLINE_CHARACTERS,
   STORE_RETRY_MS,
-} from './settings.js';
+} from './constants.js';
+import type { ConfigurationDocument } from './document.js';
+import { bringIntoForce, inForceVersion, recordKnownVersion } from './in-force.js';
+import { CURRENT_KEY, changeKey, parseChangeRow, parseCurrentRow, parseDocument } from './row.js';
 import type { ChangeProgress, ChangeRequest, ConfigurationStep, PreparedChange } from './state.js';
 import { scheduleImmediateRead } from './store-read.js';
 
--- a/src/core/configuration/in-force.ts
+++ b/src/core/configuration/in-force.ts
@@ -3,8 +3,8 @@
 import { log } from '../logging/log-event.js';
 import { isPresent, type Member } from '../membership/index.js';
 import { datagram } from '../peer/index.js';
+import { ANNOUNCE_FANOUT, ORIGIN_FANOUT } from './constants.js';
 import type { VersionedConfiguration } from './document.js';
-import { ANNOUNCE_FANOUT, ORIGIN_FANOUT } from './settings.js';
 import type { ConfigurationStep } from './state.js';
 
 /** The source of a configuration. `change`: this daemon recorded it for an operator. */
--- a/src/core/configuration/peers.ts
+++ b/src/core/configuration/peers.ts
@@ -4,8 +4,6 @@
 import { endpointOf } from '../membership/index.js';
 import { contentHash, datagram, type PeerReceivedEvent, stream } from '../peer/index.js';
 import type { Endpoint } from '../registry/backend.js';
-import { bringIntoForce, inForceVersion, recordKnownVersion } from './in-force.js';
-import { parseDocument } from './row.js';
 import {
   MAX_HOLDERS,
   MAX_ORIGINS,
@@ -13,7 +11,9 @@
   PULL_TIMEOUT_MS,
   PULL_WINDOW_MS,
   PULLS_PER_WINDOW,
-} from './settings.js';
+} from './constants.js';
+import { bringIntoForce, inForceVersion, recordKnownVersion } from './in-force.js';
+import { parseDocument } from './row.js';
 import type { ConfigurationStep } from './state.js';
 
 /** Records the versions in the message's header, then handles the message. */
--- a/src/core/configuration/store-read.ts
+++ b/src/core/configuration/store-read.ts
@@ -3,8 +3,6 @@
 import { log } from '../logging/log-event.js';
 import type { ObjectResult } from '../platform/object.js';
 import type { TableResult } from '../platform/table.js';
-import { bringIntoForce, inForceVersion, otherMembers, recordKnownVersion } from './in-force.js';
-import { CURRENT_KEY, parseCurrentRow, parseDocument } from './row.js';
 import {
   FIRST_READ_SPREAD_MS,
   FLEET_READ_INTERVAL_MS,
@@ -13,7 +11,9 @@
   MIN_CATCH_UP_INTERVAL_MS,
   MIN_READ_INTERVAL_MS,
   STORE_RETRY_MS,
-} from './settings.js';
+} from './constants.js';
+import { bringIntoForce, inForceVersion, otherMembers, recordKnownVersion } from './in-force.js';
+import { CURRENT_KEY, parseCurrentRow, parseDocument } from './row.js';
 import type { ConfigurationStep } from './state.js';
 
 /** Starts a read when one is due. */
--- a/src/core/controller/decide.ts
+++ b/src/core/controller/decide.ts
@@ -6,8 +6,8 @@
 import type { IntentRow, OrderAction } from '../orders/index.js';
 import { isSameAction, isUnresolved } from '../orders/index.js';
 import type { EngineReport, EngineView, Intake } from '../registry/backend.js';
-import { mayTakeOutOfService, type PoolAvailability } from './budget.js';
 import { nextAction } from './next-action.js';
+import { mayTakeOutOfService, type PoolAvailability } from './pool-availability.js';
 import type { ControllerState, EngineControl, KnownIntent } from './state.js';
 import type { DesiredEngine } from './types.js';
 
--- a/src/core/controller/step.ts
+++ b/src/core/controller/step.ts
@@ -6,12 +6,12 @@
 import type { StepContext, Transition } from '../common/transition.js';
 import { type Authority, isInForce } from '../lease/index.js';
 import { intentKey } from '../orders/index.js';
-import { computePoolAvailability, type PoolAvailability } from './budget.js';
 import { decide, type Move, WAIT } from './decide.js';
 import { receiveOrderAnswer, receiveOrderState } from './engine-answers.js';
 import { executeMove } from './moves.js';
+import { computePoolAvailability, type PoolAvailability } from './pool-availability.js';
 import { type ControllerState, initialEngineControl } from './state.js';
-import { receiveTableResult } from './table-answers.js';
+import { receiveTableResult } from './table-results.js';
 import type { ControllerEvent, ControllerOutput } from './types.js';
 
 /** The maximum number of rows in one read of the table service. */
--- a/src/core/gateway/peer-load.ts
+++ b/src/core/gateway/peer-load.ts
@@ -4,8 +4,8 @@
  */
 
 import type { Urgency } from './engine-load.js';
-import type { ReadNotice } from './prefix-knowledge.js';
-import type { ReachabilityNotice } from './reach-notices.js';
+import type { ReadNotice } from './prefix-cache-index.js';
+import type { ReachabilityNotice } from './reachability-notices.js';
 import { addDemands, type ServiceDemand } from './stage-demand.js';
 
 /** A daemon that has sent nothing for this long counts as having no work. */
--- a/src/core/gateway/server-health.ts
+++ b/src/core/gateway/server-health.ts
@@ -3,7 +3,7 @@
  * is skipped for a time that doubles with each consecutive failure, then tried again.
  */
 
-import { MIN_UNREACHABLE_REPORTS, type ReachabilityNotice } from './reach-notices.js';
+import { MIN_UNREACHABLE_REPORTS, type ReachabilityNotice } from './reachability-notices.js';
 
 const FIRST_EJECTION_MS = 400;
 const MAX_EJECTION_MS = 4_000;
--- a/src/core/roles/best-change.ts
+++ b/src/core/roles/best-change.ts
@@ -5,7 +5,7 @@
 import type { EngineRole } from '../registry/backend.js';
 import type { ExpectedDemand } from './demand-forecast.js';
 import { countEngines, type EngineGroup, withOneFewer, withRoleChanged } from './engine-groups.js';
-import { splitCapacity, type TokenMix } from './split-goodput.js';
+import { splitCapacity, type TokenMix } from './split-capacity.js';
 import type { PlannerThresholds, RolePlannerSettings } from './types.js';
 
 /** A role change with its expected effect; rates are in finished requests per second. */
--- a/src/core/roles/types.ts
+++ b/src/core/roles/types.ts
@@ -5,7 +5,7 @@
 import type { EngineRole, EngineView } from '../registry/backend.js';
 import type { DemandForecast, DemandWindow } from './demand-forecast.js';
 import type { SpeedEstimates } from './engine-speeds.js';
-import type { ServingModel } from './split-goodput.js';
+import type { ServingModel } from './split-capacity.js';
 
 /** The objective of a pool's planner. */
 export type RoleObjective = ModelConfiguration['objective'];
--- a/src/shell/gateway/room-refusals.ts
+++ b/src/shell/gateway/admission-refusals.ts
@@ -1,10 +1,10 @@
 /** Refusals for lack of capacity: the `Retry-After` time, the log line, the metric and the answer. */
 import { RetryLine } from '../../core/admission/index.js';
 import { GATEWAY_EVENTS } from '../../core/logging/catalogue/gateway.js';
+import { type AdmissionCheck, admissionLogFields } from './admission-check.js';
 import type { Exchange } from './exchange.js';
 import type { GatewayMetrics } from './gateway-metrics.js';
 import type { GatewayLog } from './request-log.js';
-import { type AdmissionCheck, admissionLogFields } from './room-ask.js';
 import type { TimerService } from './timer-service.js';
 
 /** Short, as another daemon can take the request at once. */
--- a/src/shell/gateway/attempt.ts
+++ b/src/shell/gateway/attempt.ts
@@ -11,13 +11,13 @@
 } from '../../core/gateway/index.js';
 import { GATEWAY_EVENTS } from '../../core/logging/catalogue/gateway.js';
 import { withoutConnectionHeaders } from '../http/headers.js';
+import type { AdmissionGate } from './admission-gate.js';
 import { type BackendAnswer, CONNECT_TIMEOUT_MS } from './backend-connections.js';
 import type { CrashGuard } from './crash-guard.js';
 import type { Exchange } from './exchange.js';
 import type { FleetView } from './fleet-view.js';
 import type { LimitCoordinator } from './limit-coordinator.js';
 import type { HandoverSource, RequestCodec } from './ports.js';
-import type { AdmissionGate } from './request-room.js';
 import type { HeldBack, ServerCalls } from './server-calls.js';
 import type { WebWork } from './web-work.js';
 
--- a/src/shell/gateway/caller-listener.ts
+++ b/src/shell/gateway/caller-listener.ts
@@ -13,7 +13,7 @@
 import { runModelExchange } from './model-exchange.js';
 import type { GatewayLog } from './request-log.js';
 import type { TimerService } from './timer-service.js';
-import { runWebExchange } from './whole-exchange.js';
+import { runWebExchange } from './web-exchange.js';
 
 /** Limit of the HTTP parser; the configured limit is checked after parsing. */
 const MAX_PARSED_HEADER_BYTES = 131_072;
--- a/src/shell/gateway/crash-guard.ts
+++ b/src/shell/gateway/crash-guard.ts
@@ -17,13 +17,13 @@
 import { CrashStoreDuty } from './crash-store-duty.js';
 import { CrashStoreRestore } from './crash-store-restore.js';
 import { CrashTable, type CrashTableContent } from './crash-table.js';
-import { UnresolvedBreaks } from './open-breaks.js';
 import type { PeerExchange } from './peer-exchange.js';
 import type { TableService } from './ports.js';
 import { type GuardedExchange, RequestFingerprints } from './request-fingerprint.js';
 import type { GatewayLog } from './request-log.js';
-import type { ServerExitCheck } from './server-end-check.js';
+import type { ServerExitCheck } from './server-exit-check.js';
 import { delay, type TimerService, type WallClock } from './timer-service.js';
+import { UnresolvedBreaks } from './unresolved-breaks.js';
 
 const READ_RETRY_MS = 500;
 
--- a/src/shell/gateway/fleet-demand.ts
+++ b/src/shell/gateway/fleet-demand.ts
@@ -15,7 +15,7 @@
   type UnseenWork,
   unseenWork,
 } from '../../core/gateway/index.js';
-import { getOrCreate } from './entry-of.js';
+import { getOrCreate } from './get-or-create.js';
 
 /** Demand is measured over a sliding window of this length. */
 export const DEMAND_WINDOW_MS = 6_000;
--- a/src/shell/gateway/fleet-follower.ts
+++ b/src/shell/gateway/fleet-follower.ts
@@ -13,17 +13,17 @@
 } from '../../core/gateway/index.js';
 import { GATEWAY_EVENTS } from '../../core/logging/catalogue/gateway.js';
 import { FIRST_ERA } from '../../core/platform/store-position.js';
-import type { CacheEventWatchers } from './cache-news-watcher.js';
+import type { CacheEventWatchers } from './cache-event-watchers.js';
 import type { FleetView } from './fleet-view.js';
-import { NewestPeerVersion } from './heard-version.js';
+import { NewestPeerVersion } from './newest-peer-version.js';
 import type { ForwardedConfiguration } from './peer-messages.js';
 import type { PlatformAdapter, WatchedRow } from './ports.js';
 import type { RelayDigest } from './relay-digest.js';
 import type { GatewayLog } from './request-log.js';
-import { WatchRetryQueue } from './retry-turns.js';
 import { type TableChanges, TableWatcher } from './table-watcher.js';
 import type { CancelTimer, TimerService, WallClock } from './timer-service.js';
 import { UnreadableRows } from './unreadable-rows.js';
+import { WatchRetryQueue } from './watch-retry-queue.js';
 import type { RecheckSpans, WatchTiming } from './watch-timing.js';
 
 /**
--- a/src/shell/gateway/fleet-view.ts
+++ b/src/shell/gateway/fleet-view.ts
@@ -36,9 +36,9 @@
   type WebServerLoad,
   WebServerLoads,
 } from '../../core/gateway/index.js';
-import { getOrCreate } from './entry-of.js';
 import { FleetDemand } from './fleet-demand.js';
 import { DEFAULT_LOAD_DECISIONS, type LoadDecisions } from './gateway-settings.js';
+import { getOrCreate } from './get-or-create.js';
 import type { EngineCacheEvents } from './peer-messages.js';
 
 /** Web servers per message, in addition to the engines; enough, as crowded services have few servers. */
--- a/src/shell/gateway/gateway-gauges.ts
+++ b/src/shell/gateway/gateway-gauges.ts
@@ -1,5 +1,6 @@
 /** Gauges of a gateway, read when the metrics are scraped. */
 import type { CapacityBelief } from '../../core/capacity/index.js';
+import type { AdmissionGate } from './admission-gate.js';
 import type { BackendConnections } from './backend-connections.js';
 import type { CallerListener } from './caller-listener.js';
 import type { CrashGuard } from './crash-guard.js';
@@ -9,7 +10,6 @@
 import type { GatewayMetrics } from './gateway-metrics.js';
 import type { LimitCoordinator } from './limit-coordinator.js';
 import type { GatewayLog } from './request-log.js';
-import type { AdmissionGate } from './request-room.js';
 import type { TimerService } from './timer-service.js';
 import type { WebWork } from './web-work.js';
 
--- a/src/shell/gateway/model-room-ask.ts
+++ b/src/shell/gateway/model-admission-check.ts
@@ -6,9 +6,9 @@
   planAtRank,
 } from '../../core/gateway/index.js';
 import type { LogFields } from '../../core/logging/log-event.js';
+import { type AdmissionCheck, roundedOrNull } from './admission-check.js';
 import type { AttemptContext } from './attempt.js';
 import type { Exchange } from './exchange.js';
-import { type AdmissionCheck, roundedOrNull } from './room-ask.js';
 
 /** How the check plans the request. */
 export interface ModelAdmissionCheckOptions {
--- a/src/shell/gateway/model-exchange.ts
+++ b/src/shell/gateway/model-exchange.ts
@@ -21,7 +21,7 @@
 import { type PermitReservation, permitWaitRequestOf } from './limit-coordinator.js';
 import { ModelPlanner, type PlanLimits } from './model-planner.js';
 import type { HandoverSource } from './ports.js';
-import { freeKvMemory, type PrefillPlan, runPrefill } from './prompt-reading.js';
+import { freeKvMemory, type PrefillPlan, runPrefill } from './prefill.js';
 import { StreamRelay } from './stream-relay.js';
 
 const MAX_ERROR_BYTES = 1_048_576;
--- a/src/shell/gateway/model-planner.ts
+++ b/src/shell/gateway/model-planner.ts
@@ -19,8 +19,8 @@
 import { GATEWAY_EVENTS } from '../../core/logging/catalogue/gateway.js';
 import { type AttemptContext, engineTraits } from './attempt.js';
 import type { Exchange } from './exchange.js';
-import { ModelAdmissionCheck } from './model-room-ask.js';
-import { hadShortQueue } from './prompt-reading.js';
+import { ModelAdmissionCheck } from './model-admission-check.js';
+import { hadShortQueue } from './prefill.js';
 
 /** A request counts as in time if its answer is expected within this share of the target latency. */
 const IN_TIME_SHARE = 0.9;
--- a/src/shell/gateway/peer-exchange.ts
+++ b/src/shell/gateway/peer-exchange.ts
@@ -23,14 +23,14 @@
   TableDigest,
 } from '../../core/gateway/index.js';
 import { ByteBudget, datagramWireBytes } from './byte-budget.js';
-import { CacheEventPublisher } from './cache-news-teller.js';
+import { CacheEventPublisher } from './cache-event-publisher.js';
 import {
   ConfigurationGossip,
   MAX_FORWARDED_BYTES,
   type VersionedValue,
-} from './configuration-teller.js';
+} from './configuration-gossip.js';
 import type { LimitMessage } from './limit-message-fields.js';
-import { PaceGossip } from './pace-teller.js';
+import { PaceGossip } from './pace-gossip.js';
 import { PeerDirectory } from './peer-directory.js';
 import {
   decodePeerMessage,
--- a/src/shell/gateway/roster-news-duty.ts
+++ b/src/shell/gateway/roster-cache-event-duty.ts
@@ -1,6 +1,6 @@
 /** Divides the long polls for engines' cache events among the daemons, as assigned by the roster. */
 import type { PeerRoster, ServerRecord } from '../../core/gateway/index.js';
-import type { CacheEventDuty } from './cache-news-watcher.js';
+import type { CacheEventDuty } from './cache-event-watchers.js';
 import type { FleetView } from './fleet-view.js';
 import type { PeerExchange } from './peer-exchange.js';
 import type { EngineCacheEvents } from './peer-messages.js';
--- a/src/shell/gateway/table-watcher.ts
+++ b/src/shell/gateway/table-watcher.ts
@@ -20,8 +20,8 @@
 import type { WatchAnswer, WatchedRow, WatchedTable } from './ports.js';
 import type { FollowedTable, RelayDigest } from './relay-digest.js';
 import type { GatewayLog } from './request-log.js';
-import type { WatchRetryQueue } from './retry-turns.js';
 import { callWithTimeout, delay, type TimerService } from './timer-service.js';
+import type { WatchRetryQueue } from './watch-retry-queue.js';
 import {
   ANSWER_SLACK_MS,
   FIRST_RETRY_SHARE,
--- a/src/shell/gateway/whole-exchange.ts
+++ b/src/shell/gateway/web-exchange.ts
@@ -22,7 +22,7 @@
 } from './attempt.js';
 import type { CompleteAnswer, Exchange } from './exchange.js';
 import { permitWaitRequestOf } from './limit-coordinator.js';
-import { webAdmissionCheck } from './web-room-ask.js';
+import { webAdmissionCheck } from './web-admission-check.js';
 
 const MAX_ANSWER_BYTES = 16_777_216;
 /** A request is refused after more servers than this have rejected it or could not be reached. */
--- a/test/gateway/crash-spread.test.ts
+++ b/test/gateway/crash-spread.test.ts
@@ -3,7 +3,7 @@
 import { test } from 'node:test';
 import { uniformFloat64 } from 'pure-rand/distribution/uniformFloat64';
 import { xoroshiro128plus } from 'pure-rand/generator/xoroshiro128plus';
-import { CONTACT_MS, CrashGuardFleet, requestOf } from './support/fleet-of-guards.js';
+import { CONTACT_MS, CrashGuardFleet, requestOf } from './support/crash-guard-fleet.js';
 
 const BODY = 'ends whoever runs it';
 const START_MS = 100;
--- a/test/gateway/limit-fleets.test.ts
+++ b/test/gateway/limit-fleets.test.ts
@@ -6,7 +6,7 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import type { PermitReservation } from '../../src/shell/gateway/limit-coordinator.js';
-import { LimitFleet } from './support/fleet-of-limits.js';
+import { LimitFleet } from './support/limit-fleet.js';
 import { allowedInSpan, SETTLE_MS } from './support/limited-server.js';
 
 const BEFORE_MS = 5_000;
--- a/test/gateway/pace-teller.test.ts
+++ b/test/gateway/pace-gossip.test.ts
@@ -3,8 +3,12 @@
 import { test } from 'node:test';
 import { pack } from 'msgpackr';
 import { decodePeerMessage, encodePeerMessage } from '../../src/shell/gateway/peer-messages.js';
-import { type GossipDaemon, observePrefills, PaceGossipFleet } from './support/fleet-of-tellers.js';
-import { seededRandom } from './support/unlike-engines.js';
+import { seededRandom } from './support/engine-simulation.js';
+import {
+  type GossipDaemon,
+  observePrefills,
+  PaceGossipFleet,
+} from './support/pace-gossip-fleet.js';
 
 const ZONES = ['a', 'b', 'c'];
 const SPEEDS = [0.7, 0.7, 1.7];
--- a/test/gateway/retry-budget-list.test.ts
+++ b/test/gateway/retry-budget-incomplete-list.test.ts
@@ -9,7 +9,7 @@
  */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
-import { RetryBudgetFleet, worstWindow } from './support/repeats-of-fleet.js';
+import { RetryBudgetFleet, worstWindow } from './support/retry-budget-fleet.js';
 
 const OPTIONS = { ratio: 0.2, slack: 158 };
 const DAEMONS = 59;
--- a/test/gateway/retry-budget-births.test.ts
+++ b/test/gateway/retry-budget-restart.test.ts
@@ -12,7 +12,7 @@
  */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
-import { RetryBudgetFleet, type WorstWindow, worstWindow } from './support/repeats-of-fleet.js';
+import { RetryBudgetFleet, type WorstWindow, worstWindow } from './support/retry-budget-fleet.js';
 
 const RATIO = 0.2;
 const REQUEST_GAP_MS = 2.5;
--- a/test/gateway/server-lives.test.ts
+++ b/test/gateway/server-boots.test.ts
@@ -12,12 +12,12 @@
 } from '../../src/core/gateway/index.js';
 import { FleetFollower } from '../../src/shell/gateway/fleet-follower.js';
 import { FleetView } from '../../src/shell/gateway/fleet-view.js';
-import { UnresolvedBreaks } from '../../src/shell/gateway/open-breaks.js';
 import { decodePeerMessage, encodePeerMessage } from '../../src/shell/gateway/peer-messages.js';
 import type { PlatformAdapter, WatchAnswer, WatchedRow } from '../../src/shell/gateway/ports.js';
 import { RelayDigest } from '../../src/shell/gateway/relay-digest.js';
-import { ServerExitCheck } from '../../src/shell/gateway/server-end-check.js';
+import { ServerExitCheck } from '../../src/shell/gateway/server-exit-check.js';
 import type { TableChanges } from '../../src/shell/gateway/table-watcher.js';
+import { UnresolvedBreaks } from '../../src/shell/gateway/unresolved-breaks.js';
 import { ManualTimers } from './support/manual-timers.js';
 
 const BORN_MS = 1_800_000_000_000;
--- a/test/gateway/support/fleet-of-limits.ts
+++ b/test/gateway/support/limit-fleet.ts
@@ -15,8 +15,8 @@
 import type { LimitMessage } from '../../../src/shell/gateway/limit-message-fields.js';
 import { decodePeerMessage, encodePeerMessage } from '../../../src/shell/gateway/peer-messages.js';
 import { type ServerCall, ServerCalls } from '../../../src/shell/gateway/server-calls.js';
+import { seededRandom } from './engine-simulation.js';
 import { ManualTimers } from './manual-timers.js';
-import { seededRandom } from './unlike-engines.js';
 
 const SERVICE = 's';
 const STEP_MS = 5;
--- a/test/gateway/support/fleet-of-tellers.ts
+++ b/test/gateway/support/pace-gossip-fleet.ts
@@ -6,7 +6,7 @@
   ReadSpeed,
 } from '../../../src/core/gateway/index.js';
 import { GATEWAY_EVENTS } from '../../../src/core/logging/catalogue/gateway.js';
-import { PaceGossip } from '../../../src/shell/gateway/pace-teller.js';
+import { PaceGossip } from '../../../src/shell/gateway/pace-gossip.js';
 import { decodePeerMessage, encodePeerMessage } from '../../../src/shell/gateway/peer-messages.js';
 import { ManualTimers } from './manual-timers.js';
 
--- a/test/gateway/table-watcher.test.ts
+++ b/test/gateway/table-watcher.test.ts
@@ -3,8 +3,8 @@
 import { test } from 'node:test';
 import type { WatchAnswer, WatchedRow, WatchedTable } from '../../src/shell/gateway/ports.js';
 import { RelayDigest } from '../../src/shell/gateway/relay-digest.js';
-import { WatchRetryQueue } from '../../src/shell/gateway/retry-turns.js';
 import { type TableConsumer, TableWatcher } from '../../src/shell/gateway/table-watcher.js';
+import { WatchRetryQueue } from '../../src/shell/gateway/watch-retry-queue.js';
 import { ManualTimers } from './support/manual-timers.js';
 
 const BATCH_MS = 400;
--- a/test/gateway/web-server-load.test.ts
+++ b/test/gateway/web-server-load.test.ts
@@ -18,7 +18,11 @@
 import { FleetView } from '../../src/shell/gateway/fleet-view.js';
 import { WebWork, type WebWorkOptions } from '../../src/shell/gateway/web-work.js';
 import { ManualTimers } from './support/manual-timers.js';
-import { runWebFleet, type WebFleetOptions, type WebFleetOutcome } from './support/web-fleet.js';
+import {
+  runWebFleet,
+  type WebFleetOptions,
+  type WebFleetOutcome,
+} from './support/web-fleet-simulation.js';
 
 const ZONES = ['a', 'b', 'c'];
 
