--- a/src/core/requests/attempt-request.ts
+++ b/src/core/requests/attempt-request.ts
@@ -23,9 +23,9 @@
 /** The engine's refusal codes that mean overload: retrying them elsewhere only moves the load. */
 const OVERLOAD_REASONS: ReadonlySet<string> = new Set(['engine-full']);
 /** Engines that may be asked after one has said that it is full. */
-const ENGINES_AFTER_OVERLOAD = 1;
+const MAX_OVERLOAD_RETRIES = 1;
 /** Re-dispatches of broken work that the budget is not asked for. */
-const FREE_RESUMES = 1;
+const UNBUDGETED_RESUMES = 1;
 const DEFAULT_RETRY_AFTER_MS = 1_000;
 
 type AttemptingPhase = Extract<RequestState['phase'], { kind: 'attempting' }>;
@@ -49,11 +49,11 @@
         finishAnswered(state, event, context),
       );
     case 'not-sent':
-      return notSent(state, phase, event.reason, context);
+      return handleNotSent(state, phase, event.reason, context);
     case 'refused-not-run':
-      return refused(state, phase, event, context);
+      return handleRefusal(state, phase, event, context);
     case 'broken':
-      return broken(state, phase, event, context);
+      return handleBroken(state, phase, event, context);
   }
 }
 
@@ -74,7 +74,7 @@
   };
 }
 
-function notSent(
+function handleNotSent(
   state: RequestState,
   phase: AttemptingPhase,
   reason: string,
@@ -86,10 +86,10 @@
     { retryAfterMs: DEFAULT_RETRY_AFTER_MS },
   );
   const ended = attemptEnded(state, phase, 'not-sent', reason);
-  return afterEffects([ended], retryOrFail(exclude(state, phase), fault, context));
+  return afterEffects([ended], retryOrFail(excludeBackend(state, phase), fault, context));
 }
 
-function refused(
+function handleRefusal(
   state: RequestState,
   phase: AttemptingPhase,
   event: RefusedEvent,
@@ -98,10 +98,10 @@
   const ended = attemptEnded(state, phase, 'refused', event.reason);
   const overload = OVERLOAD_REASONS.has(event.reason);
   const overloadAnswers = state.overloadAnswers + (overload ? 1 : 0);
-  const next = { ...exclude(state, phase), overloadAnswers };
+  const next = { ...excludeBackend(state, phase), overloadAnswers };
   const fault = refusalFault(event, overload);
   const transition =
-    overloadAnswers > ENGINES_AFTER_OVERLOAD
+    overloadAnswers > MAX_OVERLOAD_RETRIES
       ? finishFailed(next, fault, context)
       : retryOrFail(next, fault, context);
   return afterEffects([ended], transition);
@@ -136,48 +136,48 @@
   return dispatchOrWait({ ...state, retries: state.retries + 1 }, context);
 }
 
-function broken(
+function handleBroken(
   state: RequestState,
   phase: AttemptingPhase,
   event: BrokenEvent,
   context: RequestContext,
 ): RequestTransition {
   const next: RequestState = {
-    ...exclude(state, phase),
+    ...excludeBackend(state, phase),
     brokenAttempts: state.brokenAttempts + 1,
     headersForwarded: state.headersForwarded || event.headersForwarded,
     deliveredTokens: Math.max(state.deliveredTokens, event.deliveredTokens),
     version: event.version ?? state.version,
   };
-  const again = maySendAgain(next);
+  const resends = mayResend(next);
   const effects = [
     attemptEnded(state, phase, 'broken', event.reason),
     log(REQUEST_EVENTS.attemptBroken, {
       request: state.description.id,
       backend: phase.backend,
       reason: event.reason,
-      sentAgain: again,
+      sentAgain: resends,
     }),
   ];
-  const transition = again
-    ? resume(next, event, context)
+  const transition = resends
+    ? resumeElsewhere(next, event, context)
     : finishFailed(next, brokenFault(next, event.reason), context);
   return afterEffects(effects, transition);
 }
 
-function maySendAgain(state: RequestState): boolean {
+function mayResend(state: RequestState): boolean {
   if (!state.description.repeatable || state.detached) return false;
   if (!state.headersForwarded) return true;
   return state.description.streamed && state.description.target.kind === 'model';
 }
 
-function resume(
+function resumeElsewhere(
   state: RequestState,
   event: BrokenEvent,
   context: RequestContext,
 ): RequestTransition {
   const fault = brokenFault(state, event.reason);
-  if (state.brokenAttempts > FREE_RESUMES) return retryOrFail(state, fault, context);
+  if (state.brokenAttempts > UNBUDGETED_RESUMES) return retryOrFail(state, fault, context);
   if (state.attempts >= MAX_ATTEMPTS) return finishFailed(state, fault, context);
   return dispatchOrWait(state, context);
 }
@@ -195,6 +195,6 @@
   };
 }
 
-function exclude(state: RequestState, phase: AttemptingPhase): RequestState {
+function excludeBackend(state: RequestState, phase: AttemptingPhase): RequestState {
   return { ...state, excluded: [...state.excluded, phase.backend] };
 }
--- a/src/core/requests/claim-request.ts
+++ b/src/core/requests/claim-request.ts
@@ -28,7 +28,7 @@
 /** Begins with the claim, or goes on at once when the request carries no key. */
 export function beginRequest(state: RequestState, context: RequestContext): RequestTransition {
   const key = claimKey(state.description);
-  return key === null ? dispatchOrWait(state, context) : insert(state, key, 0, 1, context);
+  return key === null ? dispatchOrWait(state, context) : insertClaim(state, key, 0, 1, context);
 }
 
 /** Takes the table service's answer to a claim or to its reading back. */
@@ -40,18 +40,18 @@
 ): RequestTransition {
   switch (result.kind) {
     case 'committed':
-      return held(state, result.rows[0]?.version ?? 1, context);
+      return proceedWithClaim(state, result.rows[0]?.version ?? 1, context);
     case 'rows':
     case 'conflict':
-      return found(state, phase, result.rows[0], context);
+      return handleExistingRow(state, phase, result.rows[0], context);
     case 'unavailable':
       return finishFailed(state, storeUnavailable(result.retryAfterMs), context);
     case 'lost':
-      return readBack(state, phase, context);
+      return readBackClaim(state, phase, context);
   }
 }
 
-function insert(
+function insertClaim(
   state: RequestState,
   key: string,
   version: number,
@@ -71,7 +71,7 @@
   };
 }
 
-function readBack(
+function readBackClaim(
   state: RequestState,
   phase: ClaimingPhase,
   context: RequestContext,
@@ -91,7 +91,7 @@
   };
 }
 
-function found(
+function handleExistingRow(
   state: RequestState,
   phase: ClaimingPhase,
   row: TableRow | undefined,
@@ -102,19 +102,19 @@
   );
   switch (finding.kind) {
     case 'own':
-      return held(state, finding.version, context);
+      return proceedWithClaim(state, finding.version, context);
     case 'absent':
-      return takeAt(state, phase, 0, context);
+      return claimAtVersion(state, phase, 0, context);
     case 'orphaned':
-      return orphaned(state, phase, finding, context);
+      return handleOrphaned(state, phase, finding, context);
     case 'recorded':
       return finishReplayed(state, finding.outcome);
     case 'other-body':
-      return notClaimed(state, OTHER_BODY, context);
+      return failWithoutClaim(state, DIFFERENT_BODY, context);
     case 'in-progress':
-      return notClaimed(state, IN_PROGRESS, context);
+      return failWithoutClaim(state, IN_PROGRESS, context);
     case 'unreadable':
-      return notClaimed(state, UNREADABLE, context);
+      return failWithoutClaim(state, UNREADABLE, context);
   }
 }
 
@@ -125,23 +125,23 @@
   request: string,
   context: RequestContext,
 ): boolean {
-  const own = daemon === context.daemon && incarnation === context.incarnation;
-  return own ? !context.isInHand(request) : context.isGone(daemon, incarnation);
+  const isOwn = daemon === context.daemon && incarnation === context.incarnation;
+  return isOwn ? !context.isInHand(request) : context.isGone(daemon, incarnation);
 }
 
-function orphaned(
+function handleOrphaned(
   state: RequestState,
   phase: ClaimingPhase,
   finding: Extract<ClaimFinding, { kind: 'orphaned' }>,
   context: RequestContext,
 ): RequestTransition {
-  if (state.description.repeatable) return takeAt(state, phase, finding.version, context);
+  if (state.description.repeatable) return claimAtVersion(state, phase, finding.version, context);
   // The row may have been read just before its outcome was recorded: a second look settles it.
-  if (phase.tries < 2) return takeAt(state, phase, 0, context);
-  return notClaimed(state, HOLDER_GONE, context);
+  if (phase.tries < 2) return claimAtVersion(state, phase, 0, context);
+  return failWithoutClaim(state, HOLDER_DIED, context);
 }
 
-function takeAt(
+function claimAtVersion(
   state: RequestState,
   phase: ClaimingPhase,
   version: number,
@@ -150,15 +150,23 @@
   if (phase.tries >= MAX_CLAIM_CALLS) {
     return finishFailed(state, storeUnavailable(IN_PROGRESS_RETRY_AFTER_MS), context);
   }
-  return insert(state, claimKey(state.description) ?? '', version, phase.tries + 1, context);
+  return insertClaim(state, claimKey(state.description) ?? '', version, phase.tries + 1, context);
 }
 
-function held(state: RequestState, version: number, context: RequestContext): RequestTransition {
+function proceedWithClaim(
+  state: RequestState,
+  version: number,
+  context: RequestContext,
+): RequestTransition {
   return afterEffects([], dispatchOrWait({ ...state, claim: { kind: 'held', version } }, context));
 }
 
 /** Another request has the key, so an uncertain claim of this one is certainly not there. */
-function notClaimed(state: RequestState, fault: Fault, context: RequestContext): RequestTransition {
+function failWithoutClaim(
+  state: RequestState,
+  fault: Fault,
+  context: RequestContext,
+): RequestTransition {
   return finishFailed({ ...state, claim: { kind: 'none' } }, fault, context);
 }
 
@@ -170,7 +178,7 @@
   );
 }
 
-const OTHER_BODY = refusedNotRun(
+const DIFFERENT_BODY = refusedNotRun(
   'idempotency-conflict',
   'This Idempotency-Key was used with another request. Use a new key for a new request.',
 );
@@ -188,7 +196,7 @@
   outcome: 'unknown',
 };
 
-const HOLDER_GONE: Fault = {
+const HOLDER_DIED: Fault = {
   code: 'idempotency-outcome-unknown',
   message:
     'The daemon that took the first request with this Idempotency-Key died before it recorded an outcome. Ask the service whether the work was done; use a new key to run it again.',
--- a/src/core/requests/claim.ts
+++ b/src/core/requests/claim.ts
@@ -85,7 +85,7 @@
 export function readClaim(
   row: TableRow | undefined,
   description: RequestDescription,
-  isGone: (daemon: DaemonName, incarnation: Incarnation, request: RequestId) => boolean,
+  isOrphaned: (daemon: DaemonName, incarnation: Incarnation, request: RequestId) => boolean,
 ): ClaimFinding {
   if (row === undefined || row.value === null) return { kind: 'absent' };
   const parsed = claimSchema.safeParse(row.value);
@@ -94,7 +94,7 @@
   if (claim.request === description.id) return { kind: 'own', version: row.version };
   if (claim.bodyDigest !== description.bodyDigest) return { kind: 'other-body' };
   if (claim.outcome !== null) return { kind: 'recorded', outcome: claim.outcome };
-  if (isGone(claim.daemon, claim.incarnation, claim.request)) {
+  if (isOrphaned(claim.daemon, claim.incarnation, claim.request)) {
     return { kind: 'orphaned', version: row.version };
   }
   return { kind: 'in-progress' };
--- a/src/core/requests/finish-request.ts
+++ b/src/core/requests/finish-request.ts
@@ -20,7 +20,7 @@
 type CompletedEvent = Extract<AttemptEvent, { kind: 'completed' }>;
 
 /** The fault as it may truthfully be told. */
-function truthfulFault(state: RequestState, fault: Fault): Fault {
+function withTrueOutcome(state: RequestState, fault: Fault): Fault {
   if (state.brokenAttempts === 0) return fault;
   return { ...fault, outcome: 'unknown', retryable: state.description.repeatable };
 }
@@ -32,7 +32,7 @@
   context: RequestContext,
 ): RequestTransition {
   const outcome = event.outcome ?? { kind: 'answered-too-large-to-replay', status: 200 };
-  const notice = ended(state, 'answered', event.promptTokens, event.outputTokens);
+  const notice = endedNotice(state, 'answered', event.promptTokens, event.outputTokens);
   return afterEffects([notice], settle(state, { kind: 'record', outcome }, context));
 }
 
@@ -42,12 +42,12 @@
   fault: Fault,
   context: RequestContext,
 ): RequestTransition {
-  const told = truthfulFault(state, fault);
+  const finalFault = withTrueOutcome(state, fault);
   const effects: RequestTableEffect[] = [];
-  if (!state.detached) effects.push(answerWith(state, told));
-  if (told.outcome === 'unknown') effects.push(outcomeUnknownLog(state, told));
-  effects.push(ended(state, told.outcome, 0, 0));
-  return afterEffects(effects, settle(state, settlementOf(state, told), context));
+  if (!state.detached) effects.push(answerWith(state, finalFault));
+  if (finalFault.outcome === 'unknown') effects.push(outcomeUnknownLog(state, finalFault));
+  effects.push(endedNotice(state, finalFault.outcome, 0, 0));
+  return afterEffects(effects, settle(state, chooseSettlement(state, finalFault), context));
 }
 
 /** Ends a request whose caller has gone. `mayHaveRun`: a backend had or may have had it. */
@@ -62,8 +62,8 @@
     retryable: false,
     outcome: mayHaveRun ? 'unknown' : 'refused-not-run',
   };
-  const notice = ended(state, 'caller-gone', 0, 0);
-  return afterEffects([notice], settle(state, settlementOf(state, fault), context));
+  const notice = endedNotice(state, 'caller-gone', 0, 0);
+  return afterEffects([notice], settle(state, chooseSettlement(state, fault), context));
 }
 
 /** Ends a request with the outcome that its key has already. */
@@ -72,7 +72,7 @@
     state: { ...state, phase: { kind: 'ended' } },
     effects: [
       { kind: 'replay', request: state.description.id, outcome },
-      ended(state, 'replayed', 0, 0),
+      endedNotice(state, 'replayed', 0, 0),
     ],
   };
 }
@@ -90,9 +90,9 @@
   return { kind, request: state.description.id, fault };
 }
 
-function settlementOf(state: RequestState, fault: Fault): Settlement {
-  const runAgain = fault.outcome === 'refused-not-run' || state.description.repeatable;
-  if (runAgain) return { kind: 'release' };
+function chooseSettlement(state: RequestState, fault: Fault): Settlement {
+  const mayRunAgain = fault.outcome === 'refused-not-run' || state.description.repeatable;
+  if (mayRunAgain) return { kind: 'release' };
   return { kind: 'record', outcome: { kind: 'failed', fault } };
 }
 
@@ -107,7 +107,7 @@
   return beginSettlement(state, settlement, context);
 }
 
-function ended(
+function endedNotice(
   state: RequestState,
   result: RequestResult,
   promptTokens: number,
--- a/src/core/requests/request-table.ts
+++ b/src/core/requests/request-table.ts
@@ -72,20 +72,20 @@
   step(event: RequestTableEvent, context: RequestTableContext): readonly RequestTableEffect[] {
     switch (event.kind) {
       case 'request-arrived':
-        return this.#arrived(event.description, context);
+        return this.#handleArrival(event.description, context);
       case 'attempt':
-        return this.#feed(event.request, event, context);
+        return this.#applyEvent(event.request, event, context);
       case 'caller-gone':
       case 'admitted':
-        return this.#feed(event.request, event, context);
+        return this.#applyEvent(event.request, event, context);
       case 'table-result':
-        return this.#tableResult(event, context);
+        return this.#handleTableResult(event, context);
       case 'tick':
-        return this.#tick(context);
+        return this.#handleTick(context);
     }
   }
 
-  #arrived(
+  #handleArrival(
     description: RequestDescription,
     context: RequestTableContext,
   ): readonly RequestTableEffect[] {
@@ -94,34 +94,34 @@
       return [{ kind: 'refuse', request: description.id, fault: TOO_MANY_UNSETTLED }];
     }
     this.#requests.set(description.id, newRequest(description));
-    return this.#feed(description.id, START, context);
+    return this.#applyEvent(description.id, START, context);
   }
 
-  #tableResult(
+  #handleTableResult(
     event: TableResultEvent,
     context: RequestTableContext,
   ): readonly RequestTableEffect[] {
     if (!event.token.startsWith(TOKEN_PREFIX)) return NO_EFFECTS;
-    return this.#feed(event.token.slice(TOKEN_PREFIX.length), event, context);
+    return this.#applyEvent(event.token.slice(TOKEN_PREFIX.length), event, context);
   }
 
-  #tick(context: RequestTableContext): readonly RequestTableEffect[] {
+  #handleTick(context: RequestTableContext): readonly RequestTableEffect[] {
     const effects: RequestTableEffect[] = [];
     for (const [request, state] of this.#requests) {
-      if (mayBeDue(state, context.now)) effects.push(...this.#feed(request, TICK, context));
+      if (mayBeDue(state, context.now)) effects.push(...this.#applyEvent(request, TICK, context));
     }
     return effects;
   }
 
-  #feed(
+  #applyEvent(
     request: RequestId,
     event: RequestEvent,
     context: RequestTableContext,
   ): readonly RequestTableEffect[] {
     const before = this.#requests.get(request);
     if (before === undefined) return NO_EFFECTS;
-    const table = new TableView(context, mayRetry(this.#budget), this.#requests);
-    const { state, effects } = stepRequest(before, event, table);
+    const requestContext = new PerRequestContext(context, mayRetry(this.#budget), this.#requests);
+    const { state, effects } = stepRequest(before, event, requestContext);
     if (state !== before) this.#store(request, before, state);
     return effects;
   }
@@ -138,8 +138,8 @@
 }
 
 /** The daemon's context with what only the table knows. */
-class TableView implements RequestContext {
-  readonly #outer: RequestTableContext;
+class PerRequestContext implements RequestContext {
+  readonly #tableContext: RequestTableContext;
   readonly #requests: ReadonlyMap<RequestId, RequestState>;
   readonly mayRetry: boolean;
   readonly now: number;
@@ -148,17 +148,17 @@
   readonly incarnation: number;
 
   constructor(
-    outer: RequestTableContext,
+    tableContext: RequestTableContext,
     retryAllowed: boolean,
     requests: ReadonlyMap<RequestId, RequestState>,
   ) {
-    this.#outer = outer;
+    this.#tableContext = tableContext;
     this.#requests = requests;
     this.mayRetry = retryAllowed;
-    this.now = outer.now;
-    this.entropy = outer.entropy;
-    this.daemon = outer.daemon;
-    this.incarnation = outer.incarnation;
+    this.now = tableContext.now;
+    this.entropy = tableContext.entropy;
+    this.daemon = tableContext.daemon;
+    this.incarnation = tableContext.incarnation;
   }
 
   choose(
@@ -166,19 +166,19 @@
     excluded: readonly BackendName[],
     version: VersionName | null,
   ): RouteChoice {
-    return this.#outer.choose(description, excluded, version);
+    return this.#tableContext.choose(description, excluded, version);
   }
 
   priorityOf(className: ClassName): number {
-    return this.#outer.priorityOf(className);
+    return this.#tableContext.priorityOf(className);
   }
 
   retryAfterMs(description: RequestDescription): number {
-    return this.#outer.retryAfterMs(description);
+    return this.#tableContext.retryAfterMs(description);
   }
 
   isGone(daemon: string, incarnation: number): boolean {
-    return this.#outer.isGone(daemon, incarnation);
+    return this.#tableContext.isGone(daemon, incarnation);
   }
 
   isInHand(request: RequestId): boolean {
--- a/src/core/requests/retry-budget.ts
+++ b/src/core/requests/retry-budget.ts
@@ -4,9 +4,9 @@
  */
 
 /** Retries allowed for each arriving request, in the long run. */
-const RETRY_SHARE = 0.1;
+const RETRIES_PER_REQUEST = 0.1;
 /** The most retries that a quiet spell can save up. */
-const RETRY_BURST = 50;
+const MAX_SAVED_RETRIES = 50;
 
 /** The bucket. Immutable. */
 export interface RetryBudget {
@@ -18,7 +18,7 @@
 
 /** Credits one arriving request. */
 export function creditRequest(budget: RetryBudget): RetryBudget {
-  return { tokens: Math.min(RETRY_BURST, budget.tokens + RETRY_SHARE) };
+  return { tokens: Math.min(MAX_SAVED_RETRIES, budget.tokens + RETRIES_PER_REQUEST) };
 }
 
 /** Whether a retry may be made. */
--- a/src/core/requests/settle-claim.ts
+++ b/src/core/requests/settle-claim.ts
@@ -17,11 +17,11 @@
 } from './request-state.js';
 
 /** The first back-off; it doubles with each try. */
-const SETTLE_BACKOFF_MS: Milliseconds = 200;
+const INITIAL_SETTLE_BACKOFF_MS: Milliseconds = 200;
 /** The longest back-off, however long the table service is down. */
-const SETTLE_BACKOFF_MAX_MS: Milliseconds = 30_000;
+const MAX_SETTLE_BACKOFF_MS: Milliseconds = 30_000;
 /** A claim that may have been written late is looked for this often before it is taken for absent. */
-const READ_BACK_TRIES = 3;
+const MAX_READ_BACKS = 3;
 
 type SettlingPhase = Extract<RequestState['phase'], { kind: 'settling' }>;
 
@@ -36,7 +36,11 @@
   settlement: Settlement,
   context: RequestContext,
 ): RequestTransition {
-  return act(state, { kind: 'settling', settlement, step: 'write', tries: 0, nextAt: 0 }, context);
+  return sendSettlementCall(
+    state,
+    { kind: 'settling', settlement, step: 'write', tries: 0, nextAt: 0 },
+    context,
+  );
 }
 
 /** Takes the table service's answer to a settling call. */
@@ -48,15 +52,15 @@
 ): RequestTransition {
   switch (result.kind) {
     case 'committed':
-      return settled(state);
+      return finishSettlement(state);
     case 'unavailable':
       return backOff(state, phase, result.retryAfterMs, context);
     case 'lost':
       return backOff(state, phase, 0, context);
     case 'rows':
-      return readBack(state, phase, result, context);
+      return handleReadBack(state, phase, result, context);
     case 'conflict':
-      return conflicted(state, result);
+      return handleConflict(state, result);
   }
 }
 
@@ -67,24 +71,24 @@
   context: RequestContext,
 ): RequestTransition {
   if (phase.step !== 'backing-off' || context.now < phase.nextAt) return { state, effects: [] };
-  return act(state, phase, context);
+  return sendSettlementCall(state, phase, context);
 }
 
-function act(
+function sendSettlementCall(
   state: RequestState,
   phase: SettlingPhase,
   context: RequestContext,
 ): RequestTransition {
   const key = claimKey(state.description) ?? '';
-  const held = state.claim.kind === 'held';
-  const call: TableCall = held
+  const isHeld = state.claim.kind === 'held';
+  const call: TableCall = isHeld
     ? {
         kind: 'transact',
         checks: [{ key, version: state.claim.version }],
         writes: [{ key, value: finalValue(state, phase.settlement, context) }],
       }
     : { kind: 'get', keys: [key] };
-  const step = held ? 'write' : 'read-back';
+  const step = isHeld ? 'write' : 'read-back';
   return { state: { ...state, phase: { ...phase, step } }, effects: [tableCall(state, call)] };
 }
 
@@ -93,7 +97,7 @@
   return { ...pendingClaim(state.description, context), outcome: settlement.outcome };
 }
 
-function readBack(
+function handleReadBack(
   state: RequestState,
   phase: SettlingPhase,
   result: Extract<TableResult, { kind: 'rows' }>,
@@ -101,25 +105,29 @@
 ): RequestTransition {
   const finding = readClaim(result.rows[0], state.description, () => false);
   if (finding.kind === 'own') {
-    return act({ ...state, claim: { kind: 'held', version: finding.version } }, phase, context);
+    return sendSettlementCall(
+      { ...state, claim: { kind: 'held', version: finding.version } },
+      phase,
+      context,
+    );
   }
-  if (finding.kind === 'absent' && phase.tries + 1 < READ_BACK_TRIES) {
+  if (finding.kind === 'absent' && phase.tries + 1 < MAX_READ_BACKS) {
     return backOff(state, phase, 0, context);
   }
-  return settled(state);
+  return finishSettlement(state);
 }
 
 /** A conflict after a lost answer is this request's own write; any other is another daemon's. */
-function conflicted(
+function handleConflict(
   state: RequestState,
   result: Extract<TableResult, { kind: 'conflict' }>,
 ): RequestTransition {
   const finding = readClaim(result.rows[0], state.description, () => false);
-  const own = finding.kind === 'absent' || finding.kind === 'own';
-  const effects: RequestTableEffect[] = own
+  const isOwn = finding.kind === 'absent' || finding.kind === 'own';
+  const effects: RequestTableEffect[] = isOwn
     ? []
     : [log(REQUEST_EVENTS.claimTakenOver, { request: state.description.id })];
-  return settled(state, effects);
+  return finishSettlement(state, effects);
 }
 
 function backOff(
@@ -129,8 +137,8 @@
   context: RequestContext,
 ): RequestTransition {
   const ceiling = Math.min(
-    SETTLE_BACKOFF_MAX_MS,
-    SETTLE_BACKOFF_MS * 2 ** Math.min(phase.tries, 20),
+    MAX_SETTLE_BACKOFF_MS,
+    INITIAL_SETTLE_BACKOFF_MS * 2 ** Math.min(phase.tries, 20),
   );
   const jittered = ceiling / 2 + (ceiling / 2) * (context.entropy / 2 ** 32);
   const nextAt = context.now + Math.max(retryAfterMs, jittered);
@@ -142,6 +150,9 @@
   return { state: { ...state, phase: next }, effects };
 }
 
-function settled(state: RequestState, effects: RequestTableEffect[] = []): RequestTransition {
+function finishSettlement(
+  state: RequestState,
+  effects: RequestTableEffect[] = [],
+): RequestTransition {
   return { state: { ...state, phase: { kind: 'ended' } }, effects };
 }
--- a/src/core/requests/step-request.ts
+++ b/src/core/requests/step-request.ts
@@ -19,7 +19,7 @@
 import { settlementResult, settlementTick } from './settle-claim.js';
 
 /** How long a half-delivered stream waits for an engine to go on with. */
-const RESUME_WAIT_MS = 10_000;
+const MAX_RESUME_WAIT_MS = 10_000;
 
 /** Takes one event of one request. Events that come too late for the phase change nothing. */
 export function stepRequest(
@@ -35,15 +35,15 @@
     case 'attempt':
       return attemptEvent(state, event.event, context);
     case 'caller-gone':
-      return callerGone(state, context);
+      return handleCallerGone(state, context);
     case 'table-result':
-      return tableResult(state, event.result, context);
+      return handleTableResult(state, event.result, context);
     case 'tick':
-      return tick(state, context);
+      return handleTick(state, context);
   }
 }
 
-function tableResult(
+function handleTableResult(
   state: RequestState,
   result: TableResult,
   context: RequestContext,
@@ -54,73 +54,74 @@
   return ignore(state);
 }
 
-function callerGone(state: RequestState, context: RequestContext): RequestTransition {
+function handleCallerGone(state: RequestState, context: RequestContext): RequestTransition {
   const phase = state.phase;
   switch (phase.kind) {
     case 'claiming':
-      return finishCallerGone(claimMayBeThere(state), false, context);
+      return finishCallerGone(withUncertainClaim(state), false, context);
     case 'waiting':
       return finishCallerGone(state, state.brokenAttempts > 0, context);
     case 'attempting':
-      return callerGoneWhileAttempting(state, context);
+      return handleCallerGoneWhileAttempting(state, context);
     case 'settling':
     case 'ended':
       return ignore(state);
   }
 }
 
-function callerGoneWhileAttempting(
+function handleCallerGoneWhileAttempting(
   state: RequestState,
   context: RequestContext,
 ): RequestTransition {
   if (state.detached) return ignore(state);
-  if (isKeptForItsOutcome(state)) return { state: { ...state, detached: true }, effects: [] };
-  return cancelled(state, (next) => finishCallerGone(next, true, context));
+  if (mustRunToCompletion(state)) return { state: { ...state, detached: true }, effects: [] };
+  return cancelThenFinish(state, (next) => finishCallerGone(next, true, context));
 }
 
 /** Work under a key that must not run twice is let run, so that a repeat learns its outcome. */
-function isKeptForItsOutcome(state: RequestState): boolean {
+function mustRunToCompletion(state: RequestState): boolean {
   return state.claim.kind === 'held' && !state.description.repeatable;
 }
 
 /** A claim whose answer is still awaited may be written already. */
-function claimMayBeThere(state: RequestState): RequestState {
+function withUncertainClaim(state: RequestState): RequestState {
   return { ...state, claim: { kind: 'uncertain' } };
 }
 
-function tick(state: RequestState, context: RequestContext): RequestTransition {
+function handleTick(state: RequestState, context: RequestContext): RequestTransition {
   const phase = state.phase;
   if (phase.kind === 'settling') return settlementTick(state, phase, context);
   if (phase.kind === 'ended' || state.detached) return ignore(state);
-  if (state.headersForwarded) return resumeTick(state, context);
+  if (state.headersForwarded) return handleResumeTick(state, context);
   if (context.now < state.description.deadline) return ignore(state);
-  return deadlinePassed(state, context);
+  return handleDeadline(state, context);
 }
 
-function resumeTick(state: RequestState, context: RequestContext): RequestTransition {
+function handleResumeTick(state: RequestState, context: RequestContext): RequestTransition {
   const phase = state.phase;
-  if (phase.kind !== 'waiting' || context.now < phase.since + RESUME_WAIT_MS) return ignore(state);
+  if (phase.kind !== 'waiting' || context.now < phase.since + MAX_RESUME_WAIT_MS)
+    return ignore(state);
   return finishFailed(state, NO_ENGINE_TO_RESUME, context);
 }
 
-function deadlinePassed(state: RequestState, context: RequestContext): RequestTransition {
+function handleDeadline(state: RequestState, context: RequestContext): RequestTransition {
   const retryAfterMs = context.retryAfterMs(state.description);
-  const notRun = refusedNotRun(
+  const notRunFault = refusedNotRun(
     'deadline-passed',
     'The request was not begun before its deadline. Try again after the time in Retry-After, or allow it longer with X-Threadfork-Deadline-Ms.',
     { retryAfterMs },
   );
   switch (state.phase.kind) {
     case 'claiming':
-      return finishFailed(claimMayBeThere(state), notRun, context);
+      return finishFailed(withUncertainClaim(state), notRunFault, context);
     case 'attempting':
-      return deadlineWhileAttempting(state, retryAfterMs, context);
+      return handleDeadlineWhileAttempting(state, retryAfterMs, context);
     default:
-      return finishFailed(state, notRun, context);
+      return finishFailed(state, notRunFault, context);
   }
 }
 
-function deadlineWhileAttempting(
+function handleDeadlineWhileAttempting(
   state: RequestState,
   retryAfterMs: number,
   context: RequestContext,
@@ -133,11 +134,11 @@
     outcome: 'unknown',
     retryAfterMs,
   };
-  if (isKeptForItsOutcome(state)) return answerAndDetach(state, fault);
-  return cancelled(state, (next) => finishFailed(next, fault, context));
+  if (mustRunToCompletion(state)) return answerAndDetach(state, fault);
+  return cancelThenFinish(state, (next) => finishFailed(next, fault, context));
 }
 
-function cancelled(
+function cancelThenFinish(
   state: RequestState,
   finish: (state: RequestState) => RequestTransition,
 ): RequestTransition {
--- a/src/core/routing/candidate-set.ts
+++ b/src/core/routing/candidate-set.ts
@@ -47,8 +47,8 @@
 /** Rebuilds a set from its holders and the version that the configuration wants. */
 export function rebuildCandidateSet(set: CandidateSet, wanted: HeldVersion | null): void {
   const available = [...set.holders].filter((entry) => entry.unavailable === null);
-  const current = available.filter((entry) => holdsWanted(entry, set.key, wanted));
-  set.servesWantedOnly = isMostly(current.length, available.length);
+  const current = available.filter((entry) => holdsWantedVersion(entry, set.key, wanted));
+  set.servesWantedOnly = isAtLeastHalf(current.length, available.length);
   const served = set.servesWantedOnly ? current : available;
   set.all = served.filter((entry) => takesCompletions(entry.role));
   set.members = new Set(set.all);
@@ -63,8 +63,8 @@
  * half of the available holders have the wanted one: the first rolled engine alone must not take
  * the whole load.
  */
-function isMostly(part: number, whole: number): boolean {
-  return part > 0 && part * 2 >= whole;
+function isAtLeastHalf(count: number, total: number): boolean {
+  return count > 0 && count * 2 >= total;
 }
 
 /**
@@ -75,7 +75,7 @@
   return role !== 'prefill';
 }
 
-function holdsWanted(entry: EngineEntry, key: string, wanted: HeldVersion | null): boolean {
+function holdsWantedVersion(entry: EngineEntry, key: string, wanted: HeldVersion | null): boolean {
   const held = entry.holdings.get(key);
   return held !== undefined && wanted !== null && sameVersion(held, wanted);
 }
--- a/src/core/routing/candidate-view.ts
+++ b/src/core/routing/candidate-view.ts
@@ -20,7 +20,7 @@
 const CHARACTERS_PER_TOKEN = 4;
 /** Prompt tokens in one prefix block. */
 const TOKENS_PER_BLOCK = PREFIX_BLOCK_CHARACTERS / CHARACTERS_PER_TOKEN;
-const NOTHING_EJECTED: ReadonlySet<BackendName> = new Set();
+const NO_EJECTIONS: ReadonlySet<BackendName> = new Set();
 
 /** Rules out engines for one request and scores the others. */
 export class CandidateView implements CandidatePool {
@@ -48,8 +48,8 @@
     this.draws = new RandomDraws(input.context.entropy);
     this.#matches = input.prefixes.matches(input.target.prefixHashes);
     this.#estimates = estimateInput(input);
-    this.#ejected = honouredEjections(input, set);
-    this.prefixHolders = this.#matches.length === 0 ? NO_ENTRIES : this.#findHolders(set);
+    this.#ejected = findEjectedCandidates(input, set);
+    this.prefixHolders = this.#matches.length === 0 ? NO_ENTRIES : this.#findPrefixHolders(set);
   }
 
   isEligible(entry: EngineEntry): boolean {
@@ -110,7 +110,7 @@
     return held !== undefined && versionText(held) === version;
   }
 
-  #findHolders(set: CandidateSet): EngineEntry[] {
+  #findPrefixHolders(set: CandidateSet): EngineEntry[] {
     const holders: EngineEntry[] = [];
     for (const match of this.#matches) {
       const entry = this.#input.index.engine(match.backend);
@@ -132,9 +132,12 @@
   };
 }
 
-function honouredEjections(input: EngineChoiceInput, set: CandidateSet): ReadonlySet<BackendName> {
+function findEjectedCandidates(
+  input: EngineChoiceInput,
+  set: CandidateSet,
+): ReadonlySet<BackendName> {
   if (!input.outliers.hasEjections) {
-    return NOTHING_EJECTED;
+    return NO_EJECTIONS;
   }
   const isCandidate = (name: BackendName) => {
     const entry = input.index.engine(name);
--- a/src/core/routing/choose-engine.ts
+++ b/src/core/routing/choose-engine.ts
@@ -26,16 +26,16 @@
   const view = new CandidateView(input, set);
   const strict = input.policy.choose(view);
   if (strict !== null) {
-    return chosen(input, set, view, strict);
+    return chosenDecision(input, set, view, strict);
   }
-  return withoutStrictChoice(input, set, view);
+  return chooseFallback(input, set, view);
 }
 
 /**
  * No engine passed. One that the request has failed on, or that is ejected, is better than none,
  * unless others are merely full: those are worth the wait.
  */
-function withoutStrictChoice(
+function chooseFallback(
   input: EngineChoiceInput,
   set: CandidateSet,
   view: CandidateView,
@@ -44,17 +44,17 @@
     view.lenient = true;
     const lenient = input.policy.choose(view);
     if (lenient !== null) {
-      return chosen(input, set, view, lenient);
+      return chosenDecision(input, set, view, lenient);
     }
   }
-  const candidates = explainAll(input, set, view);
+  const candidates = scoreAllEngines(input, set, view);
   if (set.all.some((entry) => view.exclusion(entry) === 'full')) {
     return { kind: 'full', candidateCount: set.all.length, candidates };
   }
   return { kind: 'none', fault: noEngineFault(input, set, view), candidates };
 }
 
-function chosen(
+function chosenDecision(
   input: EngineChoiceInput,
   set: CandidateSet,
   view: CandidateView,
@@ -70,11 +70,11 @@
     expectedFinishMs: view.expectedFinishMs(entry),
     policy: input.policy.name,
     candidateCount: set.all.length,
-    candidates: explainAll(input, set, view),
+    candidates: scoreAllEngines(input, set, view),
   };
 }
 
-function explainAll(
+function scoreAllEngines(
   input: EngineChoiceInput,
   set: CandidateSet,
   view: CandidateView,
--- a/src/core/routing/choose-web-backend.ts
+++ b/src/core/routing/choose-web-backend.ts
@@ -51,11 +51,13 @@
 /** Chooses a web backend, or says why there is none. */
 export function chooseWebBackend(input: WebChoiceInput): WebDecision {
   const backends = input.index.webBackends(input.service);
-  const ejected = honouredEjections(input, backends);
-  const usable = backends.filter((machine) => exclusion(input, machine, ejected) === null);
-  const relaxed =
-    usable.length > 0 ? usable : backends.filter((machine) => isOffered(input, machine));
-  const best = pick(input, relaxed);
+  const ejected = findEjectedBackends(input, backends);
+  const eligible = backends.filter((machine) => exclusion(input, machine, ejected) === null);
+  const candidates =
+    eligible.length > 0
+      ? eligible
+      : backends.filter((machine) => isAllowedAsFallback(input, machine));
+  const best = pickBackend(input, candidates);
   if (best === null) {
     return { kind: 'none', fault: noWebBackendFault(input, backends) };
   }
@@ -64,12 +66,12 @@
     backend: best.name,
     address: best.address,
     port: best.port,
-    candidateCount: usable.length,
+    candidateCount: eligible.length,
   };
 }
 
 /** Neither leaving nor drained nor tried already: what stays off limits even when all else is. */
-function isOffered(input: WebChoiceInput, machine: WebMachine): boolean {
+function isAllowedAsFallback(input: WebChoiceInput, machine: WebMachine): boolean {
   const reason = exclusion(input, machine, new Set());
   return reason === null || reason === 'unhealthy';
 }
@@ -94,7 +96,7 @@
   return ejected.has(machine.name) ? 'ejected' : null;
 }
 
-function honouredEjections(
+function findEjectedBackends(
   input: WebChoiceInput,
   backends: readonly WebMachine[],
 ): ReadonlySet<BackendName> {
@@ -105,17 +107,17 @@
   return input.outliers.honoured(backends.length, (name) => names.has(name), input.context.now);
 }
 
-function pick(input: WebChoiceInput, backends: readonly WebMachine[]): WebMachine | null {
+function pickBackend(input: WebChoiceInput, backends: readonly WebMachine[]): WebMachine | null {
   const draws = new RandomDraws(input.context.entropy);
   const local = backends.filter((machine) => machine.zone === input.zone);
   const bestLocal = lessLoadedOfTwo(input, local, draws);
   if (bestLocal !== null && input.outstanding.inFlight(bestLocal.name) < SPILL_IN_FLIGHT) {
     return bestLocal;
   }
-  const anywhere = lessLoadedOfTwo(input, backends, draws);
-  return anywhere === null || bestLocal === null
-    ? anywhere
-    : lessLoaded(input, bestLocal, anywhere);
+  const bestAnywhere = lessLoadedOfTwo(input, backends, draws);
+  return bestAnywhere === null || bestLocal === null
+    ? bestAnywhere
+    : lessLoaded(input, bestLocal, bestAnywhere);
 }
 
 function lessLoadedOfTwo(
--- a/src/core/routing/finish-estimate.ts
+++ b/src/core/routing/finish-estimate.ts
@@ -10,7 +10,7 @@
 const QUEUE_AHEAD_SHARE = 0.25;
 
 /** The age at which a report's word counts for half; docs/decisions/routing-policy.md. */
-const REPORT_TRUST_MS: Milliseconds = 500;
+const HALF_TRUST_AGE_MS: Milliseconds = 500;
 /** How many requests of its own the fleet's mean weighs against in a daemon's sample. */
 const SAMPLE_PRIOR_REQUESTS = 0.3;
 
@@ -40,10 +40,10 @@
   record: OutstandingRecord | undefined,
   input: EstimateInput,
 ): number {
-  const since = record === undefined ? 0 : record.requestsSince(entry.reportedAt);
+  const netSentSince = record === undefined ? 0 : record.requestsSince(entry.reportedAt);
   const sampled = sampledActive(record?.inFlight ?? 0, input);
   const trust = trustAtAge(input.now - entry.reportedAt);
-  return Math.max(0, trust * (entry.reportedActive + since) + (1 - trust) * sampled);
+  return Math.max(0, trust * (entry.reportedActive + netSentSince) + (1 - trust) * sampled);
 }
 
 /** The most requests that daemons together should have in hand at an engine. */
@@ -59,8 +59,8 @@
 ): number {
   const age = Math.max(0, now - entry.loadAt);
   const sent = record === undefined ? 0 : record.promptTokensSince(entry.loadAt);
-  const done = (age * entry.speed.prefillTokensPerSecond) / 1000;
-  return Math.max(0, sent - done) + entry.reportedPrefillTokens * trustAtAge(age);
+  const processed = (age * entry.speed.prefillTokensPerSecond) / 1000;
+  return Math.max(0, sent - processed) + entry.reportedPrefillTokens * trustAtAge(age);
 }
 
 /**
@@ -81,8 +81,8 @@
   const prefillMs = ((backlog + uncached) * 1000) / entry.speed.prefillTokensPerSecond;
   const { maxBatch } = entry;
   const decodeMs = cost.outputTokens * entry.speed.stepMs(active + 1, maxBatch);
-  const ahead = Math.max(0, active + 1 - maxBatch);
-  const slotWaitMs = (ahead / maxBatch) * decodeMs;
+  const queuedAhead = Math.max(0, active + 1 - maxBatch);
+  const slotWaitMs = (queuedAhead / maxBatch) * decodeMs;
   return prefillMs + slotWaitMs + decodeMs;
 }
 
@@ -95,6 +95,6 @@
 
 /** A quotient rather than an exponential: it is asked for every engine where many are full. */
 function trustAtAge(age: Milliseconds): number {
-  const relative = age / REPORT_TRUST_MS;
+  const relative = age / HALF_TRUST_AGE_MS;
   return age <= 0 ? 1 : 1 / (1 + relative * relative);
 }
--- a/src/core/routing/fleet-index.ts
+++ b/src/core/routing/fleet-index.ts
@@ -36,25 +36,25 @@
   /** Takes over a machine list. Machines that it no longer names are forgotten. */
   setMachines(machines: readonly Machine[]): void {
     this.#webBackends.clear();
-    const named = new Set<BackendName>();
+    const listedNames = new Set<BackendName>();
     for (const machine of machines) {
       if (machine.kind === 'engine') {
-        named.add(machine.name);
+        listedNames.add(machine.name);
         this.#setEngineMachine(machine);
       } else if (machine.kind === 'web') {
         this.#addWebMachine(machine);
       }
     }
     for (const entry of this.#engines.values()) {
-      if (!named.has(entry.name)) {
-        this.#missFromList(entry);
+      if (!listedNames.has(entry.name)) {
+        this.#handleMissingFromList(entry);
       }
     }
   }
 
   /** Takes over what is known of one engine. An older view than the one held is ignored. */
   setView(view: EngineView): void {
-    const entry = this.#entryFor(view.machine);
+    const entry = this.#getOrCreateEntry(view.machine);
     if (view.reportedAt < entry.reportedAt) {
       return;
     }
@@ -115,7 +115,7 @@
 
   /** The engines that may take a request for a model or adapter. */
   candidates(model: ModelName, adapter: AdapterName | null): CandidateSet {
-    const set = this.#setFor(targetKey(model, adapter));
+    const set = this.#getOrCreateSet(targetKey(model, adapter));
     if (set.dirty) {
       rebuildCandidateSet(set, this.wantedVersion(model, adapter));
     }
@@ -124,17 +124,17 @@
 
   /** The versions that the configuration wants served, or null when it names no such target. */
   wantedVersion(model: ModelName, adapter: AdapterName | null): HeldVersion | null {
-    const stated = this.#configuration.document.models[model];
-    if (stated === undefined) {
+    const configured = this.#configuration.document.models[model];
+    if (configured === undefined) {
       return null;
     }
     if (adapter === null) {
-      return { model: stated.version, adapter: null };
+      return { model: configured.version, adapter: null };
     }
-    const statedAdapter = stated.adapters[adapter];
-    return statedAdapter === undefined
+    const configuredAdapter = configured.adapters[adapter];
+    return configuredAdapter === undefined
       ? null
-      : { model: stated.version, adapter: statedAdapter.version };
+      : { model: configured.version, adapter: configuredAdapter.version };
   }
 
   #isDrained(name: BackendName): boolean {
@@ -142,7 +142,7 @@
   }
 
   #setEngineMachine(machine: EngineMachine): void {
-    const entry = this.#entryFor(machine);
+    const entry = this.#getOrCreateEntry(machine);
     const moved = entry.machine.zone !== machine.zone;
     entry.machine = machine;
     entry.listed = true;
@@ -154,31 +154,31 @@
   }
 
   #addWebMachine(machine: WebMachine): void {
-    const known = this.#webBackends.get(machine.service);
-    if (known === undefined) {
+    const existing = this.#webBackends.get(machine.service);
+    if (existing === undefined) {
       this.#webBackends.set(machine.service, [machine]);
     } else {
-      known.push(machine);
+      existing.push(machine);
     }
   }
 
-  #missFromList(entry: EngineEntry): void {
+  #handleMissingFromList(entry: EngineEntry): void {
     entry.listsMissed += 1;
     if (!entry.listed && entry.listsMissed < MAX_LISTS_MISSED) {
       return;
     }
     for (const key of entry.holdings.keys()) {
-      this.#setFor(key).holders.delete(entry);
+      this.#getOrCreateSet(key).holders.delete(entry);
     }
     this.#markDirty(entry);
     this.#engines.delete(entry.name);
     this.#reportedActive -= entry.report?.activeRequests ?? 0;
   }
 
-  #entryFor(machine: EngineMachine): EngineEntry {
-    const known = this.#engines.get(machine.name);
-    if (known !== undefined) {
-      return known;
+  #getOrCreateEntry(machine: EngineMachine): EngineEntry {
+    const existing = this.#engines.get(machine.name);
+    if (existing !== undefined) {
+      return existing;
     }
     const created = createEngineEntry(machine);
     created.drained = this.#isDrained(machine.name);
@@ -194,11 +194,11 @@
     }
     this.#markDirty(entry);
     for (const key of entry.holdings.keys()) {
-      this.#setFor(key).holders.delete(entry);
+      this.#getOrCreateSet(key).holders.delete(entry);
     }
     entry.holdings = holdings;
     for (const key of holdings.keys()) {
-      this.#setFor(key).holders.add(entry);
+      this.#getOrCreateSet(key).holders.add(entry);
     }
     this.#markDirty(entry);
   }
@@ -214,14 +214,14 @@
 
   #markDirty(entry: EngineEntry): void {
     for (const key of entry.holdings.keys()) {
-      this.#setFor(key).dirty = true;
+      this.#getOrCreateSet(key).dirty = true;
     }
   }
 
-  #setFor(key: string): CandidateSet {
-    const known = this.#sets.get(key);
-    if (known !== undefined) {
-      return known;
+  #getOrCreateSet(key: string): CandidateSet {
+    const existing = this.#sets.get(key);
+    if (existing !== undefined) {
+      return existing;
     }
     const created = createCandidateSet(key);
     this.#sets.set(key, created);
--- a/src/core/routing/no-engine-fault.ts
+++ b/src/core/routing/no-engine-fault.ts
@@ -12,7 +12,7 @@
 const ENGINE_RETURN_MS: Milliseconds = 5_000;
 
 /** How many engines of a state, in words, and what ends the state. */
-const WORDS: Readonly<Record<ExclusionReason, string>> = {
+const REASON_TEXT: Readonly<Record<ExclusionReason, string>> = {
   'no-report': 'not reporting yet',
   'machine-leaving': 'on a machine that is leaving',
   'engine-leaving': 'stopping',
@@ -33,15 +33,15 @@
   configuration: ConfigurationDocument,
   target: ModelTarget,
 ): Fault {
-  const stated = configuration.models[target.model];
-  if (stated === undefined) {
-    const served = listed(Object.keys(configuration.models));
+  const configured = configuration.models[target.model];
+  if (configured === undefined) {
+    const served = quoteNames(Object.keys(configuration.models));
     return refusedNotRun(
       'unknown-model',
       `No model "${target.model}" is served. Use one of: ${served}, or have an operator serve it.`,
     );
   }
-  const adapters = listed(Object.keys(stated.adapters));
+  const adapters = quoteNames(Object.keys(configured.adapters));
   return refusedNotRun(
     'unknown-model',
     `Model "${target.model}" has no adapter "${target.adapter}". Use one of: ${adapters}, or have an operator serve it.`,
@@ -92,15 +92,15 @@
   if (counts.size === 0) {
     return 'no engine is known';
   }
-  const parts = [...counts].map(([reason, count]) => `${count} ${WORDS[reason]}`);
+  const parts = [...counts].map(([reason, count]) => `${count} ${REASON_TEXT[reason]}`);
   return parts.join(', ');
 }
 
 function retryAfter(counts: ReadonlyMap<ExclusionReason, number>): Milliseconds {
-  const onlyUnheard = [...counts.keys()].every((reason) => reason === 'grant-expired');
-  return counts.size > 0 && onlyUnheard ? GRANT_MS : ENGINE_RETURN_MS;
+  const onlyExpired = [...counts.keys()].every((reason) => reason === 'grant-expired');
+  return counts.size > 0 && onlyExpired ? GRANT_MS : ENGINE_RETURN_MS;
 }
 
-function listed(names: readonly string[]): string {
+function quoteNames(names: readonly string[]): string {
   return names.length === 0 ? '(none)' : names.map((name) => `"${name}"`).join(', ');
 }
--- a/src/core/routing/outlier-tracker.ts
+++ b/src/core/routing/outlier-tracker.ts
@@ -38,15 +38,15 @@
    * view said it would be taken. Returns true when this ejects the backend.
    */
   failed(backend: BackendName, now: MonotonicMs): boolean {
-    const state = this.#stateOf(backend);
+    const state = this.#getOrCreateState(backend);
     state.failuresInRow += 1;
     if (state.failuresInRow < FAILURES_TO_EJECT || now < state.ejectedUntil) {
       return false;
     }
-    const length = Math.min(MAX_EJECTION_MS, FIRST_EJECTION_MS * 2 ** state.ejections);
+    const durationMs = Math.min(MAX_EJECTION_MS, FIRST_EJECTION_MS * 2 ** state.ejections);
     state.ejections += 1;
     state.ejectedAt = now;
-    state.ejectedUntil = now + length;
+    state.ejectedUntil = now + durationMs;
     this.#ejected.delete(backend);
     this.#ejected.set(backend, state);
     return true;
@@ -95,10 +95,10 @@
     }
   }
 
-  #stateOf(backend: BackendName): OutlierState {
-    const known = this.#states.get(backend);
-    if (known !== undefined) {
-      return known;
+  #getOrCreateState(backend: BackendName): OutlierState {
+    const existing = this.#states.get(backend);
+    if (existing !== undefined) {
+      return existing;
     }
     const created: OutlierState = {
       failuresInRow: 0,
--- a/src/core/routing/outstanding-table.ts
+++ b/src/core/routing/outstanding-table.ts
@@ -69,7 +69,7 @@
       return;
     }
     this.#open.set(attempt.attempt, { backend: attempt.backend });
-    this.#recordOf(attempt.backend).start(attempt.at, attempt.promptTokens);
+    this.#getOrCreateRecord(attempt.backend).start(attempt.at, attempt.promptTokens);
   }
 
   /** Notes the end of an attempt, however it went. Unknown ids are ignored. */
@@ -79,7 +79,7 @@
       return;
     }
     this.#open.delete(attempt);
-    this.#recordOf(open.backend).end(at);
+    this.#getOrCreateRecord(open.backend).end(at);
   }
 
   /** The record of a backend, or undefined when nothing was ever sent to it. */
@@ -106,10 +106,10 @@
     }
   }
 
-  #recordOf(backend: BackendName): OutstandingRecord {
-    const known = this.#records.get(backend);
-    if (known !== undefined) {
-      return known;
+  #getOrCreateRecord(backend: BackendName): OutstandingRecord {
+    const existing = this.#records.get(backend);
+    if (existing !== undefined) {
+      return existing;
     }
     const created = new OutstandingRecord();
     this.#records.set(backend, created);
--- a/src/core/routing/policies/expected-finish.ts
+++ b/src/core/routing/policies/expected-finish.ts
@@ -31,28 +31,28 @@
 
 /** Creates an expected-finish policy. */
 export function expectedFinish(options: Partial<ExpectedFinishOptions> = {}): RoutingPolicy {
-  const chosen: ExpectedFinishOptions = { ...EXPECTED_FINISH_DEFAULTS, ...options };
-  return { name: 'expected-finish', choose: (pool) => choose(pool, chosen) };
+  const resolvedOptions: ExpectedFinishOptions = { ...EXPECTED_FINISH_DEFAULTS, ...options };
+  return { name: 'expected-finish', choose: (pool) => choose(pool, resolvedOptions) };
 }
 
 function choose(pool: CandidatePool, options: ExpectedFinishOptions): EngineEntry | null {
   if (pool.all.length === 0) {
     return null;
   }
-  const best = new Best(pool, options.spillThresholdMs);
+  const best = new BestCandidate(pool, options.spillThresholdMs);
   for (let draw = 0; draw < options.localChoices; draw += 1) {
-    best.offer(drawEligible(pool, pool.local));
+    best.consider(drawEligible(pool, pool.local));
   }
   for (let draw = 0; draw < options.fleetChoices; draw += 1) {
-    best.offer(drawEligible(pool, pool.all));
+    best.consider(drawEligible(pool, pool.all));
   }
   for (const entry of pool.prefixHolders) {
-    best.offer(pool.isEligible(entry) ? entry : null);
+    best.consider(pool.isEligible(entry) ? entry : null);
   }
   return best.entry ?? firstEligibleFrom(pool, pool.draws.below(pool.all.length));
 }
 
-class Best {
+class BestCandidate {
   entry: EngineEntry | null = null;
   readonly #pool: CandidatePool;
   readonly #localZone: string | undefined;
@@ -65,7 +65,7 @@
     this.#spillThresholdMs = spillThresholdMs;
   }
 
-  offer(entry: EngineEntry | null): void {
+  consider(entry: EngineEntry | null): void {
     if (entry === null || entry === this.entry) {
       return;
     }
--- a/src/core/routing/prefix-index.ts
+++ b/src/core/routing/prefix-index.ts
@@ -23,7 +23,7 @@
 /** Blocks beyond this one are not looked at. */
 const MAX_BLOCKS = 1_024;
 /** The blocks that are stored and looked up: a prefix is known to an eighth of its length. */
-const MARKED_BLOCKS = markedBlocks();
+const INDEXED_BLOCKS = computeIndexedBlocks();
 
 /** A prompt's longest prefix, in blocks, that an engine is thought to hold. */
 export interface PrefixMatch {
@@ -49,15 +49,15 @@
       if (event.kind === 'stored') {
         this.#store(backend, event.hash);
       } else {
-        evictIn(this.#young, backend, event.hash);
-        evictIn(this.#old, backend, event.hash);
+        removeHolder(this.#young, backend, event.hash);
+        removeHolder(this.#old, backend, event.hash);
       }
     }
   }
 
   /** Notes that a prompt was sent to an engine, which will soon hold its prefix. */
   dispatched(backend: BackendName, hashes: readonly string[]): void {
-    for (const block of MARKED_BLOCKS) {
+    for (const block of INDEXED_BLOCKS) {
       const hash = hashes[block];
       if (hash === undefined) {
         return;
@@ -68,8 +68,8 @@
 
   /** Forgets what an engine held, after it restarted or left. */
   forget(backend: BackendName): void {
-    forgetIn(this.#young, backend);
-    forgetIn(this.#old, backend);
+    removeHolderEverywhere(this.#young, backend);
+    removeHolderEverywhere(this.#old, backend);
   }
 
   /** The engines with the longest known prefix of a prompt, longest first, few of them. */
@@ -79,8 +79,8 @@
       return NO_MATCHES;
     }
     const found: PrefixMatch[] = [];
-    for (let mark = MARKED_BLOCKS.length - 1; mark >= 0; mark -= 1) {
-      const block = MARKED_BLOCKS[mark] ?? 0;
+    for (let position = INDEXED_BLOCKS.length - 1; position >= 0; position -= 1) {
+      const block = INDEXED_BLOCKS[position] ?? 0;
       const hash = hashes[block];
       const holders = hash === undefined ? undefined : this.#holdersOf(hash);
       if (holders !== undefined) {
@@ -103,7 +103,7 @@
       return;
     }
     const known = young ?? this.#old.get(hash);
-    this.#young.set(hash, known === undefined ? backend : withFirst(backend, known));
+    this.#young.set(hash, known === undefined ? backend : prependHolder(backend, known));
     if (this.#young.size >= MAX_GENERATION_HASHES) {
       this.#old = this.#young;
       this.#young = new Map();
@@ -111,16 +111,16 @@
   }
 }
 
-function markedBlocks(): readonly number[] {
-  const marked: number[] = [];
+function computeIndexedBlocks(): readonly number[] {
+  const indexed: number[] = [];
   let step = 1;
   for (let block = 0; block < MAX_BLOCKS; block += step) {
-    marked.push(block);
+    indexed.push(block);
     if (block + 1 >= DENSE_BLOCKS) {
       step = Math.max(1, Math.floor((block + 1) / BLOCKS_PER_DOUBLING));
     }
   }
-  return marked;
+  return indexed;
 }
 
 function addMatches(found: PrefixMatch[], holders: Holders, blocks: number): void {
@@ -134,12 +134,12 @@
 }
 
 function addMatch(found: PrefixMatch[], backend: BackendName, blocks: number): void {
-  if (found.length < MAX_MATCHES && !isAmong(found, backend)) {
+  if (found.length < MAX_MATCHES && !includesBackend(found, backend)) {
     found.push({ backend, blocks });
   }
 }
 
-function isAmong(found: readonly PrefixMatch[], backend: BackendName): boolean {
+function includesBackend(found: readonly PrefixMatch[], backend: BackendName): boolean {
   for (const match of found) {
     if (match.backend === backend) {
       return true;
@@ -148,33 +148,33 @@
   return false;
 }
 
-function withFirst(backend: BackendName, holders: Holders): Holders {
+function prependHolder(backend: BackendName, holders: Holders): Holders {
   if (holders === backend || holders[0] === backend) {
     return holders;
   }
-  const others = listOf(holders).filter((holder) => holder !== backend);
+  const others = toList(holders).filter((holder) => holder !== backend);
   return [backend, ...others].slice(0, MAX_HOLDERS);
 }
 
-function listOf(holders: Holders): readonly BackendName[] {
+function toList(holders: Holders): readonly BackendName[] {
   return typeof holders === 'string' ? [holders] : holders;
 }
 
-function forgetIn(generation: Map<string, Holders>, backend: BackendName): void {
+function removeHolderEverywhere(generation: Map<string, Holders>, backend: BackendName): void {
   for (const hash of generation.keys()) {
-    evictIn(generation, backend, hash);
+    removeHolder(generation, backend, hash);
   }
 }
 
-function evictIn(generation: Map<string, Holders>, backend: BackendName, hash: string): void {
+function removeHolder(generation: Map<string, Holders>, backend: BackendName, hash: string): void {
   const holders = generation.get(hash);
   if (holders === undefined) {
     return;
   }
-  const left = listOf(holders).filter((holder) => holder !== backend);
-  if (left.length === 0) {
+  const remaining = toList(holders).filter((holder) => holder !== backend);
+  if (remaining.length === 0) {
     generation.delete(hash);
   } else {
-    generation.set(hash, left);
+    generation.set(hash, remaining);
   }
 }
--- a/test/requests/idempotency.test.ts
+++ b/test/requests/idempotency.test.ts
@@ -77,9 +77,9 @@
     const daemon = new Daemon('d1', store);
     const work = renewal();
     store.mode = mode;
-    const carryOut = store.call.bind(store);
+    const originalCall = store.call.bind(store);
     store.call = (effect) => {
-      const result = carryOut(effect);
+      const result = originalCall(effect);
       store.mode = 'up';
       return result;
     };
@@ -105,17 +105,17 @@
 
 test('a repeat after the holder died is unknown, and runs only if repeatable', () => {
   const dead = new Daemon('d1');
-  const heir = new Daemon('d2', dead.store);
+  const survivor = new Daemon('d2', dead.store);
   dead.arrive(renewal());
-  heir.gone.add('d1');
+  survivor.gone.add('d1');
   const repeat = renewal();
-  heir.arrive(repeat);
-  assert.equal(heir.fault(repeat)?.code, 'idempotency-outcome-unknown');
-  assert.equal(heir.fault(repeat)?.outcome, 'unknown');
-  assert.equal(heir.dispatches(repeat).length, 0);
-  const harmless = renewal({ repeatable: true });
-  heir.arrive(harmless);
-  assert.equal(heir.dispatches(harmless).length, 1);
+  survivor.arrive(repeat);
+  assert.equal(survivor.fault(repeat)?.code, 'idempotency-outcome-unknown');
+  assert.equal(survivor.fault(repeat)?.outcome, 'unknown');
+  assert.equal(survivor.dispatches(repeat).length, 0);
+  const repeatableRequest = renewal({ repeatable: true });
+  survivor.arrive(repeatableRequest);
+  assert.equal(survivor.dispatches(repeatableRequest).length, 1);
 });
 
 test('a broken renewal is recorded as unknown and never runs again under its key', () => {
--- a/test/requests/support.ts
+++ b/test/requests/support.ts
@@ -22,11 +22,11 @@
   call(effect: TableEffect): TableResult {
     if (this.mode === 'down') return { kind: 'unavailable', reason: 'down', retryAfterMs: 700 };
     if (this.mode === 'lost-before') return { kind: 'lost', reason: 'reset' };
-    const result = this.#carryOut(effect);
+    const result = this.#execute(effect);
     return this.mode === 'lost-after' ? { kind: 'lost', reason: 'reset' } : result;
   }
 
-  #carryOut({ call }: TableEffect): TableResult {
+  #execute({ call }: TableEffect): TableResult {
     if (call.kind === 'get') {
       return { kind: 'rows', rows: call.keys.map((key) => this.#row(key)) };
     }
