--- a/src/core/requests/attempt-request.ts
+++ b/src/core/requests/attempt-request.ts
@@ -1,7 +1,8 @@
 /**
- * What becomes of a request when its attempt is refused, fails, breaks or completes. A retry of
- * what was certainly not run is drawn from the retry budget. Work that broke with its backend is
- * sent elsewhere once without drawing on it: it was admitted, and its old place is gone.
+ * Handles the end of an attempt: not sent, refused, broken or completed. A retry of a request that
+ * was certainly not run is charged to the retry budget. A request whose backend failed while it ran
+ * is dispatched once more without a charge: it was already admitted, and the failed attempt no
+ * longer takes up capacity.
  */
 import type { Fault } from '../errors/fault.js';
 import { refusedNotRun } from '../errors/fault.js';
@@ -18,13 +19,13 @@
 } from './request-state.js';
 import type { AttemptEvent, AttemptResult } from './types.js';
 
-/** Dispatches of one request at most, whatever the budget. */
+/** Maximum number of dispatches of one request, regardless of the retry budget. */
 export const MAX_ATTEMPTS = 4;
-/** The engine's refusal codes that mean overload: retrying them elsewhere only moves the load. */
+/** Refusal codes of engines that mean overload: a retry elsewhere only moves the load. */
 const OVERLOAD_REASONS: ReadonlySet<string> = new Set(['engine-full']);
-/** Engines that may be asked after one has said that it is full. */
+/** Number of other engines to try after an engine has refused a request as full. */
 const MAX_OVERLOAD_RETRIES = 1;
-/** Re-dispatches of broken work that the budget is not asked for. */
+/** Number of dispatches after a broken attempt that are not charged to the retry budget. */
 const UNBUDGETED_RESUMES = 1;
 const DEFAULT_RETRY_AFTER_MS = 1_000;
 
@@ -32,7 +33,7 @@
 type BrokenEvent = Extract<AttemptEvent, { kind: 'broken' }>;
 type RefusedEvent = Extract<AttemptEvent, { kind: 'refused-not-run' }>;
 
-/** Takes what the shell reports of an attempt; reports of any but the current one are too late. */
+/** Applies an event of an attempt from the shell. Events of earlier attempts are ignored. */
 export function attemptEvent(
   state: RequestState,
   event: AttemptEvent,
@@ -57,7 +58,7 @@
   }
 }
 
-/** The notice that an attempt is over. */
+/** Builds the notice that an attempt has ended. */
 export function attemptEnded(
   state: RequestState,
   phase: AttemptingPhase,
--- a/src/core/requests/claim-request.ts
+++ b/src/core/requests/claim-request.ts
@@ -1,6 +1,6 @@
 /**
- * Claims a request's idempotency key before anything is dispatched. A lost answer is settled by
- * reading the claim back; nothing is dispatched until the claim is known to be held.
+ * Claims a request's idempotency key before the request is dispatched. When the answer to the claim
+ * is lost, the row is read back; nothing is dispatched until the claim is known to be held.
  */
 import type { Fault } from '../errors/fault.js';
 import { refusedNotRun } from '../errors/fault.js';
@@ -18,20 +18,20 @@
 } from './request-state.js';
 import { tableCall } from './settle-claim.js';
 
-/** Table calls made for one claim before the request is refused. */
+/** Maximum number of table calls for one claim; after these, the request is refused. */
 const MAX_CLAIM_CALLS = 6;
-/** How soon a repeat of a key that is being worked on should ask again. */
+/** Retry-After for a repeat whose key belongs to a request that is still in progress. */
 const IN_PROGRESS_RETRY_AFTER_MS = 1_000;
 
 type ClaimingPhase = Extract<RequestState['phase'], { kind: 'claiming' }>;
 
-/** Begins with the claim, or goes on at once when the request carries no key. */
+/** Starts with the claim, or dispatches at once when the request has no idempotency key. */
 export function beginRequest(state: RequestState, context: RequestContext): RequestTransition {
   const key = claimKey(state.description);
   return key === null ? dispatchOrWait(state, context) : insertClaim(state, key, 0, 1, context);
 }
 
-/** Takes the table service's answer to a claim or to its reading back. */
+/** Handles the table service's answer to the insert of a claim or to its read-back. */
 export function claimResult(
   state: RequestState,
   phase: ClaimingPhase,
@@ -118,7 +118,10 @@
   }
 }
 
-/** A claim of this daemon's own life counts as orphaned once its request is no longer in hand. */
+/**
+ * Whether the holder of a claim can no longer finish its request. A claim of this daemon's current
+ * incarnation is orphaned once its request has left the request table.
+ */
 function isOrphaned(
   daemon: string,
   incarnation: number,
@@ -136,7 +139,8 @@
   context: RequestContext,
 ): RequestTransition {
   if (state.description.repeatable) return claimAtVersion(state, phase, finding.version, context);
-  // The row may have been read just before its outcome was recorded: a second look settles it.
+  // The row may have been read just before its outcome was recorded. An insert at version 0 makes
+  // the table service return the current row as a conflict.
   if (phase.tries < 2) return claimAtVersion(state, phase, 0, context);
   return failWithoutClaim(state, HOLDER_DIED, context);
 }
@@ -161,7 +165,7 @@
   return afterEffects([], dispatchOrWait({ ...state, claim: { kind: 'held', version } }, context));
 }
 
-/** Another request has the key, so an uncertain claim of this one is certainly not there. */
+/** Another request holds the key, so an uncertain claim of this request was not written. */
 function failWithoutClaim(
   state: RequestState,
   fault: Fault,
--- a/src/core/requests/claim.ts
+++ b/src/core/requests/claim.ts
@@ -1,7 +1,7 @@
 /**
- * Idempotency claims: one row for each tenant's key, inserted before the first dispatch, so that no
- * daemon of the fleet runs the work of one key twice. The holder's daemon and incarnation tell a
- * later repeat whether the holder may still be at work.
+ * Idempotency claims: one row per tenant and key, inserted before the first dispatch, so that no
+ * two daemons of the fleet run the request of one key. From the holder's daemon and incarnation, a
+ * later repeat determines whether the holder may still be running the request.
  */
 import { z } from 'zod';
 import type { DaemonName, Incarnation, RequestId } from '../common/identifiers.js';
@@ -42,29 +42,29 @@
   readonly daemon: DaemonName;
   readonly incarnation: Incarnation;
   readonly bodyDigest: string | null;
-  /** Null while the holder is at work. */
+  /** Null while the request is in progress. */
   readonly outcome: RecordedOutcome | null;
 }
 
-/** Who makes a claim. */
+/** The daemon, and its incarnation, that makes a claim. */
 export interface ClaimHolder {
   readonly daemon: DaemonName;
   readonly incarnation: Incarnation;
 }
 
-/** What a row that is already there means for a request that wants its key. */
+/** What the stored claim row means for a request with the same key. */
 export type ClaimFinding =
-  /** Absent, or held by this very request: nothing stands in the way. */
+  /** No row, or (`own`) a row of this request itself: the request may be dispatched. */
   | { readonly kind: 'absent' }
   | { readonly kind: 'own'; readonly version: number }
   | { readonly kind: 'other-body' }
   | { readonly kind: 'recorded'; readonly outcome: RecordedOutcome }
   | { readonly kind: 'in-progress' }
-  /** Left pending by a holder that is gone. */
+  /** Left pending by a holder that can no longer finish it. */
   | { readonly kind: 'orphaned'; readonly version: number }
   | { readonly kind: 'unreadable' };
 
-/** The key of a request's claim row, or null when it carries no idempotency key. */
+/** The key of a request's claim row, or null when the request has no idempotency key. */
 export function claimKey(description: RequestDescription): string | null {
   if (description.idempotencyKey === null) return null;
   return `claim/${description.tenant}/${description.idempotencyKey}`;
@@ -81,7 +81,7 @@
   };
 }
 
-/** Reads a row from the point of view of a request that wants its key. */
+/** Interprets a claim row for a request with the same key. */
 export function readClaim(
   row: TableRow | undefined,
   description: RequestDescription,
--- a/src/core/requests/dispatch-request.ts
+++ b/src/core/requests/dispatch-request.ts
@@ -1,4 +1,4 @@
-/** Sends a request to the backend that admission and routing choose, or waits for one. */
+/** Sends a request to the backend that admission and routing choose, or queues the request. */
 import type { AttemptId } from '../common/identifiers.js';
 import { finishFailed } from './finish-request.js';
 import type { RequestContext, RequestState, RequestTransition } from './request-state.js';
@@ -6,7 +6,7 @@
 
 type DispatchChoice = Extract<RouteChoice, { kind: 'dispatch' }>;
 
-/** Asks for a choice and carries it out. */
+/** Obtains a routing choice for the request and applies it. */
 export function dispatchOrWait(state: RequestState, context: RequestContext): RequestTransition {
   const choice = context.choose(state.description, state.excluded, state.version);
   switch (choice.kind) {
--- a/src/core/requests/finish-request.ts
+++ b/src/core/requests/finish-request.ts
@@ -1,7 +1,8 @@
 /**
- * The ends of a request: answered, refused, aborted, replayed or given up by its caller. Each picks
- * what becomes of the idempotency claim and keeps the outcome true: nothing is called `not run`
- * once an attempt broke after bytes may have left.
+ * The ways in which a request ends: answered, refused, aborted, replayed or abandoned by its
+ * caller. Each decides whether the idempotency claim is recorded or released, and keeps the outcome
+ * correct: once an attempt broke after bytes may have been sent, no outcome claims that the request
+ * was not run.
  */
 import type { Fault } from '../errors/fault.js';
 import { REQUEST_EVENTS } from '../logging/catalogue/requests.js';
@@ -19,13 +20,13 @@
 
 type CompletedEvent = Extract<AttemptEvent, { kind: 'completed' }>;
 
-/** The fault as it may truthfully be told. */
+/** Changes a fault's outcome to `unknown` when an attempt broke and may have run the request. */
 function withTrueOutcome(state: RequestState, fault: Fault): Fault {
   if (state.brokenAttempts === 0) return fault;
   return { ...fault, outcome: 'unknown', retryable: state.description.repeatable };
 }
 
-/** Ends a request whose answer was handed over whole. */
+/** Ends a request whose complete answer was forwarded to the caller. */
 export function finishAnswered(
   state: RequestState,
   event: CompletedEvent,
@@ -36,7 +37,7 @@
   return afterEffects([notice], settle(state, { kind: 'record', outcome }, context));
 }
 
-/** Ends a request with a fault: its final answer, or a visible break of a half-delivered one. */
+/** Ends a request with a fault, sent as its answer or, after the headers, as a visible abort. */
 export function finishFailed(
   state: RequestState,
   fault: Fault,
@@ -50,7 +51,7 @@
   return afterEffects(effects, settle(state, chooseSettlement(state, finalFault), context));
 }
 
-/** Ends a request whose caller has gone. `mayHaveRun`: a backend had or may have had it. */
+/** Ends a request whose caller disconnected. `mayHaveRun`: a backend may have received it. */
 export function finishCallerGone(
   state: RequestState,
   mayHaveRun: boolean,
@@ -66,7 +67,7 @@
   return afterEffects([notice], settle(state, chooseSettlement(state, fault), context));
 }
 
-/** Ends a request with the outcome that its key has already. */
+/** Ends a request with the outcome that is already recorded under its key. */
 export function finishReplayed(state: RequestState, outcome: RecordedOutcome): RequestTransition {
   return {
     state: { ...state, phase: { kind: 'ended' } },
@@ -77,7 +78,7 @@
   };
 }
 
-/** Gives the caller its final answer while the work goes on, so that its outcome can be recorded. */
+/** Sends the caller its final answer; the attempt continues, so that its outcome is recorded. */
 export function answerAndDetach(state: RequestState, fault: Fault): RequestTransition {
   return {
     state: { ...state, detached: true },
--- a/src/core/requests/index.ts
+++ b/src/core/requests/index.ts
@@ -1,4 +1,4 @@
-/** The life of caller requests: types, the state machine and the table of requests in flight. */
+/** Caller requests: types, the per-request state machine and the table of requests in flight. */
 export { MAX_ATTEMPTS } from './attempt-request.js';
 export type {
   RequestContext,
--- a/src/core/requests/request-state.ts
+++ b/src/core/requests/request-state.ts
@@ -1,4 +1,4 @@
-/** The state, events and surroundings of the per-request state machine. */
+/** The state, events, effects and context of the per-request state machine. */
 import type {
   AttemptId,
   BackendName,
@@ -21,26 +21,26 @@
   RouteChoice,
 } from './types.js';
 
-/** What is known of the request's idempotency claim. */
+/** What this daemon knows about the request's idempotency claim. */
 type ClaimState =
   | { readonly kind: 'none' }
-  /** A write was sent and its answer is not known: the row may or may not be there. */
+  /** A write was sent and no answer arrived: the row may or may not exist. */
   | { readonly kind: 'uncertain' }
   | { readonly kind: 'held'; readonly version: number };
 
-/** What the claim row is to become once the request has ended. */
+/** The final state of the claim row once the request has ended. */
 export type Settlement =
   | { readonly kind: 'record'; readonly outcome: RecordedOutcome }
-  /** Delete the row: the work was not run, or may be run again. */
+  /** Delete the row: the request was not run, or may safely run again. */
   | { readonly kind: 'release' };
 
-/** Where a request stands. */
+/** The phase of a request. */
 type RequestPhase =
-  /** Waits for the answer to a claim (`insert`) or for its own claim read back (`read-back`). */
+  /** Waits for the answer to the insert of its claim, or to the read-back of its claim. */
   | { readonly kind: 'claiming'; readonly step: 'insert' | 'read-back'; readonly tries: number }
   | { readonly kind: 'waiting'; readonly since: MonotonicMs }
   | { readonly kind: 'attempting'; readonly attempt: AttemptId; readonly backend: BackendName }
-  /** The caller has its answer; the claim row does not show it yet. */
+  /** The request has ended; its claim row is not known to be in its final state yet. */
   | {
       readonly kind: 'settling';
       readonly settlement: Settlement;
@@ -56,65 +56,71 @@
   readonly phase: RequestPhase;
   /** Dispatches so far. */
   readonly attempts: number;
-  /** Dispatches that were taken from the retry budget. */
+  /** Dispatches that were charged to the retry budget. */
   readonly retries: number;
   readonly excluded: readonly BackendName[];
-  /** Attempts that broke after bytes may have left; above 0, no failure may claim `not run`. */
+  /** Attempts that broke after bytes may have been sent; above 0, no fault may claim `not run`. */
   readonly brokenAttempts: number;
   readonly overloadAnswers: number;
   readonly headersForwarded: boolean;
-  /** The first token offset that the caller has not had. */
+  /** The offset of the first token that the caller has not received. */
   readonly deliveredTokens: number;
-  /** The version that wrote them; only an engine that holds it may go on. Null before the first. */
+  /**
+   * The version that generated the delivered tokens; only an engine that holds this version may
+   * resume the stream. Null before the first token.
+   */
   readonly version: VersionName | null;
   readonly claim: ClaimState;
-  /** True when the caller is gone or has its final answer, while the work is let run to its end. */
+  /**
+   * True when the caller has disconnected or has its final answer while the attempt runs to
+   * completion, so that its outcome is recorded under the idempotency key.
+   */
   readonly detached: boolean;
 }
 
-/** What happens to one request. */
+/** An event of one request. */
 export type RequestEvent =
   | { readonly kind: 'start' }
   | { readonly kind: 'admitted' }
   | { readonly kind: 'attempt'; readonly event: AttemptEvent }
   | { readonly kind: 'caller-gone' }
   | { readonly kind: 'table-result'; readonly result: TableResult }
-  /** Time has passed; due deadlines and back-offs are acted on. */
+  /** Checks whether a deadline or back-off has expired. */
   | { readonly kind: 'tick' };
 
-/** What the request table asks of the daemon round it. */
+/** What the request table needs from its daemon. */
 export interface RequestTableContext extends StepContext {
   readonly daemon: DaemonName;
   readonly incarnation: Incarnation;
-  /** Asks admission and routing where the request goes; with a version, only to a holder of it. */
+  /** Asks admission and routing for a backend; with a version, only for one that holds it. */
   choose(
     description: RequestDescription,
     excluded: readonly BackendName[],
     version: VersionName | null,
   ): RouteChoice;
-  /** The engine priority of a class, 0 (first) to 9 (last). */
+  /** The engine priority of a class, from 0 (highest) to 9 (lowest). */
   priorityOf(className: ClassName): number;
-  /** When a request like this one may get through, from what is queued now. */
+  /** Expected time until a request like this one can be dispatched, from the current queue. */
   retryAfterMs(description: RequestDescription): Milliseconds;
-  /** True only when that life of a daemon is certainly over. */
+  /** True only when that incarnation of a daemon has certainly ended. */
   isGone(daemon: DaemonName, incarnation: Incarnation): boolean;
 }
 
-/** What the state machine may know beside its state and the event. */
+/** The input of a state machine step besides the state and the event. */
 export interface RequestContext extends RequestTableContext {
   /** Whether the retry budget allows one more dispatch. */
   readonly mayRetry: boolean;
-  /** Whether this daemon still has the request of an earlier claim of its own in hand. */
+  /** Whether a request is still in this daemon's request table. */
   isInHand(request: RequestId): boolean;
 }
 
-/** Everything that the state machine asks for. */
+/** All effects that a step of the state machine can produce. */
 export type RequestTableEffect = RequestEffect | TableEffect | LogEffect | RequestNotice;
 
-/** One step's outcome. */
+/** The result of one step. */
 export type RequestTransition = Transition<RequestState, RequestTableEffect>;
 
-/** A request that has just arrived. */
+/** Creates the state of a request that has just arrived. */
 export function newRequest(description: RequestDescription): RequestState {
   return {
     description,
@@ -132,12 +138,12 @@
   };
 }
 
-/** Whether the request still takes up the daemon: its caller or a backend is not done with it. */
+/** Whether the caller still waits for an answer or a backend still works on the request. */
 export function isActive(state: RequestState): boolean {
   return state.phase.kind !== 'settling' && state.phase.kind !== 'ended';
 }
 
-/** Puts effects before those of a transition. */
+/** Prepends effects to those of a transition. */
 export function afterEffects(
   effects: readonly RequestTableEffect[],
   transition: RequestTransition,
@@ -145,7 +151,7 @@
   return { state: transition.state, effects: [...effects, ...transition.effects] };
 }
 
-/** False where a tick certainly changes nothing, which is so for almost all requests. */
+/** Whether a tick may change the request. A cheap check that skips almost all requests. */
 export function mayBeDue(state: RequestState, now: MonotonicMs): boolean {
   if (state.phase.kind === 'settling') return now >= state.phase.nextAt;
   if (state.headersForwarded) return state.phase.kind === 'waiting';
--- a/src/core/requests/request-table.ts
+++ b/src/core/requests/request-table.ts
@@ -1,6 +1,7 @@
 /**
- * All requests that a daemon has in flight, in one container that it updates in place. It routes
- * events to the per-request state machine, keeps the retry budget and bounds what it remembers.
+ * All requests in flight at a daemon, in one container that is updated in place. Passes events to
+ * the per-request state machine, tracks the retry budget and limits the number of unsettled
+ * requests.
  */
 import type { BackendName, ClassName, RequestId, VersionName } from '../common/identifiers.js';
 import { refusedNotRun } from '../errors/fault.js';
@@ -25,17 +26,19 @@
 import { stepRequest } from './step-request.js';
 import type { AttemptEvent, RequestDescription, RouteChoice } from './types.js';
 
-/** Ended requests whose claim is not settled yet; beyond it, requests with a key are refused. */
+/** Maximum number of ended requests with unsettled claims; above it, keyed requests are refused. */
 const MAX_SETTLING_REQUESTS = 1_000;
 
-/** What the daemon feeds the table. The first three come from the HTTP shell as they are. */
+/**
+ * Events that the daemon passes to the table. The first three come unchanged from the HTTP shell.
+ */
 export type RequestTableEvent =
   | { readonly kind: 'request-arrived'; readonly description: RequestDescription }
   | { readonly kind: 'attempt'; readonly request: RequestId; readonly event: AttemptEvent }
   | { readonly kind: 'caller-gone'; readonly request: RequestId }
-  /** Admission lets a waiting request go. */
+  /** Admission allows a waiting request to be dispatched. */
   | { readonly kind: 'admitted'; readonly request: RequestId }
-  /** Results whose token is not of this table are ignored. */
+  /** Results whose token has another prefix than `request:` are ignored. */
   | TableResultEvent
   | { readonly kind: 'tick' };
 
@@ -48,27 +51,27 @@
   #settling = 0;
   #budget: RetryBudget = INITIAL_RETRY_BUDGET;
 
-  /** Requests whose caller or backend is not done. A planned stop waits until it is 0. */
+  /** Requests that are not settling. A planned stop waits until this is 0. */
   get activeCount(): number {
     return this.#requests.size - this.#settling;
   }
 
-  /** Ended requests whose idempotency claim is not settled. A planned stop waits for these too. */
+  /** Ended requests with unsettled idempotency claims. A planned stop waits for these too. */
   get settlingCount(): number {
     return this.#settling;
   }
 
-  /** The state of a request in hand, for `explain request`. */
+  /** The state of a request in the table, for `explain request`. */
   get(request: RequestId): RequestState | undefined {
     return this.#requests.get(request);
   }
 
-  /** All requests in hand. */
+  /** The states of all requests in the table. */
   values(): IterableIterator<RequestState> {
     return this.#requests.values();
   }
 
-  /** Takes one event; gives the effects to carry out in order. */
+  /** Applies one event and returns the effects to execute, in order. */
   step(event: RequestTableEvent, context: RequestTableContext): readonly RequestTableEffect[] {
     switch (event.kind) {
       case 'request-arrived':
@@ -137,7 +140,7 @@
   }
 }
 
-/** The daemon's context with what only the table knows. */
+/** The daemon's context, extended with the table's own state. */
 class PerRequestContext implements RequestContext {
   readonly #tableContext: RequestTableContext;
   readonly #requests: ReadonlyMap<RequestId, RequestState>;
--- a/src/core/requests/settle-claim.ts
+++ b/src/core/requests/settle-claim.ts
@@ -1,7 +1,7 @@
 /**
- * Brings a request's claim row to its final state after the caller has had its answer: the outcome
- * recorded or the row deleted, by a write checked against the claim's version, tried again with
- * back-off until the table service has answered.
+ * Settles a request's claim row after the request has ended: records the outcome or deletes the
+ * row, by a write that is conditional on the claim's version. The write is retried with exponential
+ * back-off until the table service answers.
  */
 import type { Milliseconds } from '../common/time.js';
 import { REQUEST_EVENTS } from '../logging/catalogue/requests.js';
@@ -16,21 +16,21 @@
   Settlement,
 } from './request-state.js';
 
-/** The first back-off; it doubles with each try. */
+/** The first back-off; doubles with each try. */
 const INITIAL_SETTLE_BACKOFF_MS: Milliseconds = 200;
-/** The longest back-off, however long the table service is down. */
+/** Maximum back-off while the table service is unavailable. */
 const MAX_SETTLE_BACKOFF_MS: Milliseconds = 30_000;
-/** A claim that may have been written late is looked for this often before it is taken for absent. */
+/** Number of read-backs without a row before an uncertain claim counts as never written. */
 const MAX_READ_BACKS = 3;
 
 type SettlingPhase = Extract<RequestState['phase'], { kind: 'settling' }>;
 
-/** Builds the table call of a request. One call of a request is in flight at a time. */
+/** Builds the table call of a request. Each request has at most one call in flight. */
 export function tableCall(state: RequestState, call: TableCall): TableEffect {
   return { kind: 'table', token: `request:${state.description.id}`, call };
 }
 
-/** Begins to settle: by a write when the claim's version is known, else by reading it back. */
+/** Starts settling, with a write when the claim's version is known, else with a read-back. */
 export function beginSettlement(
   state: RequestState,
   settlement: Settlement,
@@ -43,7 +43,7 @@
   );
 }
 
-/** Takes the table service's answer to a settling call. */
+/** Handles the table service's answer to a settlement call. */
 export function settlementResult(
   state: RequestState,
   phase: SettlingPhase,
@@ -64,7 +64,7 @@
   }
 }
 
-/** Tries again once the back-off is over. */
+/** Retries once the back-off has expired. */
 export function settlementTick(
   state: RequestState,
   phase: SettlingPhase,
@@ -117,7 +117,11 @@
   return finishSettlement(state);
 }
 
-/** A conflict after a lost answer is this request's own write; any other is another daemon's. */
+/**
+ * Ends the settlement after a version conflict. A row that is absent or this request's own was
+ * changed by an earlier write of this request whose answer was lost; any other row means that
+ * another request took over the claim.
+ */
 function handleConflict(
   state: RequestState,
   result: Extract<TableResult, { kind: 'conflict' }>,
--- a/src/core/requests/step-request.ts
+++ b/src/core/requests/step-request.ts
@@ -1,6 +1,6 @@
 /**
- * The per-request state machine: claim, admission, attempts with retry and resume, deadline, the
- * caller's going away, and the claim's settlement. Pure; see docs/CALLER-API.md for the promises.
+ * The per-request state machine: claim, admission, attempts with retry and resume, deadline, caller
+ * disconnection, and settlement of the claim. Pure; docs/CALLER-API.md states the guarantees.
  */
 import type { Fault } from '../errors/fault.js';
 import { refusedNotRun } from '../errors/fault.js';
@@ -18,10 +18,10 @@
 } from './request-state.js';
 import { settlementResult, settlementTick } from './settle-claim.js';
 
-/** How long a half-delivered stream waits for an engine to go on with. */
+/** How long a partly delivered stream waits for an engine that can resume it. */
 const MAX_RESUME_WAIT_MS = 10_000;
 
-/** Takes one event of one request. Events that come too late for the phase change nothing. */
+/** Applies one event of one request. Events that the current phase does not expect are ignored. */
 export function stepRequest(
   state: RequestState,
   event: RequestEvent,
@@ -78,12 +78,12 @@
   return cancelThenFinish(state, (next) => finishCallerGone(next, true, context));
 }
 
-/** Work under a key that must not run twice is let run, so that a repeat learns its outcome. */
+/** A keyed request that is not repeatable runs to completion, so that its outcome is recorded. */
 function mustRunToCompletion(state: RequestState): boolean {
   return state.claim.kind === 'held' && !state.description.repeatable;
 }
 
-/** A claim whose answer is still awaited may be written already. */
+/** Marks the claim as uncertain: its answer is still pending and the row may already exist. */
 function withUncertainClaim(state: RequestState): RequestState {
   return { ...state, claim: { kind: 'uncertain' } };
 }
--- a/src/core/requests/types.ts
+++ b/src/core/requests/types.ts
@@ -1,5 +1,5 @@
 /**
- * The life of one caller request, from its arrival at a daemon to its outcome.
+ * Descriptions, events, effects and outcomes of caller requests.
  */
 import type {
   AdapterName,
@@ -14,64 +14,66 @@
 import type { Milliseconds, MonotonicMs } from '../common/time.js';
 import type { Fault } from '../errors/fault.js';
 
-/** Where a request goes: to an engine that holds a model, or to a web service's backends. */
+/** The target of a request: a model with an optional adapter, or a web service. */
 export type RequestTarget =
   | {
       readonly kind: 'model';
       readonly model: ModelName;
       readonly adapter: AdapterName | null;
-      /** Estimated from the prompt's length; corrected by the engine's own count at the end. */
+      /** Estimated from the prompt's length; the engine reports its own count on completion. */
       readonly promptTokens: number;
       readonly maxOutputTokens: number;
-      /** Hashes of the prompt's successive prefix blocks, for prefix affinity. */
+      /**
+       * Hashes of the prompt's successive prefix blocks, used to find engines that cached a prefix.
+       */
       readonly prefixHashes: readonly string[];
     }
   | { readonly kind: 'web'; readonly service: string };
 
-/** A request as the HTTP shell hands it to the core. The body stays in the shell. */
+/** A request as the HTTP shell passes it to the core. The body stays in the shell. */
 export interface RequestDescription {
   readonly id: RequestId;
   readonly tenant: TenantName;
   readonly className: ClassName;
   readonly target: RequestTarget;
   readonly streamed: boolean;
-  /** False: never sent again once a first byte may have left. */
+  /** If false, the request is never sent again once its first byte may have been sent. */
   readonly repeatable: boolean;
   readonly idempotencyKey: string | null;
-  /** A digest of method, path and body, so that one key with two bodies is refused. */
+  /** A digest of method, path and body; a repeated key with another digest is refused. */
   readonly bodyDigest: string | null;
   readonly arrivedAt: MonotonicMs;
   readonly deadline: MonotonicMs;
 }
 
-/** The reason of a `not-sent` whose dispatch grant ended before the request could leave. */
+/** The reason of a `not-sent` event when the dispatch grant expired before the request was sent. */
 export const GRANT_LAPSED = 'grant-lapsed';
 
-/** What the core needs to know of how an attempt went; reported by the HTTP shell. */
+/** The progress and result of an attempt, reported by the HTTP shell. */
 export type AttemptEvent =
-  /** The connection failed before any byte of the request may have left. */
+  /** The attempt failed before any byte of the request may have been sent. */
   | { readonly kind: 'not-sent'; readonly attempt: AttemptId; readonly reason: string }
-  /** The backend said that it did not run the request (documented engine refusals only). */
+  /** The backend reported that it did not run the request (documented engine refusals only). */
   | {
       readonly kind: 'refused-not-run';
       readonly attempt: AttemptId;
       readonly reason: string;
       readonly retryAfterMs?: Milliseconds;
     }
-  /** Response headers arrived and are forwarded. */
+  /** Response headers arrived and are forwarded to the caller. */
   | { readonly kind: 'first-byte'; readonly attempt: AttemptId; readonly status: number }
-  /** The whole answer was handed to the caller. */
+  /** The complete answer was forwarded to the caller. */
   | {
       readonly kind: 'completed';
       readonly attempt: AttemptId;
       readonly promptTokens: number;
       readonly outputTokens: number;
-      /** What to keep under the idempotency key; given only for a request that carries one. */
+      /** The outcome to record under the idempotency key; set only for a request with a key. */
       readonly outcome?: RecordedOutcome;
     }
   /**
-   * The attempt broke after bytes may have left: a reset, early close, stall or malformed frame.
-   * `deliveredTokens` is the first offset that the caller has not had.
+   * The attempt broke after bytes may have been sent: a reset, early close, stall or malformed
+   * frame. `deliveredTokens` is the offset of the first token that the caller has not received.
    */
   | {
       readonly kind: 'broken';
@@ -80,11 +82,11 @@
       readonly deliveredTokens: number;
       /** True when response headers were already forwarded to the caller. */
       readonly headersForwarded: boolean;
-      /** The version that wrote what the caller has had; null before its first token. */
+      /** The version that generated the delivered tokens; null before the first token. */
       readonly version: VersionName | null;
     };
 
-/** What the core asks of the HTTP shell. */
+/** Effects that the HTTP shell executes. */
 export type RequestEffect =
   | {
       readonly kind: 'dispatch';
@@ -93,45 +95,45 @@
       readonly backend: BackendName;
       readonly address: string;
       readonly port: number;
-      /** The first token offset to ask for: 0, or where a broken stream left off. */
+      /** The first token offset to request: 0, or where a broken stream was interrupted. */
       readonly resumeOffset: number;
       readonly priority: number;
       /**
-       * When the dispatch grant ends, by this daemon's clock: no byte may leave from then on. Absent
-       * for web backends, which need no grant.
+       * When the dispatch grant expires, by this daemon's clock: no byte may be sent from then on.
+       * Absent for web backends, which need no grant.
        */
       readonly sendBefore?: MonotonicMs;
     }
-  /** Give the caller its final answer at once. */
+  /** Send the caller a fault as its final answer. */
   | { readonly kind: 'refuse'; readonly request: RequestId; readonly fault: Fault }
-  /** End a half-delivered answer so that it is visibly broken, never as if whole. */
+  /** Abort a partly delivered answer in a way that the caller cannot take for a complete one. */
   | { readonly kind: 'abort'; readonly request: RequestId; readonly fault: Fault }
-  /** Stop the backend's work for an attempt (the caller has gone or the deadline has passed). */
+  /** Cancel an attempt at its backend (the caller disconnected or the deadline passed). */
   | { readonly kind: 'cancel'; readonly request: RequestId; readonly attempt: AttemptId }
   /** Answer with the outcome recorded under the caller's idempotency key. */
   | { readonly kind: 'replay'; readonly request: RequestId; readonly outcome: RecordedOutcome };
 
-/** Where admission and routing let a request go. */
+/** The decision of admission and routing on a request. */
 export type RouteChoice =
   | {
       readonly kind: 'dispatch';
       readonly backend: BackendName;
       readonly address: string;
       readonly port: number;
-      /** When the dispatch grant ends; absent for web backends. */
+      /** When the dispatch grant expires; absent for web backends. */
       readonly sendBefore?: MonotonicMs;
     }
-  /** Admission keeps the request queued; an `admitted` event follows when it may go. */
+  /** Admission queues the request; an `admitted` event follows when it may be dispatched. */
   | { readonly kind: 'wait' }
   | { readonly kind: 'refuse'; readonly fault: Fault };
 
-/** How an attempt ended, for routing's health and load bookkeeping. */
+/** How an attempt ended, for routing's health and load tracking. */
 export type AttemptResult = 'completed' | 'refused' | 'not-sent' | 'broken' | 'cancelled';
 
-/** How a request ended, for admission's bookkeeping and the metrics. */
+/** How a request ended, for admission and the metrics. */
 export type RequestResult = 'answered' | 'refused-not-run' | 'unknown' | 'caller-gone' | 'replayed';
 
-/** Tells admission, routing and the metrics what the request table has seen or decided. */
+/** Notifies admission, routing and the metrics of attempts and requests. */
 export type RequestNotice =
   | {
       readonly kind: 'attempt-started';
@@ -153,12 +155,12 @@
       readonly description: RequestDescription;
       readonly result: RequestResult;
       readonly attempts: number;
-      /** The engine's own counts; 0 unless answered. */
+      /** The engine's token counts; 0 unless answered. */
       readonly promptTokens: number;
       readonly outputTokens: number;
     };
 
-/** What is kept in the table under `claim/<tenant>/<idempotency key>` once a request has ended. */
+/** The outcome stored in the row `claim/<tenant>/<idempotency key>` once a request has ended. */
 export type RecordedOutcome =
   | {
       readonly kind: 'answered';
