--- a/src/core/routing/candidate-set.ts
+++ b/src/core/routing/candidate-set.ts
@@ -1,35 +1,38 @@
 /**
- * The engines that may take requests for one model or adapter, split into the asking daemon's own
- * zone and the rest. Rebuilt only when an engine's holdings or availability change, not by request.
+ * The engines that may take requests for one model or adapter, also grouped by zone. Rebuilt when
+ * the versions that an engine holds, its availability or the configuration change, not for each
+ * request.
  */
 import type { ZoneName } from '../common/identifiers.js';
 import type { EngineRole } from '../registry/backend.js';
 import { type EngineEntry, type HeldVersion, sameVersion } from './engine-entry.js';
 
-/** The candidates for one target. Rebuilt in place. */
+/** The candidate engines for one target. Rebuilt in place. */
 export interface CandidateSet {
   readonly key: string;
   /** Engines that hold the target in any version, available or not. */
   readonly holders: Set<EngineEntry>;
-  /** Available engines of the served versions whose role takes completions. */
+  /** Available engines that hold a served version and whose role accepts completions. */
   all: readonly EngineEntry[];
-  /** Available engines of the served versions that only read prompts. */
+  /** Available engines that hold a served version and whose role is `prefill`. */
   prefill: readonly EngineEntry[];
-  /** Those of `all`, for look-ups. */
+  /** The engines of `all`, for membership checks. */
   members: ReadonlySet<EngineEntry>;
-  /** Those of `all` by zone. */
+  /** The engines of `all`, by zone. */
   byZone: ReadonlyMap<ZoneName, readonly EngineEntry[]>;
-  /** Versions served: all of those held while a roll is under way, else the wanted one. */
+  /**
+   * True when only the configured version is served; false during a rollout, see `isAtLeastHalf`.
+   */
   servesWantedOnly: boolean;
   dirty: boolean;
-  /** Grows with each rebuild. */
+  /** Incremented at each rebuild. */
   generation: number;
 }
 
-/** No engines. */
+/** An empty list of engines. */
 export const NO_ENTRIES: readonly EngineEntry[] = [];
 
-/** Creates an empty set that is built at its first use. */
+/** Creates an empty set that is built at first use. */
 export function createCandidateSet(key: string): CandidateSet {
   return {
     key,
@@ -44,7 +47,7 @@
   };
 }
 
-/** Rebuilds a set from its holders and the version that the configuration wants. */
+/** Rebuilds a set from its holders and the configured version. */
 export function rebuildCandidateSet(set: CandidateSet, wanted: HeldVersion | null): void {
   const available = [...set.holders].filter((entry) => entry.unavailable === null);
   const current = available.filter((entry) => holdsWantedVersion(entry, set.key, wanted));
@@ -59,17 +62,18 @@
 }
 
 /**
- * While a version is rolled out, engines that still hold the old one go on serving until at least
- * half of the available holders have the wanted one: the first rolled engine alone must not take
- * the whole load.
+ * During a rollout, engines that still hold the old version go on serving until at least half of
+ * the available holders have the configured version. Otherwise the first engine with the new
+ * version would receive the entire load.
  */
 function isAtLeastHalf(count: number, total: number): boolean {
   return count > 0 && count * 2 >= total;
 }
 
 /**
- * Whether an engine in a role answers completions. `mixed` does; so does `decode`, which reads a
- * prompt itself, slowly, where no KV handle comes with it; `prefill` refuses them (docs/ENGINE-API.md).
+ * Whether an engine with a role accepts completions. `mixed` does; so does `decode`, which prefills
+ * the prompt itself, slowly, when the request has no KV handle; `prefill` refuses them
+ * (docs/ENGINE-API.md).
  */
 function takesCompletions(role: EngineRole): boolean {
   return role !== 'prefill';
--- a/src/core/routing/candidate-view.ts
+++ b/src/core/routing/candidate-view.ts
@@ -1,4 +1,4 @@
-/** The pool that a policy chooses from, over one candidate set and one request. */
+/** The pool that a routing policy chooses from: one candidate set, evaluated for one request. */
 import type { BackendName } from '../common/identifiers.js';
 import { PREFIX_BLOCK_CHARACTERS } from '../common/prefix-blocks.js';
 import type { Milliseconds } from '../common/time.js';
@@ -16,13 +16,13 @@
 import type { PrefixMatch } from './prefix-index.js';
 import { RandomDraws } from './random-draws.js';
 
-/** Characters of prompt text in one token; an estimate. */
+/** Estimated characters of prompt text per token. */
 const CHARACTERS_PER_TOKEN = 4;
-/** Prompt tokens in one prefix block. */
+/** Estimated prompt tokens per prefix block. */
 const TOKENS_PER_BLOCK = PREFIX_BLOCK_CHARACTERS / CHARACTERS_PER_TOKEN;
 const NO_EJECTIONS: ReadonlySet<BackendName> = new Set();
 
-/** Rules out engines for one request and scores the others. */
+/** Excludes engines that may not take the request and scores the others. */
 export class CandidateView implements CandidatePool {
   readonly all: readonly EngineEntry[];
   readonly local: readonly EngineEntry[];
@@ -33,11 +33,11 @@
   readonly #matches: readonly PrefixMatch[];
   readonly #ejected: ReadonlySet<BackendName>;
   readonly #estimates: EstimateInput;
-  /** The engine asked for last: a policy asks whether it is eligible, then for its score. */
+  /** The engine estimated last: its estimate serves both the eligibility check and the score. */
   #lastEntry: EngineEntry | null = null;
   #lastRecord: OutstandingRecord | undefined = undefined;
   #lastActive = 0;
-  /** When set, engines that the request failed on and ejected ones may be used again. */
+  /** If true, ejected engines and engines that this request failed on are eligible again. */
   lenient = false;
 
   constructor(input: EngineChoiceInput, set: CandidateSet) {
@@ -56,7 +56,7 @@
     return this.exclusion(entry) === null;
   }
 
-  /** Why an engine of the set may not be sent this request now, or null. */
+  /** Why an engine of the set is not eligible for this request now, or null. */
   exclusion(entry: EngineEntry): ExclusionReason | null {
     const input = this.#input;
     if (input.context.now >= entry.grantedUntil) {
@@ -95,7 +95,7 @@
     return expectedFinishMs(entry, active, this.#lastRecord, now, cost, this.cachedTokens(entry));
   }
 
-  /** Prompt tokens that an engine is thought to have in its cache. */
+  /** Prompt tokens that are probably in the KV cache of an engine. */
   cachedTokens(entry: EngineEntry): number {
     for (const match of this.#matches) {
       if (match.backend === entry.name) {
--- a/src/core/routing/choose-engine.ts
+++ b/src/core/routing/choose-engine.ts
@@ -1,8 +1,8 @@
 /**
- * Chooses the engine for one request to a model or adapter. Eligibility is decided here and is the
- * same for every policy: the engine holds the target in a served version, its dispatch grant lasts,
- * its intake is open, it is neither busy, leaving, drained nor ejected, its role takes completions,
- * and it has less in hand than it should have at most.
+ * Chooses the engine for one request to a model or adapter. Eligibility is the same for every
+ * policy: the engine holds a served version of the target, its dispatch grant has not expired, its
+ * intake is open, it is not busy, leaving, drained or ejected, its role accepts completions, and
+ * its expected number of active requests is below its limit.
  */
 import type { CandidateSet } from './candidate-set.js';
 import { CandidateView } from './candidate-view.js';
@@ -12,7 +12,7 @@
 
 const NOT_EXPLAINED: readonly CandidateScore[] = [];
 
-/** Chooses an engine, or says why there is none. */
+/** Chooses an engine, or returns the reason why none is eligible. */
 export function chooseEngine(input: EngineChoiceInput): RoutingDecision {
   const { model, adapter } = input.target;
   if (input.index.wantedVersion(model, adapter) === null) {
@@ -32,8 +32,8 @@
 }
 
 /**
- * No engine passed. One that the request has failed on, or that is ejected, is better than none,
- * unless others are merely full: those are worth the wait.
+ * Decides when no engine is eligible. If an engine is merely full, the request waits for it.
+ * Otherwise ejected engines and engines that this request failed on are considered too.
  */
 function chooseFallback(
   input: EngineChoiceInput,
--- a/src/core/routing/choose-web-backend.ts
+++ b/src/core/routing/choose-web-backend.ts
@@ -1,7 +1,7 @@
 /**
- * Chooses the backend of a web service: live, not drained, not failing its health check, not
- * ejected; own zone first; the one with the fewest of this daemon's requests in flight, of two
- * drawn at random.
+ * Chooses the backend of a web service. Eligible backends are live, pass their health check and are
+ * neither drained nor ejected. Of two drawn at random, the one with fewer requests of this daemon
+ * in flight is chosen; backends in the daemon's own zone are preferred.
  */
 import type { BackendName, ZoneName } from '../common/identifiers.js';
 import type { StepContext } from '../common/transition.js';
@@ -12,10 +12,10 @@
 import type { OutstandingTable } from './outstanding-table.js';
 import { RandomDraws } from './random-draws.js';
 
-/** In flight to the best backend of the own zone beyond which another zone is considered. */
+/** Requests in flight at the best local backend from which on other zones are considered. */
 const SPILL_IN_FLIGHT = 16;
 
-/** Why a web backend can't take a request now. */
+/** Why a web backend is not eligible for a request now. */
 export type WebExclusionReason =
   | 'machine-leaving'
   | 'drained'
@@ -23,11 +23,11 @@
   | 'excluded'
   | 'ejected';
 
-/** What a web backend is chosen from. */
+/** The input of the choice of a web backend. */
 export interface WebChoiceInput {
   readonly index: FleetIndex;
   readonly service: string;
-  /** Backends that this request already failed on. */
+  /** Backends that this request has already failed on. */
   readonly excluded: ReadonlySet<BackendName>;
   /** Backends whose last health check failed. */
   readonly unhealthy: ReadonlySet<BackendName>;
@@ -37,7 +37,7 @@
   readonly context: StepContext;
 }
 
-/** Where a web request goes. */
+/** The result of the choice of a web backend. */
 export type WebDecision =
   | {
       readonly kind: 'chosen';
@@ -48,7 +48,7 @@
     }
   | { readonly kind: 'none'; readonly fault: Fault };
 
-/** Chooses a web backend, or says why there is none. */
+/** Chooses a web backend, or returns the reason why none is available. */
 export function chooseWebBackend(input: WebChoiceInput): WebDecision {
   const backends = input.index.webBackends(input.service);
   const ejected = findEjectedBackends(input, backends);
@@ -70,7 +70,10 @@
   };
 }
 
-/** Neither leaving nor drained nor tried already: what stays off limits even when all else is. */
+/**
+ * Whether a backend may be used when none is eligible. Ejected and unhealthy backends may; leaving
+ * and drained ones, and those that this request failed on, may not.
+ */
 function isAllowedAsFallback(input: WebChoiceInput, machine: WebMachine): boolean {
   const reason = exclusion(input, machine, new Set());
   return reason === null || reason === 'unhealthy';
--- a/src/core/routing/decision.ts
+++ b/src/core/routing/decision.ts
@@ -1,4 +1,4 @@
-/** What a routing decision takes and gives. */
+/** The input and the result of a routing decision. */
 import type {
   AdapterName,
   BackendName,
@@ -17,44 +17,44 @@
 import type { RoutingPolicy } from './policy.js';
 import type { PrefixIndex } from './prefix-index.js';
 
-/** A request to a model or adapter. */
+/** The target of a request to a model or adapter. */
 export type ModelTarget = Extract<RequestTarget, { kind: 'model' }>;
 
-/** What an engine is chosen from. */
+/** The input of the choice of an engine. */
 export interface EngineChoiceInput {
   readonly index: FleetIndex;
   readonly target: ModelTarget;
-  /** Backends that this request already failed on. Used again only when nothing else is left. */
+  /** Backends that this request has failed on. Eligible again only when no other backend is. */
   readonly excluded: ReadonlySet<BackendName>;
-  /** The zone of the deciding daemon. */
+  /** The zone of the daemon that makes the decision. */
   readonly zone: ZoneName;
   readonly outstanding: OutstandingTable;
   readonly outliers: OutlierTracker;
   readonly prefixes: PrefixIndex;
   readonly context: StepContext;
   readonly policy: RoutingPolicy;
-  /** A resumed request's version: it may only go on where this very version is held. */
+  /** The version of a resumed request: only an engine that holds it may continue the stream. */
   readonly version: VersionName | null;
-  /** Asks for every candidate with its score or the reason for its exclusion. */
+  /** If true, the decision lists every engine with its score or the reason for its exclusion. */
   readonly explain?: boolean;
 }
 
-/** One engine as a decision saw it, for `explain request`. */
+/** The evaluation of one engine in a decision, for `explain request`. */
 export interface CandidateScore {
   readonly engine: BackendName;
   readonly zone: ZoneName;
-  /** Null when the engine may be chosen. */
+  /** Null when the engine is eligible. */
   readonly excluded: ExclusionReason | null;
   readonly expectedFinishMs: Milliseconds;
   readonly expectedActive: number;
   readonly ownInFlight: number;
-  /** How old the load in the engine's report is. */
+  /** The age of the load figures in the engine's report. */
   readonly loadAgeMs: Milliseconds;
-  /** Prompt tokens that the engine is thought to have in its cache. */
+  /** Prompt tokens that are probably in the engine's KV cache. */
   readonly cachedTokens: number;
 }
 
-/** Where a request goes. */
+/** The result of a routing decision. */
 export type RoutingDecision =
   | {
       readonly kind: 'chosen';
@@ -64,12 +64,12 @@
       readonly version: VersionName;
       readonly expectedFinishMs: Milliseconds;
       readonly policy: string;
-      /** How many engines hold the target and are available. */
+      /** Number of available engines that hold the target. */
       readonly candidateCount: number;
-      /** Given when `explain` was asked for. */
+      /** Empty unless the input sets `explain`. */
       readonly candidates: readonly CandidateScore[];
     }
-  /** Engines hold the target and are available, but all have as much in hand as they should. */
+  /** No engine is eligible, and at least one is excluded only because it is full. */
   | {
       readonly kind: 'full';
       readonly candidateCount: number;
@@ -81,7 +81,7 @@
       readonly candidates: readonly CandidateScore[];
     };
 
-/** The model and adapter of a decision. */
+/** A model and an optional adapter. */
 export interface ModelAndAdapter {
   readonly model: ModelName;
   readonly adapter: AdapterName | null;
--- a/src/core/routing/engine-entry.ts
+++ b/src/core/routing/engine-entry.ts
@@ -1,6 +1,6 @@
 /**
- * What routing keeps of one engine: the latest view of it, flattened so that a decision reads plain
- * fields only.
+ * The routing state of one engine: the latest view of it, flattened so that a decision reads only
+ * plain fields.
  */
 import type { BackendName, VersionName } from '../common/identifiers.js';
 import type { MonotonicMs } from '../common/time.js';
@@ -13,7 +13,7 @@
 } from '../registry/backend.js';
 import { SpeedModel } from './speed-model.js';
 
-/** Why an engine takes no new request, whatever the request. */
+/** Why an engine accepts no new request at all. */
 export type UnavailableReason =
   | 'no-report'
   | 'machine-leaving'
@@ -22,7 +22,7 @@
   | 'intake-closed'
   | 'busy';
 
-/** Why an engine can't take a certain request now. */
+/** Why an engine is not eligible for one request now. */
 export type ExclusionReason =
   | UnavailableReason
   | 'not-loaded'
@@ -33,43 +33,43 @@
   | 'ejected'
   | 'full';
 
-/** The versions of a model, and of an adapter over it, that an engine holds. */
+/** The version of a model, and of an adapter on it, that an engine holds. */
 export interface HeldVersion {
   readonly model: VersionName;
   readonly adapter: VersionName | null;
 }
 
-/** One engine as routing sees it. Updated in place by `FleetIndex` only. */
+/** The state of one engine. Updated in place by `FleetIndex` only. */
 export interface EngineEntry {
   readonly name: BackendName;
   machine: EngineMachine;
-  /** The machine's state as the watcher's view has it; either source may know first. */
+  /** The machine's state in the latest view; this or the state in `machine` may change first. */
   viewedState: MachineState;
   report: EngineReport | null;
   reportedAt: MonotonicMs;
   grantedUntil: MonotonicMs;
-  /** When the lagging part of the report (`load`) was taken. */
+  /** When the engine measured the report's `load`, which may be older than the report. */
   loadAt: MonotonicMs;
-  /** Figures of the report that every decision reads; 0 without a report. */
+  /** Copied from the report, as every decision reads them; 0 without a report. */
   reportedActive: number;
   reportedPrefillTokens: number;
   maxBatch: number;
   readonly speed: SpeedModel;
   drained: boolean;
   role: EngineRole;
-  /** The role under which the candidate sets know the engine. */
+  /** The role with which the candidate sets were last marked for a rebuild. */
   indexedRole: EngineRole;
-  /** Null when only the request or the clock can still rule the engine out. */
+  /** Null when only the request or an expired grant can still exclude the engine. */
   unavailable: UnavailableReason | null;
   /** Held versions by target key (see `targetKey`). */
   holdings: Map<string, HeldVersion>;
-  /** True once the machine list has named the engine. */
+  /** True once a machine list has contained the engine. */
   listed: boolean;
-  /** Machine lists in a row that did not name it. */
+  /** Number of consecutive machine lists that did not contain the engine. */
   listsMissed: number;
 }
 
-/** Creates the entry of an engine of which only the machine row is known. */
+/** Creates the entry of an engine that has not reported yet. */
 export function createEngineEntry(machine: EngineMachine): EngineEntry {
   return {
     name: machine.name,
@@ -93,7 +93,7 @@
   };
 }
 
-/** Takes over what a view says. */
+/** Applies a view to the entry of its engine. */
 export function applyView(entry: EngineEntry, view: EngineView): void {
   entry.viewedState = view.machine.state;
   if (view.report !== null && view.reportedAt > entry.reportedAt) {
@@ -109,7 +109,7 @@
   entry.role = view.report?.role ?? 'mixed';
 }
 
-/** Why an engine takes no new request at all, or null. */
+/** Why an engine accepts no new request at all, or null. */
 export function unavailableReason(entry: EngineEntry): UnavailableReason | null {
   if (entry.machine.state !== 'live' || entry.viewedState !== 'live') {
     return 'machine-leaving';
@@ -130,12 +130,12 @@
   return report.busy ? 'busy' : null;
 }
 
-/** The key under which holdings and candidate sets of a model or adapter are kept. */
+/** The key of a model or adapter in the maps of held versions and of candidate sets. */
 export function targetKey(model: string, adapter: string | null): string {
   return adapter === null ? model : `${model}\n${adapter}`;
 }
 
-/** The holdings that a report states. */
+/** The versions that an engine holds according to its report, by target key. */
 export function holdingsOf(report: EngineReport | null): Map<string, HeldVersion> {
   const holdings = new Map<string, HeldVersion>();
   for (const loaded of report?.models ?? []) {
@@ -150,7 +150,7 @@
   return holdings;
 }
 
-/** Whether two sets of holdings are the same. */
+/** Whether two maps of held versions are equal. */
 export function sameHoldings(
   left: ReadonlyMap<string, HeldVersion>,
   right: ReadonlyMap<string, HeldVersion>,
@@ -167,12 +167,12 @@
   return true;
 }
 
-/** Whether two held versions are the same. */
+/** Whether two held versions are equal. */
 export function sameVersion(left: HeldVersion, right: HeldVersion): boolean {
   return left.model === right.model && left.adapter === right.adapter;
 }
 
-/** A held version as engines state it in `system_fingerprint` and `x-threadfork-version`. */
+/** A held version in the format of `system_fingerprint` and `x-threadfork-version`. */
 export function versionText(held: HeldVersion): VersionName {
   return held.adapter === null ? held.model : `${held.model}+${held.adapter}`;
 }
--- a/src/core/routing/finish-estimate.ts
+++ b/src/core/routing/finish-estimate.ts
@@ -1,39 +1,40 @@
 /**
- * When an engine is expected to finish a request, from its (old) report and what this daemon has
- * sent to it since.
+ * Estimates when an engine will finish a request, from its last report and the requests that this
+ * daemon has sent to it since.
  */
 import type { Milliseconds, MonotonicMs } from '../common/time.js';
 import type { EngineEntry } from './engine-entry.js';
 import type { OutstandingRecord } from './outstanding-table.js';
 
-/** Requests sent to an engine beyond its batch, as a share of it, so that it never runs dry. */
+/** Share of the batch size that may queue beyond the batch, so that the engine never runs idle. */
 const QUEUE_AHEAD_SHARE = 0.25;
 
-/** The age at which a report's word counts for half; docs/decisions/routing-policy.md. */
+/** The age at which a report's weight is one half; see docs/decisions/routing-policy.md. */
 const HALF_TRUST_AGE_MS: Milliseconds = 500;
-/** How many requests of its own the fleet's mean weighs against in a daemon's sample. */
+/** Prior weight, in requests, that pulls a daemon's own sample towards the fleet's mean. */
 const SAMPLE_PRIOR_REQUESTS = 0.3;
 
-/** What a request asks of an engine. */
+/** The token counts that determine the cost of a request. */
 export interface RequestCost {
   readonly promptTokens: number;
   readonly outputTokens: number;
 }
 
-/** What estimates are made from, beside the engine's entry. */
+/** The input of an estimate besides the engine's entry. */
 export interface EstimateInput {
   readonly now: MonotonicMs;
-  /** Requests in hand at an engine, in the mean over the fleet. */
+  /** Active requests per engine, averaged over the fleet. */
   readonly meanActive: number;
-  /** This daemon's requests in flight to an engine, in the mean over the fleet. */
+  /** Requests of this daemon in flight per engine, averaged over the fleet. */
   readonly meanOwnInFlight: number;
 }
 
 /**
- * Requests that an engine is expected to have in hand. What its report said, corrected by what this
- * daemon sent and saw end since, fades with the report's age into what this daemon knows at first
- * hand: its own requests there, taken for a sample of all daemons'. Without the fading, all daemons
- * go on sending to what looked idle in an old report.
+ * The expected number of active requests at an engine. It is a weighted mean of two estimates: the
+ * reported count, corrected by the requests that this daemon started and ended since, and an
+ * extrapolation from this daemon's own requests in flight, taken as a sample of all daemons'. The
+ * weight of the report decreases with its age. Otherwise all daemons would go on sending to an
+ * engine that was idle in an old report.
  */
 export function expectedActive(
   entry: EngineEntry,
@@ -46,12 +47,12 @@
   return Math.max(0, trust * (entry.reportedActive + netSentSince) + (1 - trust) * sampled);
 }
 
-/** The most requests that daemons together should have in hand at an engine. */
+/** Maximum number of active requests at an engine, from all daemons together. */
 export function inFlightLimit(entry: EngineEntry): number {
   return entry.maxBatch + Math.ceil(entry.maxBatch * QUEUE_AHEAD_SHARE);
 }
 
-/** Prompt tokens expected to wait at an engine for prefill. */
+/** Expected number of prompt tokens that wait for prefill at an engine. */
 function expectedPrefillBacklog(
   entry: EngineEntry,
   record: OutstandingRecord | undefined,
@@ -65,8 +66,8 @@
 
 /**
  * Milliseconds until an engine is expected to have finished a request.
- * @param active what `expectedActive` gives for the engine
- * @param record what this daemon has sent to the engine, if anything
+ * @param active the result of `expectedActive` for the engine
+ * @param record the requests that this daemon has sent to the engine, if any
  */
 export function expectedFinishMs(
   entry: EngineEntry,
@@ -86,14 +87,20 @@
   return prefillMs + slotWaitMs + decodeMs;
 }
 
-/** With few requests of its own a daemon's sample says little, and the fleet's mean stands in. */
+/**
+ * Extrapolates the active requests at an engine from this daemon's own. The fewer requests the
+ * daemon has in flight, the closer the result is to the fleet's mean.
+ */
 function sampledActive(ownInFlight: number, input: EstimateInput): number {
   const ownToMean =
     (ownInFlight + SAMPLE_PRIOR_REQUESTS) / (input.meanOwnInFlight + SAMPLE_PRIOR_REQUESTS);
   return input.meanActive * ownToMean;
 }
 
-/** A quotient rather than an exponential: it is asked for every engine where many are full. */
+/**
+ * The weight of a report, from 1 when new towards 0. A quotient is cheaper than an exponential, and
+ * where many engines are full, the weight is computed for every engine.
+ */
 function trustAtAge(age: Milliseconds): number {
   const relative = age / HALF_TRUST_AGE_MS;
   return age <= 0 ? 1 : 1 / (1 + relative * relative);
--- a/src/core/routing/fleet-index.ts
+++ b/src/core/routing/fleet-index.ts
@@ -1,7 +1,7 @@
 /**
  * The fleet as routing needs it: machines, engine views and the configuration in force, indexed by
- * what engines hold and by zone. A hot container that its owner (the daemon's fold) updates in
- * place; it reads no clock.
+ * held model or adapter and by zone. Routing reads it for every request, so its owner, the daemon's
+ * step function, updates it in place. It reads no clock.
  */
 import type { AdapterName, BackendName, ModelName } from '../common/identifiers.js';
 import {
@@ -22,10 +22,10 @@
   unavailableReason,
 } from './engine-entry.js';
 
-/** Machine lists in a row that may miss an engine known by its reports before it is forgotten. */
+/** An engine that was never listed is removed after this number of consecutive machine lists. */
 const MAX_LISTS_MISSED = 2;
 
-/** The index. All lookups are by name or target; nothing scans the fleet for one request. */
+/** The index. All lookups are by name or target; no request scans the fleet. */
 export class FleetIndex {
   readonly #engines = new Map<BackendName, EngineEntry>();
   readonly #sets = new Map<string, CandidateSet>();
@@ -33,7 +33,10 @@
   #reportedActive = 0;
   #configuration: VersionedConfiguration = EMPTY_CONFIGURATION;
 
-  /** Takes over a machine list. Machines that it no longer names are forgotten. */
+  /**
+   * Applies a machine list. Machines that are no longer listed are removed; an engine that is known
+   * only by its reports is removed after `MAX_LISTS_MISSED` lists.
+   */
   setMachines(machines: readonly Machine[]): void {
     this.#webBackends.clear();
     const listedNames = new Set<BackendName>();
@@ -52,7 +55,7 @@
     }
   }
 
-  /** Takes over what is known of one engine. An older view than the one held is ignored. */
+  /** Applies a view of one engine. A view older than the current one is ignored. */
   setView(view: EngineView): void {
     const entry = this.#getOrCreateEntry(view.machine);
     if (view.reportedAt < entry.reportedAt) {
@@ -68,7 +71,7 @@
     this.#updateAvailability(entry);
   }
 
-  /** Takes over a configuration. A lower version than the one held is ignored. */
+  /** Applies a configuration. A version lower than the current one is ignored. */
   setConfiguration(configuration: VersionedConfiguration): void {
     if (configuration.version < this.#configuration.version) {
       return;
@@ -98,22 +101,22 @@
     return this.#engines.values();
   }
 
-  /** How many engines are known. */
+  /** Number of known engines. */
   get engineCount(): number {
     return this.#engines.size;
   }
 
-  /** Requests in hand at all engines together, as of their latest reports. */
+  /** Sum of the active requests in the latest reports of all engines. */
   get reportedActive(): number {
     return this.#reportedActive;
   }
 
-  /** The web backends of a service, live or leaving, as the machine list names them. */
+  /** The web backends of a service in the machine list, live or leaving. */
   webBackends(service: string): readonly WebMachine[] {
     return this.#webBackends.get(service) ?? [];
   }
 
-  /** The engines that may take a request for a model or adapter. */
+  /** The candidate engines for a request to a model or adapter. */
   candidates(model: ModelName, adapter: AdapterName | null): CandidateSet {
     const set = this.#getOrCreateSet(targetKey(model, adapter));
     if (set.dirty) {
@@ -122,7 +125,7 @@
     return set;
   }
 
-  /** The versions that the configuration wants served, or null when it names no such target. */
+  /** The configured version of a model or adapter, or null when it is not configured. */
   wantedVersion(model: ModelName, adapter: AdapterName | null): HeldVersion | null {
     const configured = this.#configuration.document.models[model];
     if (configured === undefined) {
--- a/src/core/routing/no-engine-fault.ts
+++ b/src/core/routing/no-engine-fault.ts
@@ -1,4 +1,4 @@
-/** True reasons for a request that no engine can take, in words that name the remedy. */
+/** Faults for a request that no engine can take, with the reason and the remedy. */
 import type { Milliseconds } from '../common/time.js';
 import type { ConfigurationDocument } from '../configuration/document.js';
 import { type Fault, refusedNotRun } from '../errors/fault.js';
@@ -8,10 +8,10 @@
 import type { EngineChoiceInput, ModelTarget } from './decision.js';
 import type { EngineEntry, ExclusionReason } from './engine-entry.js';
 
-/** When an engine that is being loaded, drained or changed may be back; seconds, not more. */
+/** Retry-After for engines that are being loaded, drained or changed, which takes seconds. */
 const ENGINE_RETURN_MS: Milliseconds = 5_000;
 
-/** How many engines of a state, in words, and what ends the state. */
+/** Text for each reason, following a number of engines; some name the remedy. */
 const REASON_TEXT: Readonly<Record<ExclusionReason, string>> = {
   'no-report': 'not reporting yet',
   'machine-leaving': 'on a machine that is leaving',
@@ -28,7 +28,7 @@
   full: 'full',
 };
 
-/** The fault for a model or adapter that the configuration does not name. */
+/** The fault for a model or adapter that is not configured. */
 export function unknownTargetFault(
   configuration: ConfigurationDocument,
   target: ModelTarget,
@@ -48,7 +48,7 @@
   );
 }
 
-/** The fault for a target that is served but that no engine can take now. */
+/** The fault for a configured target that no engine can serve now. */
 export function noEngineFault(
   input: EngineChoiceInput,
   set: CandidateSet,
@@ -67,7 +67,7 @@
   );
 }
 
-/** Why an engine, of the candidate set or not, can't take the request; null when it can. */
+/** Why any known engine, in the candidate set or not, is not eligible for the request, or null. */
 export function exclusionOf(
   entry: EngineEntry,
   set: CandidateSet,
--- a/src/core/routing/outlier-tracker.ts
+++ b/src/core/routing/outlier-tracker.ts
@@ -1,17 +1,18 @@
 /**
- * Ejects backends whose attempts fail in a row, for a time that doubles with each ejection. Ejection
- * is a guess from this daemon's own attempts, so it has a floor: see `withinEjectionFloor`.
+ * Ejects backends after consecutive failed attempts, for a time that doubles with each ejection.
+ * Ejection is inferred from this daemon's own attempts only, so it is limited to a share of the
+ * candidates: see `enforcedEjections`.
  */
 import type { BackendName } from '../common/identifiers.js';
 import type { Milliseconds, MonotonicMs } from '../common/time.js';
 
-/** Failures in a row that eject a backend. */
+/** Number of consecutive failures after which a backend is ejected. */
 const FAILURES_TO_EJECT = 3;
-/** The first ejection's length. */
+/** Duration of the first ejection. */
 const FIRST_EJECTION_MS: Milliseconds = 2_000;
-/** The longest ejection. */
+/** Maximum duration of an ejection. */
 const MAX_EJECTION_MS: Milliseconds = 60_000;
-/** The most of a set of candidates that may be ejected at once. */
+/** Maximum share of a set of candidates that may be ejected at once. */
 const MAX_EJECTED_SHARE = 0.5;
 
 interface OutlierState {
@@ -24,18 +25,19 @@
 /** Failure counts and ejections by backend. Updated in place by its owner. */
 export class OutlierTracker {
   readonly #states = new Map<BackendName, OutlierState>();
-  /** Backends ejected at some time and not cleared since, by the time of their ejection. */
+  /** Backends ejected without a success since, ordered by their latest ejection. */
   readonly #ejected = new Map<BackendName, OutlierState>();
 
-  /** Notes an attempt that went well. Ends the backend's ejection and its failure count. */
+  /** Records a successful attempt. Ends the backend's ejection and resets its failure count. */
   succeeded(backend: BackendName): void {
     this.#states.delete(backend);
     this.#ejected.delete(backend);
   }
 
   /**
-   * Notes an attempt that failed by the backend's fault: not sent, broken, or refused although the
-   * view said it would be taken. Returns true when this ejects the backend.
+   * Records an attempt that failed through the backend's fault: not sent, broken, or refused
+   * although the backend's view showed that it accepts requests. Returns true when the backend is
+   * ejected.
    */
   failed(backend: BackendName, now: MonotonicMs): boolean {
     const state = this.#getOrCreateState(backend);
@@ -52,20 +54,21 @@
     return true;
   }
 
-  /** Whether a backend's ejection lasts, leaving the floor aside. */
+  /** Whether a backend's ejection has not expired, regardless of `MAX_EJECTED_SHARE`. */
   isEjected(backend: BackendName, now: MonotonicMs): boolean {
     const state = this.#ejected.get(backend);
     return state !== undefined && now < state.ejectedUntil;
   }
 
-  /** Whether any backend was ejected and has not been cleared since. */
+  /** Whether any known backend was ejected and has had no success since. */
   get hasEjections(): boolean {
     return this.#ejected.size > 0;
   }
 
   /**
-   * The ejected ones among `size` candidates that routing honours: the earliest ejected, up to the
-   * floor's share. The rest stay in use, for when most seem bad the guess itself is in doubt.
+   * The ejections that routing enforces among `size` candidates: the earliest ones, up to
+   * `MAX_EJECTED_SHARE`. The other ejected backends stay in use, because the inference is doubtful
+   * when most backends seem to fail.
    */
   honoured(
     size: number,
@@ -85,7 +88,7 @@
     return chosen;
   }
 
-  /** Forgets backends that are gone. */
+  /** Removes the state of departed backends. */
   retain(isKnown: (backend: BackendName) => boolean): void {
     for (const backend of this.#states.keys()) {
       if (!isKnown(backend)) {
--- a/src/core/routing/outstanding-table.ts
+++ b/src/core/routing/outstanding-table.ts
@@ -1,13 +1,13 @@
 /**
- * What this daemon itself has sent to each backend. A load report is always somewhat old; what was
- * sent and ended since it was taken corrects it, so that a daemon never herds its own requests onto
- * the backend that looked idle half a second ago.
+ * The attempts that this daemon has started and ended at each backend. A load report is always
+ * somewhat old; these counts correct it, so that a daemon does not send all its requests to a
+ * backend that was idle in a report half a second old.
  */
 import type { AttemptId, BackendName } from '../common/identifiers.js';
 import type { MonotonicMs } from '../common/time.js';
 import { TimedSum } from './timed-sum.js';
 
-/** An attempt as it is handed to a backend. Token counts are estimates; 0 for web backends. */
+/** An attempt that is being sent to a backend. Token counts are estimates; 0 for web backends. */
 export interface StartedAttempt {
   readonly attempt: AttemptId;
   readonly backend: BackendName;
@@ -19,13 +19,13 @@
 export class OutstandingRecord {
   /** Attempts started and not ended. */
   inFlight = 0;
-  /** The latest start or end: before it there is something to sum, after it nothing. */
+  /** The latest start or end; all sums after this time are 0. */
   #changedAt: MonotonicMs = Number.NEGATIVE_INFINITY;
   readonly #started = new TimedSum();
   readonly #ended = new TimedSum();
   readonly #promptTokens = new TimedSum();
 
-  /** Notes a start. */
+  /** Records the start of an attempt. */
   start(at: MonotonicMs, promptTokens: number): void {
     this.inFlight += 1;
     this.#changedAt = at;
@@ -33,14 +33,17 @@
     this.#promptTokens.add(at, promptTokens);
   }
 
-  /** Notes an end. */
+  /** Records the end of an attempt. */
   end(at: MonotonicMs): void {
     this.inFlight -= 1;
     this.#changedAt = at;
     this.#ended.add(at, 1);
   }
 
-  /** Attempts started less attempts ended after a moment that only moves forward. */
+  /**
+   * Attempts started minus attempts ended after `moment`. Calls must not go back in time: earlier
+   * amounts are discarded.
+   */
   requestsSince(moment: MonotonicMs): number {
     if (this.#changedAt <= moment) {
       return 0;
@@ -48,7 +51,7 @@
     return this.#started.sumAfter(moment) - this.#ended.sumAfter(moment);
   }
 
-  /** Prompt tokens sent after a moment that only moves forward. */
+  /** Prompt tokens sent after `moment`. Calls must not go back in time, as above. */
   promptTokensSince(moment: MonotonicMs): number {
     return this.#changedAt <= moment ? 0 : this.#promptTokens.sumAfter(moment);
   }
@@ -58,12 +61,12 @@
   readonly backend: BackendName;
 }
 
-/** All attempts of this daemon by backend. A hot container: its owner updates it in place. */
+/** This daemon's attempts by backend. Read for every routing decision, so updated in place. */
 export class OutstandingTable {
   readonly #records = new Map<BackendName, OutstandingRecord>();
   readonly #open = new Map<AttemptId, OpenAttempt>();
 
-  /** Notes that an attempt is handed to a backend. A repeat of an open attempt id is ignored. */
+  /** Records the start of an attempt. A repeat of an open attempt id is ignored. */
   started(attempt: StartedAttempt): void {
     if (this.#open.has(attempt.attempt)) {
       return;
@@ -72,7 +75,7 @@
     this.#getOrCreateRecord(attempt.backend).start(attempt.at, attempt.promptTokens);
   }
 
-  /** Notes the end of an attempt, however it went. Unknown ids are ignored. */
+  /** Records the end of an attempt, whatever its result. Unknown ids are ignored. */
   ended(attempt: AttemptId, at: MonotonicMs): void {
     const open = this.#open.get(attempt);
     if (open === undefined) {
@@ -97,7 +100,7 @@
     return this.#open.size;
   }
 
-  /** Forgets backends that are gone and have nothing in flight. */
+  /** Removes the records of departed backends that have no attempt in flight. */
   retain(isKnown: (backend: BackendName) => boolean): void {
     for (const [backend, record] of this.#records) {
       if (record.inFlight === 0 && !isKnown(backend)) {
--- a/src/core/routing/policies/expected-finish.ts
+++ b/src/core/routing/policies/expected-finish.ts
@@ -1,7 +1,8 @@
 /**
- * Expected finish, the default: of a few engines drawn at random from the own zone, a few from the
- * whole fleet and those thought to hold the prompt's prefix, the one that is expected to finish
- * first. An engine of another zone must be ahead by the spill threshold.
+ * Expected finish, the default policy. Candidates are a few random engines of the daemon's own
+ * zone, a few of the entire fleet and those that probably cached the prompt's prefix. The candidate
+ * that is expected to finish first is chosen; an engine of another zone must be faster by the spill
+ * threshold.
  */
 import type { Milliseconds } from '../../common/time.js';
 import type { EngineEntry } from '../engine-entry.js';
@@ -12,17 +13,17 @@
   type RoutingPolicy,
 } from '../policy.js';
 
-/** What may be tuned. */
+/** The options of the policy. */
 export interface ExpectedFinishOptions {
-  /** Draws from the own zone. */
+  /** Number of draws from the daemon's own zone. */
   readonly localChoices: number;
-  /** Draws from the whole fleet. */
+  /** Number of draws from the entire fleet. */
   readonly fleetChoices: number;
-  /** How much sooner an engine of another zone must be expected to finish. */
+  /** How much earlier an engine of another zone must be expected to finish. */
   readonly spillThresholdMs: Milliseconds;
 }
 
-/** The defaults; docs/decisions/routing-policy.md says what decided them. */
+/** The default options; docs/decisions/routing-policy.md gives the reasons. */
 const EXPECTED_FINISH_DEFAULTS: ExpectedFinishOptions = {
   localChoices: 2,
   fleetChoices: 2,
--- a/src/core/routing/policies/least-outstanding.ts
+++ b/src/core/routing/policies/least-outstanding.ts
@@ -1,6 +1,6 @@
 /**
- * Least outstanding: the engine that the view shows with the fewest requests. Herds on stale
- * reports: every daemon sends to the same engine until the next report.
+ * Least outstanding: the engine with the fewest expected active requests. Suffers from herding on
+ * stale reports: every daemon sends to the same engine until the next report.
  */
 import type { EngineEntry } from '../engine-entry.js';
 import type { RoutingPolicy } from '../policy.js';
--- a/src/core/routing/policies/random.ts
+++ b/src/core/routing/policies/random.ts
@@ -1,4 +1,4 @@
-/** Random: any eligible engine with the same chance. Blind to load, and immune to herding. */
+/** Random: every eligible engine with equal probability. Ignores load, and cannot herd. */
 import { drawEligible, firstEligibleFrom, type RoutingPolicy } from '../policy.js';
 
 /** Creates a random policy. */
--- a/src/core/routing/policies/round-robin.ts
+++ b/src/core/routing/policies/round-robin.ts
@@ -1,4 +1,4 @@
-/** Round robin: each eligible engine in turn. Blind to load; the baseline of baselines. */
+/** Round robin: each eligible engine in turn. Ignores load; the simplest baseline. */
 import { firstEligibleFrom, type RoutingPolicy } from '../policy.js';
 
 /** Creates a round-robin policy with its own cursor. */
--- a/src/core/routing/policy.ts
+++ b/src/core/routing/policy.ts
@@ -1,38 +1,38 @@
 /**
- * The contract of a routing policy: given a pool of engines that hold the target, name the one to
- * send to. Whether an engine may be sent to at all is not the policy's to decide.
+ * The contract of a routing policy: it chooses one engine from a pool of engines that hold the
+ * target. The pool, not the policy, decides which engines are eligible.
  */
 import type { Milliseconds } from '../common/time.js';
 import type { EngineEntry } from './engine-entry.js';
 import type { RandomDraws } from './random-draws.js';
 
-/** The engines to choose from for one request, and what may be asked of them. */
+/** The engines to choose from for one request, with their estimates. */
 export interface CandidatePool {
-  /** Available engines of the served versions, in a stable order. */
+  /** Available engines that hold a served version, in a stable order. */
   readonly all: readonly EngineEntry[];
-  /** Those of `all` in the asking daemon's zone. */
+  /** The engines of `all` in the daemon's own zone. */
   readonly local: readonly EngineEntry[];
-  /** Engines thought to hold a prefix of the prompt in their cache. Hints only. */
+  /** Engines that probably cached a prefix of the prompt. A hint, possibly wrong. */
   readonly prefixHolders: readonly EngineEntry[];
   readonly draws: RandomDraws;
-  /** Whether the engine may be sent this request now. A policy must only name such engines. */
+  /** Whether the request may be sent to the engine now. A policy must choose only such engines. */
   isEligible(entry: EngineEntry): boolean;
-  /** Requests the engine is expected to have in hand, corrected by what this daemon sent. */
+  /** Expected active requests at the engine: the reported count, corrected by this daemon's own. */
   expectedActive(entry: EngineEntry): number;
-  /** Requests this daemon itself has in flight to the engine. */
+  /** Requests of this daemon in flight to the engine. */
   ownInFlight(entry: EngineEntry): number;
-  /** When the engine is expected to finish the request. */
+  /** Expected time until the engine has finished the request. */
   expectedFinishMs(entry: EngineEntry): Milliseconds;
 }
 
-/** A way of choosing. An instance may keep a cursor of its own; it is owned by one daemon. */
+/** A routing policy. An instance may have state, such as a cursor, and belongs to one daemon. */
 export interface RoutingPolicy {
   readonly name: string;
-  /** The engine to send to, or null when none of the pool is eligible. */
+  /** The chosen engine, or null when no engine of the pool is eligible. */
   choose(pool: CandidatePool): EngineEntry | null;
 }
 
-/** The first eligible engine from a start index on, round the end; null when there is none. */
+/** The first eligible engine from a start index on, wrapping around; null when there is none. */
 export function firstEligibleFrom(pool: CandidatePool, start: number): EngineEntry | null {
   const size = pool.all.length;
   for (let step = 0; step < size; step += 1) {
@@ -44,7 +44,9 @@
   return null;
 }
 
-/** An eligible engine drawn at random from `entries`, or null after a few draws in vain. */
+/**
+ * An eligible engine drawn at random from `entries`, or null after `MAX_DRAWS` ineligible draws.
+ */
 export function drawEligible(
   pool: CandidatePool,
   entries: readonly EngineEntry[],
@@ -61,5 +63,5 @@
   return null;
 }
 
-/** Draws in vain after which a policy falls back to a scan. */
+/** Number of ineligible draws after which `drawEligible` returns null. */
 const MAX_DRAWS = 4;
--- a/src/core/routing/prefix-index.ts
+++ b/src/core/routing/prefix-index.ts
@@ -1,6 +1,7 @@
 /**
- * Which engines are thought to hold which prompt prefixes, from late and gappy cache events and
- * from this daemon's own dispatches. A hint for speed only: nothing depends on it being true.
+ * The prompt prefixes that engines have probably cached, from cache events, which may be late or
+ * missing, and from this daemon's own dispatches. A performance hint only: correctness does not
+ * depend on it.
  */
 import type { BackendName } from '../common/identifiers.js';
 
@@ -10,40 +11,44 @@
   readonly hash: string;
 }
 
-/** Hashes in one of the two generations at most; the older generation is forgotten whole. */
+/** Maximum number of hashes in each of the two generations; the older one is dropped completely. */
 const MAX_GENERATION_HASHES = 32_768;
-/** Engines remembered for one hash at most. */
+/** Maximum number of engines stored for one hash. */
 const MAX_HOLDERS = 4;
-/** Engines named for one prompt at most. */
+/** Maximum number of engines returned for one prompt. */
 const MAX_MATCHES = 4;
 const NO_MATCHES: readonly PrefixMatch[] = [];
-/** Every block up to this one is looked at; of later ones, this many of each doubling. */
+/**
+ * The first blocks are all indexed; after them, `BLOCKS_PER_DOUBLING` per doubling of the length.
+ */
 const DENSE_BLOCKS = 16;
 const BLOCKS_PER_DOUBLING = 8;
-/** Blocks beyond this one are not looked at. */
+/** Blocks beyond this number are not indexed. */
 const MAX_BLOCKS = 1_024;
-/** The blocks that are stored and looked up: a prefix is known to an eighth of its length. */
+/** The positions of the indexed blocks. Prefix lengths are known to within one eighth. */
 const INDEXED_BLOCKS = computeIndexedBlocks();
 
-/** A prompt's longest prefix, in blocks, that an engine is thought to hold. */
+/** The longest prefix of a prompt, in blocks, that an engine has probably cached. */
 export interface PrefixMatch {
   readonly backend: BackendName;
   readonly blocks: number;
 }
 
-/** Most hashes have one holder; a list is kept only for those that have more. */
+/**
+ * The engines that cached a prefix. Most hashes have one holder, which is stored without a list.
+ */
 type Holders = BackendName | readonly BackendName[];
 
 /**
- * Prefix holders by hash, bounded. Kept in two generations: what is stored goes into the young one;
- * when that is full it becomes the old one, and what was not stored again since is forgotten.
- * Updated in place by its owner.
+ * Prefix holders by hash, of bounded size, in two generations. New hashes go into the young
+ * generation. When that is full, it replaces the old generation, which drops the hashes that were
+ * not stored again in the meantime. Updated in place by its owner.
  */
 export class PrefixIndex {
   #young = new Map<string, Holders>();
   #old = new Map<string, Holders>();
 
-  /** Takes over cache events of an engine. */
+  /** Applies cache events of an engine. */
   apply(backend: BackendName, events: readonly CacheEvent[]): void {
     for (const event of events) {
       if (event.kind === 'stored') {
@@ -55,7 +60,7 @@
     }
   }
 
-  /** Notes that a prompt was sent to an engine, which will soon hold its prefix. */
+  /** Records that a prompt was sent to an engine, which will soon have cached its prefix. */
   dispatched(backend: BackendName, hashes: readonly string[]): void {
     for (const block of INDEXED_BLOCKS) {
       const hash = hashes[block];
@@ -66,13 +71,15 @@
     }
   }
 
-  /** Forgets what an engine held, after it restarted or left. */
+  /** Removes an engine from all hashes, after it restarted or left. */
   forget(backend: BackendName): void {
     removeHolderEverywhere(this.#young, backend);
     removeHolderEverywhere(this.#old, backend);
   }
 
-  /** The engines with the longest known prefix of a prompt, longest first, few of them. */
+  /**
+   * The engines with the longest known prefixes of a prompt, longest first, at most `MAX_MATCHES`.
+   */
   matches(hashes: readonly string[]): readonly PrefixMatch[] {
     const first = hashes[0];
     if (first === undefined || this.#holdersOf(first) === undefined) {
--- a/src/core/routing/random-draws.ts
+++ b/src/core/routing/random-draws.ts
@@ -1,9 +1,9 @@
 /**
- * Several pseudo-random draws from the one number that a step is given (the mulberry32 generator),
- * so that a decision is a function of its inputs.
+ * Derives several pseudo-random draws from the single entropy value of a step, with the mulberry32
+ * generator, so that a decision is a deterministic function of its inputs.
  */
 
-/** A generator seeded by a step's entropy. */
+/** A generator seeded with a step's entropy. */
 export class RandomDraws {
   #state: number;
 
@@ -11,7 +11,7 @@
     this.#state = entropy >>> 0;
   }
 
-  /** A whole number from 0 to `limit` - 1. */
+  /** An integer from 0 to `limit` - 1. */
   below(limit: number): number {
     this.#state = (this.#state + 0x6d2b79f5) >>> 0;
     let mixed = this.#state;
--- a/src/core/routing/speed-model.ts
+++ b/src/core/routing/speed-model.ts
@@ -1,25 +1,27 @@
 /**
- * How fast an engine is at a given load, learnt from its reports. A report's step time was measured
- * at the load of that moment; fitted against that load it becomes a property of the engine, which
- * stays true when the report is old.
+ * Models the speed of an engine as a function of its load, from its reports. A reported step time
+ * holds for the load at which it was measured. The fit of step time against load is a property of
+ * the engine, which remains valid when the report is old.
  */
 import type { Milliseconds } from '../common/time.js';
 import type { EngineLoad } from '../registry/backend.js';
 
-/** Prefill speed taken for an engine that has not measured its own; assumed. */
+/** Prefill speed of an engine that has not reported one. */
 const DEFAULT_PREFILL_TOKENS_PER_SECOND = 4_000;
-/** Decode step time taken for an engine that has not measured its own; assumed. */
+/** Decode step time of an engine that has not reported one. */
 const DEFAULT_DECODE_STEP_MS: Milliseconds = 25;
-/** How much of the fit an older report keeps with each new one. */
+/** Factor by which the weight of earlier reports decreases with each new report. */
 const DECAY_PER_REPORT = 0.97;
-/** The part of a report's prefill speed that the smoothed one takes over. */
+/** Weight of a new report in the exponentially smoothed prefill speed. */
 const PREFILL_SMOOTHING = 0.1;
-/** The weight, in reports, of the slope assumed before reports of different loads were seen. */
+/** Weight of the prior slope, in reports; it dominates until reports at different loads arrive. */
 const PRIOR_WEIGHT = 4;
-/** The assumed growth of a step from an empty to a full batch, as a share of its mean. */
+/**
+ * Prior growth of the step time from an empty to a full batch, as a share of the mean step time.
+ */
 const PRIOR_GROWTH = 0.6;
 
-/** A weighted straight line of step time over running requests. Updated in place. */
+/** A weighted linear regression of step time on running requests. Updated in place. */
 export class SpeedModel {
   #weight = 0;
   #runningSum = 0;
@@ -28,7 +30,7 @@
   #productSum = 0;
   #prefillSpeed = 0;
 
-  /** Takes over a new report's load. */
+  /** Adds the load of a new report. */
   observe(load: EngineLoad): void {
     if (load.prefillTokensPerSecond > 0) {
       const change = load.prefillTokensPerSecond - this.#prefillSpeed;
@@ -39,12 +41,12 @@
     }
   }
 
-  /** Prompt tokens read a second. */
+  /** Prompt tokens that the engine prefills per second. */
   get prefillTokensPerSecond(): number {
     return this.#prefillSpeed > 0 ? this.#prefillSpeed : DEFAULT_PREFILL_TOKENS_PER_SECOND;
   }
 
-  /** The expected time of a decode step with so many requests in the batch. */
+  /** The expected time of a decode step with `running` requests in the batch. */
   stepMs(running: number, maxBatch: number): Milliseconds {
     if (this.#weight === 0) {
       return DEFAULT_DECODE_STEP_MS;
--- a/src/core/routing/timed-sum.ts
+++ b/src/core/routing/timed-sum.ts
@@ -1,20 +1,20 @@
 /**
- * A log of amounts in time order whose sum since a moment is cheap to read: the reader's moment only
- * moves forward, so what lies before it is dropped for good.
+ * A list of amounts in time order with a cheap sum of those added after a given time. Callers must
+ * pass times that never decrease, so that earlier amounts can be discarded.
  */
 import type { MonotonicMs } from '../common/time.js';
 
-/** Entries kept at most; older ones are merged, which keeps the sum and blurs their time. */
+/** Maximum number of entries. Further amounts are added to the last entry, under its time. */
 const MAX_ENTRIES = 512;
 
-/** A sum of amounts over a window that starts at a moving moment. Updated in place. */
+/** A sum of amounts over a window whose start moves forward. Updated in place. */
 export class TimedSum {
   readonly #times: MonotonicMs[] = [];
   readonly #amounts: number[] = [];
   #first = 0;
   #total = 0;
 
-  /** Adds an amount at a time not before the last one. */
+  /** Adds an amount. Times must not decrease. */
   add(at: MonotonicMs, amount: number): void {
     this.#total += amount;
     if (this.#times.length - this.#first >= MAX_ENTRIES) {
@@ -26,7 +26,7 @@
     this.#amounts.push(amount);
   }
 
-  /** The sum of the amounts added after `moment`. Drops the earlier ones. */
+  /** The sum of the amounts added after `moment`. Discards the earlier ones. */
   sumAfter(moment: MonotonicMs): number {
     if (this.#total === 0 || (this.#times[this.#first] ?? 0) > moment) {
       return this.#total;
--- a/test/requests/attempts.test.ts
+++ b/test/requests/attempts.test.ts
@@ -1,4 +1,4 @@
-/** Retry, resume, deadlines and true outcomes of the request table. */
+/** Retries, resumed streams, deadlines and outcomes of the request table. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import fc from 'fast-check';
@@ -17,7 +17,7 @@
 const NOT_SENT = { kind: 'not-sent', reason: 'ECONNREFUSED' } as const;
 const FULL = { kind: 'refused-not-run', reason: 'engine-full', retryAfterMs: 4_000 } as const;
 
-test('what was not sent goes to another backend under the next attempt id', () => {
+test('a request that was not sent goes to another backend under the next attempt id', () => {
   const daemon = new Daemon();
   const work = request();
   daemon.arrive(work);
@@ -34,7 +34,7 @@
   assert.equal(daemon.table.activeCount, 0);
 });
 
-test('attempts are bounded and the refusal at the end is true', () => {
+test('attempts are limited, and a request that was never sent is refused as not run', () => {
   const daemon = new Daemon();
   const work = request();
   daemon.arrive(work);
@@ -43,7 +43,7 @@
   assert.equal(daemon.fault(work)?.outcome, 'refused-not-run');
 });
 
-test('retries stay a share of traffic when every backend fails', () => {
+test('retries stay a limited share of traffic when every backend fails', () => {
   const daemon = new Daemon();
   let attempts = 0;
   for (let index = 0; index < 1_000; index += 1) {
@@ -55,7 +55,7 @@
   assert.ok(attempts <= 1_000 * 1.1 + 10, `${attempts} attempts for 1000 requests`);
 });
 
-test('an overloaded fleet is asked once more and then left alone', () => {
+test('a request that an engine refused as full is retried once and then refused as overloaded', () => {
   const daemon = new Daemon();
   const work = request();
   daemon.arrive(work);
@@ -66,7 +66,7 @@
   assert.equal(daemon.fault(work)?.retryAfterMs, 4_000);
 });
 
-test('a broken attempt of work that is not repeatable is final and unknown', () => {
+test('a broken attempt of a request that is not repeatable is final, with an unknown outcome', () => {
   const daemon = new Daemon();
   const work = request({ repeatable: false });
   daemon.arrive(work);
@@ -76,7 +76,7 @@
   assert.equal(daemon.fault(work)?.retryable, false);
 });
 
-test('a broken stream goes on at the first token not delivered', () => {
+test('a broken stream resumes at the first token that was not delivered', () => {
   const daemon = new Daemon();
   const work = request({ streamed: true });
   daemon.arrive(work);
@@ -86,7 +86,7 @@
   assert.equal(daemon.dispatches(work).at(-1)?.backend, 'b');
 });
 
-test('an answer goes on in the version that wrote its beginning, whatever breaks later', () => {
+test('a stream resumes on the version that generated its first tokens, also after further failures', () => {
   const daemon = new Daemon();
   const work = request({ streamed: true });
   daemon.arrive(work);
@@ -96,7 +96,7 @@
   assert.deepEqual(daemon.versionsAskedFor, [null, 'v1+a1', 'v1+a1', 'v1+a1']);
 });
 
-test('a half-forwarded whole answer is aborted, not begun again', () => {
+test('an answer that is not a stream is aborted, not restarted, once its headers were forwarded', () => {
   const daemon = new Daemon();
   const work = request();
   daemon.arrive(work);
@@ -105,7 +105,7 @@
   assert.equal(daemon.dispatches(work).length, 1);
 });
 
-test('after a break no later refusal says that the work was not run', () => {
+test('after a broken attempt no later refusal claims that the request was not run', () => {
   const daemon = new Daemon();
   const work = request();
   daemon.arrive(work);
@@ -115,7 +115,7 @@
   assert.equal(daemon.fault(work)?.outcome, 'unknown');
 });
 
-test('events of an earlier attempt change nothing', () => {
+test('events of an earlier attempt are ignored', () => {
   const daemon = new Daemon();
   const work = request();
   daemon.arrive(work);
@@ -142,7 +142,7 @@
   assert.equal(daemon.dispatches(admitted).length, 1);
 });
 
-test('a deadline that passes while a backend works cancels it and is unknown', () => {
+test('a deadline that passes during an attempt cancels it, with an unknown outcome', () => {
   const daemon = new Daemon();
   const work = request();
   daemon.arrive(work);
@@ -157,7 +157,7 @@
   assert.equal(daemon.fault(work)?.outcome, 'unknown');
 });
 
-test('a delivered head ends the deadline', () => {
+test('the deadline no longer applies once response headers were forwarded', () => {
   const daemon = new Daemon();
   const work = request({ streamed: true });
   daemon.arrive(work);
@@ -165,7 +165,7 @@
   assert.deepEqual(daemon.tick(work.deadline + 1), []);
 });
 
-test('a caller that goes away has its work cancelled', () => {
+test('the attempt of a caller that disconnects is cancelled', () => {
   const daemon = new Daemon();
   const work = request();
   daemon.arrive(work);
@@ -174,7 +174,7 @@
   assert.equal(daemon.table.activeCount, 0);
 });
 
-test('a half-delivered stream waits only so long for an engine to go on with', () => {
+test('a partly delivered stream is aborted after 10 s without an engine that can resume it', () => {
   const daemon = new Daemon();
   const work = request({ streamed: true });
   daemon.arrive(work);
@@ -184,8 +184,8 @@
   assert.ok(daemon.kinds(daemon.tick(10_000)).includes('abort'));
 });
 
-/** What the oracle knows: whether any attempt may have run, and how often the caller was answered. */
-test('any order of events: one final answer, true, and at most one run if not repeatable', () => {
+/** The oracle tracks whether any attempt may have run and how often the caller was answered. */
+test('any order of events yields one correct final answer, and at most one run if not repeatable', () => {
   const step = fc.constantFrom(
     NOT_SENT,
     FULL,
--- a/test/requests/idempotency.test.ts
+++ b/test/requests/idempotency.test.ts
@@ -1,4 +1,6 @@
-/** Idempotency claims: before dispatch, across daemons, over store failures and a daemon's death. */
+/**
+ * Idempotency claims: before the dispatch, across daemons, and when the store or a daemon fails.
+ */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import { COMPLETED, Daemon, FakeStore, renewal } from './support.js';
@@ -22,7 +24,7 @@
   return (store.rows.get(KEY)?.value as { outcome: unknown } | null | undefined)?.outcome;
 }
 
-test('the claim is written before the dispatch and holds the outcome afterwards', () => {
+test('the claim is written before the dispatch and contains the outcome afterwards', () => {
   const daemon = new Daemon();
   const work = renewal();
   const kinds = daemon.kinds(daemon.arrive(work));
@@ -33,7 +35,7 @@
   assert.equal(daemon.table.settlingCount, 0);
 });
 
-test('a repeat through another daemon is in progress, then replayed', () => {
+test('a repeat through another daemon is refused while the first request runs, then replayed', () => {
   const first = new Daemon('d1');
   const second = new Daemon('d2', first.store);
   const work = renewal();
@@ -50,7 +52,7 @@
   assert.equal(second.dispatches(repeat).length, 0);
 });
 
-test('another body under the key is refused', () => {
+test('a request with the same key and another body is refused', () => {
   const daemon = new Daemon();
   daemon.arrive(renewal());
   const other = renewal({ bodyDigest: 'digest-2' });
@@ -58,7 +60,7 @@
   assert.equal(daemon.fault(other)?.code, 'idempotency-conflict');
 });
 
-test('with the store down nothing is dispatched and the refusal says not run', () => {
+test('while the store is down nothing is dispatched and the request is refused as not run', () => {
   const daemon = new Daemon();
   daemon.store.mode = 'down';
   const work = renewal();
@@ -90,7 +92,7 @@
   });
 }
 
-test('a claim that stays lost is refused as not run and released once it can be', () => {
+test('a claim without any answer is refused as not run, and released once the store answers', () => {
   const daemon = new Daemon();
   daemon.store.mode = 'lost-after';
   const work = renewal();
@@ -103,7 +105,7 @@
   assert.equal(daemon.table.settlingCount, 0);
 });
 
-test('a repeat after the holder died is unknown, and runs only if repeatable', () => {
+test('after the holder died, the outcome of a repeat is unknown, and it runs only if repeatable', () => {
   const dead = new Daemon('d1');
   const survivor = new Daemon('d2', dead.store);
   dead.arrive(renewal());
@@ -118,7 +120,7 @@
   assert.equal(survivor.dispatches(repeatableRequest).length, 1);
 });
 
-test('a broken renewal is recorded as unknown and never runs again under its key', () => {
+test('a broken request is recorded with an unknown outcome and never runs again under its key', () => {
   const daemon = new Daemon();
   const work = renewal();
   daemon.arrive(work);
@@ -131,7 +133,7 @@
   assert.equal(replay?.kind === 'replay' && replay.outcome.kind, 'failed');
 });
 
-test('a refused renewal frees its key', () => {
+test('a refused request releases its key', () => {
   const daemon = new Daemon();
   daemon.choice = 'refuse';
   daemon.arrive(renewal());
@@ -141,7 +143,7 @@
   assert.equal(daemon.dispatches(repeat).length, 1);
 });
 
-test('an outcome that can not be recorded is tried again until it is', () => {
+test('recording an outcome is retried until the store answers', () => {
   const daemon = new Daemon();
   const work = renewal();
   daemon.arrive(work);
@@ -161,7 +163,7 @@
   assert.equal(daemon.table.settlingCount, 0);
 });
 
-test('a recording whose answer was lost is not taken for another daemon', () => {
+test('a recorded outcome whose answer was lost is not reported as taken over by another daemon', () => {
   const daemon = new Daemon();
   const work = renewal();
   daemon.arrive(work);
@@ -177,7 +179,7 @@
   );
 });
 
-test('a renewal runs on when its caller goes away, so that a repeat learns its outcome', () => {
+test('a request that is not repeatable completes after its caller disconnects, and is recorded', () => {
   const daemon = new Daemon();
   const work = renewal();
   daemon.arrive(work);
@@ -187,7 +189,7 @@
   assert.deepEqual(outcomeIn(daemon.store), ANSWER);
 });
 
-test('a renewal runs on past its deadline after its caller was told that it is unknown', () => {
+test('a request that is not repeatable runs on past its deadline, and its outcome is recorded', () => {
   const daemon = new Daemon();
   const work = renewal();
   daemon.arrive(work);
--- a/test/requests/support.ts
+++ b/test/requests/support.ts
@@ -1,4 +1,4 @@
-/** A request table in virtual time with a small table service that tests can fail. */
+/** A request table in virtual time, with a fake table service that tests can make fail. */
 import { type Fault, refusedNotRun } from '../../src/core/errors/fault.js';
 import type { TableEffect, TableResult, TableRow } from '../../src/core/platform/table.js';
 import {
@@ -11,10 +11,10 @@
   type RouteChoice,
 } from '../../src/core/requests/index.js';
 
-/** How the table service answers. `lost-after`: done, but the answer is lost. */
+/** How the table service answers: `lost-before` and `lost-after` lose the call or the answer. */
 export type StoreMode = 'up' | 'down' | 'lost-before' | 'lost-after';
 
-/** The rows of a table service, shared by the daemons of a test. */
+/** A fake table service, shared by the daemons of a test. */
 export class FakeStore {
   readonly rows = new Map<string, TableRow>();
   mode: StoreMode = 'up';
@@ -52,7 +52,7 @@
   }
 }
 
-/** One daemon's request table, driven by hand. */
+/** One daemon's request table, driven step by step by a test. */
 export class Daemon {
   readonly table = new RequestTable();
   readonly effects: RequestTableEffect[] = [];
@@ -60,7 +60,7 @@
   backends = ['a', 'b', 'c', 'd', 'e'];
   choice: RouteChoice['kind'] = 'dispatch';
   gone = new Set<string>();
-  /** The version asked for with each choice. */
+  /** The version requested in each call of `choose`. */
   readonly versionsAskedFor: (string | null)[] = [];
 
   constructor(
@@ -68,7 +68,7 @@
     readonly store = new FakeStore(),
   ) {}
 
-  /** Feeds an event and answers the table calls that come of it until there are none. */
+  /** Applies an event and answers the resulting table calls until none is left. */
   feed(event: RequestTableEvent): readonly RequestTableEffect[] {
     const from = this.effects.length;
     const queue: RequestTableEvent[] = [event];
@@ -91,7 +91,7 @@
     return this.feed({ kind: 'request-arrived', description: request });
   }
 
-  /** Reports on the last attempt that was dispatched of a request. */
+  /** Reports an event of the last dispatched attempt of a request. */
   report(request: RequestDescription, event: DistributiveOmit<AttemptEvent, 'attempt'>) {
     const attempt = this.dispatches(request).at(-1)?.attempt ?? 'none';
     return this.feed({
@@ -112,7 +112,7 @@
     ) as Extract<RequestTableEffect, { kind: 'dispatch' }>[];
   }
 
-  /** The fault of the caller's final answer, if it has been given one. */
+  /** The fault in the caller's final answer, or undefined when there is none. */
   fault(request: RequestDescription): Fault | undefined {
     for (const effect of this.effects) {
       const failed = effect.kind === 'refuse' || effect.kind === 'abort';
@@ -157,7 +157,7 @@
 
 let counter = 0;
 
-/** A request to a model unless said otherwise. */
+/** A request, by default to a model and without an idempotency key. */
 export function request(overrides: Partial<RequestDescription> = {}): RequestDescription {
   counter += 1;
   return {
@@ -182,7 +182,7 @@
   };
 }
 
-/** A request under an idempotency key that must not run twice. */
+/** A request to a web service, with an idempotency key, by default not repeatable. */
 export function renewal(overrides: Partial<RequestDescription> = {}): RequestDescription {
   return request({
     target: { kind: 'web', service: 'orders' },
--- a/test/routing/eligibility.test.ts
+++ b/test/routing/eligibility.test.ts
@@ -14,7 +14,7 @@
 
 const POLICIES = [roundRobin, random, leastOutstanding, powerOfTwo, expectedFinish];
 
-/** One bad engine `x` beside the good engine `y`: [what is wrong, view of x, configuration]. */
+/** An ineligible engine `x` beside the eligible `y`: [reason, view of x, configuration changes]. */
 const INELIGIBLE: readonly (readonly [string, EngineView, object?])[] = [
   ['no-report', view('x', { report: null })],
   ['machine-leaving', view('x', { machine: machine('x', { state: 'leaving' }) })],
@@ -50,7 +50,7 @@
     });
   }
 
-  it('says why when every engine is out', () => {
+  it('states the reasons when no engine is eligible', () => {
     const index = indexOf([view('x', { grantedUntil: 900 }), view(report('y', { busy: true }))]);
     const decision = chooseEngine(choice(index));
     assert.equal(decision.kind, 'none');
@@ -59,7 +59,7 @@
     assert.match(decision.fault.message, /1 not heard from lately.*1 changing role/);
   });
 
-  it('waits rather than refuses when engines are merely full', () => {
+  it('waits instead of refusing when the engines are only full', () => {
     const full = view(report('x', { activeRequests: 20 }), { reportedAt: 1_000 });
     assert.equal(chooseEngine(choice(indexOf([full]))).kind, 'full');
   });
@@ -75,7 +75,7 @@
     }
   });
 
-  it('uses a failed or ejected engine again only when nothing else is left', () => {
+  it('uses an engine that the request failed on only when no other engine is left', () => {
     const excluded = new Set(['x']);
     const both = chooseEngine(choice(indexOf([view('x'), view('y')]), { excluded }));
     assert.equal(both.kind === 'chosen' && both.engine, 'y');
@@ -83,7 +83,7 @@
     assert.equal(alone.kind === 'chosen' && alone.engine, 'x');
   });
 
-  it('keeps at least half of the candidates in use however many fail', () => {
+  it('keeps at least half of the candidates in use when all of them fail', () => {
     const names = ['p', 'q', 'r', 's', 't'];
     const outliers = new OutlierTracker();
     for (const name of names) {
@@ -103,7 +103,7 @@
     assert.equal(outliers.isEjected('p', 900), false);
   });
 
-  it('keeps a resumed request on its version and rolls a new one over by halves', () => {
+  it('keeps a resumed request on its version, and serves only the new version once half hold it', () => {
     const models = (version: string) => [{ model: 'labels', version, adapters: [] }];
     const index = indexOf([view('x'), view('y'), view('z')]);
     index.setConfiguration(configuration({ models: { labels: { version: 'v2' } } }, 2));
@@ -120,7 +120,7 @@
     assert.deepEqual([...rolled].sort(), ['x', 'y']);
   });
 
-  it('forgets engines that the machine list no longer names', () => {
+  it('removes engines that are no longer in the machine list', () => {
     const index = indexOf([view('x')]);
     index.setMachines([machine('x'), machine('y')]);
     index.setMachines([machine('y')]);
--- a/test/routing/fixtures.ts
+++ b/test/routing/fixtures.ts
@@ -46,7 +46,7 @@
   };
 }
 
-/** A view granted up to 2,000. */
+/** A view of an engine, with a dispatch grant until 2,000 ms. */
 export function view(engine: EngineReport | string, changes: Partial<EngineView> = {}): EngineView {
   const stated = typeof engine === 'string' ? report(engine) : engine;
   return {
@@ -65,7 +65,7 @@
   return { version, document: configurationSchema.parse({ models, ...changes }) };
 }
 
-/** An index of a configuration and views. */
+/** A fleet index with a configuration and views. */
 export function indexOf(views: readonly EngineView[], changes: object = {}): FleetIndex {
   const index = new FleetIndex();
   index.setConfiguration(configuration(changes));
@@ -75,13 +75,13 @@
   return index;
 }
 
-/** A target of 100 prompt tokens and 10 output tokens. */
+/** A target with 100 prompt tokens and 10 output tokens. */
 export function target(changes: Partial<ModelTarget> = {}): ModelTarget {
   const base = { model: 'labels', adapter: null, promptTokens: 100, maxOutputTokens: 10 };
   return { kind: 'model', ...base, prefixHashes: [], ...changes };
 }
 
-/** The input of a decision at time 1,000. */
+/** The input of a decision at 1,000 ms. */
 export function choice(
   index: FleetIndex,
   changes: Partial<EngineChoiceInput> = {},
--- a/test/routing/herding.test.ts
+++ b/test/routing/herding.test.ts
@@ -17,7 +17,7 @@
   durationMs: 12_000,
 };
 
-it('herds by least outstanding on a stale view that daemons share, and less by choices of two', () => {
+it('herds with least outstanding on stale reports, and less with power of two choices', () => {
   const run = (createPolicy: RoutingScenario['createPolicy']) =>
     simulateRouting({ ...SCENARIO, createPolicy, correctsByOwnSends: false });
   const herding = run(leastOutstanding);
@@ -26,7 +26,7 @@
   assert.ok(spread.p95Ms < herding.p95Ms);
 });
 
-it('keeps expected finish flat as reports grow old, by correcting them with own sends', () => {
+it('keeps response times with expected finish stable on old reports, corrected by own requests', () => {
   const run = (reportLagMs: number, correctsByOwnSends: boolean) =>
     simulateRouting({
       ...SCENARIO,
@@ -42,7 +42,7 @@
   assert.ok(stale.meanMs < 0.9 * uncorrected.meanMs, `${stale.meanMs} ${uncorrected.meanMs}`);
 });
 
-it('gives the same figures for the same seed', () => {
+it('gives the same results for the same seed', () => {
   const scenario = { ...SCENARIO, createPolicy: expectedFinish, correctsByOwnSends: true };
   const short = { ...scenario, durationMs: 3_000, sharedPrefixes: 20 };
   assert.deepEqual(simulateRouting(short), simulateRouting(short));
--- a/test/routing/prefix-index.test.ts
+++ b/test/routing/prefix-index.test.ts
@@ -7,7 +7,7 @@
   Array.from({ length: blocks }, (_, block) => `${prompt}.${block}`);
 
 describe('prefix index', () => {
-  it('names the holders of the longest prefix first, and forgets what is evicted', () => {
+  it('returns holders of the longest prefix first, and removes evicted hashes and engines', () => {
     const index = new PrefixIndex();
     index.dispatched('x', hashesOf('p', 3));
     index.dispatched('y', hashesOf('p', 1));
@@ -29,7 +29,7 @@
     assert.deepEqual(index.matches(hashesOf('q', 4)), []);
   });
 
-  it('knows a long prefix to an eighth of its length', () => {
+  it('finds the length of a long prefix to within one eighth', () => {
     const index = new PrefixIndex();
     index.dispatched('x', hashesOf('p', 1_000));
     for (const length of [5, 17, 40, 333, 1_000]) {
@@ -39,7 +39,7 @@
     }
   });
 
-  it('is bounded, and keeps what is used', () => {
+  it('has a bounded size, and keeps hashes that are used again', () => {
     const index = new PrefixIndex();
     for (let prompt = 0; prompt < 100_000; prompt += 1) {
       index.dispatched('x', [`p${prompt}`, 'shared']);
@@ -49,7 +49,7 @@
     assert.equal(index.matches(['shared']).length, 1);
   });
 
-  it('draws a request to the engine that holds its prefix, unless that one is full', () => {
+  it('prefers the engine that cached the prefix of a request, unless it is full', () => {
     const names = Array.from({ length: 30 }, (_, place) => `e${place}`);
     const prefixes = new PrefixIndex();
     prefixes.dispatched('e7', hashesOf('p', 20));
