--- a/src/core/requests/attempt-request.ts
+++ b/src/core/requests/attempt-request.ts
@@ -1,7 +1,8 @@
 /**
- * What becomes of a request when its attempt is refused, fails, breaks or completes. A retry of
- * what was certainly not run is drawn from the retry budget. Work that broke with its backend is
- * sent elsewhere once without drawing on it: it was admitted, and its old place is gone.
+ * Handles the end of an attempt: not sent, refused, broken or completed. A retry of a request that
+ * was certainly not run is charged to the retry budget. A request whose backend failed while it ran
+ * is dispatched once more without a charge: it was already admitted, and the failed attempt no
+ * longer takes up capacity.
  */
 import type { Fault } from '../errors/fault.js';
 import { refusedNotRun } from '../errors/fault.js';
@@ -18,21 +19,21 @@
 } from './request-state.js';
 import type { AttemptEvent, AttemptResult } from './types.js';
 
-/** Dispatches of one request at most, whatever the budget. */
+/** Maximum number of dispatches of one request, regardless of the retry budget. */
 export const MAX_ATTEMPTS = 4;
-/** The engine's refusal codes that mean overload: retrying them elsewhere only moves the load. */
+/** Refusal codes of engines that mean overload: a retry elsewhere only moves the load. */
 const OVERLOAD_REASONS: ReadonlySet<string> = new Set(['engine-full']);
-/** Engines that may be asked after one has said that it is full. */
-const ENGINES_AFTER_OVERLOAD = 1;
-/** Re-dispatches of broken work that the budget is not asked for. */
-const FREE_RESUMES = 1;
+/** Number of other engines to try after an engine has refused a request as full. */
+const MAX_OVERLOAD_RETRIES = 1;
+/** Number of dispatches after a broken attempt that are not charged to the retry budget. */
+const UNBUDGETED_RESUMES = 1;
 const DEFAULT_RETRY_AFTER_MS = 1_000;
 
 type AttemptingPhase = Extract<RequestState['phase'], { kind: 'attempting' }>;
 type BrokenEvent = Extract<AttemptEvent, { kind: 'broken' }>;
 type RefusedEvent = Extract<AttemptEvent, { kind: 'refused-not-run' }>;
 
-/** Takes what the shell reports of an attempt; reports of any but the current one are too late. */
+/** Applies an event of an attempt from the shell. Events of earlier attempts are ignored. */
 export function attemptEvent(
   state: RequestState,
   event: AttemptEvent,
@@ -49,15 +50,15 @@
         finishAnswered(state, event, context),
       );
     case 'not-sent':
-      return notSent(state, phase, event.reason, context);
+      return handleNotSent(state, phase, event.reason, context);
     case 'refused-not-run':
-      return refused(state, phase, event, context);
+      return handleRefusal(state, phase, event, context);
     case 'broken':
-      return broken(state, phase, event, context);
+      return handleBroken(state, phase, event, context);
   }
 }
 
-/** The notice that an attempt is over. */
+/** Builds the notice that an attempt has ended. */
 export function attemptEnded(
   state: RequestState,
   phase: AttemptingPhase,
@@ -74,7 +75,7 @@
   };
 }
 
-function notSent(
+function handleNotSent(
   state: RequestState,
   phase: AttemptingPhase,
   reason: string,
@@ -86,10 +87,10 @@
     { retryAfterMs: DEFAULT_RETRY_AFTER_MS },
   );
   const ended = attemptEnded(state, phase, 'not-sent', reason);
-  return afterEffects([ended], retryOrFail(exclude(state, phase), fault, context));
+  return afterEffects([ended], retryOrFail(excludeBackend(state, phase), fault, context));
 }
 
-function refused(
+function handleRefusal(
   state: RequestState,
   phase: AttemptingPhase,
   event: RefusedEvent,
@@ -98,10 +99,10 @@
   const ended = attemptEnded(state, phase, 'refused', event.reason);
   const overload = OVERLOAD_REASONS.has(event.reason);
   const overloadAnswers = state.overloadAnswers + (overload ? 1 : 0);
-  const next = { ...exclude(state, phase), overloadAnswers };
+  const next = { ...excludeBackend(state, phase), overloadAnswers };
   const fault = refusalFault(event, overload);
   const transition =
-    overloadAnswers > ENGINES_AFTER_OVERLOAD
+    overloadAnswers > MAX_OVERLOAD_RETRIES
       ? finishFailed(next, fault, context)
       : retryOrFail(next, fault, context);
   return afterEffects([ended], transition);
@@ -136,48 +137,48 @@
   return dispatchOrWait({ ...state, retries: state.retries + 1 }, context);
 }
 
-function broken(
+function handleBroken(
   state: RequestState,
   phase: AttemptingPhase,
   event: BrokenEvent,
   context: RequestContext,
 ): RequestTransition {
   const next: RequestState = {
-    ...exclude(state, phase),
+    ...excludeBackend(state, phase),
     brokenAttempts: state.brokenAttempts + 1,
     headersForwarded: state.headersForwarded || event.headersForwarded,
     deliveredTokens: Math.max(state.deliveredTokens, event.deliveredTokens),
     version: event.version ?? state.version,
   };
-  const again = maySendAgain(next);
+  const resends = mayResend(next);
   const effects = [
     attemptEnded(state, phase, 'broken', event.reason),
     log(REQUEST_EVENTS.attemptBroken, {
       request: state.description.id,
       backend: phase.backend,
       reason: event.reason,
-      sentAgain: again,
+      sentAgain: resends,
     }),
   ];
-  const transition = again
-    ? resume(next, event, context)
+  const transition = resends
+    ? resumeElsewhere(next, event, context)
     : finishFailed(next, brokenFault(next, event.reason), context);
   return afterEffects(effects, transition);
 }
 
-function maySendAgain(state: RequestState): boolean {
+function mayResend(state: RequestState): boolean {
   if (!state.description.repeatable || state.detached) return false;
   if (!state.headersForwarded) return true;
   return state.description.streamed && state.description.target.kind === 'model';
 }
 
-function resume(
+function resumeElsewhere(
   state: RequestState,
   event: BrokenEvent,
   context: RequestContext,
 ): RequestTransition {
   const fault = brokenFault(state, event.reason);
-  if (state.brokenAttempts > FREE_RESUMES) return retryOrFail(state, fault, context);
+  if (state.brokenAttempts > UNBUDGETED_RESUMES) return retryOrFail(state, fault, context);
   if (state.attempts >= MAX_ATTEMPTS) return finishFailed(state, fault, context);
   return dispatchOrWait(state, context);
 }
@@ -195,6 +196,6 @@
   };
 }
 
-function exclude(state: RequestState, phase: AttemptingPhase): RequestState {
+function excludeBackend(state: RequestState, phase: AttemptingPhase): RequestState {
   return { ...state, excluded: [...state.excluded, phase.backend] };
 }
--- a/src/core/requests/finish-request.ts
+++ b/src/core/requests/finish-request.ts
@@ -1,7 +1,8 @@
 /**
- * The ends of a request: answered, refused, aborted, replayed or given up by its caller. Each picks
- * what becomes of the idempotency claim and keeps the outcome true: nothing is called `not run`
- * once an attempt broke after bytes may have left.
+ * The ways in which a request ends: answered, refused, aborted, replayed or abandoned by its
+ * caller. Each decides whether the idempotency claim is recorded or released, and keeps the outcome
+ * correct: once an attempt broke after bytes may have been sent, no outcome claims that the request
+ * was not run.
  */
 import type { Fault } from '../errors/fault.js';
 import { REQUEST_EVENTS } from '../logging/catalogue/requests.js';
@@ -19,38 +20,38 @@
 
 type CompletedEvent = Extract<AttemptEvent, { kind: 'completed' }>;
 
-/** The fault as it may truthfully be told. */
-function truthfulFault(state: RequestState, fault: Fault): Fault {
+/** Changes a fault's outcome to `unknown` when an attempt broke and may have run the request. */
+function withTrueOutcome(state: RequestState, fault: Fault): Fault {
   if (state.brokenAttempts === 0) return fault;
   return { ...fault, outcome: 'unknown', retryable: state.description.repeatable };
 }
 
-/** Ends a request whose answer was handed over whole. */
+/** Ends a request whose complete answer was forwarded to the caller. */
 export function finishAnswered(
   state: RequestState,
   event: CompletedEvent,
   context: RequestContext,
 ): RequestTransition {
   const outcome = event.outcome ?? { kind: 'answered-too-large-to-replay', status: 200 };
-  const notice = ended(state, 'answered', event.promptTokens, event.outputTokens);
+  const notice = endedNotice(state, 'answered', event.promptTokens, event.outputTokens);
   return afterEffects([notice], settle(state, { kind: 'record', outcome }, context));
 }
 
-/** Ends a request with a fault: its final answer, or a visible break of a half-delivered one. */
+/** Ends a request with a fault, sent as its answer or, after the headers, as a visible abort. */
 export function finishFailed(
   state: RequestState,
   fault: Fault,
   context: RequestContext,
 ): RequestTransition {
-  const told = truthfulFault(state, fault);
+  const finalFault = withTrueOutcome(state, fault);
   const effects: RequestTableEffect[] = [];
-  if (!state.detached) effects.push(answerWith(state, told));
-  if (told.outcome === 'unknown') effects.push(outcomeUnknownLog(state, told));
-  effects.push(ended(state, told.outcome, 0, 0));
-  return afterEffects(effects, settle(state, settlementOf(state, told), context));
+  if (!state.detached) effects.push(answerWith(state, finalFault));
+  if (finalFault.outcome === 'unknown') effects.push(outcomeUnknownLog(state, finalFault));
+  effects.push(endedNotice(state, finalFault.outcome, 0, 0));
+  return afterEffects(effects, settle(state, chooseSettlement(state, finalFault), context));
 }
 
-/** Ends a request whose caller has gone. `mayHaveRun`: a backend had or may have had it. */
+/** Ends a request whose caller disconnected. `mayHaveRun`: a backend may have received it. */
 export function finishCallerGone(
   state: RequestState,
   mayHaveRun: boolean,
@@ -62,22 +63,22 @@
     retryable: false,
     outcome: mayHaveRun ? 'unknown' : 'refused-not-run',
   };
-  const notice = ended(state, 'caller-gone', 0, 0);
-  return afterEffects([notice], settle(state, settlementOf(state, fault), context));
+  const notice = endedNotice(state, 'caller-gone', 0, 0);
+  return afterEffects([notice], settle(state, chooseSettlement(state, fault), context));
 }
 
-/** Ends a request with the outcome that its key has already. */
+/** Ends a request with the outcome that is already recorded under its key. */
 export function finishReplayed(state: RequestState, outcome: RecordedOutcome): RequestTransition {
   return {
     state: { ...state, phase: { kind: 'ended' } },
     effects: [
       { kind: 'replay', request: state.description.id, outcome },
-      ended(state, 'replayed', 0, 0),
+      endedNotice(state, 'replayed', 0, 0),
     ],
   };
 }
 
-/** Gives the caller its final answer while the work goes on, so that its outcome can be recorded. */
+/** Sends the caller its final answer; the attempt continues, so that its outcome is recorded. */
 export function answerAndDetach(state: RequestState, fault: Fault): RequestTransition {
   return {
     state: { ...state, detached: true },
@@ -90,9 +91,9 @@
   return { kind, request: state.description.id, fault };
 }
 
-function settlementOf(state: RequestState, fault: Fault): Settlement {
-  const runAgain = fault.outcome === 'refused-not-run' || state.description.repeatable;
-  if (runAgain) return { kind: 'release' };
+function chooseSettlement(state: RequestState, fault: Fault): Settlement {
+  const mayRunAgain = fault.outcome === 'refused-not-run' || state.description.repeatable;
+  if (mayRunAgain) return { kind: 'release' };
   return { kind: 'record', outcome: { kind: 'failed', fault } };
 }
 
@@ -107,7 +108,7 @@
   return beginSettlement(state, settlement, context);
 }
 
-function ended(
+function endedNotice(
   state: RequestState,
   result: RequestResult,
   promptTokens: number,
--- a/src/core/requests/request-table.ts
+++ b/src/core/requests/request-table.ts
@@ -1,6 +1,7 @@
 /**
- * All requests that a daemon has in flight, in one container that it updates in place. It routes
- * events to the per-request state machine, keeps the retry budget and bounds what it remembers.
+ * All requests in flight at a daemon, in one container that is updated in place. Passes events to
+ * the per-request state machine, tracks the retry budget and limits the number of unsettled
+ * requests.
  */
 import type { BackendName, ClassName, RequestId, VersionName } from '../common/identifiers.js';
 import { refusedNotRun } from '../errors/fault.js';
@@ -25,17 +26,19 @@
 import { stepRequest } from './step-request.js';
 import type { AttemptEvent, RequestDescription, RouteChoice } from './types.js';
 
-/** Ended requests whose claim is not settled yet; beyond it, requests with a key are refused. */
+/** Maximum number of ended requests with unsettled claims; above it, keyed requests are refused. */
 const MAX_SETTLING_REQUESTS = 1_000;
 
-/** What the daemon feeds the table. The first three come from the HTTP shell as they are. */
+/**
+ * Events that the daemon passes to the table. The first three come unchanged from the HTTP shell.
+ */
 export type RequestTableEvent =
   | { readonly kind: 'request-arrived'; readonly description: RequestDescription }
   | { readonly kind: 'attempt'; readonly request: RequestId; readonly event: AttemptEvent }
   | { readonly kind: 'caller-gone'; readonly request: RequestId }
-  /** Admission lets a waiting request go. */
+  /** Admission allows a waiting request to be dispatched. */
   | { readonly kind: 'admitted'; readonly request: RequestId }
-  /** Results whose token is not of this table are ignored. */
+  /** Results whose token has another prefix than `request:` are ignored. */
   | TableResultEvent
   | { readonly kind: 'tick' };
 
@@ -48,44 +51,44 @@
   #settling = 0;
   #budget: RetryBudget = INITIAL_RETRY_BUDGET;
 
-  /** Requests whose caller or backend is not done. A planned stop waits until it is 0. */
+  /** Requests that are not settling. A planned stop waits until this is 0. */
   get activeCount(): number {
     return this.#requests.size - this.#settling;
   }
 
-  /** Ended requests whose idempotency claim is not settled. A planned stop waits for these too. */
+  /** Ended requests with unsettled idempotency claims. A planned stop waits for these too. */
   get settlingCount(): number {
     return this.#settling;
   }
 
-  /** The state of a request in hand, for `explain request`. */
+  /** The state of a request in the table, for `explain request`. */
   get(request: RequestId): RequestState | undefined {
     return this.#requests.get(request);
   }
 
-  /** All requests in hand. */
+  /** The states of all requests in the table. */
   values(): IterableIterator<RequestState> {
     return this.#requests.values();
   }
 
-  /** Takes one event; gives the effects to carry out in order. */
+  /** Applies one event and returns the effects to execute, in order. */
   step(event: RequestTableEvent, context: RequestTableContext): readonly RequestTableEffect[] {
     switch (event.kind) {
       case 'request-arrived':
-        return this.#arrived(event.description, context);
+        return this.#handleArrival(event.description, context);
       case 'attempt':
-        return this.#feed(event.request, event, context);
+        return this.#applyEvent(event.request, event, context);
       case 'caller-gone':
       case 'admitted':
-        return this.#feed(event.request, event, context);
+        return this.#applyEvent(event.request, event, context);
       case 'table-result':
-        return this.#tableResult(event, context);
+        return this.#handleTableResult(event, context);
       case 'tick':
-        return this.#tick(context);
+        return this.#handleTick(context);
     }
   }
 
-  #arrived(
+  #handleArrival(
     description: RequestDescription,
     context: RequestTableContext,
   ): readonly RequestTableEffect[] {
@@ -94,34 +97,34 @@
       return [{ kind: 'refuse', request: description.id, fault: TOO_MANY_UNSETTLED }];
     }
     this.#requests.set(description.id, newRequest(description));
-    return this.#feed(description.id, START, context);
+    return this.#applyEvent(description.id, START, context);
   }
 
-  #tableResult(
+  #handleTableResult(
     event: TableResultEvent,
     context: RequestTableContext,
   ): readonly RequestTableEffect[] {
     if (!event.token.startsWith(TOKEN_PREFIX)) return NO_EFFECTS;
-    return this.#feed(event.token.slice(TOKEN_PREFIX.length), event, context);
+    return this.#applyEvent(event.token.slice(TOKEN_PREFIX.length), event, context);
   }
 
-  #tick(context: RequestTableContext): readonly RequestTableEffect[] {
+  #handleTick(context: RequestTableContext): readonly RequestTableEffect[] {
     const effects: RequestTableEffect[] = [];
     for (const [request, state] of this.#requests) {
-      if (mayBeDue(state, context.now)) effects.push(...this.#feed(request, TICK, context));
+      if (mayBeDue(state, context.now)) effects.push(...this.#applyEvent(request, TICK, context));
     }
     return effects;
   }
 
-  #feed(
+  #applyEvent(
     request: RequestId,
     event: RequestEvent,
     context: RequestTableContext,
   ): readonly RequestTableEffect[] {
     const before = this.#requests.get(request);
     if (before === undefined) return NO_EFFECTS;
-    const table = new TableView(context, mayRetry(this.#budget), this.#requests);
-    const { state, effects } = stepRequest(before, event, table);
+    const requestContext = new PerRequestContext(context, mayRetry(this.#budget), this.#requests);
+    const { state, effects } = stepRequest(before, event, requestContext);
     if (state !== before) this.#store(request, before, state);
     return effects;
   }
@@ -137,9 +140,9 @@
   }
 }
 
-/** The daemon's context with what only the table knows. */
-class TableView implements RequestContext {
-  readonly #outer: RequestTableContext;
+/** The daemon's context, extended with the table's own state. */
+class PerRequestContext implements RequestContext {
+  readonly #tableContext: RequestTableContext;
   readonly #requests: ReadonlyMap<RequestId, RequestState>;
   readonly mayRetry: boolean;
   readonly now: number;
@@ -148,17 +151,17 @@
   readonly incarnation: number;
 
   constructor(
-    outer: RequestTableContext,
+    tableContext: RequestTableContext,
     retryAllowed: boolean,
     requests: ReadonlyMap<RequestId, RequestState>,
   ) {
-    this.#outer = outer;
+    this.#tableContext = tableContext;
     this.#requests = requests;
     this.mayRetry = retryAllowed;
-    this.now = outer.now;
-    this.entropy = outer.entropy;
-    this.daemon = outer.daemon;
-    this.incarnation = outer.incarnation;
+    this.now = tableContext.now;
+    this.entropy = tableContext.entropy;
+    this.daemon = tableContext.daemon;
+    this.incarnation = tableContext.incarnation;
   }
 
   choose(
@@ -166,19 +169,19 @@
     excluded: readonly BackendName[],
     version: VersionName | null,
   ): RouteChoice {
-    return this.#outer.choose(description, excluded, version);
+    return this.#tableContext.choose(description, excluded, version);
   }
 
   priorityOf(className: ClassName): number {
-    return this.#outer.priorityOf(className);
+    return this.#tableContext.priorityOf(className);
   }
 
   retryAfterMs(description: RequestDescription): number {
-    return this.#outer.retryAfterMs(description);
+    return this.#tableContext.retryAfterMs(description);
   }
 
   isGone(daemon: string, incarnation: number): boolean {
-    return this.#outer.isGone(daemon, incarnation);
+    return this.#tableContext.isGone(daemon, incarnation);
   }
 
   isInHand(request: RequestId): boolean {
--- a/src/core/requests/settle-claim.ts
+++ b/src/core/requests/settle-claim.ts
@@ -1,7 +1,7 @@
 /**
- * Brings a request's claim row to its final state after the caller has had its answer: the outcome
- * recorded or the row deleted, by a write checked against the claim's version, tried again with
- * back-off until the table service has answered.
+ * Settles a request's claim row after the request has ended: records the outcome or deletes the
+ * row, by a write that is conditional on the claim's version. The write is retried with exponential
+ * back-off until the table service answers.
  */
 import type { Milliseconds } from '../common/time.js';
 import { REQUEST_EVENTS } from '../logging/catalogue/requests.js';
@@ -16,30 +16,34 @@
   Settlement,
 } from './request-state.js';
 
-/** The first back-off; it doubles with each try. */
-const SETTLE_BACKOFF_MS: Milliseconds = 200;
-/** The longest back-off, however long the table service is down. */
-const SETTLE_BACKOFF_MAX_MS: Milliseconds = 30_000;
-/** A claim that may have been written late is looked for this often before it is taken for absent. */
-const READ_BACK_TRIES = 3;
+/** The first back-off; doubles with each try. */
+const INITIAL_SETTLE_BACKOFF_MS: Milliseconds = 200;
+/** Maximum back-off while the table service is unavailable. */
+const MAX_SETTLE_BACKOFF_MS: Milliseconds = 30_000;
+/** Number of read-backs without a row before an uncertain claim counts as never written. */
+const MAX_READ_BACKS = 3;
 
 type SettlingPhase = Extract<RequestState['phase'], { kind: 'settling' }>;
 
-/** Builds the table call of a request. One call of a request is in flight at a time. */
+/** Builds the table call of a request. Each request has at most one call in flight. */
 export function tableCall(state: RequestState, call: TableCall): TableEffect {
   return { kind: 'table', token: `request:${state.description.id}`, call };
 }
 
-/** Begins to settle: by a write when the claim's version is known, else by reading it back. */
+/** Starts settling, with a write when the claim's version is known, else with a read-back. */
 export function beginSettlement(
   state: RequestState,
   settlement: Settlement,
   context: RequestContext,
 ): RequestTransition {
-  return act(state, { kind: 'settling', settlement, step: 'write', tries: 0, nextAt: 0 }, context);
+  return sendSettlementCall(
+    state,
+    { kind: 'settling', settlement, step: 'write', tries: 0, nextAt: 0 },
+    context,
+  );
 }
 
-/** Takes the table service's answer to a settling call. */
+/** Handles the table service's answer to a settlement call. */
 export function settlementResult(
   state: RequestState,
   phase: SettlingPhase,
@@ -48,43 +52,43 @@
 ): RequestTransition {
   switch (result.kind) {
     case 'committed':
-      return settled(state);
+      return finishSettlement(state);
     case 'unavailable':
       return backOff(state, phase, result.retryAfterMs, context);
     case 'lost':
       return backOff(state, phase, 0, context);
     case 'rows':
-      return readBack(state, phase, result, context);
+      return handleReadBack(state, phase, result, context);
     case 'conflict':
-      return conflicted(state, result);
+      return handleConflict(state, result);
   }
 }
 
-/** Tries again once the back-off is over. */
+/** Retries once the back-off has expired. */
 export function settlementTick(
   state: RequestState,
   phase: SettlingPhase,
   context: RequestContext,
 ): RequestTransition {
   if (phase.step !== 'backing-off' || context.now < phase.nextAt) return { state, effects: [] };
-  return act(state, phase, context);
+  return sendSettlementCall(state, phase, context);
 }
 
-function act(
+function sendSettlementCall(
   state: RequestState,
   phase: SettlingPhase,
   context: RequestContext,
 ): RequestTransition {
   const key = claimKey(state.description) ?? '';
-  const held = state.claim.kind === 'held';
-  const call: TableCall = held
+  const isHeld = state.claim.kind === 'held';
+  const call: TableCall = isHeld
     ? {
         kind: 'transact',
         checks: [{ key, version: state.claim.version }],
         writes: [{ key, value: finalValue(state, phase.settlement, context) }],
       }
     : { kind: 'get', keys: [key] };
-  const step = held ? 'write' : 'read-back';
+  const step = isHeld ? 'write' : 'read-back';
   return { state: { ...state, phase: { ...phase, step } }, effects: [tableCall(state, call)] };
 }
 
@@ -93,7 +97,7 @@
   return { ...pendingClaim(state.description, context), outcome: settlement.outcome };
 }
 
-function readBack(
+function handleReadBack(
   state: RequestState,
   phase: SettlingPhase,
   result: Extract<TableResult, { kind: 'rows' }>,
@@ -101,25 +105,33 @@
 ): RequestTransition {
   const finding = readClaim(result.rows[0], state.description, () => false);
   if (finding.kind === 'own') {
-    return act({ ...state, claim: { kind: 'held', version: finding.version } }, phase, context);
+    return sendSettlementCall(
+      { ...state, claim: { kind: 'held', version: finding.version } },
+      phase,
+      context,
+    );
   }
-  if (finding.kind === 'absent' && phase.tries + 1 < READ_BACK_TRIES) {
+  if (finding.kind === 'absent' && phase.tries + 1 < MAX_READ_BACKS) {
     return backOff(state, phase, 0, context);
   }
-  return settled(state);
+  return finishSettlement(state);
 }
 
-/** A conflict after a lost answer is this request's own write; any other is another daemon's. */
-function conflicted(
+/**
+ * Ends the settlement after a version conflict. A row that is absent or this request's own was
+ * changed by an earlier write of this request whose answer was lost; any other row means that
+ * another request took over the claim.
+ */
+function handleConflict(
   state: RequestState,
   result: Extract<TableResult, { kind: 'conflict' }>,
 ): RequestTransition {
   const finding = readClaim(result.rows[0], state.description, () => false);
-  const own = finding.kind === 'absent' || finding.kind === 'own';
-  const effects: RequestTableEffect[] = own
+  const isOwn = finding.kind === 'absent' || finding.kind === 'own';
+  const effects: RequestTableEffect[] = isOwn
     ? []
     : [log(REQUEST_EVENTS.claimTakenOver, { request: state.description.id })];
-  return settled(state, effects);
+  return finishSettlement(state, effects);
 }
 
 function backOff(
@@ -129,8 +141,8 @@
   context: RequestContext,
 ): RequestTransition {
   const ceiling = Math.min(
-    SETTLE_BACKOFF_MAX_MS,
-    SETTLE_BACKOFF_MS * 2 ** Math.min(phase.tries, 20),
+    MAX_SETTLE_BACKOFF_MS,
+    INITIAL_SETTLE_BACKOFF_MS * 2 ** Math.min(phase.tries, 20),
   );
   const jittered = ceiling / 2 + (ceiling / 2) * (context.entropy / 2 ** 32);
   const nextAt = context.now + Math.max(retryAfterMs, jittered);
@@ -142,6 +154,9 @@
   return { state: { ...state, phase: next }, effects };
 }
 
-function settled(state: RequestState, effects: RequestTableEffect[] = []): RequestTransition {
+function finishSettlement(
+  state: RequestState,
+  effects: RequestTableEffect[] = [],
+): RequestTransition {
   return { state: { ...state, phase: { kind: 'ended' } }, effects };
 }
--- a/src/core/routing/choose-engine.ts
+++ b/src/core/routing/choose-engine.ts
@@ -1,8 +1,8 @@
 /**
- * Chooses the engine for one request to a model or adapter. Eligibility is decided here and is the
- * same for every policy: the engine holds the target in a served version, its dispatch grant lasts,
- * its intake is open, it is neither busy, leaving, drained nor ejected, its role takes completions,
- * and it has less in hand than it should have at most.
+ * Chooses the engine for one request to a model or adapter. Eligibility is the same for every
+ * policy: the engine holds a served version of the target, its dispatch grant has not expired, its
+ * intake is open, it is not busy, leaving, drained or ejected, its role accepts completions, and
+ * its expected number of active requests is below its limit.
  */
 import type { CandidateSet } from './candidate-set.js';
 import { CandidateView } from './candidate-view.js';
@@ -12,7 +12,7 @@
 
 const NOT_EXPLAINED: readonly CandidateScore[] = [];
 
-/** Chooses an engine, or says why there is none. */
+/** Chooses an engine, or returns the reason why none is eligible. */
 export function chooseEngine(input: EngineChoiceInput): RoutingDecision {
   const { model, adapter } = input.target;
   if (input.index.wantedVersion(model, adapter) === null) {
@@ -26,16 +26,16 @@
   const view = new CandidateView(input, set);
   const strict = input.policy.choose(view);
   if (strict !== null) {
-    return chosen(input, set, view, strict);
+    return chosenDecision(input, set, view, strict);
   }
-  return withoutStrictChoice(input, set, view);
+  return chooseFallback(input, set, view);
 }
 
 /**
- * No engine passed. One that the request has failed on, or that is ejected, is better than none,
- * unless others are merely full: those are worth the wait.
+ * Decides when no engine is eligible. If an engine is merely full, the request waits for it.
+ * Otherwise ejected engines and engines that this request failed on are considered too.
  */
-function withoutStrictChoice(
+function chooseFallback(
   input: EngineChoiceInput,
   set: CandidateSet,
   view: CandidateView,
@@ -44,17 +44,17 @@
     view.lenient = true;
     const lenient = input.policy.choose(view);
     if (lenient !== null) {
-      return chosen(input, set, view, lenient);
+      return chosenDecision(input, set, view, lenient);
     }
   }
-  const candidates = explainAll(input, set, view);
+  const candidates = scoreAllEngines(input, set, view);
   if (set.all.some((entry) => view.exclusion(entry) === 'full')) {
     return { kind: 'full', candidateCount: set.all.length, candidates };
   }
   return { kind: 'none', fault: noEngineFault(input, set, view), candidates };
 }
 
-function chosen(
+function chosenDecision(
   input: EngineChoiceInput,
   set: CandidateSet,
   view: CandidateView,
@@ -70,11 +70,11 @@
     expectedFinishMs: view.expectedFinishMs(entry),
     policy: input.policy.name,
     candidateCount: set.all.length,
-    candidates: explainAll(input, set, view),
+    candidates: scoreAllEngines(input, set, view),
   };
 }
 
-function explainAll(
+function scoreAllEngines(
   input: EngineChoiceInput,
   set: CandidateSet,
   view: CandidateView,
--- a/src/core/routing/fleet-index.ts
+++ b/src/core/routing/fleet-index.ts
@@ -1,7 +1,7 @@
 /**
  * The fleet as routing needs it: machines, engine views and the configuration in force, indexed by
- * what engines hold and by zone. A hot container that its owner (the daemon's fold) updates in
- * place; it reads no clock.
+ * held model or adapter and by zone. Routing reads it for every request, so its owner, the daemon's
+ * step function, updates it in place. It reads no clock.
  */
 import type { AdapterName, BackendName, ModelName } from '../common/identifiers.js';
 import {
@@ -22,10 +22,10 @@
   unavailableReason,
 } from './engine-entry.js';
 
-/** Machine lists in a row that may miss an engine known by its reports before it is forgotten. */
+/** An engine that was never listed is removed after this number of consecutive machine lists. */
 const MAX_LISTS_MISSED = 2;
 
-/** The index. All lookups are by name or target; nothing scans the fleet for one request. */
+/** The index. All lookups are by name or target; no request scans the fleet. */
 export class FleetIndex {
   readonly #engines = new Map<BackendName, EngineEntry>();
   readonly #sets = new Map<string, CandidateSet>();
@@ -33,28 +33,31 @@
   #reportedActive = 0;
   #configuration: VersionedConfiguration = EMPTY_CONFIGURATION;
 
-  /** Takes over a machine list. Machines that it no longer names are forgotten. */
+  /**
+   * Applies a machine list. Machines that are no longer listed are removed; an engine that is known
+   * only by its reports is removed after `MAX_LISTS_MISSED` lists.
+   */
   setMachines(machines: readonly Machine[]): void {
     this.#webBackends.clear();
-    const named = new Set<BackendName>();
+    const listedNames = new Set<BackendName>();
     for (const machine of machines) {
       if (machine.kind === 'engine') {
-        named.add(machine.name);
+        listedNames.add(machine.name);
         this.#setEngineMachine(machine);
       } else if (machine.kind === 'web') {
         this.#addWebMachine(machine);
       }
     }
     for (const entry of this.#engines.values()) {
-      if (!named.has(entry.name)) {
-        this.#missFromList(entry);
+      if (!listedNames.has(entry.name)) {
+        this.#handleMissingFromList(entry);
       }
     }
   }
 
-  /** Takes over what is known of one engine. An older view than the one held is ignored. */
+  /** Applies a view of one engine. A view older than the current one is ignored. */
   setView(view: EngineView): void {
-    const entry = this.#entryFor(view.machine);
+    const entry = this.#getOrCreateEntry(view.machine);
     if (view.reportedAt < entry.reportedAt) {
       return;
     }
@@ -68,7 +71,7 @@
     this.#updateAvailability(entry);
   }
 
-  /** Takes over a configuration. A lower version than the one held is ignored. */
+  /** Applies a configuration. A version lower than the current one is ignored. */
   setConfiguration(configuration: VersionedConfiguration): void {
     if (configuration.version < this.#configuration.version) {
       return;
@@ -98,43 +101,43 @@
     return this.#engines.values();
   }
 
-  /** How many engines are known. */
+  /** Number of known engines. */
   get engineCount(): number {
     return this.#engines.size;
   }
 
-  /** Requests in hand at all engines together, as of their latest reports. */
+  /** Sum of the active requests in the latest reports of all engines. */
   get reportedActive(): number {
     return this.#reportedActive;
   }
 
-  /** The web backends of a service, live or leaving, as the machine list names them. */
+  /** The web backends of a service in the machine list, live or leaving. */
   webBackends(service: string): readonly WebMachine[] {
     return this.#webBackends.get(service) ?? [];
   }
 
-  /** The engines that may take a request for a model or adapter. */
+  /** The candidate engines for a request to a model or adapter. */
   candidates(model: ModelName, adapter: AdapterName | null): CandidateSet {
-    const set = this.#setFor(targetKey(model, adapter));
+    const set = this.#getOrCreateSet(targetKey(model, adapter));
     if (set.dirty) {
       rebuildCandidateSet(set, this.wantedVersion(model, adapter));
     }
     return set;
   }
 
-  /** The versions that the configuration wants served, or null when it names no such target. */
+  /** The configured version of a model or adapter, or null when it is not configured. */
   wantedVersion(model: ModelName, adapter: AdapterName | null): HeldVersion | null {
-    const stated = this.#configuration.document.models[model];
-    if (stated === undefined) {
+    const configured = this.#configuration.document.models[model];
+    if (configured === undefined) {
       return null;
     }
     if (adapter === null) {
-      return { model: stated.version, adapter: null };
+      return { model: configured.version, adapter: null };
     }
-    const statedAdapter = stated.adapters[adapter];
-    return statedAdapter === undefined
+    const configuredAdapter = configured.adapters[adapter];
+    return configuredAdapter === undefined
       ? null
-      : { model: stated.version, adapter: statedAdapter.version };
+      : { model: configured.version, adapter: configuredAdapter.version };
   }
 
   #isDrained(name: BackendName): boolean {
@@ -142,7 +145,7 @@
   }
 
   #setEngineMachine(machine: EngineMachine): void {
-    const entry = this.#entryFor(machine);
+    const entry = this.#getOrCreateEntry(machine);
     const moved = entry.machine.zone !== machine.zone;
     entry.machine = machine;
     entry.listed = true;
@@ -154,31 +157,31 @@
   }
 
   #addWebMachine(machine: WebMachine): void {
-    const known = this.#webBackends.get(machine.service);
-    if (known === undefined) {
+    const existing = this.#webBackends.get(machine.service);
+    if (existing === undefined) {
       this.#webBackends.set(machine.service, [machine]);
     } else {
-      known.push(machine);
+      existing.push(machine);
     }
   }
 
-  #missFromList(entry: EngineEntry): void {
+  #handleMissingFromList(entry: EngineEntry): void {
     entry.listsMissed += 1;
     if (!entry.listed && entry.listsMissed < MAX_LISTS_MISSED) {
       return;
     }
     for (const key of entry.holdings.keys()) {
-      this.#setFor(key).holders.delete(entry);
+      this.#getOrCreateSet(key).holders.delete(entry);
     }
     this.#markDirty(entry);
     this.#engines.delete(entry.name);
     this.#reportedActive -= entry.report?.activeRequests ?? 0;
   }
 
-  #entryFor(machine: EngineMachine): EngineEntry {
-    const known = this.#engines.get(machine.name);
-    if (known !== undefined) {
-      return known;
+  #getOrCreateEntry(machine: EngineMachine): EngineEntry {
+    const existing = this.#engines.get(machine.name);
+    if (existing !== undefined) {
+      return existing;
     }
     const created = createEngineEntry(machine);
     created.drained = this.#isDrained(machine.name);
@@ -194,11 +197,11 @@
     }
     this.#markDirty(entry);
     for (const key of entry.holdings.keys()) {
-      this.#setFor(key).holders.delete(entry);
+      this.#getOrCreateSet(key).holders.delete(entry);
     }
     entry.holdings = holdings;
     for (const key of holdings.keys()) {
-      this.#setFor(key).holders.add(entry);
+      this.#getOrCreateSet(key).holders.add(entry);
     }
     this.#markDirty(entry);
   }
@@ -214,14 +217,14 @@
 
   #markDirty(entry: EngineEntry): void {
     for (const key of entry.holdings.keys()) {
-      this.#setFor(key).dirty = true;
+      this.#getOrCreateSet(key).dirty = true;
     }
   }
 
-  #setFor(key: string): CandidateSet {
-    const known = this.#sets.get(key);
-    if (known !== undefined) {
-      return known;
+  #getOrCreateSet(key: string): CandidateSet {
+    const existing = this.#sets.get(key);
+    if (existing !== undefined) {
+      return existing;
     }
     const created = createCandidateSet(key);
     this.#sets.set(key, created);
--- a/src/core/routing/no-engine-fault.ts
+++ b/src/core/routing/no-engine-fault.ts
@@ -1,4 +1,4 @@
-/** True reasons for a request that no engine can take, in words that name the remedy. */
+/** Faults for a request that no engine can take, with the reason and the remedy. */
 import type { Milliseconds } from '../common/time.js';
 import type { ConfigurationDocument } from '../configuration/document.js';
 import { type Fault, refusedNotRun } from '../errors/fault.js';
@@ -8,11 +8,11 @@
 import type { EngineChoiceInput, ModelTarget } from './decision.js';
 import type { EngineEntry, ExclusionReason } from './engine-entry.js';
 
-/** When an engine that is being loaded, drained or changed may be back; seconds, not more. */
+/** Retry-After for engines that are being loaded, drained or changed, which takes seconds. */
 const ENGINE_RETURN_MS: Milliseconds = 5_000;
 
-/** How many engines of a state, in words, and what ends the state. */
-const WORDS: Readonly<Record<ExclusionReason, string>> = {
+/** Text for each reason, following a number of engines; some name the remedy. */
+const REASON_TEXT: Readonly<Record<ExclusionReason, string>> = {
   'no-report': 'not reporting yet',
   'machine-leaving': 'on a machine that is leaving',
   'engine-leaving': 'stopping',
@@ -28,27 +28,27 @@
   full: 'full',
 };
 
-/** The fault for a model or adapter that the configuration does not name. */
+/** The fault for a model or adapter that is not configured. */
 export function unknownTargetFault(
   configuration: ConfigurationDocument,
   target: ModelTarget,
 ): Fault {
-  const stated = configuration.models[target.model];
-  if (stated === undefined) {
-    const served = listed(Object.keys(configuration.models));
+  const configured = configuration.models[target.model];
+  if (configured === undefined) {
+    const served = quoteNames(Object.keys(configuration.models));
     return refusedNotRun(
       'unknown-model',
       `No model "${target.model}" is served. Use one of: ${served}, or have an operator serve it.`,
     );
   }
-  const adapters = listed(Object.keys(stated.adapters));
+  const adapters = quoteNames(Object.keys(configured.adapters));
   return refusedNotRun(
     'unknown-model',
     `Model "${target.model}" has no adapter "${target.adapter}". Use one of: ${adapters}, or have an operator serve it.`,
   );
 }
 
-/** The fault for a target that is served but that no engine can take now. */
+/** The fault for a configured target that no engine can serve now. */
 export function noEngineFault(
   input: EngineChoiceInput,
   set: CandidateSet,
@@ -67,7 +67,7 @@
   );
 }
 
-/** Why an engine, of the candidate set or not, can't take the request; null when it can. */
+/** Why any known engine, in the candidate set or not, is not eligible for the request, or null. */
 export function exclusionOf(
   entry: EngineEntry,
   set: CandidateSet,
@@ -92,15 +92,15 @@
   if (counts.size === 0) {
     return 'no engine is known';
   }
-  const parts = [...counts].map(([reason, count]) => `${count} ${WORDS[reason]}`);
+  const parts = [...counts].map(([reason, count]) => `${count} ${REASON_TEXT[reason]}`);
   return parts.join(', ');
 }
 
 function retryAfter(counts: ReadonlyMap<ExclusionReason, number>): Milliseconds {
-  const onlyUnheard = [...counts.keys()].every((reason) => reason === 'grant-expired');
-  return counts.size > 0 && onlyUnheard ? GRANT_MS : ENGINE_RETURN_MS;
+  const onlyExpired = [...counts.keys()].every((reason) => reason === 'grant-expired');
+  return counts.size > 0 && onlyExpired ? GRANT_MS : ENGINE_RETURN_MS;
 }
 
-function listed(names: readonly string[]): string {
+function quoteNames(names: readonly string[]): string {
   return names.length === 0 ? '(none)' : names.map((name) => `"${name}"`).join(', ');
 }
--- a/src/core/routing/policies/expected-finish.ts
+++ b/src/core/routing/policies/expected-finish.ts
@@ -1,7 +1,8 @@
 /**
- * Expected finish, the default: of a few engines drawn at random from the own zone, a few from the
- * whole fleet and those thought to hold the prompt's prefix, the one that is expected to finish
- * first. An engine of another zone must be ahead by the spill threshold.
+ * Expected finish, the default policy. Candidates are a few random engines of the daemon's own
+ * zone, a few of the entire fleet and those that probably cached the prompt's prefix. The candidate
+ * that is expected to finish first is chosen; an engine of another zone must be faster by the spill
+ * threshold.
  */
 import type { Milliseconds } from '../../common/time.js';
 import type { EngineEntry } from '../engine-entry.js';
@@ -12,17 +13,17 @@
   type RoutingPolicy,
 } from '../policy.js';
 
-/** What may be tuned. */
+/** The options of the policy. */
 export interface ExpectedFinishOptions {
-  /** Draws from the own zone. */
+  /** Number of draws from the daemon's own zone. */
   readonly localChoices: number;
-  /** Draws from the whole fleet. */
+  /** Number of draws from the entire fleet. */
   readonly fleetChoices: number;
-  /** How much sooner an engine of another zone must be expected to finish. */
+  /** How much earlier an engine of another zone must be expected to finish. */
   readonly spillThresholdMs: Milliseconds;
 }
 
-/** The defaults; docs/decisions/routing-policy.md says what decided them. */
+/** The default options; docs/decisions/routing-policy.md gives the reasons. */
 const EXPECTED_FINISH_DEFAULTS: ExpectedFinishOptions = {
   localChoices: 2,
   fleetChoices: 2,
@@ -31,28 +32,28 @@
 
 /** Creates an expected-finish policy. */
 export function expectedFinish(options: Partial<ExpectedFinishOptions> = {}): RoutingPolicy {
-  const chosen: ExpectedFinishOptions = { ...EXPECTED_FINISH_DEFAULTS, ...options };
-  return { name: 'expected-finish', choose: (pool) => choose(pool, chosen) };
+  const resolvedOptions: ExpectedFinishOptions = { ...EXPECTED_FINISH_DEFAULTS, ...options };
+  return { name: 'expected-finish', choose: (pool) => choose(pool, resolvedOptions) };
 }
 
 function choose(pool: CandidatePool, options: ExpectedFinishOptions): EngineEntry | null {
   if (pool.all.length === 0) {
     return null;
   }
-  const best = new Best(pool, options.spillThresholdMs);
+  const best = new BestCandidate(pool, options.spillThresholdMs);
   for (let draw = 0; draw < options.localChoices; draw += 1) {
-    best.offer(drawEligible(pool, pool.local));
+    best.consider(drawEligible(pool, pool.local));
   }
   for (let draw = 0; draw < options.fleetChoices; draw += 1) {
-    best.offer(drawEligible(pool, pool.all));
+    best.consider(drawEligible(pool, pool.all));
   }
   for (const entry of pool.prefixHolders) {
-    best.offer(pool.isEligible(entry) ? entry : null);
+    best.consider(pool.isEligible(entry) ? entry : null);
   }
   return best.entry ?? firstEligibleFrom(pool, pool.draws.below(pool.all.length));
 }
 
-class Best {
+class BestCandidate {
   entry: EngineEntry | null = null;
   readonly #pool: CandidatePool;
   readonly #localZone: string | undefined;
@@ -65,7 +66,7 @@
     this.#spillThresholdMs = spillThresholdMs;
   }
 
-  offer(entry: EngineEntry | null): void {
+  consider(entry: EngineEntry | null): void {
     if (entry === null || entry === this.entry) {
       return;
     }
--- a/src/core/routing/prefix-index.ts
+++ b/src/core/routing/prefix-index.ts
@@ -1,6 +1,7 @@
 /**
- * Which engines are thought to hold which prompt prefixes, from late and gappy cache events and
- * from this daemon's own dispatches. A hint for speed only: nothing depends on it being true.
+ * The prompt prefixes that engines have probably cached, from cache events, which may be late or
+ * missing, and from this daemon's own dispatches. A performance hint only: correctness does not
+ * depend on it.
  */
 import type { BackendName } from '../common/identifiers.js';
 
@@ -10,54 +11,58 @@
   readonly hash: string;
 }
 
-/** Hashes in one of the two generations at most; the older generation is forgotten whole. */
+/** Maximum number of hashes in each of the two generations; the older one is dropped completely. */
 const MAX_GENERATION_HASHES = 32_768;
-/** Engines remembered for one hash at most. */
+/** Maximum number of engines stored for one hash. */
 const MAX_HOLDERS = 4;
-/** Engines named for one prompt at most. */
+/** Maximum number of engines returned for one prompt. */
 const MAX_MATCHES = 4;
 const NO_MATCHES: readonly PrefixMatch[] = [];
-/** Every block up to this one is looked at; of later ones, this many of each doubling. */
+/**
+ * The first blocks are all indexed; after them, `BLOCKS_PER_DOUBLING` per doubling of the length.
+ */
 const DENSE_BLOCKS = 16;
 const BLOCKS_PER_DOUBLING = 8;
-/** Blocks beyond this one are not looked at. */
+/** Blocks beyond this number are not indexed. */
 const MAX_BLOCKS = 1_024;
-/** The blocks that are stored and looked up: a prefix is known to an eighth of its length. */
-const MARKED_BLOCKS = markedBlocks();
+/** The positions of the indexed blocks. Prefix lengths are known to within one eighth. */
+const INDEXED_BLOCKS = computeIndexedBlocks();
 
-/** A prompt's longest prefix, in blocks, that an engine is thought to hold. */
+/** The longest prefix of a prompt, in blocks, that an engine has probably cached. */
 export interface PrefixMatch {
   readonly backend: BackendName;
   readonly blocks: number;
 }
 
-/** Most hashes have one holder; a list is kept only for those that have more. */
+/**
+ * The engines that cached a prefix. Most hashes have one holder, which is stored without a list.
+ */
 type Holders = BackendName | readonly BackendName[];
 
 /**
- * Prefix holders by hash, bounded. Kept in two generations: what is stored goes into the young one;
- * when that is full it becomes the old one, and what was not stored again since is forgotten.
- * Updated in place by its owner.
+ * Prefix holders by hash, of bounded size, in two generations. New hashes go into the young
+ * generation. When that is full, it replaces the old generation, which drops the hashes that were
+ * not stored again in the meantime. Updated in place by its owner.
  */
 export class PrefixIndex {
   #young = new Map<string, Holders>();
   #old = new Map<string, Holders>();
 
-  /** Takes over cache events of an engine. */
+  /** Applies cache events of an engine. */
   apply(backend: BackendName, events: readonly CacheEvent[]): void {
     for (const event of events) {
       if (event.kind === 'stored') {
         this.#store(backend, event.hash);
       } else {
-        evictIn(this.#young, backend, event.hash);
-        evictIn(this.#old, backend, event.hash);
+        removeHolder(this.#young, backend, event.hash);
+        removeHolder(this.#old, backend, event.hash);
       }
     }
   }
 
-  /** Notes that a prompt was sent to an engine, which will soon hold its prefix. */
+  /** Records that a prompt was sent to an engine, which will soon have cached its prefix. */
   dispatched(backend: BackendName, hashes: readonly string[]): void {
-    for (const block of MARKED_BLOCKS) {
+    for (const block of INDEXED_BLOCKS) {
       const hash = hashes[block];
       if (hash === undefined) {
         return;
@@ -66,21 +71,23 @@
     }
   }
 
-  /** Forgets what an engine held, after it restarted or left. */
+  /** Removes an engine from all hashes, after it restarted or left. */
   forget(backend: BackendName): void {
-    forgetIn(this.#young, backend);
-    forgetIn(this.#old, backend);
+    removeHolderEverywhere(this.#young, backend);
+    removeHolderEverywhere(this.#old, backend);
   }
 
-  /** The engines with the longest known prefix of a prompt, longest first, few of them. */
+  /**
+   * The engines with the longest known prefixes of a prompt, longest first, at most `MAX_MATCHES`.
+   */
   matches(hashes: readonly string[]): readonly PrefixMatch[] {
     const first = hashes[0];
     if (first === undefined || this.#holdersOf(first) === undefined) {
       return NO_MATCHES;
     }
     const found: PrefixMatch[] = [];
-    for (let mark = MARKED_BLOCKS.length - 1; mark >= 0; mark -= 1) {
-      const block = MARKED_BLOCKS[mark] ?? 0;
+    for (let position = INDEXED_BLOCKS.length - 1; position >= 0; position -= 1) {
+      const block = INDEXED_BLOCKS[position] ?? 0;
       const hash = hashes[block];
       const holders = hash === undefined ? undefined : this.#holdersOf(hash);
       if (holders !== undefined) {
@@ -103,7 +110,7 @@
       return;
     }
     const known = young ?? this.#old.get(hash);
-    this.#young.set(hash, known === undefined ? backend : withFirst(backend, known));
+    this.#young.set(hash, known === undefined ? backend : prependHolder(backend, known));
     if (this.#young.size >= MAX_GENERATION_HASHES) {
       this.#old = this.#young;
       this.#young = new Map();
@@ -111,16 +118,16 @@
   }
 }
 
-function markedBlocks(): readonly number[] {
-  const marked: number[] = [];
+function computeIndexedBlocks(): readonly number[] {
+  const indexed: number[] = [];
   let step = 1;
   for (let block = 0; block < MAX_BLOCKS; block += step) {
-    marked.push(block);
+    indexed.push(block);
     if (block + 1 >= DENSE_BLOCKS) {
       step = Math.max(1, Math.floor((block + 1) / BLOCKS_PER_DOUBLING));
     }
   }
-  return marked;
+  return indexed;
 }
 
 function addMatches(found: PrefixMatch[], holders: Holders, blocks: number): void {
@@ -134,12 +141,12 @@
 }
 
 function addMatch(found: PrefixMatch[], backend: BackendName, blocks: number): void {
-  if (found.length < MAX_MATCHES && !isAmong(found, backend)) {
+  if (found.length < MAX_MATCHES && !includesBackend(found, backend)) {
     found.push({ backend, blocks });
   }
 }
 
-function isAmong(found: readonly PrefixMatch[], backend: BackendName): boolean {
+function includesBackend(found: readonly PrefixMatch[], backend: BackendName): boolean {
   for (const match of found) {
     if (match.backend === backend) {
       return true;
@@ -148,33 +155,33 @@
   return false;
 }
 
-function withFirst(backend: BackendName, holders: Holders): Holders {
+function prependHolder(backend: BackendName, holders: Holders): Holders {
   if (holders === backend || holders[0] === backend) {
     return holders;
   }
-  const others = listOf(holders).filter((holder) => holder !== backend);
+  const others = toList(holders).filter((holder) => holder !== backend);
   return [backend, ...others].slice(0, MAX_HOLDERS);
 }
 
-function listOf(holders: Holders): readonly BackendName[] {
+function toList(holders: Holders): readonly BackendName[] {
   return typeof holders === 'string' ? [holders] : holders;
 }
 
-function forgetIn(generation: Map<string, Holders>, backend: BackendName): void {
+function removeHolderEverywhere(generation: Map<string, Holders>, backend: BackendName): void {
   for (const hash of generation.keys()) {
-    evictIn(generation, backend, hash);
+    removeHolder(generation, backend, hash);
   }
 }
 
-function evictIn(generation: Map<string, Holders>, backend: BackendName, hash: string): void {
+function removeHolder(generation: Map<string, Holders>, backend: BackendName, hash: string): void {
   const holders = generation.get(hash);
   if (holders === undefined) {
     return;
   }
-  const left = listOf(holders).filter((holder) => holder !== backend);
-  if (left.length === 0) {
+  const remaining = toList(holders).filter((holder) => holder !== backend);
+  if (remaining.length === 0) {
     generation.delete(hash);
   } else {
-    generation.set(hash, left);
+    generation.set(hash, remaining);
   }
 }
