--- a/src/core/logging/catalogue/caller-http.ts
+++ b/src/core/logging/catalogue/caller-http.ts
@@ -6,12 +6,12 @@
     number: 2000,
     level: 'info',
     message: 'listening for callers',
-    remedy: 'Nothing to do; the fields say where.',
+    remedy: 'Nothing to do; the address field gives the address.',
   },
   stoppedAccepting: {
     number: 2001,
     level: 'info',
-    message: 'stopped accepting callers',
-    remedy: 'Nothing to do; running requests go on to their end.',
+    message: 'stopped accepting requests from callers',
+    remedy: 'Nothing to do; running requests continue until they finish.',
   },
 } as const satisfies Record<string, LogEvent>;
--- a/src/core/logging/catalogue/configuration.ts
+++ b/src/core/logging/catalogue/configuration.ts
@@ -5,27 +5,29 @@
   inForce: {
     number: 4200,
     level: 'info',
-    message: 'configuration version in force',
+    message: 'a configuration version is now in force',
     remedy: 'Nothing to do.',
   },
   unusable: {
     number: 4201,
     level: 'error',
-    message: 'a configuration was offered that this daemon cannot use',
-    remedy: 'Run the same version of threadfork on all machines, or repair the stored row.',
+    message: 'received a configuration that this daemon cannot use',
+    remedy:
+      'Run the same version of threadfork on all machines, or repair the stored row; the problem field gives the cause.',
   },
   storeIsBehind: {
     number: 4202,
     level: 'error',
-    message: 'the store holds a lower version than the one in force; it is not taken',
+    message: 'the store holds a lower configuration version than the one in force; it is ignored',
     remedy:
-      'The store lost writes: state the configuration anew so that the version grows past it.',
+      'The store lost writes: apply the configuration again so that its version becomes higher than the one in force.',
   },
   storeUnreadable: {
     number: 4203,
     level: 'warn',
     message: 'the configuration could not be read from the store',
-    remedy: 'Nothing to do here; it is read again by itself. Look at the platform if it lasts.',
+    remedy:
+      'Nothing to do on this daemon: it tries again by itself. Check the platform if the failures continue.',
   },
   changeRecorded: {
     number: 4204,
@@ -37,6 +39,6 @@
     number: 4205,
     level: 'info',
     message: 'configuration change answered',
-    remedy: 'Nothing to do; the operator has the outcome.',
+    remedy: 'Nothing to do; the operator has received the outcome.',
   },
 } as const satisfies Record<string, LogEvent>;
--- a/src/core/logging/catalogue/daemon.ts
+++ b/src/core/logging/catalogue/daemon.ts
@@ -1,4 +1,4 @@
-/** Log events 1000-1099: the daemon's own life. */
+/** Log events 1000-1099: start, stop and internal errors of the daemon. */
 import type { LogEvent } from '../log-event.js';
 
 export const DAEMON_EVENTS = {
@@ -6,13 +6,14 @@
     number: 1000,
     level: 'info',
     message: 'daemon started',
-    remedy: 'Nothing to do; the fields say where it listens.',
+    remedy: 'Nothing to do; the fields give the addresses on which it listens.',
   },
   stopRequested: {
     number: 1001,
     level: 'info',
     message: 'stop requested; finishing running requests',
-    remedy: 'Wait; a second signal stops at once and cuts what runs.',
+    remedy:
+      'Wait for the running requests; a second signal stops the daemon at once and cuts them off.',
   },
   stopped: {
     number: 1002,
@@ -23,13 +24,13 @@
   stoppedUncleanly: {
     number: 1003,
     level: 'error',
-    message: 'daemon stopped before its running requests ended',
-    remedy: 'Raise the stop grace in the settings if this was the grace limit.',
+    message: 'daemon stopped before all running requests had finished',
+    remedy: 'If the grace period ran out, raise stopGraceMs in the settings.',
   },
   defect: {
     number: 1004,
     level: 'error',
-    message: 'a defect stopped the daemon',
-    remedy: 'Start the daemon again and report the defect with the reason that the line carries.',
+    message: 'daemon stopped because of an internal error',
+    remedy: 'Start the daemon again and report the defect with the reason field of this line.',
   },
 } as const satisfies Record<string, LogEvent>;
--- a/src/core/logging/catalogue/engine.ts
+++ b/src/core/logging/catalogue/engine.ts
@@ -5,9 +5,9 @@
   unreachable: {
     number: 3000,
     level: 'warn',
-    message: 'engine does not report',
+    message: 'engine does not answer with a report',
     remedy:
-      'Look at the engine and the network to it; it gets no new work until it reports again. Nothing to do if it is being restarted or replaced.',
+      'Check the engine and the network to it; it gets no new work until it reports again. Nothing to do if it is being restarted or replaced.',
   },
   reachable: {
     number: 3001,
@@ -18,8 +18,8 @@
   otherEngine: {
     number: 3002,
     level: 'error',
-    message: 'another engine answers at this address',
+    message: 'a different engine answers at this address',
     remedy:
-      "Correct the machine list: name and address of the engine's row do not belong together.",
+      "Correct the machine list: the name and the address in the engine's row belong to different engines.",
   },
 } as const satisfies Record<string, LogEvent>;
--- a/src/core/logging/catalogue/index.ts
+++ b/src/core/logging/catalogue/index.ts
@@ -1,6 +1,6 @@
 /**
- * The whole catalogue of log events, area by area. docs/EVENTS.md is generated from it
- * (`npm run docs`); tests hold the numbers unique and within their area's range.
+ * The complete catalogue of log events, by area. docs/EVENTS.md is generated from it
+ * (`npm run docs`); tests check that numbers are unique and within the range of their area.
  */
 import type { LogEvent } from '../log-event.js';
 import { CALLER_HTTP_EVENTS } from './caller-http.js';
@@ -19,7 +19,7 @@
 
 /** The events of one area of the code. */
 export interface CatalogueArea {
-  /** The file's name without its ending. */
+  /** Name of the area's file in this folder, without its extension. */
   readonly name: string;
   readonly title: string;
   /** The first of the area's hundred numbers. */
@@ -27,10 +27,10 @@
   readonly events: Readonly<Record<string, LogEvent>>;
 }
 
-/** How many numbers each area has. */
+/** Size of the range of numbers that each area has. */
 export const NUMBERS_PER_AREA = 100;
 
-/** All areas by their numbers. */
+/** All areas, in the order of their numbers. */
 export const CATALOGUE: readonly CatalogueArea[] = [
   { name: 'daemon', title: 'Daemon', firstNumber: 1000, events: DAEMON_EVENTS },
   { name: 'settings', title: 'Settings', firstNumber: 1100, events: SETTINGS_EVENTS },
@@ -59,5 +59,5 @@
     events: CONFIGURATION_EVENTS,
   },
   { name: 'operator', title: 'Operator API', firstNumber: 5000, events: OPERATOR_EVENTS },
-  { name: 'gateway', title: 'Described requests', firstNumber: 6000, events: GATEWAY_EVENTS },
+  { name: 'gateway', title: 'Gateway', firstNumber: 6000, events: GATEWAY_EVENTS },
 ];
--- a/src/core/logging/catalogue/lease.ts
+++ b/src/core/logging/catalogue/lease.ts
@@ -13,25 +13,25 @@
     level: 'warn',
     message: 'lease lost to another holder',
     remedy:
-      'Nothing to do if this daemon was paused, cut off or could not reach the table service; otherwise look for clock drift above the margin.',
+      'Nothing to do if this daemon was paused, cut off from the network or could not reach the table service; otherwise check for clock drift above the margin.',
   },
   released: {
     number: 3202,
     level: 'info',
     message: 'lease released',
-    remedy: 'Nothing to do; another daemon takes it over at once.',
+    remedy: 'Nothing to do; another daemon can acquire it at once.',
   },
   storeUnavailable: {
     number: 3203,
     level: 'warn',
-    message: 'table service does not answer for a lease',
+    message: 'table service did not answer a call for a lease',
     remedy:
-      'Restore the table service. Serving goes on; role changes and loads wait and resume by themselves.',
+      'Restore the table service. Requests are still served; role changes and model loads wait and resume by themselves.',
   },
   storeRecovered: {
     number: 3204,
     level: 'info',
-    message: 'table service answers again for a lease',
+    message: 'table service answers calls for a lease again',
     remedy: 'Nothing to do.',
   },
 } as const satisfies Record<string, LogEvent>;
--- a/src/core/logging/catalogue/peer.ts
+++ b/src/core/logging/catalogue/peer.ts
@@ -7,18 +7,19 @@
     level: 'warn',
     message: 'dropped messages that are not authenticated with the fleet key',
     remedy:
-      'Give all daemons the same fleet key; if they have, something else sends to the peer address.',
+      'Give all daemons the same fleet key; if they have it already, another program sends to the peer address.',
   },
   malformed: {
     number: 4101,
     level: 'warn',
-    message: 'dropped messages of another protocol version or form',
+    message: 'dropped messages that are malformed, too large or of another protocol version',
     remedy: 'Run the same version of threadfork on all machines.',
   },
   undelivered: {
     number: 4102,
     level: 'info',
     message: 'dropped messages that could not be sent or accepted',
-    remedy: 'Nothing to do while a daemon is down; else look at the network between the machines.',
+    remedy:
+      'Nothing to do while a daemon is down; otherwise check the network between the machines.',
   },
 } as const satisfies Record<string, LogEvent>;
--- a/src/core/logging/catalogue/requests.ts
+++ b/src/core/logging/catalogue/requests.ts
@@ -1,41 +1,44 @@
-/** Log events 2100-2199: the life of caller requests. */
+/** Log events 2100-2199: requests of callers, from their attempts to their outcome. */
 import type { LogEvent } from '../log-event.js';
 
 export const REQUEST_EVENTS = {
   attemptBroken: {
     number: 2100,
     level: 'warn',
-    message: 'an attempt broke after its request may have been sent',
-    remedy: 'Look at the named backend if this repeats; the fields say whether it was resumed.',
+    message: 'an attempt failed after its request may have been sent',
+    remedy:
+      'Check the named backend if this repeats; the sentAgain field says whether the request may be sent again.',
   },
   outcomeUnknown: {
     number: 2101,
     level: 'warn',
     message: 'a request ended with an unknown outcome',
-    remedy: 'The work may have run. Ask the backend whether it did before running it again.',
+    remedy: 'The work may have run. Check with the backend before running it again.',
   },
   retryBudgetEmpty: {
     number: 2102,
     level: 'warn',
-    message: 'a request was not tried again because the retry budget is spent',
-    remedy: 'Many backends fail at once; look at the backends, not at the budget.',
+    message: 'a request was not retried because the retry budget is used up',
+    remedy: 'Many backends fail at the same time: check the backends, not the budget.',
   },
   claimLost: {
     number: 2103,
     level: 'warn',
-    message: 'the answer to an idempotency claim was lost; reading it back',
-    remedy: 'Nothing to do unless it repeats; then look at the table service.',
+    message: 'no answer to the write of an idempotency claim; reading the claim back',
+    remedy: 'Nothing to do unless it repeats; then check the table service.',
   },
   claimTakenOver: {
     number: 2104,
     level: 'error',
     message: 'an idempotency claim was changed by another daemon before its outcome was recorded',
-    remedy: 'This daemon was taken for dead. Check the clocks and the links between daemons.',
+    remedy:
+      'Other daemons had declared this daemon failed. Check the clocks and the network between the daemons.',
   },
   settlementDelayed: {
     number: 2105,
     level: 'warn',
     message: 'the outcome of an idempotency claim could not be recorded yet; trying again',
-    remedy: 'Repeats with the key are told that it is in progress until the table service is back.',
+    remedy:
+      'Until the table service answers again, repeated requests with the same key are answered as still in progress.',
   },
 } as const satisfies Record<string, LogEvent>;
--- a/src/core/logging/catalogue/roles.ts
+++ b/src/core/logging/catalogue/roles.ts
@@ -7,6 +7,6 @@
     level: 'info',
     message: 'role change planned',
     remedy:
-      'Nothing to do; the reason states the forecast and the gain. Ask for a role to override it.',
+      'Nothing to do; the reason field gives the forecast and the gain. To override the planner, use the command `ask role`.',
   },
 } as const satisfies Record<string, LogEvent>;
--- a/src/core/logging/log-event.ts
+++ b/src/core/logging/log-event.ts
@@ -11,9 +11,9 @@
   /** Unique over the whole catalogue, never reused. */
   readonly number: number;
   readonly level: LogLevel;
-  /** The fixed text of the line; what varies goes into fields. */
+  /** The fixed text of the line; variable data goes into fields. */
   readonly message: string;
-  /** What it means and what an operator does about it, for docs/EVENTS.md. */
+  /** What the event means and what an operator should do about it, for docs/EVENTS.md. */
   readonly remedy: string;
 }
 
--- a/test/logging/catalogue.test.ts
+++ b/test/logging/catalogue.test.ts
@@ -3,21 +3,24 @@
 import { test } from 'node:test';
 import { CATALOGUE, NUMBERS_PER_AREA } from '../../src/core/logging/catalogue/index.js';
 
-test('event numbers are unique and lie in their area', () => {
+test('event numbers are unique and lie in the range of their area', () => {
   const owners = new Map<number, string>();
   for (const area of CATALOGUE) {
     for (const [key, event] of Object.entries(area.events)) {
       const owner = `${area.name}.${key}`;
       const other = owners.get(event.number);
-      assert.equal(other, undefined, `${owner} has the number of ${other}`);
+      assert.equal(other, undefined, `${owner} has the same number as ${other}`);
       const offset = event.number - area.firstNumber;
-      assert.ok(offset >= 0 && offset < NUMBERS_PER_AREA, `${owner} lies outside its area`);
+      assert.ok(
+        offset >= 0 && offset < NUMBERS_PER_AREA,
+        `the number of ${owner} lies outside the range of its area`,
+      );
       owners.set(event.number, owner);
     }
   }
 });
 
-test('every event says what to do', () => {
+test('every event has a message and a remedy', () => {
   for (const event of CATALOGUE.flatMap((area) => Object.values(area.events))) {
     assert.ok(event.message.length > 0 && event.remedy.length > 0, String(event.number));
   }
@@ -28,5 +31,5 @@
   const files = readdirSync(folder).map((file) => file.replace(/\.ts$/, ''));
   const indexed = CATALOGUE.map((area) => area.name);
   const missing = files.filter((file) => file !== 'index' && !indexed.includes(file));
-  assert.deepEqual(missing, [], 'add it to catalogue/index.ts and run npm run docs');
+  assert.deepEqual(missing, [], 'add the area to catalogue/index.ts and run npm run docs');
 });
--- a/test/logging/logger.test.ts
+++ b/test/logging/logger.test.ts
@@ -3,17 +3,17 @@
 import type { LogEvent } from '../../src/core/logging/log-event.js';
 import { createLogger } from '../../src/shell/logging/index.js';
 
-const INFO: LogEvent = { number: 1999, level: 'info', message: 'happened', remedy: 'none' };
+const INFO_EVENT: LogEvent = { number: 1999, level: 'info', message: 'happened', remedy: 'none' };
 
-test('lines carry the event number and withhold secrets and prompts', () => {
+test('a line has the number of its event, and secrets and prompts in its fields are withheld', () => {
   const lines: string[] = [];
   const logger = createLogger({
     level: 'info',
     destination: { write: (line) => void lines.push(line) },
     writer: { daemon: 'd1', zone: 'z1' },
   });
-  logger.write(INFO, { apiKey: 'k-123', prompt: 'Leontodon', promptTokens: 7, address: 'x' });
-  logger.write({ ...INFO, level: 'debug' });
+  logger.write(INFO_EVENT, { apiKey: 'k-123', prompt: 'Leontodon', promptTokens: 7, address: 'x' });
+  logger.write({ ...INFO_EVENT, level: 'debug' });
   assert.equal(lines.length, 1);
   const { time, ...line } = JSON.parse(lines[0] ?? '');
   assert.equal(typeof time, 'number');
@@ -29,14 +29,14 @@
   });
 });
 
-test("an event's fields never stand for those of the line", () => {
+test("an event's fields never replace the fields of the line itself", () => {
   const lines: string[] = [];
   const logger = createLogger({
     level: 'info',
     destination: { write: (line) => void lines.push(line) },
     writer: { daemon: 'd1', zone: 'z1' },
   });
-  logger.write(INFO, { daemon: 'd2', zone: 'z2', event: 1, writer: 'peer', msg: 'other' });
+  logger.write(INFO_EVENT, { daemon: 'd2', zone: 'z2', event: 1, writer: 'peer', msg: 'other' });
   const text = lines[0] ?? '';
   for (const name of ['level', 'time', 'writer', 'event', 'msg']) {
     assert.equal(text.split(`"${name}":`).length, 2, name);
