--- a/src/core/errors/fault.ts
+++ b/src/core/errors/fault.ts
@@ -1,12 +1,12 @@
 /**
- * The typed errors that reach a caller, an operator or a log. Every fault states whether the work
- * was run and whether to try again, and its message names the remedy.
+ * The typed errors that are reported to a caller, an operator or a log. Every fault states whether
+ * the work was run and whether a retry may succeed, and its message names the remedy.
  */
 import type { Milliseconds } from '../common/time.js';
 
 /**
  * Whether the work behind a failed request was run.
- * `refused-not-run`: nothing was handed to a backend, or the backend itself said it did not run it.
+ * `refused-not-run`: no backend received the request, or the backend reported that it did not run it.
  * `unknown`: it may have run.
  */
 export type FailureOutcome = 'refused-not-run' | 'unknown';
@@ -43,11 +43,11 @@
 /** A failure with its remedy. */
 export interface Fault {
   readonly code: FaultCode;
-  /** One sentence of what happened and one of what to do about it. */
+  /** One sentence on what happened and one on what to do about it. */
   readonly message: string;
   readonly retryable: boolean;
   readonly outcome: FailureOutcome;
-  /** When a retry may succeed; sent as `Retry-After`, rounded up to whole seconds. */
+  /** Time until a retry may succeed; sent as `Retry-After`, rounded up to whole seconds. */
   readonly retryAfterMs?: Milliseconds;
 }
 
--- a/src/core/language/apply-backend.ts
+++ b/src/core/language/apply-backend.ts
@@ -1,4 +1,7 @@
-/** Applies the commands about single backends. A backend that nothing is asked of has no entry. */
+/**
+ * Applies the commands about single backends. A backend that is neither drained nor assigned a role
+ * has no entry in the document.
+ */
 import type { BackendConfiguration, ConfigurationDocument } from '../configuration/document.js';
 import type { EngineRole } from '../registry/backend.js';
 import { entry } from './draft.js';
@@ -10,7 +13,7 @@
   { readonly kind: 'drain' | 'return' | 'ask-role' | 'release-role' }
 >;
 
-/** Applies one command about a backend; what holds already stays as it is. */
+/** Applies one command about a backend. Idempotent: a state that already holds is kept. */
 export function applyBackendCommand(draft: ConfigurationDocument, command: BackendCommand): string {
   switch (command.kind) {
     case 'drain':
--- a/src/core/language/apply-model.ts
+++ b/src/core/language/apply-model.ts
@@ -37,11 +37,11 @@
   draft: ConfigurationDocument,
   command: Extract<Command, { kind: 'serve-model' }>,
 ): CommandOutcome {
-  const present = entry(draft.models, command.model);
+  const existing = entry(draft.models, command.model);
   const model: ModelConfiguration = {
     version: command.version,
-    adapters: present?.adapters ?? {},
-    objective: command.objective ?? present?.objective ?? 'goodput',
+    adapters: existing?.adapters ?? {},
+    objective: command.objective ?? existing?.objective ?? 'goodput',
   };
   draft.models[command.model] = model;
   return ok(`model ${command.model} is served in version ${model.version} for ${model.objective}`);
@@ -53,9 +53,9 @@
   { adapters }: ModelConfiguration,
 ): CommandOutcome {
   const names = Object.keys(adapters);
-  const withAdapters = names.length === 0 ? '' : `, nor are its adapters ${names.join(', ')}`;
+  const adaptersNote = names.length === 0 ? '' : `, nor are its adapters ${names.join(', ')}`;
   delete draft.models[name];
-  return ok(`model ${name} is no longer served${withAdapters}`);
+  return ok(`model ${name} is no longer served${adaptersNote}`);
 }
 
 function rollModel(
@@ -83,8 +83,8 @@
   model: ModelConfiguration,
 ): CommandOutcome {
   const { adapter, model: name } = command;
-  const present = entry(model.adapters, adapter);
-  if (present === undefined) {
+  const existing = entry(model.adapters, adapter);
+  if (existing === undefined) {
     return err(
       `The adapter "${adapter}" on "${name}" is not served. Use serve adapter ${adapter} on ${name} version … first.`,
     );
@@ -97,6 +97,6 @@
   }
   adapters[adapter] = { version: command.version };
   return ok(
-    `adapter ${adapter} on ${name} rolls from version ${present.version} to ${command.version}`,
+    `adapter ${adapter} on ${name} rolls from version ${existing.version} to ${command.version}`,
   );
 }
--- a/src/core/language/apply-traffic.ts
+++ b/src/core/language/apply-traffic.ts
@@ -56,7 +56,7 @@
   }
 }
 
-function withClass(
+function putClass(
   draft: ConfigurationDocument,
   name: string,
   value: ClassConfiguration,
@@ -72,7 +72,7 @@
   draft: ConfigurationDocument,
   { className, priority, share, deadlineMs }: Extract<Command, { kind: 'set-class' }>,
 ): CommandOutcome {
-  return withClass(draft, className, { priority, share, deadlineMs });
+  return putClass(draft, className, { priority, share, deadlineMs });
 }
 
 function changeClass(
@@ -80,21 +80,21 @@
   name: string,
   change: Partial<ClassConfiguration>,
 ): CommandOutcome {
-  const present = entry(draft.classes, name);
-  return present === undefined
-    ? err(missingClass(name))
-    : withClass(draft, name, { ...present, ...change });
+  const existing = entry(draft.classes, name);
+  return existing === undefined
+    ? err(describeMissingClass(name))
+    : putClass(draft, name, { ...existing, ...change });
 }
 
 function removeClass(draft: ConfigurationDocument, name: string): CommandOutcome {
   if (entry(draft.classes, name) === undefined) {
-    return err(missingClass(name));
+    return err(describeMissingClass(name));
   }
   delete draft.classes[name];
   return ok(`class ${name} is removed`);
 }
 
-function missingClass(name: string): string {
+function describeMissingClass(name: string): string {
   return `The class "${name}" does not exist. Use set class ${name} priority … share … deadline … to make it.`;
 }
 
@@ -103,8 +103,8 @@
   command: Extract<Command, { kind: 'set-tenant' }>,
 ): CommandOutcome {
   const { tenant, className, weight } = command;
-  const present = entry(draft.tenants, tenant);
-  const keyDigests = [...(command.keyDigests ?? present?.keyDigests ?? [])];
+  const existing = entry(draft.tenants, tenant);
+  const keyDigests = [...(command.keyDigests ?? existing?.keyDigests ?? [])];
   draft.tenants[tenant] = { class: className, weight, keyDigests };
   return ok(
     `tenant ${tenant} has class ${className}, weight ${weight} and ${keyDigests.length} key(s)`,
@@ -133,16 +133,16 @@
   return ok(sentence);
 }
 
-/** A route that exists is changed where it stands; a new one comes last. */
+/** Replaces an existing route at its position; appends a new one. */
 function setRoute(
   draft: ConfigurationDocument,
   { prefix, service, repeatable }: Extract<Command, { kind: 'set-route' }>,
 ): CommandOutcome {
   const route: RouteConfiguration = { prefix, service, repeatable };
-  const index = draft.routes.findIndex((present) => present.prefix === prefix);
+  const index = draft.routes.findIndex((existing) => existing.prefix === prefix);
   draft.routes[index < 0 ? draft.routes.length : index] = route;
-  const again = repeatable ? ' and may be sent again' : '';
-  return ok(`requests under ${prefix} go to ${service}${again}`);
+  const repeatableNote = repeatable ? ' and may be sent again' : '';
+  return ok(`requests under ${prefix} go to ${service}${repeatableNote}`);
 }
 
 function removeRoute(draft: ConfigurationDocument, prefix: string): CommandOutcome {
--- a/src/core/language/apply.ts
+++ b/src/core/language/apply.ts
@@ -1,5 +1,5 @@
 /**
- * Applies commands to a configuration document: all of them or, with a fault, none. Pure.
+ * Applies commands to a configuration document: all of them, or none if one fails. Pure.
  */
 import { err, ok, type Result } from 'neverthrow';
 import type { ConfigurationDocument } from '../configuration/document.js';
@@ -11,13 +11,13 @@
 import { type CommandOutcome, draftOf } from './draft.js';
 import type { Command } from './syntax.js';
 
-/** The document after all commands, and one sentence for each of them. */
+/** The document after all commands, and one sentence for each command. */
 export interface AppliedCommands {
   readonly document: ConfigurationDocument;
   readonly description: readonly string[];
 }
 
-/** Applies the commands in order and checks the outcome whole. */
+/** Applies the commands in order, then validates the complete resulting document. */
 export function applyCommands(
   document: ConfigurationDocument,
   commands: readonly Command[],
@@ -54,7 +54,7 @@
 }
 
 function commandFault(problem: string, index: number, count: number): Fault {
-  const place = count === 1 ? '' : `Command ${index + 1} of ${count}: `;
-  const nothing = count === 1 ? '' : ' None of the commands was applied.';
-  return refusedNotRun('invalid-command', `${place}${problem}${nothing}`);
+  const positionPrefix = count === 1 ? '' : `Command ${index + 1} of ${count}: `;
+  const notAppliedNote = count === 1 ? '' : ' None of the commands was applied.';
+  return refusedNotRun('invalid-command', `${positionPrefix}${problem}${notAppliedNote}`);
 }
--- a/src/core/language/draft.ts
+++ b/src/core/language/draft.ts
@@ -1,14 +1,15 @@
 /**
- * A document that commands change in place. Its containers are copied once, so that a block of many
- * commands on a large document costs no copy for each; what they hold is replaced, never changed.
+ * A copy of a document that commands change in place. Only its containers are copied, and once per
+ * block, so that many commands on a large document do not copy it each time. Entries are shared with
+ * the original: commands replace them and never modify them.
  */
 import type { Result } from 'neverthrow';
 import type { ConfigurationDocument } from '../configuration/document.js';
 
-/** What one command did in a sentence, or what is wrong with it and its remedy in another. */
+/** A sentence on what a command changed, or an error text that states the problem and its remedy. */
 export type CommandOutcome = Result<string, string>;
 
-/** A copy of the document that commands may change. */
+/** Creates a copy of the document that commands may change. */
 export function draftOf(document: ConfigurationDocument): ConfigurationDocument {
   return {
     ...document,
@@ -20,7 +21,7 @@
   };
 }
 
-/** Reads an entry by name; names such as `constructor` are not taken for inherited members. */
+/** Reads an entry by name; ignores inherited members, such as `constructor`. */
 export function entry<T>(record: Readonly<Record<string, T>>, name: string): T | undefined {
   return Object.hasOwn(record, name) ? record[name] : undefined;
 }
--- a/src/core/language/duration.ts
+++ b/src/core/language/duration.ts
@@ -8,7 +8,7 @@
 /** A unit of a duration. */
 export type DurationUnit = keyof typeof MILLISECONDS_BY_UNIT;
 
-/** Reads a whole text as a duration. Refuses zero, which never is a sensible time to wait. */
+/** Parses a text that is one duration; null for other texts and for zero, which is never a useful time to wait. */
 export function parseDuration(text: string): Milliseconds | null {
   const match = /^(\d+(?:\.\d+)?)(ms|s|m|h)$/.exec(text);
   const milliseconds =
@@ -16,12 +16,12 @@
   return milliseconds > 0 ? milliseconds : null;
 }
 
-/** The milliseconds of an amount in a unit; they need not be whole. */
+/** Converts an amount in a unit to milliseconds; the result may be fractional. */
 export function durationToMilliseconds(amount: number, unit: DurationUnit): Milliseconds {
   return amount * MILLISECONDS_BY_UNIT[unit];
 }
 
-/** Writes a duration in the largest unit that holds it without a fraction. */
+/** Formats a duration in the largest unit that represents it without a fraction. */
 export function formatDuration(milliseconds: Milliseconds): string {
   for (const [unit, factor] of Object.entries(MILLISECONDS_BY_UNIT)) {
     if (milliseconds % factor === 0) {
--- a/src/core/language/evaluate.ts
+++ b/src/core/language/evaluate.ts
@@ -1,5 +1,5 @@
 /**
- * Evaluates a query over the rows of its table. Pure: the caller brings the rows.
+ * Evaluates a query over the rows of its table. Pure: the caller supplies the rows.
  */
 import { err, ok, type Result } from 'neverthrow';
 import { type Fault, refusedNotRun } from '../errors/fault.js';
@@ -26,8 +26,8 @@
 }
 
 /**
- * The text that a condition pins a field to (`field = "text"` that must hold), or null. Lets a
- * backend fetch one row instead of a whole table.
+ * The text that a field must equal in every row that satisfies the condition, or null if the condition
+ * requires none. Lets a backend fetch one row instead of the complete table.
  */
 export function pinnedText(condition: Condition | null, field: string): string | null {
   if (condition === null) {
@@ -35,8 +35,8 @@
   }
   switch (condition.kind) {
     case 'comparison': {
-      const pins = condition.field === field && condition.operator === '=';
-      return pins && typeof condition.value === 'string' ? condition.value : null;
+      const isEquality = condition.field === field && condition.operator === '=';
+      return isEquality && typeof condition.value === 'string' ? condition.value : null;
     }
     case 'and':
       return pinnedText(condition.left, field) ?? pinnedText(condition.right, field);
@@ -87,22 +87,22 @@
 }
 
 /**
- * A comparison with a type that no row's field holds is a mistake that would silently find nothing;
- * it is refused. A field such as `value` of `config` holds several types.
+ * Finds a comparison with a literal of a type that the field has in no row. It is refused, as it is a
+ * mistake that would silently match nothing. Fields such as `value` of `config` hold several types.
  */
 function findTypeMismatch(where: Condition | null, rows: readonly Row[]): string | null {
   for (const comparison of comparisonsOf(where)) {
     const values = rows.map((row) => fieldOf(row, comparison.field));
-    const stated = values.filter((value) => value !== null);
-    const [first] = stated;
-    if (first !== undefined && !stated.some((value) => comparable(value, comparison))) {
+    const nonNullValues = values.filter((value) => value !== null);
+    const [first] = nonNullValues;
+    if (first !== undefined && !nonNullValues.some((value) => isComparable(value, comparison))) {
       return describeMismatch(comparison, first);
     }
   }
   return null;
 }
 
-function comparable(value: FieldValue, { operator, value: literal }: Comparison): boolean {
+function isComparable(value: FieldValue, { operator, value: literal }: Comparison): boolean {
   if (operator === 'like' && typeof literal !== 'string') {
     return false;
   }
@@ -166,7 +166,7 @@
   return Array.isArray(value);
 }
 
-/** Null equals only null; other comparisons with it, or of two types, do not hold. */
+/** Null equals only null. Ordering and `like` comparisons with null or between two types are false. */
 function compareValue(value: Literal, operator: ComparisonOperator, literal: Literal): boolean {
   if (operator === '=') {
     return value === literal;
@@ -180,14 +180,14 @@
   if (operator === 'like') {
     return matchesLikePattern(String(value), String(literal));
   }
-  return ordered(value, operator, literal);
+  return compareOrdered(value, operator, literal);
 }
 
-type Order = Exclude<ComparisonOperator, '=' | '!=' | 'like'>;
+type OrderingOperator = Exclude<ComparisonOperator, '=' | '!=' | 'like'>;
 
-function ordered(
+function compareOrdered(
   value: NonNullable<Literal>,
-  operator: Order,
+  operator: OrderingOperator,
   literal: NonNullable<Literal>,
 ): boolean {
   switch (operator) {
@@ -218,7 +218,7 @@
   return 0;
 }
 
-/** Null comes last in either direction; lists sort by their joined text. */
+/** Null sorts last in either direction; lists sort by their joined text. */
 function compareForSort(left: FieldValue, right: FieldValue, descending: boolean): number {
   if (left === null || right === null) {
     return Number(left === null) - Number(right === null);
--- a/src/core/language/format.ts
+++ b/src/core/language/format.ts
@@ -1,5 +1,5 @@
 /**
- * Prints commands in the operator language, and a document as the commands that rebuild it.
+ * Formats commands in the operator language, and a document as the commands that rebuild it.
  */
 import {
   type ConfigurationDocument,
@@ -9,7 +9,7 @@
 import { formatDuration } from './duration.js';
 import type { Command } from './syntax.js';
 
-/** Prints one command; parsing it gives the same command. */
+/** Formats one command; parsing the text gives the same command. */
 function formatCommand(command: Command): string {
   switch (command.kind) {
     case 'serve-model': {
@@ -59,7 +59,7 @@
   }
 }
 
-/** A tenant of the name `none` is put in quotes. */
+/** A tenant named `none` is quoted, as the bare word means no tenant. */
 function formatAnonymousTenant(tenant: string | null): string {
   if (tenant === null) {
     return 'none';
@@ -68,8 +68,8 @@
 }
 
 /**
- * Prints a document as one block of commands that rebuilds it from the document in force before any
- * change. Entries of backends that nothing is asked of are left out.
+ * Formats a document as one block of commands that rebuilds it from the initial document
+ * (`EMPTY_CONFIGURATION`). Backends that are neither drained nor assigned a role are omitted.
  */
 export function formatDocumentAsCommands(document: ConfigurationDocument): string {
   const lines = documentCommands(document).map((command) => `  ${formatCommand(command)}`);
--- a/src/core/language/grammar.ts
+++ b/src/core/language/grammar.ts
@@ -1,6 +1,6 @@
 /**
- * The one grammar of the operator language, in ohm's notation. docs/LANGUAGE.md explains it.
- * Rules with a text in parentheses are named by it in error messages.
+ * The grammar of the operator language, in the notation of ohm. docs/LANGUAGE.md explains the language.
+ * Error messages name a rule by the text in parentheses after its name.
  */
 export const GRAMMAR = String.raw`
 Threadfork {
--- a/src/core/language/index.ts
+++ b/src/core/language/index.ts
@@ -1,4 +1,4 @@
-/** The operator language: parsing, evaluating queries, applying and printing commands. */
+/** The operator language: parses statements, evaluates queries, applies and formats commands. */
 export { applyCommands } from './apply.js';
 export { parseDuration } from './duration.js';
 export { evaluateQuery, pinnedText } from './evaluate.js';
--- a/src/core/language/like-pattern.ts
+++ b/src/core/language/like-pattern.ts
@@ -1,20 +1,20 @@
 /**
- * Matches text against a `like` pattern: `%` stands for any run of characters, `_` for one.
+ * Matches text against a `like` pattern: `%` stands for any number of characters, `_` for exactly one.
  */
 
-/** Whether the whole text matches. Takes at most pattern length times text length steps. */
+/** Whether the complete text matches. Takes at most (pattern length × text length) steps. */
 export function matchesLikePattern(text: string, pattern: string): boolean {
   let textIndex = 0;
   let patternIndex = 0;
   let lastPercent = -1;
   let textIndexAtPercent = 0;
   while (textIndex < text.length) {
-    const wanted = pattern[patternIndex];
-    if (wanted === '%') {
+    const patternCharacter = pattern[patternIndex];
+    if (patternCharacter === '%') {
       lastPercent = patternIndex;
       textIndexAtPercent = textIndex;
       patternIndex += 1;
-    } else if (wanted === '_' || wanted === text[textIndex]) {
+    } else if (patternCharacter === '_' || patternCharacter === text[textIndex]) {
       textIndex += 1;
       patternIndex += 1;
     } else if (lastPercent >= 0) {
--- a/src/core/language/parse.ts
+++ b/src/core/language/parse.ts
@@ -1,5 +1,5 @@
 /**
- * Parses the operator language. A fault names line, column, what was expected and the remedy.
+ * Parses the operator language. A fault gives the line, the column, what was expected and the remedy.
  */
 import { err, ok, type Result } from 'neverthrow';
 import { type FailedMatchResult, grammar } from 'ohm-js';
@@ -9,11 +9,11 @@
 import { createTreeBuilder } from './tree-builder.js';
 
 /**
- * Longer statements are refused before they are parsed, so that parsing never keeps a daemon from
- * its other work for long; larger changes are applied as a YAML document.
+ * Longer statements are refused before they are parsed, as parsing blocks the event loop of the daemon;
+ * larger changes are applied as a YAML document.
  */
 export const MAX_STATEMENT_CHARACTERS = 16_384;
-/** Deeper parentheses are refused, so that the parser's stack is bounded. */
+/** Deeper nesting is refused to bound the stack of the parser. */
 const MAX_PARENTHESES_DEPTH = 50;
 
 const compiledGrammar = grammar(GRAMMAR);
@@ -21,9 +21,9 @@
 
 /** Parses one statement: a query, a command or a block of commands. */
 export function parseStatement(text: string): Result<Statement, Fault> {
-  const excess = findExcess(text);
-  if (excess !== null) {
-    return err(refusedNotRun('invalid-command', excess));
+  const exceededLimit = findExceededLimit(text);
+  if (exceededLimit !== null) {
+    return err(refusedNotRun('invalid-command', exceededLimit));
   }
   const match = compiledGrammar.match(text);
   if (match.failed()) {
@@ -32,7 +32,7 @@
   return ok(buildTree(match));
 }
 
-function findExcess(text: string): string | null {
+function findExceededLimit(text: string): string | null {
   if (text.length > MAX_STATEMENT_CHARACTERS) {
     return `The statement has ${text.length} characters and at most ${MAX_STATEMENT_CHARACTERS} are taken. Apply a large change as a YAML document instead.`;
   }
@@ -42,7 +42,7 @@
   return null;
 }
 
-/** The deepest nesting of parentheses; those in quoted text count too, which errs to refusal. */
+/** The deepest nesting of parentheses. Counts those in quoted text too: a statement may be refused needlessly. */
 function parenthesesDepth(text: string): number {
   let depth = 0;
   let deepest = 0;
@@ -63,17 +63,17 @@
   const line = before.length;
   const column = (before.at(-1) ?? '').length + 1;
   const expected = match.getExpectedText();
-  return `Line ${line}, column ${column}: expected ${expected}, found ${foundAt(text, offset)}. ${remedyFor(text, offset)}`;
+  return `Line ${line}, column ${column}: expected ${expected}, found ${describeFoundText(text, offset)}. ${remedyFor(text, offset)}`;
 }
 
 const MAX_FOUND_CHARACTERS = 24;
 
-function foundAt(text: string, offset: number): string {
-  const rest = text.slice(offset).trimStart();
-  if (rest === '') {
+function describeFoundText(text: string, offset: number): string {
+  const remainder = text.slice(offset).trimStart();
+  if (remainder === '') {
     return 'the end of the statement';
   }
-  const [found = ''] = rest.split(/\s/, 1);
+  const [found = ''] = remainder.split(/\s/, 1);
   return JSON.stringify(found.slice(0, MAX_FOUND_CHARACTERS));
 }
 
--- a/src/core/language/syntax.ts
+++ b/src/core/language/syntax.ts
@@ -1,6 +1,6 @@
 /**
- * The typed syntax trees of the operator language. A statement either asks (a query) or changes the
- * configuration (one command, or several that take effect together or not at all).
+ * The typed syntax trees of the operator language. A statement is either a query or a change of the
+ * configuration: one command, or several that take effect together or not at all.
  */
 import type {
   AdapterName,
@@ -38,18 +38,18 @@
   readonly descending: boolean;
 }
 
-/** A question about the fleet. */
+/** A query about the fleet: reads the rows of one table. */
 export interface Query {
   readonly kind: 'query';
   readonly table: TableName;
   readonly where: Condition | null;
   readonly orderBy: readonly OrderTerm[];
   readonly limit: number | null;
-  /** The fields to answer with, in this order; null for all. */
+  /** The fields to return, in this order; null for all. */
   readonly select: readonly string[] | null;
 }
 
-/** What a model's role planner works towards. */
+/** What the role planner of a model optimizes for. */
 export type Objective = 'goodput' | 'fewest-changes';
 
 /** One change of the configuration document. */
@@ -58,7 +58,7 @@
       readonly kind: 'serve-model';
       readonly model: ModelName;
       readonly version: VersionName;
-      /** Null keeps the model's present objective, or `goodput` for a new model. */
+      /** Null keeps the model's current objective, or sets `goodput` for a new model. */
       readonly objective: Objective | null;
     }
   | {
@@ -126,11 +126,11 @@
 export interface Change {
   readonly kind: 'change';
   readonly commands: readonly Command[];
-  /** The change is refused unless this version is in force; null does not ask. */
+  /** The change is refused unless this version is in force; null skips the check. */
   readonly ifVersion: number | null;
-  /** Says what would change and changes nothing. */
+  /** Reports what would change without changing anything. */
   readonly dryRun: boolean;
 }
 
-/** Anything an operator may write. */
+/** Any statement that an operator may write. */
 export type Statement = Query | Change;
--- a/src/core/language/tables.ts
+++ b/src/core/language/tables.ts
@@ -1,6 +1,6 @@
 /**
- * The tables that queries read, and the rows they hold. Rows are flat; a list field satisfies a
- * comparison when any of its elements does.
+ * The tables that queries read, and their rows. Rows are flat; a list field satisfies a comparison when
+ * any of its elements does (for `!=`: when no element equals the literal).
  */
 
 /** The tables, in the order in which help lists them. */
@@ -25,7 +25,7 @@
 
 /**
  * The fields that every row of a table has, in the order in which they are printed. A backend of the
- * operator server may add others after them.
+ * operator server may append further fields.
  */
 export const TABLE_FIELDS = {
   engines: [
--- a/src/core/language/tree-builder.ts
+++ b/src/core/language/tree-builder.ts
@@ -1,6 +1,6 @@
 /**
  * Turns a match of the grammar into a typed syntax tree. Each action returns the tree of its rule;
- * `tree` reads a child's with the type that the grammar guarantees.
+ * `tree` returns the tree of a child, cast to the type that the grammar guarantees.
  */
 import type { ActionDict, Grammar, MatchResult, Node, Semantics } from 'ohm-js';
 import type { EngineRole } from '../registry/backend.js';
@@ -21,10 +21,10 @@
 /** A function that turns successful matches into statements. */
 export type TreeBuilder = (match: MatchResult) => Statement;
 
-/** Makes the tree builder of a compiled grammar. */
+/** Creates the tree builder for a compiled grammar. */
 export function createTreeBuilder(grammar: Grammar): TreeBuilder {
   const semantics = grammar.createSemantics();
-  semantics.addOperation<unknown>('tree', { ...queryActions, ...changeActions, ...wordActions });
+  semantics.addOperation<unknown>('tree', { ...queryActions, ...changeActions, ...lexicalActions });
   return (match) => rootTree(semantics, match);
 }
 
@@ -36,22 +36,22 @@
   return node.tree() as T;
 }
 
-/** The tree of an optional child, or null where it is absent. */
+/** The tree of an optional child, or null if it is absent. */
 function optionalTree<T>(node: Node): T | null {
   const child = node.children[0];
   return child === undefined ? null : tree<T>(child);
 }
 
-function listTrees<T>(list: Node): readonly T[] {
+function separatedTrees<T>(list: Node): readonly T[] {
   return list.asIteration().children.map((child) => tree<T>(child));
 }
 
-function eachTree<T>(iteration: Node): readonly T[] {
+function repeatedTrees<T>(iteration: Node): readonly T[] {
   return iteration.children.map((child) => tree<T>(child));
 }
 
-/** The source text of a lexical rule that stands for itself. */
-function word<T extends string>(node: Node): T {
+/** The source text of a rule that matches one of a fixed set of words. */
+function fixedWord<T extends string>(node: Node): T {
   return node.sourceString as T;
 }
 
@@ -61,7 +61,7 @@
   Query(table, where, orderBy, limit, select): Query {
     return {
       kind: 'query',
-      table: word<TableName>(table),
+      table: fixedWord<TableName>(table),
       where: optionalTree<Condition>(where),
       orderBy: optionalTree<readonly OrderTerm[]>(orderBy) ?? [],
       limit: optionalTree<number>(limit),
@@ -69,20 +69,20 @@
     };
   },
   Where: (_where, condition) => tree<Condition>(condition),
-  OrderBy: (_order, _by, terms) => listTrees<OrderTerm>(terms),
+  OrderBy: (_order, _by, terms) => separatedTrees<OrderTerm>(terms),
   OrderTerm(field, direction): OrderTerm {
     return { field: field.sourceString, descending: direction.sourceString === 'desc' };
   },
   Limit: (_limit, count) => tree<number>(count),
-  Select: (_select, fields) => listTrees<string>(fields),
+  Select: (_select, fields) => separatedTrees<string>(fields),
   Disjunction(first, _or, others): Condition {
-    return eachTree<Condition>(others).reduce(
+    return repeatedTrees<Condition>(others).reduce(
       (left, right) => ({ kind: 'or', left, right }),
       tree<Condition>(first),
     );
   },
   Conjunction(first, _and, others): Condition {
-    return eachTree<Condition>(others).reduce(
+    return repeatedTrees<Condition>(others).reduce(
       (left, right) => ({ kind: 'and', left, right }),
       tree<Condition>(first),
     );
@@ -96,7 +96,7 @@
     return {
       kind: 'comparison',
       field: field.sourceString,
-      operator: word<ComparisonOperator>(operator),
+      operator: fixedWord<ComparisonOperator>(operator),
       value: tree<Literal>(value),
     };
   },
@@ -112,7 +112,7 @@
     };
   },
   IfVersion: (_if, _version, version) => tree<number>(version),
-  Block: (_begin, _first, commands, _last, _commit) => listTrees<Command>(commands),
+  Block: (_begin, _first, commands, _last, _commit) => separatedTrees<Command>(commands),
   Body_block: (block) => tree<readonly Command[]>(block),
   Body_command: (command) => [tree<Command>(command)],
   Set: (_set, command) => tree<Command>(command),
@@ -175,7 +175,7 @@
     tenant: tree(name),
     className: tree(className),
     weight: tree(weight),
-    keyDigests: digests.numChildren === 0 ? null : eachTree<string>(digests),
+    keyDigests: digests.numChildren === 0 ? null : repeatedTrees<string>(digests),
   }),
   SetAnonymousTenant: (_anonymous, _tenant, tenant): Command => ({
     kind: 'set-anonymous-tenant',
@@ -204,17 +204,17 @@
   Ask: (_ask, _role, role, _for, engine): Command => ({
     kind: 'ask-role',
     engine: tree(engine),
-    role: word<EngineRole>(role),
+    role: fixedWord<EngineRole>(role),
   }),
   Release: (_release, _role, _of, engine): Command => ({
     kind: 'release-role',
     engine: tree(engine),
   }),
-  Objective: (_objective, name) => word<Objective>(name),
+  Objective: (_objective, name) => fixedWord<Objective>(name),
   KeyDigest: (_key, _digest, digest) => digest.sourceString.toLowerCase(),
 };
 
-const wordActions: ActionDict<unknown> = {
+const lexicalActions: ActionDict<unknown> = {
   name_quoted: (_open, name, _close) => name.sourceString,
   name_bare: (name) => name.sourceString,
   anonymous_none: (_none) => null,
@@ -222,12 +222,12 @@
   field: (first, rest, _end) => first.sourceString + rest.sourceString,
   prefix: (slash, rest) => slash.sourceString + rest.sourceString,
   duration: (amount, unit, _end) =>
-    durationToMilliseconds(Number(amount.sourceString), word<DurationUnit>(unit)),
+    durationToMilliseconds(Number(amount.sourceString), fixedWord<DurationUnit>(unit)),
   number: (sign, amount, exponent, _end) =>
     Number(sign.sourceString + amount.sourceString + exponent.sourceString),
   wholeNumber: (digits, _end) => Number(digits.sourceString),
-  text_double: (_open, characters, _close) => eachTree<string>(characters).join(''),
-  text_single: (_open, characters, _close) => eachTree<string>(characters).join(''),
+  text_double: (_open, characters, _close) => repeatedTrees<string>(characters).join(''),
+  text_single: (_open, characters, _close) => repeatedTrees<string>(characters).join(''),
   doubleQuotedCharacter_escaped: (_backslash, character) => character.sourceString,
   doubleQuotedCharacter_plain: (character) => character.sourceString,
   singleQuotedCharacter_escaped: (_backslash, character) => character.sourceString,
--- a/test/language/apply.test.ts
+++ b/test/language/apply.test.ts
@@ -1,4 +1,4 @@
-/** Commands on documents: as stated, whole or not at all, and the round trip of a document. */
+/** Commands applied to documents: their effect, atomic blocks, and the round trip of a document. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import fc from 'fast-check';
@@ -16,11 +16,11 @@
 
 const EMPTY = EMPTY_CONFIGURATION.document;
 
-/** Freezes a document whole, so that a command that changed it in place would throw. */
-function frozen<T extends object>(value: T): T {
+/** Freezes a document deeply, so that a command that modifies it in place throws. */
+function deepFreeze<T extends object>(value: T): T {
   for (const part of Object.values(value)) {
     if (typeof part === 'object' && part !== null) {
-      frozen(part);
+      deepFreeze(part);
     }
   }
   return Object.freeze(value);
@@ -29,14 +29,14 @@
 function apply(text: string, document: ConfigurationDocument = EMPTY) {
   const statement = parseStatement(text)._unsafeUnwrap();
   assert.equal(statement.kind, 'change');
-  return applyCommands(frozen(document), (statement as Change).commands);
+  return applyCommands(deepFreeze(document), (statement as Change).commands);
 }
 
 const SERVED = apply(
   'begin serve model labels version 1 objective fewest-changes; serve adapter dutch on labels version 3; drain v1; ask role decode for e1 commit',
 )._unsafeUnwrap().document;
 
-test('commands change what they name and keep the rest', () => {
+test('a command changes only the entries and fields that it names', () => {
   const { document, description } = apply('roll model labels to 2', SERVED)._unsafeUnwrap();
   assert.deepEqual(document.models.labels, {
     version: '2',
@@ -63,7 +63,7 @@
   );
 });
 
-test('a tenant keeps its keys unless new ones are stated', () => {
+test('setting a tenant without key digests keeps its existing ones', () => {
   const digest = 'A'.repeat(64);
   const keyed = apply(
     `set tenant t class interactive weight 1 key digest ${digest}`,
@@ -76,7 +76,7 @@
   });
 });
 
-test('a block is applied whole or not at all, and checked only at its end', () => {
+test('a block of commands is applied completely or not at all, and validated only after its last command', () => {
   const moved = apply(
     'begin remove class interactive; set class night priority 5 share 0.4 deadline 9h commit',
   );
@@ -106,12 +106,12 @@
     /classes.c.priority: .*classes.c.share: .*classes.c.deadlineMs/,
   ],
 ] as const) {
-  test(`refused: ${text}`, () => {
+  test(`a command with an invalid result is refused: ${text}`, () => {
     assert.match(apply(text, SERVED)._unsafeUnwrapErr().message, problem);
   });
 }
 
-test('a document is checked whole, with a repeated route or key refused', () => {
+test('validation refuses a document with a repeated route, a shared key or an unknown field', () => {
   const route = { prefix: '/tiles', service: 'viewer' };
   assert.match(
     validateDocument({ routes: [route, route] })._unsafeUnwrapErr().message,
@@ -188,7 +188,7 @@
   })
   .filter((document) => validateDocument(document).isOk());
 
-test('a document printed as commands rebuilds itself', () => {
+test('a document formatted as commands is rebuilt by applying them to the initial document', () => {
   fc.assert(
     fc.property(documents, (value) => {
       const document = parseDocument(value)._unsafeUnwrap();
--- a/test/language/documentation.test.ts
+++ b/test/language/documentation.test.ts
@@ -1,4 +1,7 @@
-/** docs/LANGUAGE.md: every example runs, every statement has one, and the tables' fields agree. */
+/**
+ * Compares docs/LANGUAGE.md with the code: every example is valid, every kind of statement has an
+ * example, and the fields of the tables match.
+ */
 import assert from 'node:assert/strict';
 import { readFileSync } from 'node:fs';
 import { test } from 'node:test';
@@ -12,11 +15,13 @@
   TABLE_NAMES,
 } from '../../src/core/language/index.js';
 
-const PAGE = readFileSync(new URL('../../../docs/LANGUAGE.md', import.meta.url), 'utf8');
-const BLOCKS = [...PAGE.matchAll(/^```threadfork\n([^`]*)^```$/gm)].map((match) => match[1] ?? '');
+const LANGUAGE_PAGE = readFileSync(new URL('../../../docs/LANGUAGE.md', import.meta.url), 'utf8');
+const BLOCKS = [...LANGUAGE_PAGE.matchAll(/^```threadfork\n([^`]*)^```$/gm)].map(
+  (match) => match[1] ?? '',
+);
 const EXAMPLES = BLOCKS.flatMap((block) => block.trim().split('\n\n'));
 
-// A kind that is missing here or on the page fails the build or the test.
+// A kind that is missing here fails the build; one without an example on the page fails the test.
 const COMMAND_KINDS: Record<Command['kind'], true> = {
   'serve-model': true,
   'serve-adapter': true,
@@ -40,7 +45,7 @@
   'release-role': true,
 };
 
-test('every example of the page runs, one after the other, and every statement has one', () => {
+test('the examples of the page apply in their order, and every table and command kind has one', () => {
   const tables = new Set<string>();
   const kinds = new Set<string>();
   let { document } = EMPTY_CONFIGURATION;
@@ -62,9 +67,10 @@
   assert.deepEqual([...kinds].sort(), Object.keys(COMMAND_KINDS).sort());
 });
 
-test('the page lists the fields of each table', () => {
+test('the page lists the fields of each table as the code does', () => {
   for (const table of TABLE_NAMES) {
-    const [, fields = ''] = new RegExp(`^\\| \`${table}\` +\\| (.*?) +\\|$`, 'm').exec(PAGE) ?? [];
+    const [, fields = ''] =
+      new RegExp(`^\\| \`${table}\` +\\| (.*?) +\\|$`, 'm').exec(LANGUAGE_PAGE) ?? [];
     assert.deepEqual(fields.replaceAll('`', '').split(', '), TABLE_FIELDS[table]);
   }
 });
--- a/test/language/evaluate.test.ts
+++ b/test/language/evaluate.test.ts
@@ -1,4 +1,4 @@
-/** Queries over rows. */
+/** Evaluation of queries over rows. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import {
@@ -23,19 +23,19 @@
   { name: 'e4', zone: 'leiden-a', kvUsed: 0.1, busy: false, adapters: ['dutch'], boot: 'z' },
 ];
 
-function queryOf(text: string): Query {
+function parseQuery(text: string): Query {
   const statement = parseStatement(text)._unsafeUnwrap();
   assert.equal(statement.kind, 'query');
   return statement as Query;
 }
 
 function names(text: string): readonly unknown[] {
-  return evaluateQuery(queryOf(text), ROWS)
+  return evaluateQuery(parseQuery(text), ROWS)
     ._unsafeUnwrap()
     .map((row) => row.name);
 }
 
-test('conditions select rows', () => {
+test('a query returns the rows that satisfy its condition', () => {
   assert.deepEqual(names('engines where zone = "leiden-a"'), ['e1', 'e4']);
   assert.deepEqual(names("engines where zone like 'leiden-_'"), ['e1', 'e2', 'e4']);
   assert.deepEqual(names("engines where zone like '%d%n-a'"), ['e1', 'e4']);
@@ -51,29 +51,29 @@
   assert.deepEqual(names('engines where adapters like "la%"'), ['e1', 'e3']);
 });
 
-test('order by sorts by each term with null last, and limit and select follow', () => {
+test('rows are sorted by each term of order by with null last, then limited and reduced to the selected fields', () => {
   assert.deepEqual(names('engines order by kvUsed desc, name desc'), ['e1', 'e4', 'e2', 'e3']);
   assert.deepEqual(names('engines order by kvUsed limit 2'), ['e2', 'e4']);
-  const selected = evaluateQuery(queryOf('engines limit 1 select boot, role'), ROWS);
+  const selected = evaluateQuery(parseQuery('engines limit 1 select boot, role'), ROWS);
   assert.deepEqual(selected._unsafeUnwrap(), [{ boot: 'x', role: null }]);
 });
 
-test('an unknown field or a comparison across types is refused with the remedy', () => {
-  const unknown = evaluateQuery(queryOf('engines where zoen = "a"'), ROWS)._unsafeUnwrapErr();
+test('an unknown field or a comparison of different types is refused with a remedy', () => {
+  const unknown = evaluateQuery(parseQuery('engines where zoen = "a"'), ROWS)._unsafeUnwrapErr();
   assert.match(unknown.message, /no field "zoen". Use one of: name, zone, /);
-  const inherited = evaluateQuery(queryOf('engines select constructor'), []);
+  const inherited = evaluateQuery(parseQuery('engines select constructor'), []);
   assert.match(inherited._unsafeUnwrapErr().message, /no field "constructor"/);
-  const mismatch = evaluateQuery(queryOf('engines where zone = 3'), ROWS)._unsafeUnwrapErr();
+  const mismatch = evaluateQuery(parseQuery('engines where zone = 3'), ROWS)._unsafeUnwrapErr();
   assert.match(mismatch.message, /holds text and was compared with a number.*zone = "3"/);
 });
 
-test('a condition pins a text only where it must hold', () => {
-  assert.equal(pinnedText(queryOf('changes where version > 1 and id = "c1"').where, 'id'), 'c1');
-  assert.equal(pinnedText(queryOf('changes where id = "c1" or version = 1').where, 'id'), null);
-  assert.equal(pinnedText(queryOf('changes where not id = "c1"').where, 'id'), null);
+test('a required text is found only in an equality that every matching row satisfies', () => {
+  assert.equal(pinnedText(parseQuery('changes where version > 1 and id = "c1"').where, 'id'), 'c1');
+  assert.equal(pinnedText(parseQuery('changes where id = "c1" or version = 1').where, 'id'), null);
+  assert.equal(pinnedText(parseQuery('changes where not id = "c1"').where, 'id'), null);
 });
 
-test('a field of several types is compared where the types agree', () => {
+test('a field with values of several types is compared only in rows where the types agree', () => {
   const rows: readonly Row[] = [
     { section: 'models', value: '7' },
     { section: 'classes', value: 7 },
@@ -81,7 +81,7 @@
     { section: 'configuration', value: null },
   ];
   const sections = (text: string) =>
-    evaluateQuery(queryOf(text), rows)
+    evaluateQuery(parseQuery(text), rows)
       ._unsafeUnwrap()
       .map((row) => row.section);
   assert.deepEqual(sections('config where value = "7"'), ['models']);
--- a/test/language/parse.test.ts
+++ b/test/language/parse.test.ts
@@ -1,4 +1,4 @@
-/** Parse trees and the positions that faults name. */
+/** Syntax trees, and the positions given in faults. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import { parseStatement } from '../../src/core/language/index.js';
@@ -7,7 +7,7 @@
   return parseStatement(text)._unsafeUnwrapErr().message;
 }
 
-test('a query parses to its tree, with not before and before or', () => {
+test('a query parses to its syntax tree, with the precedence not, and, or', () => {
   const text = `engines where not (zone like 'leiden-%' or busy = true) and kvUsed >= 0.5 or boot != null
     order by zone desc, name limit 3 select name, zone`;
   assert.deepEqual(parseStatement(text)._unsafeUnwrap(), {
@@ -38,7 +38,7 @@
   });
 });
 
-test('quoted text takes escapes and negative numbers their sign', () => {
+test('escapes in quoted text and the sign of negative numbers are parsed', () => {
   const query = parseStatement(String.raw`changes where id = "a\"b" and version > -1.5e2`);
   assert.deepEqual(JSON.parse(JSON.stringify(query._unsafeUnwrap())).where, {
     kind: 'and',
@@ -47,7 +47,7 @@
   });
 });
 
-test('a block with dry run and if version parses whole, with comments', () => {
+test('a block with dry run, if version and a comment parses to one change', () => {
   const text = `dry run begin; # the morning
     roll model labels to 2024.1; set deadline of class night to 2h;
     set anonymous tenant none; set anonymous tenant "none"; commit if version 7;`;
@@ -64,7 +64,7 @@
   });
 });
 
-test('faults name line, column, what was expected, what was found and the remedy', () => {
+test('a fault gives the line, the column, what was expected, what was found and the remedy', () => {
   assert.match(faultOf('serve modl labels'), /^Line 1, column 7: expected .*"model".*found "modl"/);
   assert.match(
     faultOf('begin\n  drain a;\n  return\n; commit'),
@@ -82,7 +82,7 @@
   assert.match(faultOf(''), /column 1: expected .*"engines"/);
 });
 
-test('what would cost the parser too much is refused before it is parsed', () => {
+test('a statement that is too long or nests too deeply is refused before it is parsed', () => {
   const deep = `engines where ${'('.repeat(8_000)}busy = true${')'.repeat(8_000)}`;
   assert.match(faultOf(deep), /nests more than 50 parentheses/);
   assert.match(faultOf(' '.repeat(16_385)), /at most 16384 are taken/);
