--- a/src/shell/logging/logger.ts
+++ b/src/shell/logging/logger.ts
@@ -7,38 +7,38 @@
 import { redact } from './redaction.js';
 
 const STANDARD_ERROR = 2;
-/** Lines that a stalled reader has not taken are dropped beyond this. */
+/** Lines buffered while the reader of the log stalls; further lines are dropped. */
 const MAX_BUFFERED_BYTES = 4_194_304;
 
 /** Writes log events. */
 export interface Logger {
   write(event: LogEvent, fields?: LogFields): void;
-  /** Writes out what is buffered; for use before the process exits. */
+  /** Writes the buffered lines out; to be called before the process exits. */
   flush(): void;
 }
 
-/** Who writes a log. */
+/** The daemon that writes a log. */
 export interface LogWriter {
   readonly daemon: DaemonName;
   readonly zone: ZoneName;
 }
 
-/** What a logger is built from. */
+/** Options of `createLogger`. */
 export interface LoggerOptions {
   readonly level: LogLevel;
-  /** Where lines go; standard error when absent. Standard output is for programs' answers. */
+  /** Where lines go; standard error when absent, as standard output is for the results of programs. */
   readonly destination?: DestinationStream;
-  /** The daemon that writes; in every line under `writer`, apart from the event's own fields. */
+  /** The daemon that writes: the field `writer` of every line, separate from the event's own fields. */
   readonly writer?: LogWriter;
 }
 
-/** A logger without a file, a transport or a worker thread. */
+/** Creates a logger that needs no file, no pino transport and no worker thread. */
 export function createLogger(options: LoggerOptions): Logger {
   const standardError =
     options.destination === undefined
       ? pino.destination({ fd: STANDARD_ERROR, sync: false, maxLength: MAX_BUFFERED_BYTES })
       : null;
-  const lines = pino(
+  const pinoLogger = pino(
     {
       level: options.level,
       base: options.writer === undefined ? {} : { writer: options.writer },
@@ -48,8 +48,11 @@
   );
   return {
     write: (event, fields = {}) => {
-      if (!lines.isLevelEnabled(event.level)) return;
-      lines[event.level]({ event: event.number, ...redact(unreserved(fields)) }, event.message);
+      if (!pinoLogger.isLevelEnabled(event.level)) return;
+      pinoLogger[event.level](
+        { event: event.number, ...redact(renameReservedFields(fields)) },
+        event.message,
+      );
     },
     flush: () => standardError?.flushSync(),
   };
@@ -57,8 +60,8 @@
 
 const RESERVED_NAMES: ReadonlySet<string> = new Set(['level', 'time', 'writer', 'event', 'msg']);
 
-/** A line holds each name once: a field with a name of the line itself gets a trailing underscore. */
-function unreserved(fields: LogFields): LogFields {
+/** Appends an underscore to event fields named like a field of the line itself, so that no name occurs twice. */
+function renameReservedFields(fields: LogFields): LogFields {
   if (!Object.keys(fields).some((name) => RESERVED_NAMES.has(name))) return fields;
   const renamed = Object.entries(fields).map(([name, value]) => [
     RESERVED_NAMES.has(name) ? `${name}_` : name,
--- a/src/shell/logging/redaction.ts
+++ b/src/shell/logging/redaction.ts
@@ -1,27 +1,27 @@
 /**
- * Keeps secrets and prompts out of the log, should a field ever carry one by mistake.
+ * Keeps secrets and prompts out of the log if a field carries one by mistake.
  */
 import type { LogFields } from '../../core/logging/log-event.js';
 
-/** What stands in place of a withheld text. */
+/** Written in place of a withheld text. */
 const REDACTED = '[withheld]';
 
 const SECRET_NAME = /prompt|secret|password|credential|authorization|cookie|body|token$|key$/i;
 const MAX_TEXT_LENGTH = 512;
-/** Bounds the memory of names, should one ever come from outside. */
-const MOST_NAMES = 1_024;
+/** Bounds the cache of field names in case names ever come from outside input. */
+const MAX_CACHED_NAMES = 1_024;
 
-/** Whether a name is a secret's; names come from the code, so there are few, and each line holds many. */
-const secretNames = new Map<string, boolean>();
+/** Whether a field name marks a secret. Cached because every line has many names, and the code uses few in all. */
+const isSecretByName = new Map<string, boolean>();
 
-/** The fields as they may be written: texts under secret names withheld, long texts cut. */
+/** The fields as they may be written: texts under secret names withheld, long texts truncated. */
 export function redact(fields: LogFields): LogFields {
   const written: Record<string, LogFields[string]> = {};
   for (const [name, value] of Object.entries(fields)) written[name] = redactValue(name, value);
   return written;
 }
 
-// Numbers and flags stay: counts such as promptTokens are wanted and give nothing away.
+// Numbers and booleans are kept: counts such as promptTokens are needed and reveal no content.
 function redactValue(name: string, value: LogFields[string]): LogFields[string] {
   if (typeof value !== 'string') return value;
   if (isSecretName(name)) return REDACTED;
@@ -29,9 +29,9 @@
 }
 
 function isSecretName(name: string): boolean {
-  const known = secretNames.get(name);
+  const known = isSecretByName.get(name);
   if (known !== undefined) return known;
   const isSecret = SECRET_NAME.test(name);
-  if (secretNames.size < MOST_NAMES) secretNames.set(name, isSecret);
+  if (isSecretByName.size < MAX_CACHED_NAMES) isSecretByName.set(name, isSecret);
   return isSecret;
 }
