--- a/src/core/logging/catalogue/gateway.ts
+++ b/src/core/logging/catalogue/gateway.ts
@@ -44,7 +44,7 @@
   configurationInForce: {
     number: 6010,
     level: 'info',
-    message: 'a configuration version is now in force',
+    message: 'configuration in force',
     remedy: 'Nothing to do.',
   },
   configurationMalformed: {
