--- a/src/core/language/apply-backend.ts
+++ b/src/core/language/apply-backend.ts
@@ -4,7 +4,7 @@
  */
 import type { BackendConfiguration, ConfigurationDocument } from '../configuration/document.js';
 import type { EngineRole } from '../registry/backend.js';
-import { entry } from './draft.js';
+import { getOwnEntry } from './draft.js';
 import type { Command } from './syntax.js';
 
 /** A command about one backend. */
@@ -32,11 +32,11 @@
 }
 
 function setDrained(draft: ConfigurationDocument, name: string, drained: boolean): void {
-  setBackend(draft, name, drained, entry(draft.backends, name)?.role);
+  setBackend(draft, name, drained, getOwnEntry(draft.backends, name)?.role);
 }
 
 function setRole(draft: ConfigurationDocument, name: string, role: EngineRole | undefined): void {
-  setBackend(draft, name, entry(draft.backends, name)?.drained ?? false, role);
+  setBackend(draft, name, getOwnEntry(draft.backends, name)?.drained ?? false, role);
 }
 
 function setBackend(
--- a/src/core/language/index.ts
+++ b/src/core/language/index.ts
@@ -1,7 +1,7 @@
 /** The operator language: parses statements, evaluates queries, applies and formats commands. */
 export { applyCommands } from './apply.js';
 export { parseDuration } from './duration.js';
-export { evaluateQuery, pinnedText } from './evaluate.js';
+export { evaluateQuery, requiredTextValue } from './evaluate.js';
 export { formatDocumentAsCommands } from './format.js';
 export { MAX_STATEMENT_CHARACTERS, parseStatement } from './parse.js';
 export type { Change, Command, Query } from './syntax.js';
--- a/test/language/evaluate.test.ts
+++ b/test/language/evaluate.test.ts
@@ -4,9 +4,9 @@
 import {
   evaluateQuery,
   parseStatement,
-  pinnedText,
   type Query,
   type Row,
+  requiredTextValue,
 } from '../../src/core/language/index.js';
 
 const ROWS: readonly Row[] = [
@@ -68,9 +68,15 @@
 });
 
 test('a required text is found only in an equality that every matching row satisfies', () => {
-  assert.equal(pinnedText(parseQuery('changes where version > 1 and id = "c1"').where, 'id'), 'c1');
-  assert.equal(pinnedText(parseQuery('changes where id = "c1" or version = 1').where, 'id'), null);
-  assert.equal(pinnedText(parseQuery('changes where not id = "c1"').where, 'id'), null);
+  assert.equal(
+    requiredTextValue(parseQuery('changes where version > 1 and id = "c1"').where, 'id'),
+    'c1',
+  );
+  assert.equal(
+    requiredTextValue(parseQuery('changes where id = "c1" or version = 1').where, 'id'),
+    null,
+  );
+  assert.equal(requiredTextValue(parseQuery('changes where not id = "c1"').where, 'id'), null);
 });
 
 test('a field with values of several types is compared only in rows where the types agree', () => {
