--- a/src/shell/peer/authentication.ts
+++ b/src/shell/peer/authentication.ts
@@ -1,13 +1,13 @@
 /**
- * Message authentication with the fleet key: HMAC-SHA-256 truncated to 16 bytes. A tag binds the
- * channel and, on a stream, the connection and the frame's place in it.
+ * Message authentication with the fleet key: HMAC-SHA-256 truncated to 16 bytes. A tag covers the
+ * channel and, on a stream, the connection and the frame's position in it.
  */
 import { createHmac, timingSafeEqual } from 'node:crypto';
 
 /** The length of a tag in bytes. */
 export const TAG_BYTES = 16;
 
-/** What a tag is for; one kind of data can't pass as another. */
+/** The kind of data that a tag covers, so that a tag for one kind is invalid for another. */
 export type TagPurpose = 'datagram' | 'frame-length' | 'frame-content';
 
 const PURPOSE_BYTE: Readonly<Record<TagPurpose, number>> = {
@@ -16,7 +16,7 @@
   'frame-content': 3,
 };
 
-/** Makes and checks tags. */
+/** Creates and verifies tags. */
 export interface Authenticator {
   tag(purpose: TagPurpose, ...parts: readonly Buffer[]): Buffer;
   /** Compares in constant time. */
--- a/src/shell/peer/codec.ts
+++ b/src/shell/peer/codec.ts
@@ -1,4 +1,4 @@
-/** The wire form of messages: MessagePack arrays of `[version, header, kind, fields]`. */
+/** Encodes and decodes messages as MessagePack arrays of `[version, header, kind, fields]`. */
 import { FLOAT32_OPTIONS, Packr } from 'msgpackr';
 import { err, ok, type Result } from 'neverthrow';
 import { z } from 'zod';
@@ -6,7 +6,7 @@
 import { type Positional, positional } from './positional.js';
 import { headerSchema, messageSchemas } from './schemas.js';
 
-/** Grows when the wire form changes; daemons of different versions do not understand each other. */
+/** Incremented when the wire form changes. Messages of any other version are rejected. */
 const PROTOCOL_VERSION = 1;
 
 /** A decoded message with its header. */
@@ -15,7 +15,7 @@
   readonly message: PeerMessage;
 }
 
-// Four bytes for a number that has at most seven digits; it is decoded to the same number.
+// Encodes a number of at most seven digits in four bytes; it decodes to the same number.
 const packr = new Packr({
   useRecords: false,
   encodeUndefinedAsNil: true,
@@ -25,7 +25,7 @@
 const messageForms = new Map<string, Positional>(
   Object.entries(messageSchemas).map(([kind, schema]) => [kind, positional(schema)]),
 );
-/** A kind's number on the wire is its place here. */
+/** The index of a kind in this list is its number on the wire. */
 const kinds: readonly PeerMessage['kind'][] = [
   'ping',
   'ack',
@@ -48,11 +48,11 @@
 export function encodeEnvelope({ header, message }: Envelope): Buffer {
   const kind = kinds.indexOf(message.kind);
   const fields = messageForms.get(message.kind)?.pack(message);
-  const whole = { ...header, sentAt: Math.floor(header.sentAt) };
-  return packr.pack([PROTOCOL_VERSION, headerForm.pack(whole), kind, fields]);
+  const wireHeader = { ...header, sentAt: Math.floor(header.sentAt) };
+  return packr.pack([PROTOCOL_VERSION, headerForm.pack(wireHeader), kind, fields]);
 }
 
-/** Decodes and checks a message; the error names what is wrong. */
+/** Decodes and validates a message; the error describes the problem. */
 export function decodeEnvelope(bytes: Buffer): Result<Envelope, string> {
   const wire = wireSchema.safeParse(unpackSafely(bytes));
   if (!wire.success) {
--- a/src/shell/peer/counters.ts
+++ b/src/shell/peer/counters.ts
@@ -1,6 +1,6 @@
-/** What the transport has sent, received and dropped since its start. */
+/** Counters of the messages that the transport has sent, received and dropped since its start. */
 
-/** Why something was dropped. */
+/** Why a message or connection was dropped. */
 export type DropReason =
   | 'unauthenticated'
   | 'malformed'
@@ -9,7 +9,7 @@
   | 'unreachable'
   | 'too-many-connections';
 
-/** Running totals; bytes are of datagrams and frames without IP, UDP and TCP headers. */
+/** Running totals. Byte counts cover datagrams and frames without IP, UDP and TCP headers. */
 export interface PeerCounters {
   datagramsSent: number;
   datagramsReceived: number;
@@ -20,7 +20,7 @@
   readonly dropped: Record<DropReason, number>;
 }
 
-/** All zero. */
+/** Creates counters that are all zero. */
 export function createCounters(): PeerCounters {
   return {
     datagramsSent: 0,
--- a/src/shell/peer/drop-log.ts
+++ b/src/shell/peer/drop-log.ts
@@ -1,10 +1,10 @@
-/** Logs dropped messages, each kind at most once in a while, however many there are. */
+/** Logs dropped messages, at most one line per reason and interval, with the number of drops. */
 import { PEER_EVENTS } from '../../core/logging/catalogue/peer.js';
 import type { LogEvent, LogFields } from '../../core/logging/log-event.js';
 import type { Endpoint } from '../../core/registry/backend.js';
 import type { DropReason } from './counters.js';
 
-const QUIET_MS = 10_000;
+const MIN_LOG_INTERVAL_MS = 10_000;
 
 const EVENT_OF: Readonly<Record<DropReason, LogEvent>> = {
   unauthenticated: PEER_EVENTS.unauthenticated,
@@ -15,21 +15,21 @@
   'too-many-connections': PEER_EVENTS.undelivered,
 };
 
-/** Makes the listener for a transport's `onDropped`. */
+/** Creates the listener for a transport's `onDropped`. */
 export function createDropLog(
   write: (event: LogEvent, fields: LogFields) => void,
   now: () => number = () => performance.now(),
 ): (reason: DropReason, peer: Endpoint | null) => void {
-  const unlogged = new Map<DropReason, number>();
+  const unloggedCounts = new Map<DropReason, number>();
   const loggedAt = new Map<DropReason, number>();
   return (reason, peer) => {
-    const count = (unlogged.get(reason) ?? 0) + 1;
-    unlogged.set(reason, count);
-    if (now() - (loggedAt.get(reason) ?? Number.NEGATIVE_INFINITY) < QUIET_MS) {
+    const count = (unloggedCounts.get(reason) ?? 0) + 1;
+    unloggedCounts.set(reason, count);
+    if (now() - (loggedAt.get(reason) ?? Number.NEGATIVE_INFINITY) < MIN_LOG_INTERVAL_MS) {
       return;
     }
     loggedAt.set(reason, now());
-    unlogged.set(reason, 0);
+    unloggedCounts.set(reason, 0);
     const address = peer === null ? null : `${peer.address}:${peer.port}`;
     write(EVENT_OF[reason], { reason, count, peer: address });
   };
--- a/src/shell/peer/index.ts
+++ b/src/shell/peer/index.ts
@@ -1,4 +1,4 @@
-/** The transport between daemons; docs/PEER-PROTOCOL.md states the wire form. */
+/** The transport between daemons; docs/PEER-PROTOCOL.md describes the wire form. */
 export type { DropReason, PeerCounters } from './counters.js';
 export { createDropLog } from './drop-log.js';
 export {
--- a/src/shell/peer/outgoing-stream.ts
+++ b/src/shell/peer/outgoing-stream.ts
@@ -1,4 +1,4 @@
-/** One connection to another daemon: waits for its nonce, then writes frames until it is idle. */
+/** A connection to another daemon: waits for its nonce, then writes frames until it is idle. */
 import { connect, type Socket } from 'node:net';
 import type { Endpoint } from '../../core/registry/backend.js';
 import type { Authenticator } from './authentication.js';
@@ -9,14 +9,14 @@
 const MAX_QUEUED_FRAMES = 64;
 const MAX_QUEUED_BYTES = 34_000_000;
 
-/** What a connection tells its owner. */
+/** Receives the events of a connection. */
 export interface OutgoingStreamListener {
   onFrameSent(bytes: number): void;
-  /** The connection has ended; `unsent` messages were not written. */
+  /** Called when the connection has closed; `unsent` is the number of messages not written. */
   onClosed(unsent: number): void;
 }
 
-/** A connection that is made when it is created. */
+/** A connection that is opened by its constructor. */
 export class OutgoingStream {
   private readonly socket: Socket;
   private readonly queue: Buffer[] = [];
@@ -37,10 +37,13 @@
     this.socket.on('close', () => this.listener.onClosed(this.queue.length));
   }
 
-  /** Queues a message; false when the queue is full. */
+  /** Queues a message; returns false when the queue is full. */
   send(content: Buffer): boolean {
-    const unwritten = this.queuedBytes + this.socket.writableLength;
-    if (this.queue.length >= MAX_QUEUED_FRAMES || unwritten + content.length > MAX_QUEUED_BYTES) {
+    const unwrittenBytes = this.queuedBytes + this.socket.writableLength;
+    if (
+      this.queue.length >= MAX_QUEUED_FRAMES ||
+      unwrittenBytes + content.length > MAX_QUEUED_BYTES
+    ) {
       return false;
     }
     this.queue.push(content);
@@ -49,7 +52,7 @@
     return true;
   }
 
-  /** Cuts the connection. */
+  /** Closes the connection at once. */
   destroy(): void {
     this.socket.destroy();
   }
--- a/src/shell/peer/positional.ts
+++ b/src/shell/peer/positional.ts
@@ -1,20 +1,20 @@
 /**
- * Turns objects into arrays by the order of a schema's keys, and words of an enumeration into their
- * numbers, so that neither is sent as text; and back. Literals are not sent at all. Only the shapes
- * that the peer protocol uses are known; anything else passes as it is.
+ * Converts objects to arrays in the order of their schema's keys, and enum values to their indexes,
+ * and back, so that neither keys nor enum values are sent as text. Literals are not sent at all.
+ * Only the schema types that the peer protocol uses are converted; other values stay unchanged.
  */
 import { z } from 'zod';
 
-/** A pair of conversions between objects and their positional form. */
+/** Conversions between values and their positional form. */
 export interface Positional {
   readonly pack: (value: unknown) => unknown;
-  /** Tolerates any input; what does not fit is left for the schema to refuse. */
+  /** Accepts any input; the schema then rejects values that do not match. */
   readonly unpack: (wire: unknown) => unknown;
 }
 
-const AS_IT_IS: Positional = { pack: (value) => value, unpack: (wire) => wire };
+const IDENTITY: Positional = { pack: (value) => value, unpack: (wire) => wire };
 
-/** Derives the conversions from a schema, once. */
+/** Derives the conversions from a schema. */
 export function positional(schema: z.core.$ZodType): Positional {
   if (schema instanceof z.ZodObject) {
     return positionalObject(schema);
@@ -28,7 +28,7 @@
   if (schema instanceof z.ZodEnum) {
     return positionalEnum(schema.options);
   }
-  return AS_IT_IS;
+  return IDENTITY;
 }
 
 function positionalObject(schema: z.ZodObject): Positional {
@@ -69,9 +69,9 @@
   };
 }
 
-function positionalEnum(words: readonly unknown[]): Positional {
+function positionalEnum(enumValues: readonly unknown[]): Positional {
   return {
-    pack: (value) => words.indexOf(value),
-    unpack: (wire) => (typeof wire === 'number' ? words[wire] : null),
+    pack: (value) => enumValues.indexOf(value),
+    unpack: (wire) => (typeof wire === 'number' ? enumValues[wire] : null),
   };
 }
--- a/src/shell/peer/schemas.ts
+++ b/src/shell/peer/schemas.ts
@@ -1,6 +1,6 @@
 /**
- * What a well-formed message looks like. The order of the keys is the order on the wire, so a key
- * is never moved, and a change of any shape comes with a new protocol version.
+ * The schemas of the messages. The order of the keys is the order on the wire, so keys must not be
+ * moved, and any change of a schema requires a new protocol version.
  */
 import { z } from 'zod';
 import type { PeerHeader, PeerMessage } from '../../core/peer/index.js';
@@ -15,10 +15,10 @@
 const MAX_ADAPTERS = 4_096;
 
 const text = z.string().max(MAX_TEXT_LENGTH);
-const whole = z.int().min(0);
-const amount = z.number();
+const nonNegativeInt = z.int().min(0);
+const finiteNumber = z.number();
 
-/** IP numbers only: nothing that a peer sends is ever looked up by name. */
+/** IP addresses only, so that a peer's message never causes a DNS look-up. */
 const endpoint = z.strictObject({
   address: z.union([z.ipv4(), z.ipv6()]),
   port: z.int().min(1).max(MAX_PORT),
@@ -28,16 +28,18 @@
   name: text,
   zone: text,
   endpoint,
-  incarnation: whole,
-  refutation: whole,
+  incarnation: nonNegativeInt,
+  refutation: nonNegativeInt,
   status: z.enum(['alive', 'suspect', 'dead', 'left']),
   suspectedBy: text.nullable(),
 });
 
 const updates = z.array(update).max(MAX_UPDATES);
-const heartbeats = z.array(z.strictObject({ zone: text, heartbeat: whole })).max(MAX_ZONES);
-const summary = z.strictObject({ zone: text, hash: whole, heartbeat: whole });
-const fence = z.strictObject({ epoch: whole, sequence: whole });
+const heartbeats = z
+  .array(z.strictObject({ zone: text, heartbeat: nonNegativeInt }))
+  .max(MAX_ZONES);
+const summary = z.strictObject({ zone: text, hash: nonNegativeInt, heartbeat: nonNegativeInt });
+const fence = z.strictObject({ epoch: nonNegativeInt, sequence: nonNegativeInt });
 
 const loadedModel = z.strictObject({
   model: text,
@@ -46,13 +48,13 @@
 });
 
 const load = z.strictObject({
-  ageMs: amount,
-  running: amount,
-  queued: amount,
-  queuedPrefillTokens: amount,
-  kvUsed: amount,
-  prefillTokensPerSecond: amount,
-  decodeStepMs: amount,
+  ageMs: finiteNumber,
+  running: finiteNumber,
+  queued: finiteNumber,
+  queuedPrefillTokens: finiteNumber,
+  kvUsed: finiteNumber,
+  prefillTokensPerSecond: finiteNumber,
+  decodeStepMs: finiteNumber,
 });
 
 const inventory = z.strictObject({
@@ -61,7 +63,7 @@
   models: z.array(loadedModel).max(MAX_MODELS),
   fence: fence.nullable(),
   lastOrder: z.strictObject({ id: text, state: z.enum(['running', 'done', 'failed']) }).nullable(),
-  maxBatch: amount,
+  maxBatch: finiteNumber,
 });
 
 const engineDigest = z.strictObject({
@@ -69,36 +71,36 @@
   intake: z.enum(['open', 'closed']),
   busy: z.boolean(),
   leaving: z.boolean(),
-  activeRequests: amount,
+  activeRequests: finiteNumber,
   load,
-  revision: whole,
+  revision: nonNegativeInt,
   inventory: inventory.nullable(),
-  ageMs: amount.min(0),
+  ageMs: finiteNumber.min(0),
 });
 
-const engineInterest = z.strictObject({ engine: text, revision: whole.nullable() });
+const engineInterest = z.strictObject({ engine: text, revision: nonNegativeInt.nullable() });
 
 /** The header of every message. */
 export const headerSchema = z.strictObject({
   sender: text.min(1),
-  incarnation: whole,
-  sentAt: amount,
-  inForce: whole.nullable(),
-  highestVersion: whole,
+  incarnation: nonNegativeInt,
+  sentAt: finiteNumber,
+  inForce: nonNegativeInt.nullable(),
+  highestVersion: nonNegativeInt,
 }) satisfies z.ZodType<PeerHeader>;
 
 const messages = {
   ping: z.strictObject({
     kind: z.literal('ping'),
-    sequence: whole,
+    sequence: nonNegativeInt,
     target: text,
     updates,
     heartbeats,
   }),
-  ack: z.strictObject({ kind: z.literal('ack'), sequence: whole, updates, heartbeats }),
+  ack: z.strictObject({ kind: z.literal('ack'), sequence: nonNegativeInt, updates, heartbeats }),
   'ping-request': z.strictObject({
     kind: z.literal('ping-request'),
-    sequence: whole,
+    sequence: nonNegativeInt,
     target: text,
     endpoint,
     updates,
@@ -121,12 +123,16 @@
   }),
   'engine-digest': z.strictObject({
     kind: z.literal('engine-digest'),
-    echo: z.strictObject({ incarnation: whole, sentAt: amount, ageMs: amount.min(0) }),
+    echo: z.strictObject({
+      incarnation: nonNegativeInt,
+      sentAt: finiteNumber,
+      ageMs: finiteNumber.min(0),
+    }),
     engines: z.array(engineDigest).max(MAX_ENGINES),
   }),
   'configuration-announce': z.strictObject({
     kind: z.literal('configuration-announce'),
-    version: whole,
+    version: nonNegativeInt,
     origin: endpoint.nullable(),
   }),
   'configuration-pull': z.strictObject({
@@ -136,24 +142,27 @@
   }),
   'configuration-content': z.strictObject({
     kind: z.literal('configuration-content'),
-    version: whole,
+    version: nonNegativeInt,
     hash: text,
-    // The core validates the document itself, as it does with one from the store.
+    // The core validates the document, as it does with a document from the store.
     document: z.custom<Extract<PeerMessage, { kind: 'configuration-content' }>['document']>(
       (value) => typeof value === 'object' && value !== null,
     ),
   }),
-  'configuration-busy': z.strictObject({ kind: z.literal('configuration-busy'), version: whole }),
+  'configuration-busy': z.strictObject({
+    kind: z.literal('configuration-busy'),
+    version: nonNegativeInt,
+  }),
   'configuration-confirm': z.strictObject({
     kind: z.literal('configuration-confirm'),
-    version: whole,
+    version: nonNegativeInt,
   }),
   demand: z.strictObject({
     kind: z.literal('demand'),
     pool: text,
-    requests: whole,
-    promptTokens: whole,
-    outputTokens: whole,
+    requests: nonNegativeInt,
+    promptTokens: nonNegativeInt,
+    outputTokens: nonNegativeInt,
   }),
 } as const satisfies { readonly [Kind in PeerMessage['kind']]: z.ZodType<MessageOf<Kind>> };
 
--- a/src/shell/peer/stream-server.ts
+++ b/src/shell/peer/stream-server.ts
@@ -1,4 +1,4 @@
-/** Accepts other daemons' connections and reads their frames. */
+/** Accepts connections of other daemons and reads their frames. */
 import { randomBytes } from 'node:crypto';
 import { createServer, type Server, type Socket } from 'node:net';
 import type { Endpoint } from '../../core/registry/backend.js';
@@ -9,13 +9,13 @@
 const MAX_CONNECTIONS = 1_024;
 const IDLE_TIMEOUT_MS = 30_000;
 
-/** What the server tells its owner. */
+/** Receives the events of the server. */
 export interface StreamServerListener {
   onContent(content: Buffer, from: Endpoint): void;
   onDropped(reason: DropReason): void;
 }
 
-/** A server that keeps track of its connections so that it can be closed. */
+/** A server that tracks its connections, so that closing it can close them. */
 export class StreamServer {
   private readonly server: Server;
   private readonly sockets = new Set<Socket>();
@@ -29,7 +29,7 @@
     this.server.on('drop', () => this.listener.onDropped('too-many-connections'));
   }
 
-  /** Listens and tells on which port. */
+  /** Starts listening; resolves to the bound port. */
   listen({ address, port }: Endpoint): Promise<number> {
     return new Promise((resolve, reject) => {
       this.server.once('error', reject);
@@ -42,7 +42,7 @@
     });
   }
 
-  /** Stops listening and cuts all connections. */
+  /** Stops listening and closes all connections at once. */
   close(): Promise<void> {
     for (const socket of this.sockets) {
       socket.destroy();
--- a/src/shell/peer/transport.ts
+++ b/src/shell/peer/transport.ts
@@ -1,7 +1,7 @@
 /**
- * Carries messages between daemons: datagrams for the small, streams for the rest, both on one port
- * number. Everything is authenticated with the fleet key and checked before the core sees it;
- * whatever fails is dropped and counted.
+ * Transports messages between daemons: small ones as datagrams, others over TCP streams, both on
+ * the same port number. Messages are authenticated with the fleet key and validated before they
+ * reach the core; those that fail are dropped and counted.
  */
 import { createSocket, type Socket } from 'node:dgram';
 import { isIP } from 'node:net';
@@ -13,34 +13,34 @@
 import { OutgoingStream } from './outgoing-stream.js';
 import { StreamServer } from './stream-server.js';
 
-/** Larger messages go over a stream whatever channel was asked for. */
+/** Larger messages are sent over a stream, even if the datagram channel was requested. */
 const MAX_DATAGRAM_BYTES = 1_200;
 
 const MAX_OUTGOING_STREAMS = 128;
-/** How many free ports are tried until one is free for both TCP and UDP. */
-const PORT_ATTEMPTS = 20;
+/** The maximum number of ports tried to find one that is free for both TCP and UDP. */
+const MAX_PORT_ATTEMPTS = 20;
 
-/** What a transport is made from. */
+/** The settings and callbacks of a transport. */
 export interface PeerTransportOptions {
-  /** An IP number; port 0 takes a free port. */
+  /** An IP address and a port; port 0 selects a free port. */
   readonly listen: Endpoint;
   readonly fleetKey: string;
   readonly emit: (event: PeerReceivedEvent) => void;
-  /** Told of each dropped message, for a log line; `peer` is null when it is not known. */
+  /** Called for each dropped message; `peer` is null when it is not known. */
   readonly onDropped?: (reason: DropReason, peer: Endpoint | null) => void;
 }
 
 /** A transport between daemons. */
 export interface PeerTransport {
-  /** Starts listening; resolves to the endpoint with its real port. */
+  /** Starts listening; resolves to the endpoint with the bound port. */
   listen(): Promise<Endpoint>;
-  /** Sends and forgets. Nothing tells whether it arrived. */
+  /** Sends a message without any confirmation of delivery. */
   send(effect: PeerEffect, header: PeerHeader): void;
   counters(): Readonly<PeerCounters>;
   close(): Promise<void>;
 }
 
-/** Makes a transport. */
+/** Creates a transport. */
 export function createPeerTransport(options: PeerTransportOptions): PeerTransport {
   return new SocketTransport(options);
 }
@@ -58,7 +58,7 @@
 
   async listen(): Promise<Endpoint> {
     const { address, port } = this.options.listen;
-    const attempts = port === 0 ? PORT_ATTEMPTS : 1;
+    const attempts = port === 0 ? MAX_PORT_ATTEMPTS : 1;
     for (let attempt = 1; ; attempt += 1) {
       try {
         return await this.listenOnce({ address, port });
@@ -151,9 +151,9 @@
 
   private streamTo(to: Endpoint): OutgoingStream | null {
     const key = `${to.address} ${to.port}`;
-    const known = this.streams.get(key);
-    if (known !== undefined) {
-      return known;
+    const existing = this.streams.get(key);
+    if (existing !== undefined) {
+      return existing;
     }
     if (this.streams.size >= MAX_OUTGOING_STREAMS) {
       return null;
