--- a/src/shell/http/active-request.ts
+++ b/src/shell/http/active-request.ts
@@ -1,4 +1,4 @@
-/** One caller's request in the shell: its response, what is sent to backends, its attempt. */
+/** One request of a caller: its response, the call sent to backends and the current attempt. */
 import type { ServerResponse } from 'node:http';
 import type { MonotonicMs } from '../../core/common/time.js';
 import { type Fault, refusedNotRun } from '../../core/errors/fault.js';
@@ -13,64 +13,64 @@
 import { faultBody, faultResponse } from './fault-http.js';
 import type { HttpLimits } from './limits.js';
 
-/** What is sent to a backend, the same in each attempt. */
+/** The request that is sent to a backend; the same in each attempt. */
 export interface BackendCall {
   readonly method: string;
   readonly path: string;
   readonly body: Buffer | null;
-  /** Flat name and value list; for a model engine its protocol's headers are added. */
+  /** Alternating names and values; each attempt at an engine adds the `x-threadfork-` headers. */
   readonly headers: readonly string[];
 }
 
-/** How the answer is handed over. Null `answerHead`: as the backend gives it. */
+/** How the answer is written to the caller. */
 export interface AnswerPlan {
-  /** For streamed model answers. */
+  /** The head of a streamed model answer; null when the backend's answer is forwarded unchanged. */
   readonly answerHead: AnswerHead | null;
   readonly includeUsage: boolean;
 }
 
-/** What a request needs of its attempt, which knows the request in its turn. */
+/** The part of an attempt that its request uses; the attempt in turn refers to the request. */
 export interface RunningAttempt {
   readonly id: string;
   pause(): void;
   resume(): void;
-  /** Stops the backend's work; nothing is reported. */
+  /** Stops the backend's work without reporting an attempt event. */
   cancel(): void;
 }
 
-/** Where the engine's data of the last token handed over stands; null before the first. */
+/** The last forwarded token's data in the engine's bytes; `bytes` is null before the first one. */
 export interface LastToken {
   bytes: Buffer | null;
   start: number;
   end: number;
 }
 
-/** What a request needs of the server that it belongs to. */
+/** The part of the caller server that a request uses. */
 export interface RequestHost {
   readonly limits: HttpLimits;
-  /** Shared by all streams; empty between two turns of the event loop. */
+  /** Shared by all streams. Empty between two turns of the event loop. */
   readonly eventBuffer: EventBuffer;
   now(): MonotonicMs;
   attemptEvent(request: ActiveRequest, event: AttemptEvent): void;
-  /** The response is over and no attempt runs: the request may be forgotten. */
+  /** Called once the response is closed and no attempt runs, so that the request can be removed. */
   released(request: ActiveRequest): void;
   callerGone(request: ActiveRequest): void;
 }
 
-/** A request from its body's arrival until its response is over and its last attempt has ended. */
+/** A request, from its body's arrival until its response is closed and its last attempt ended. */
 export class ActiveRequest {
-  /** The attempt whose events count; an earlier one's are too late. */
+  /** The current attempt; events of earlier attempts are ignored. */
   attempt: RunningAttempt | null = null;
-  /** Since when the caller has left what was written unread, or null. */
+  /** When the caller began to leave written bytes unread; null while it keeps up. */
   pausedSince: MonotonicMs | null = null;
-  /** First token offset that the caller has not had. */
+  /** The offset of the first token that has not been written to the caller. */
   nextOffset = 0;
   readonly lastToken: LastToken = { bytes: null, start: 0, end: 0 };
-  /** The version that wrote what the caller has; a resumed attempt must go on in it. */
+  /** The model version of the tokens written so far; a resumed attempt must use the same one. */
   version: string | null = null;
   headersForwarded = false;
   readonly capture: AnswerCapture | null;
-  #responseOver = false;
+  #responseClosed = false;
   #answered = false;
 
   constructor(
@@ -80,49 +80,49 @@
     readonly call: BackendCall,
     readonly plan: AnswerPlan,
   ) {
-    const keyed = description.idempotencyKey !== null;
-    this.capture = keyed ? new AnswerCapture(host.limits.maxReplayBytes) : null;
+    const hasIdempotencyKey = description.idempotencyKey !== null;
+    this.capture = hasIdempotencyKey ? new AnswerCapture(host.limits.maxReplayBytes) : null;
     response.on('close', this.#onClose);
     response.on('drain', this.#onDrain);
   }
 
-  /** Bytes of body that the request holds. */
+  /** Bytes of the request body, which stay in memory until the request is released. */
   get heldBytes(): number {
     return this.call.body?.length ?? 0;
   }
 
-  /** Begins the response. */
+  /** Writes the response's status and headers. */
   writeHead(status: number, headers: Record<string, string | string[]>): void {
     this.headersForwarded = true;
     this.capture?.begin(status, contentTypeOf(headers));
-    if (!this.#responseOver) this.response.writeHead(status, headers);
+    if (!this.#responseClosed) this.response.writeHead(status, headers);
   }
 
-  /** Hands over a piece of the answer; pauses the attempt while the caller does not read. */
+  /** Writes a chunk of the answer. Pauses the attempt while the caller's send buffer is full. */
   write(chunk: Buffer): void {
     this.capture?.add(chunk);
-    if (this.#responseOver || this.response.write(chunk)) return;
-    this.#watchForStall();
+    if (this.#responseClosed || this.response.write(chunk)) return;
+    this.#markStallStart();
     this.attempt?.pause();
   }
 
-  /** Ends the response as whole. */
+  /** Ends the response as complete. */
   end(lastChunk?: Buffer): void {
     this.#answered = true;
     if (lastChunk !== undefined) this.capture?.add(lastChunk);
-    if (this.#responseOver) return;
-    // As a string the body goes out in one write with the head, as a buffer it would not.
+    if (this.#responseClosed) return;
+    // node:http sends a string body in the same write as the head, but a Buffer in a second write.
     if (lastChunk === undefined) this.response.end();
     else this.response.end(lastChunk.toString('latin1'), 'latin1');
-    this.#watchForStall();
+    this.#markStallStart();
   }
 
-  /** Reports the attempt's end to the core and forgets the attempt. */
+  /** Reports the end of the current attempt to the core and clears it. */
   attemptOver(attempt: RunningAttempt, event: AttemptEvent): void {
     if (this.attempt !== attempt) return;
     this.attempt = null;
     this.host.attemptEvent(this, event);
-    this.#releaseIfOver();
+    this.#releaseIfEnded();
   }
 
   /** Stops an attempt if it is still the current one. */
@@ -130,46 +130,49 @@
     if (this.attempt?.id !== attemptId) return;
     this.attempt.cancel();
     this.attempt = null;
-    this.#releaseIfOver();
+    this.#releaseIfEnded();
   }
 
-  /** Gives the final answer: a fault. */
+  /** Answers with a fault; aborts the response when its headers have already been forwarded. */
   refuse(fault: Fault): void {
     if (this.headersForwarded) {
       this.abort(fault);
       return;
     }
     this.#answered = true;
-    if (this.#responseOver) return;
+    if (this.#responseClosed) return;
     const { status, headers, body } = faultResponse(fault);
     this.response.writeHead(status, { ...headers, 'x-request-id': this.description.id });
     this.response.end(body);
   }
 
-  /** Breaks the response visibly: an error event for a stream, then a cut connection. */
+  /**
+   * Breaks off a response whose headers have been forwarded, so that the caller can't take it for
+   * complete: closes the connection, for a stream after an error event.
+   */
   abort(fault: Fault): void {
     this.#answered = true;
-    if (this.#responseOver) return;
+    if (this.#responseClosed) return;
     if (this.plan.answerHead === null) {
       this.response.destroy();
       return;
     }
     this.response.write(`data: ${faultBody(fault)}\n\n`, () => this.response.destroy());
-    this.#watchForStall();
+    this.#markStallStart();
   }
 
-  /** Answers with what was recorded under the idempotency key. */
+  /** Answers with the outcome that was recorded under the idempotency key. */
   replay(outcome: RecordedOutcome): void {
     if (outcome.kind === 'failed') {
       this.refuse(outcome.fault);
       return;
     }
     if (outcome.kind === 'answered-too-large-to-replay') {
-      this.refuse(answerNotKept(outcome.status));
+      this.refuse(answerTooLargeToReplay(outcome.status));
       return;
     }
     this.#answered = true;
-    if (this.#responseOver) return;
+    if (this.#responseClosed) return;
     this.response.writeHead(outcome.status, {
       'content-type': outcome.contentType,
       'content-length': Buffer.byteLength(outcome.body),
@@ -179,22 +182,22 @@
     this.response.end(outcome.body);
   }
 
-  /** Cuts the caller's connection. */
+  /** Closes the caller's connection at once. */
   cut(): void {
     this.response.destroy();
   }
 
-  /** From now on the caller has to read; `drain` or `close` says that it has. */
-  #watchForStall(): void {
+  /** Records when the caller's unread period began; `drain` or `close` clears it. */
+  #markStallStart(): void {
     if (this.pausedSince === null) this.pausedSince = this.host.now();
   }
 
   readonly #onClose = (): void => {
-    this.#responseOver = true;
+    this.#responseClosed = true;
     this.pausedSince = null;
     if (!this.#answered) this.host.callerGone(this);
     this.attempt?.resume();
-    this.#releaseIfOver();
+    this.#releaseIfEnded();
   };
 
   readonly #onDrain = (): void => {
@@ -202,8 +205,8 @@
     this.attempt?.resume();
   };
 
-  #releaseIfOver(): void {
-    if (this.#responseOver && this.attempt === null) this.host.released(this);
+  #releaseIfEnded(): void {
+    if (this.#responseClosed && this.attempt === null) this.host.released(this);
   }
 }
 
@@ -212,7 +215,7 @@
   return typeof value === 'string' ? value : 'application/octet-stream';
 }
 
-function answerNotKept(status: number): Fault {
+function answerTooLargeToReplay(status: number): Fault {
   return {
     ...refusedNotRun(
       'idempotency-answer-not-kept',
--- a/src/shell/http/answer-capture.ts
+++ b/src/shell/http/answer-capture.ts
@@ -1,8 +1,8 @@
-/** Keeps a copy of a small answer, to be replayed to a repeat of its idempotency key. */
+/** Copies a small answer, so that a repeat of its idempotency key can be answered with it. */
 import { isUtf8 } from 'node:buffer';
 import type { RecordedOutcome } from '../../core/requests/index.js';
 
-/** The copy of one answer. Dropped once the answer passes the limit. */
+/** The copy of one answer. The body is discarded once it exceeds the size limit. */
 export class AnswerCapture {
   readonly #limit: number;
   #chunks: Buffer[] = [];
@@ -14,7 +14,7 @@
     this.#limit = limitBytes;
   }
 
-  /** Notes the answer's head; what was kept before it is dropped. */
+  /** Records the answer's head and discards any body chunks copied before it. */
   begin(status: number, contentType: string): void {
     this.#status = status;
     this.#contentType = contentType;
@@ -22,14 +22,14 @@
     this.#bytes = 0;
   }
 
-  /** Notes a piece of the body. */
+  /** Copies a chunk of the body. */
   add(chunk: Buffer): void {
     this.#bytes += chunk.length;
     if (this.#bytes > this.#limit) this.#chunks = [];
     else this.#chunks.push(Buffer.from(chunk));
   }
 
-  /** The outcome to record. Bodies that are not UTF-8 text can't be kept in the table. */
+  /** The outcome to record. The table stores text, so a body that is not UTF-8 is left out. */
   outcome(): RecordedOutcome {
     const body = Buffer.concat(this.#chunks);
     if (this.#bytes > this.#limit || !isUtf8(body)) {
--- a/src/shell/http/backend-attempt.ts
+++ b/src/shell/http/backend-attempt.ts
@@ -1,6 +1,6 @@
 /**
- * One dispatch of a request to one backend, as an undici handler. Before undici begins to write the
- * request nothing has left; from then on a failure means that the work may have run.
+ * One dispatch of a request to one backend, as an undici handler. A failure before undici starts to
+ * write the request is reported as not sent; after that the backend may have run the request.
  */
 import type { IncomingHttpHeaders } from 'node:http';
 import type { Dispatcher, Pool } from 'undici';
@@ -9,20 +9,20 @@
 import { EngineRefusal, isRefusalStatus } from './engine-refusal.js';
 import { single } from './headers.js';
 
-/** What the core asked for. */
+/** The core's order to send a request to one backend. */
 export type DispatchEffect = Extract<RequestEffect, { kind: 'dispatch' }>;
 
 const CANCELLED = new Error('cancelled');
-const PROTOCOL_BROKEN = new Error('the answer is not to be trusted');
+const PROTOCOL_VIOLATION = new Error('backend violated the protocol');
 
-/** Statuses by which an engine judges the request itself; they go to the caller as they are. */
-const REQUEST_FLAW_STATUSES: ReadonlySet<number> = new Set([400, 413, 422]);
+/** Statuses by which an engine reports an error in the request itself; forwarded unchanged. */
+const REQUEST_ERROR_STATUSES: ReadonlySet<number> = new Set([400, 413, 422]);
 
-/** The part that whole and streamed answers share. */
+/** The logic that forwarded and streamed answers share. */
 export abstract class BackendAttempt implements Dispatcher.DispatchHandler {
   protected controller: Dispatcher.DispatchController | null = null;
   protected refusal: EngineRefusal | null = null;
-  #over = false;
+  #ended = false;
 
   constructor(
     protected readonly request: ActiveRequest,
@@ -37,8 +37,8 @@
   /** Sends the request. */
   send(pool: Pool): void {
     const { call, description, host } = this.request;
-    if (this.#grantHasLapsed()) {
-      this.#notSent(GRANT_LAPSED);
+    if (this.#hasGrantLapsed()) {
+      this.#reportNotSent(GRANT_LAPSED);
       return;
     }
     pool.dispatch(
@@ -55,9 +55,9 @@
     );
   }
 
-  /** Stops the backend's work by closing the connection. Nothing is reported. */
+  /** Stops the backend's work by closing the connection, without reporting an attempt event. */
   cancel(): void {
-    this.#over = true;
+    this.#ended = true;
     this.controller?.abort(CANCELLED);
   }
 
@@ -66,17 +66,17 @@
     this.controller?.pause();
   }
 
-  /** Goes on reading. */
+  /** Continues to read the backend's answer. */
   resume(): void {
     if (this.controller?.paused === true) this.controller.resume();
   }
 
   onRequestStart(controller: Dispatcher.DispatchController): void {
-    const sentBefore = this.controller !== null;
+    const hasStarted = this.controller !== null;
     this.controller = controller;
-    if (this.#over) controller.abort(CANCELLED);
-    else if (sentBefore) this.broken('sent-twice');
-    else if (this.#grantHasLapsed()) this.#refuseToSend(controller);
+    if (this.#ended) controller.abort(CANCELLED);
+    else if (hasStarted) this.broken('sent-twice');
+    else if (this.#hasGrantLapsed()) this.#abortBeforeSend(controller);
   }
 
   onResponseStart(
@@ -84,17 +84,20 @@
     status: number,
     headers: IncomingHttpHeaders,
   ): void {
-    if (this.#over || status < 200) return;
+    if (this.#ended || status < 200) return;
     if (this.request.description.target.kind === 'web') {
       this.answerBegins(status, headers);
       return;
     }
-    const stated = headers['x-threadfork-attempt'];
-    if (isRefusalStatus(status) && (stated === undefined || stated === this.effect.attempt)) {
+    const attemptHeader = headers['x-threadfork-attempt'];
+    if (
+      isRefusalStatus(status) &&
+      (attemptHeader === undefined || attemptHeader === this.effect.attempt)
+    ) {
       this.refusal = new EngineRefusal(status, headers);
-    } else if (stated !== this.effect.attempt) {
+    } else if (attemptHeader !== this.effect.attempt) {
       this.broken('foreign-answer');
-    } else if (status === 200 || REQUEST_FLAW_STATUSES.has(status)) {
+    } else if (status === 200 || REQUEST_ERROR_STATUSES.has(status)) {
       this.answerBegins(status, headers);
     } else {
       this.broken(`status-${status}`);
@@ -102,65 +105,65 @@
   }
 
   onResponseData(_controller: Dispatcher.DispatchController, chunk: Buffer): void {
-    if (this.#over) return;
+    if (this.#ended) return;
     if (this.refusal === null) this.answerData(chunk);
     else if (!this.refusal.add(chunk)) this.broken('refusal-too-large');
   }
 
   onResponseEnd(): void {
-    if (this.#over) return;
+    if (this.#ended) return;
     if (this.refusal === null) this.answerEnds();
-    else this.#refused(this.refusal);
+    else this.#reportRefused(this.refusal);
   }
 
   onResponseError(_controller: Dispatcher.DispatchController, error: Error): void {
-    if (this.#over) return;
+    if (this.#ended) return;
     const reason = reasonOf(error);
     if (this.controller === null) {
-      this.#notSent(reason);
+      this.#reportNotSent(reason);
     } else {
       this.#reportBroken(reason);
     }
   }
 
-  /** The head of an answer that is for the caller. */
+  /** Called with the head of an answer that is to be forwarded to the caller. */
   protected abstract answerBegins(status: number, headers: IncomingHttpHeaders): void;
-  /** A piece of its body. */
+  /** Called with each chunk of that answer's body. */
   protected abstract answerData(chunk: Buffer): void;
-  /** The backend's end of it. */
+  /** Called when the backend has ended that answer. */
   protected abstract answerEnds(): void;
 
   protected get over(): boolean {
-    return this.#over;
+    return this.#ended;
   }
 
-  /** Reports the attempt's end; whatever comes later is ignored. */
+  /** Reports the attempt's end; later callbacks of undici are ignored. */
   protected finish(event: Parameters<ActiveRequest['attemptOver']>[1]): void {
-    this.#over = true;
+    this.#ended = true;
     this.request.attemptOver(this, event);
   }
 
-  /** Breaks the attempt off: what the backend says is not to be trusted. */
+  /** Reports the attempt as broken and closes its connection, since its answer can't be used. */
   protected broken(reason: string): void {
     const controller = this.controller;
     this.#reportBroken(reason);
-    controller?.abort(PROTOCOL_BROKEN);
+    controller?.abort(PROTOCOL_VIOLATION);
   }
 
-  /** The grant may end while a connection is opened or waited for. */
-  #grantHasLapsed(): boolean {
+  /** The grant to send may lapse while a connection is opened or waited for. */
+  #hasGrantLapsed(): boolean {
     const { sendBefore } = this.effect;
     return sendBefore !== undefined && this.request.host.now() >= sendBefore;
   }
 
-  /** Aborts before undici writes; the connection closes without a byte of the request. */
-  #refuseToSend(controller: Dispatcher.DispatchController): void {
-    this.#over = true;
+  /** Aborts before undici writes, so that the connection closes without a byte of the request. */
+  #abortBeforeSend(controller: Dispatcher.DispatchController): void {
+    this.#ended = true;
     controller.abort(CANCELLED);
-    this.#notSent(GRANT_LAPSED);
+    this.#reportNotSent(GRANT_LAPSED);
   }
 
-  #notSent(reason: string): void {
+  #reportNotSent(reason: string): void {
     this.finish({ kind: 'not-sent', attempt: this.effect.attempt, reason });
   }
 
@@ -175,13 +178,13 @@
     });
   }
 
-  #refused(refusal: EngineRefusal): void {
-    const read = refusal.read();
-    if (read === null) {
+  #reportRefused(refusal: EngineRefusal): void {
+    const details = refusal.read();
+    if (details === null) {
       this.#reportBroken(`status-${refusal.status}`);
       return;
     }
-    this.finish({ kind: 'refused-not-run', attempt: this.effect.attempt, ...read });
+    this.finish({ kind: 'refused-not-run', attempt: this.effect.attempt, ...details });
   }
 
   #headers(): string[] {
@@ -203,13 +206,13 @@
   }
 }
 
-/** A short name of a network error, for logs and messages. */
+/** The code or name of a network error, for logs and messages. */
 function reasonOf(error: Error): string {
   const code: unknown = 'code' in error ? error.code : undefined;
   return typeof code === 'string' ? code : error.name;
 }
 
-/** The declared length of a body, or null. */
+/** The Content-Length of a body, or null when it is absent. */
 export function contentLengthOf(headers: IncomingHttpHeaders): number | null {
   const text = single(headers['content-length']);
   return text === undefined ? null : Number(text);
--- a/src/shell/http/backend-pools.ts
+++ b/src/shell/http/backend-pools.ts
@@ -1,10 +1,10 @@
-/** Connections to backends: one keep-alive pool for each address, closed once it is out of use. */
+/** Connections to backends: keep-alive pools by address and port, closed when idle. */
 import { isIPv6 } from 'node:net';
 import { Pool } from 'undici';
 import type { MonotonicMs } from '../../core/common/time.js';
 import type { HttpLimits } from './limits.js';
 
-/** A pool that has not been dispatched to for so long is closed. */
+/** Pools without a dispatch for this time are closed. */
 const POOL_IDLE_MS = 60_000;
 
 interface PoolEntry {
@@ -12,7 +12,7 @@
   lastUsedAt: MonotonicMs;
 }
 
-/** The pools of all backends that have been dispatched to lately. */
+/** The pools of the backends that requests were dispatched to recently. */
 export class BackendPools {
   readonly #pools = new Map<string, PoolEntry>();
   readonly #options: Pool.Options;
@@ -35,15 +35,16 @@
   }
 
   /**
-   * The pool of an address. `fresh` gives one for requests that each open a connection of their
-   * own: a connection that the backend has just closed would leave their outcome unknown.
+   * The pool of an address. With `fresh`, a separate pool for requests that must not be repeated,
+   * each of which opens its own connection: on a kept connection that the backend is just closing,
+   * the outcome of the request would be unknown.
    */
   get(address: string, port: number, fresh: boolean, now: MonotonicMs): Pool {
     const key = `${fresh ? 'fresh' : 'kept'} ${address} ${port}`;
-    const known = this.#pools.get(key);
-    if (known !== undefined) {
-      known.lastUsedAt = now;
-      return known.pool;
+    const existing = this.#pools.get(key);
+    if (existing !== undefined) {
+      existing.lastUsedAt = now;
+      return existing.pool;
     }
     const origin = `http://${isIPv6(address) ? `[${address}]` : address}:${port}`;
     const pool = new Pool(origin, this.#options);
@@ -51,7 +52,7 @@
     return pool;
   }
 
-  /** Closes the pools that have been out of use. Requests still running in them end first. */
+  /** Closes idle pools. Requests that still run in them are completed first. */
   sweep(now: MonotonicMs): void {
     for (const [key, entry] of this.#pools) {
       if (now - entry.lastUsedAt < POOL_IDLE_MS) continue;
@@ -60,7 +61,7 @@
     }
   }
 
-  /** Cuts all connections. */
+  /** Closes all connections at once. */
   async destroy(): Promise<void> {
     const pools = [...this.#pools.values()];
     this.#pools.clear();
@@ -68,5 +69,5 @@
   }
 }
 
-/** A pool that is already closed has nothing left to close. */
+/** Closing fails only for a pool that is already closed. */
 function ignoreCloseError(): void {}
--- a/src/shell/http/body-reader.ts
+++ b/src/shell/http/body-reader.ts
@@ -1,47 +1,47 @@
-/** Reads request bodies within bounds: of one body, and of all bodies held at once. */
+/** Reads request bodies, with a size limit for each and one for all bodies held at once. */
 import type { IncomingMessage } from 'node:http';
 import { type Fault, refusedNotRun } from '../../core/errors/fault.js';
 
-/** Counts the bytes of the bodies that the daemon holds. */
+/** Limits the total bytes of the request bodies that the daemon holds in memory. */
 export class BodyBudget {
-  readonly #limit: number;
-  #held = 0;
+  readonly #limitBytes: number;
+  #heldBytes = 0;
 
   constructor(limitBytes: number) {
-    this.#limit = limitBytes;
+    this.#limitBytes = limitBytes;
   }
 
   /** Bytes held now. */
   get heldBytes(): number {
-    return this.#held;
+    return this.#heldBytes;
   }
 
-  /** Takes bytes, or answers false when that would pass the limit. */
+  /** Reserves bytes; false when the total would exceed the limit. */
   take(bytes: number): boolean {
-    if (this.#held + bytes > this.#limit) return false;
-    this.#held += bytes;
+    if (this.#heldBytes + bytes > this.#limitBytes) return false;
+    this.#heldBytes += bytes;
     return true;
   }
 
-  /** Gives bytes back. */
+  /** Releases reserved bytes. */
   release(bytes: number): void {
-    this.#held -= bytes;
+    this.#heldBytes -= bytes;
   }
 }
 
-/** How a body's reading ended. `gone`: the caller left before its end. */
+/** The result of reading a body. `gone`: the caller closed the connection before the body's end. */
 export type BodyResult =
   | { readonly kind: 'body'; readonly body: Buffer }
   | { readonly kind: 'refused'; readonly fault: Fault }
   | { readonly kind: 'gone' };
 
 const EMPTY_BODY = Buffer.alloc(0);
-const FIRST_GROWTH_BYTES = 16 * 1024;
+const MIN_GROWN_BYTES = 16 * 1024;
 const OVERLOADED_RETRY_AFTER_MS = 1_000;
 
 /**
- * Reads a body and calls `done` once. The bytes of a whole body stay taken from the budget until
- * the caller of this function releases them.
+ * Reads a body and calls `done` once. The bytes of a complete body stay reserved in the budget
+ * until the caller of this function releases them.
  */
 export function readBody(
   request: IncomingMessage,
@@ -53,10 +53,10 @@
     done({ kind: 'refused', fault: tooLarge(maxBytes) });
     return;
   }
-  new BodyReading(request, maxBytes, budget, done).start();
+  new BodyReader(request, maxBytes, budget, done).start();
 }
 
-class BodyReading {
+class BodyReader {
   readonly #collected = new GrowingBuffer();
   #ended = false;
 
@@ -105,7 +105,7 @@
   }
 }
 
-/** Collects chunks in one piece of memory, however small and many they are. */
+/** Collects chunks in one buffer, so that many small chunks add no overhead for each. */
 class GrowingBuffer {
   #bytes: Buffer = EMPTY_BODY;
   #length = 0;
@@ -131,7 +131,7 @@
   }
 
   #grow(needed: number): void {
-    const grown = Buffer.allocUnsafeSlow(Math.max(needed, this.#length * 2, FIRST_GROWTH_BYTES));
+    const grown = Buffer.allocUnsafeSlow(Math.max(needed, this.#length * 2, MIN_GROWN_BYTES));
     this.#bytes.copy(grown, 0, 0, this.#length);
     this.#bytes = grown;
   }
--- a/src/shell/http/caller-connections.ts
+++ b/src/shell/http/caller-connections.ts
@@ -1,50 +1,50 @@
-/** Which caller connections carry a request, so that a planned stop closes only the others. */
+/** Tracks which caller connections carry requests, so that a planned stop closes only idle ones. */
 import type { ServerResponse } from 'node:http';
 import type { Socket } from 'node:net';
 
 /** The open connections of the callers' server. */
 export class CallerConnections {
-  /** Requests in hand on each connection; pipelined ones count each. */
-  readonly #requests = new Map<Socket, number>();
-  readonly #whenNoneLeft: (() => void)[] = [];
+  /** Running requests of each connection; each pipelined request counts. */
+  readonly #requestCounts = new Map<Socket, number>();
+  readonly #allClosedCallbacks: (() => void)[] = [];
   #closing = false;
 
-  /** Notes a new connection. */
+  /** Tracks a new connection until it closes. */
   opened(socket: Socket): void {
-    this.#requests.set(socket, 0);
-    socket.once('close', () => this.#closed(socket));
+    this.#requestCounts.set(socket, 0);
+    socket.once('close', () => this.#onClosed(socket));
   }
 
-  /** Resolves once no connection is open. */
+  /** Resolves when no connection is open. */
   noneLeft(): Promise<void> {
-    if (this.#requests.size === 0) return Promise.resolve();
-    return new Promise((resolve) => this.#whenNoneLeft.push(resolve));
+    if (this.#requestCounts.size === 0) return Promise.resolve();
+    return new Promise((resolve) => this.#allClosedCallbacks.push(resolve));
   }
 
-  /** Notes a request until its response is over. */
+  /** Counts a request of a connection until its response is closed. */
   requestBegan(socket: Socket, response: ServerResponse): void {
-    this.#requests.set(socket, (this.#requests.get(socket) ?? 0) + 1);
-    response.once('close', () => this.#requestEnded(socket));
+    this.#requestCounts.set(socket, (this.#requestCounts.get(socket) ?? 0) + 1);
+    response.once('close', () => this.#onRequestEnded(socket));
   }
 
-  /** Closes idle connections now, and each other one when its requests are over. */
+  /** Closes idle connections now and each other connection when its last request ends. */
   closeWhenIdle(): void {
     this.#closing = true;
-    for (const [socket, requests] of this.#requests) {
+    for (const [socket, requests] of this.#requestCounts) {
       if (requests === 0) socket.destroySoon();
     }
   }
 
-  #closed(socket: Socket): void {
-    this.#requests.delete(socket);
-    if (this.#requests.size > 0) return;
-    for (const resolve of this.#whenNoneLeft.splice(0)) resolve();
+  #onClosed(socket: Socket): void {
+    this.#requestCounts.delete(socket);
+    if (this.#requestCounts.size > 0) return;
+    for (const resolve of this.#allClosedCallbacks.splice(0)) resolve();
   }
 
-  #requestEnded(socket: Socket): void {
-    const requests = this.#requests.get(socket);
+  #onRequestEnded(socket: Socket): void {
+    const requests = this.#requestCounts.get(socket);
     if (requests === undefined) return;
-    this.#requests.set(socket, requests - 1);
+    this.#requestCounts.set(socket, requests - 1);
     if (this.#closing && requests === 1) socket.destroySoon();
   }
 }
--- a/src/shell/http/caller-options.ts
+++ b/src/shell/http/caller-options.ts
@@ -1,4 +1,4 @@
-/** What callers state in headers: who they are, class, deadline, repeatable or not, key. */
+/** Reads request headers: API key, class, deadline, repeatability and idempotency key. */
 import { createHash } from 'node:crypto';
 import type { IncomingHttpHeaders } from 'node:http';
 import { err, ok, type Result } from 'neverthrow';
@@ -8,7 +8,7 @@
 import type { ConfigurationIndex, NamedTenant } from './configuration-index.js';
 import { single } from './headers.js';
 
-/** The longest deadline that a caller may ask for. */
+/** The longest deadline that a caller may request. */
 const MAX_DEADLINE_MS: Milliseconds = 86_400_000;
 
 const BEARER = /^Bearer +([\x21-\x7e]{1,512})$/i;
@@ -16,39 +16,39 @@
 const IDEMPOTENCY_KEY = /^[A-Za-z0-9._:-]{1,128}$/;
 const NOT_CONFIGURED_RETRY_AFTER_MS: Milliseconds = 1_000;
 
-/** A caller that is known. */
+/** An identified caller. */
 export interface Caller {
   readonly name: string;
   readonly className: ClassName;
-  /** True when its API key told who it is; the key is then not passed on. */
+  /** True when the caller was identified by its API key, which is then not forwarded. */
   readonly byKey: boolean;
 }
 
-/** A caller's statements about one request. */
+/** The options that a caller sets for one request. */
 export interface CallerOptions {
   readonly className: ClassName;
   readonly deadlineMs: Milliseconds;
-  /** Null where the caller does not say. */
+  /** Null when the header is absent. */
   readonly repeatable: boolean | null;
   readonly idempotencyKey: string | null;
 }
 
 /**
- * Finds the tenant. `foreignKeyAllowed`: an unknown Authorization header is the web backend's own
- * affair, and the caller counts as anonymous.
+ * Finds the tenant. With `allowUnknownKey`, an unknown Authorization header may be meant for the
+ * web backend, so its caller is treated as anonymous instead of refused.
  */
 export function identifyCaller(
   index: ConfigurationIndex,
   headers: IncomingHttpHeaders,
-  foreignKeyAllowed: boolean,
+  allowUnknownKey: boolean,
 ): Result<Caller, Fault> {
   if (index.version === 0) return err(NOT_CONFIGURED);
   const key = bearerKey(headers.authorization);
-  const known = key === null ? undefined : index.tenantOfKey(key);
-  if (known !== undefined) return ok(callerOf(known, true));
-  if (headers.authorization !== undefined && !foreignKeyAllowed) return err(UNKNOWN_KEY);
+  const keyTenant = key === null ? undefined : index.tenantOfKey(key);
+  if (keyTenant !== undefined) return ok(toCaller(keyTenant, true));
+  if (headers.authorization !== undefined && !allowUnknownKey) return err(UNKNOWN_KEY);
   const anonymous = index.anonymousTenant();
-  return anonymous === undefined ? err(NO_KEY) : ok(callerOf(anonymous, false));
+  return anonymous === undefined ? err(NO_KEY) : ok(toCaller(anonymous, false));
 }
 
 /** Reads class, deadline, repeatability and idempotency key. */
@@ -58,13 +58,13 @@
   caller: Caller,
 ): Result<CallerOptions, Fault> {
   const className = single(headers['x-threadfork-class']) ?? caller.className;
-  const stated = Object.hasOwn(index.document.classes, className)
+  const requestClass = Object.hasOwn(index.document.classes, className)
     ? index.document.classes[className]
     : undefined;
-  if (stated === undefined) {
+  if (requestClass === undefined) {
     return invalid(`No class of work is named so. Use one of: ${classNames(index)}.`);
   }
-  const deadline = readDeadline(headers['x-threadfork-deadline-ms'], stated.deadlineMs);
+  const deadline = readDeadline(headers['x-threadfork-deadline-ms'], requestClass.deadlineMs);
   if (deadline === null) {
     return invalid(`X-Threadfork-Deadline-Ms must be a whole number from 1 to ${MAX_DEADLINE_MS}.`);
   }
@@ -79,13 +79,13 @@
   return ok({ className, deadlineMs: deadline, repeatable, idempotencyKey });
 }
 
-/** The digest that tells two requests under one idempotency key apart. */
+/** The digest that detects different requests with the same idempotency key. */
 export function digestOf(method: string, path: string, body: Buffer): string {
   return createHash('sha256').update(`${method} ${path}\n`).update(body).digest('hex');
 }
 
-function callerOf(found: NamedTenant, byKey: boolean): Caller {
-  return { name: found.name, className: found.tenant.class, byKey };
+function toCaller(match: NamedTenant, byKey: boolean): Caller {
+  return { name: match.name, className: match.tenant.class, byKey };
 }
 
 function bearerKey(authorization: string | undefined): string | null {
@@ -101,7 +101,7 @@
   return Object.keys(index.document.classes).join(', ');
 }
 
-/** A caller may shorten its class's deadline, not lengthen it. */
+/** A caller may shorten the deadline of its class, but not extend it. */
 function readDeadline(
   header: string | string[] | undefined,
   classDeadlineMs: Milliseconds,
@@ -109,9 +109,9 @@
   if (header === undefined) return classDeadlineMs;
   const text = single(header) ?? '';
   if (!WHOLE_NUMBER.test(text)) return null;
-  const asked = Number(text);
-  if (asked < 1 || asked > MAX_DEADLINE_MS) return null;
-  return Math.min(asked, classDeadlineMs);
+  const requestedMs = Number(text);
+  if (requestedMs < 1 || requestedMs > MAX_DEADLINE_MS) return null;
+  return Math.min(requestedMs, classDeadlineMs);
 }
 
 function readFlag(header: string | string[] | undefined): boolean | null | undefined {
@@ -126,7 +126,7 @@
   return IDEMPOTENCY_KEY.test(text) ? text : undefined;
 }
 
-/** The fault before any configuration is in force. */
+/** The fault returned until a configuration is in force. */
 export const NOT_CONFIGURED = refusedNotRun(
   'not-configured',
   'No configuration is in force here yet. Try again shortly; an operator must have stated one.',
--- a/src/shell/http/caller-routes.ts
+++ b/src/shell/http/caller-routes.ts
@@ -1,4 +1,4 @@
-/** Finds out what a caller's request is for, reads its body and takes it in or refuses it. */
+/** Routes a caller's request, reads its body, and starts or refuses the request. */
 import type { IncomingMessage, ServerResponse } from 'node:http';
 import type { Result } from 'neverthrow';
 import type { RequestId } from '../../core/common/identifiers.js';
@@ -21,16 +21,16 @@
 
 const ABSOLUTE_FORM = /^https?:\/\/[^/?]*/i;
 
-/** What the routes need of the server. */
+/** The part of the caller server that the routes use. */
 export interface RouteHost {
   readonly limits: HttpLimits;
   readonly bodies: BodyBudget;
   readonly pages: PageSources;
   now(): MonotonicMs;
   nextId(): RequestId;
-  /** The look-ups of the configuration in force now. */
+  /** The index of the configuration that is in force now. */
   index(): ConfigurationIndex;
-  /** Takes over a request; its body stays counted in `bodies` until the request is over. */
+  /** Starts a request. Its body stays reserved in `bodies` until the request is released. */
   begin(intake: Intake, response: ServerResponse): void;
 }
 
@@ -44,7 +44,7 @@
     this.#host = host;
   }
 
-  /** Handles a request whose headers have come. */
+  /** Handles a request whose headers have arrived. */
   handle(request: IncomingMessage, response: ServerResponse): void {
     request.url = originForm(request.url ?? '/');
     const path = pathOf(request.url);
@@ -68,33 +68,33 @@
       return;
     }
     const caller = identifyCaller(this.#host.index(), request.headers, false);
-    this.#take(request, response, path, caller, (arrival, known) =>
-      takeModelRequest(arrival, shape, known, this.#host.limits.maxOutputTokens),
+    this.#readAndPrepare(request, response, path, caller, (arrival, identified) =>
+      takeModelRequest(arrival, shape, identified, this.#host.limits.maxOutputTokens),
     );
   }
 
-  /** A web request's Authorization header may be the service's own. */
+  /** An unknown Authorization header is accepted here: it may be meant for the web service. */
   #handleWeb(request: IncomingMessage, response: ServerResponse, path: string): void {
     const index = this.#host.index();
     const route = index.routeOf(path);
     if (route === undefined) {
-      // Before any configuration nothing is known of routes: not a 404 that a client would keep.
+      // Without a configuration the routes are unknown, and clients could cache a 404.
       const fault = index.version === 0 ? NOT_CONFIGURED : UNKNOWN_ROUTE;
       refuseEarly(request, response, fault);
       return;
     }
     const caller = identifyCaller(index, request.headers, true);
-    this.#take(request, response, path, caller, (arrival, known) =>
-      takeWebRequest(arrival, route, known),
+    this.#readAndPrepare(request, response, path, caller, (arrival, identified) =>
+      takeWebRequest(arrival, route, identified),
     );
   }
 
-  #take(
+  #readAndPrepare(
     request: IncomingMessage,
     response: ServerResponse,
     path: string,
     caller: Result<Caller, Fault>,
-    takeIn: TakeIn,
+    prepare: TakeIn,
   ): void {
     if (caller.isErr()) {
       refuseEarly(request, response, caller.error);
@@ -104,36 +104,39 @@
     readBody(request, limits.maxBodyBytes, bodies, (result) => {
       if (result.kind === 'refused') refuseEarly(request, response, result.fault);
       if (result.kind !== 'body') return;
-      this.#takeWhole(request, response, path, result.body, caller.value, takeIn);
+      this.#prepareAndStart(request, response, path, result.body, caller.value, prepare);
     });
   }
 
-  #takeWhole(
+  #prepareAndStart(
     request: IncomingMessage,
     response: ServerResponse,
     path: string,
     body: Buffer,
     caller: Caller,
-    takeIn: TakeIn,
+    prepare: TakeIn,
   ): void {
     const host = this.#host;
     const id = host.nextId();
-    const taken = takeIn({ id, request, path, body, now: host.now(), index: host.index() }, caller);
-    if (taken.isOk()) {
-      host.begin(taken.value, response);
+    const prepared = prepare(
+      { id, request, path, body, now: host.now(), index: host.index() },
+      caller,
+    );
+    if (prepared.isOk()) {
+      host.begin(prepared.value, response);
       return;
     }
     host.bodies.release(body.length);
-    refuseEarly(request, response, taken.error);
+    refuseEarly(request, response, prepared.error);
   }
 }
 
-/** The path and query of a target that also names scheme and host (RFC 9112 section 3.2.2). */
+/** Removes scheme and host from a request target in absolute form (RFC 9112 section 3.2.2). */
 function originForm(url: string): string {
   const match = ABSOLUTE_FORM.exec(url);
   if (match === null) return url;
-  const rest = url.slice(match[0].length);
-  return rest.startsWith('/') ? rest : `/${rest}`;
+  const pathAndQuery = url.slice(match[0].length);
+  return pathAndQuery.startsWith('/') ? pathAndQuery : `/${pathAndQuery}`;
 }
 
 function pathOf(url: string): string {
--- a/src/shell/http/caller-server.ts
+++ b/src/shell/http/caller-server.ts
@@ -1,7 +1,7 @@
 /**
- * The callers' side of a daemon: OpenAI's model API, plain HTTP to web services, and the health and
- * metrics pages. What it observes goes out as events; what the core decides comes in as effects.
- * Bytes of bodies and tokens stay here.
+ * The HTTP server for callers: OpenAI's model API, plain HTTP to web services, and the health and
+ * metrics pages. It reports observations to the core as events and performs the core's decisions as
+ * effects. Bodies and tokens never enter the core.
  */
 import { createServer, type Server, type ServerResponse } from 'node:http';
 import { type AddressInfo, Server as NetServer, type Socket } from 'node:net';
@@ -25,21 +25,21 @@
 import { StreamAttempt } from './stream-attempt.js';
 import { WholeAttempt } from './whole-attempt.js';
 
-/** What the server tells the daemon's fold. */
+/** Events that the server emits to the core. */
 export type CallerEvent =
   | { readonly kind: 'request-arrived'; readonly description: RequestDescription }
   | { readonly kind: 'attempt'; readonly request: RequestId; readonly event: AttemptEvent }
   | { readonly kind: 'caller-gone'; readonly request: RequestId };
 
-/** Whether this daemon should be sent requests, and why not. */
+/** Whether this daemon is ready for requests; `reason` says why not. */
 export interface Readiness {
   readonly ready: boolean;
   readonly reason: string;
 }
 
-/** What the server needs of the daemon. */
+/** The settings and callbacks that the daemon provides. */
 export interface CallerServerOptions {
-  /** Where to listen; port 0 picks a free one. */
+  /** The address to listen on; port 0 selects a free port. */
   readonly listen: Endpoint;
   readonly limits: HttpLimits;
   readonly daemonName: DaemonName;
@@ -52,17 +52,17 @@
   emit(event: CallerEvent): void;
 }
 
-/** How often stalled callers and idle pools are looked for. */
+/** The interval of the checks for stalled callers and idle pools. */
 const SWEEP_INTERVAL_MS = 1_000;
-/** How often connections are checked for requests that take too long to arrive. */
+/** The interval of the checks for requests that take too long to arrive. */
 const TIMEOUT_CHECK_INTERVAL_MS = 1_000;
 
-/** Builds a server; it does not listen yet. */
+/** Creates a server that does not listen yet. */
 export function createCallerServer(options: CallerServerOptions): CallerServer {
   return new CallerServer(options);
 }
 
-/** The callers' side of one daemon. */
+/** The HTTP server for the callers of one daemon. */
 export class CallerServer implements RequestHost, RouteHost {
   readonly limits: HttpLimits;
   readonly eventBuffer = new EventBuffer();
@@ -75,8 +75,8 @@
   readonly #connections = new CallerConnections();
   readonly #requests = new Map<RequestId, ActiveRequest>();
   #index: ConfigurationIndex;
-  #sweeper: NodeJS.Timeout | null = null;
-  #arrivals = 0;
+  #sweepTimer: NodeJS.Timeout | null = null;
+  #arrivalCount = 0;
   #stopping = false;
 
   constructor(options: CallerServerOptions) {
@@ -113,24 +113,24 @@
     );
   }
 
-  /** Requests whose response is not over or whose attempt still runs. */
+  /** Requests whose response is open or whose attempt still runs. */
   get activeRequests(): number {
     return this.#requests.size;
   }
 
-  /** Bytes of request bodies held, for the metrics. */
+  /** Bytes of request bodies in memory, for the metrics. */
   get heldBodyBytes(): number {
     return this.bodies.heldBytes;
   }
 
-  /** Begins to listen; gives the address and the port that was bound. */
+  /** Starts listening; resolves to the bound address and port. */
   listen(): Promise<Endpoint> {
     const { address, port } = this.#options.listen;
-    this.#sweeper = setInterval(
+    this.#sweepTimer = setInterval(
       () => this.#sweep(),
       Math.min(SWEEP_INTERVAL_MS, this.limits.callerStallTimeoutMs),
     );
-    this.#sweeper.unref();
+    this.#sweepTimer.unref();
     return new Promise((resolve, reject) => {
       this.#server.once('error', reject);
       this.#server.listen(port, address, () => {
@@ -141,11 +141,14 @@
     });
   }
 
-  /** Carries out an effect of the core. Effects for requests that are over do nothing. */
+  /**
+   * Performs an effect of the core. For a released request, a dispatch is reported as not sent and
+   * other effects are ignored.
+   */
   perform(effect: RequestEffect): void {
     const request = this.#requests.get(effect.request);
     if (request === undefined) {
-      this.#performForForgotten(effect);
+      this.#reportNotSentForReleased(effect);
       return;
     }
     switch (effect.kind) {
@@ -168,29 +171,30 @@
   }
 
   /**
-   * Stops taking connections after a grace, in which callers learn of it: from `GET /readyz`, and by
-   * `Connection: close` on each answer. Then closes idle connections. Running requests go on.
+   * Stops accepting connections after a grace period, in which `GET /readyz` and `Connection: close`
+   * on each answer announce the stop to callers. Then closes idle connections. Running requests are
+   * completed.
    */
   async stopAccepting(): Promise<void> {
     if (this.#stopping) return;
     this.#stopping = true;
     await new Promise((resolve) => setTimeout(resolve, this.limits.stopIdleGraceMs));
-    // Right after a poll for events the queue of connections is empty, so that none is reset.
+    // Right after the event loop's poll phase the accept queue is empty: no connection is reset.
     await new Promise((resolve) => setImmediate(resolve));
-    // node:http's own close would cut idle connections that a request is on its way on.
+    // node:http's own close() would close idle connections on which a request may be in transit.
     NetServer.prototype.close.call(this.#server);
     this.#connections.closeWhenIdle();
   }
 
-  /** Resolves once no caller's connection is open; after `stopAccepting` none can come any more. */
+  /** Resolves when no caller connection is open. After `stopAccepting` no new one can be opened. */
   connectionsEnded(): Promise<void> {
     return this.#connections.noneLeft();
   }
 
-  /** Cuts everything. */
+  /** Closes the server and all connections to callers and backends at once. */
   async close(): Promise<void> {
     this.#stopping = true;
-    if (this.#sweeper !== null) clearInterval(this.#sweeper);
+    if (this.#sweepTimer !== null) clearInterval(this.#sweepTimer);
     this.#server.close();
     this.#server.closeAllConnections();
     await this.#pools.destroy();
@@ -201,24 +205,24 @@
     return this.#options.now();
   }
 
-  /** Passes on what an attempt met. */
+  /** Reports an event of an attempt to the core. */
   attemptEvent(request: ActiveRequest, event: AttemptEvent): void {
     this.#options.emit({ kind: 'attempt', request: request.description.id, event });
   }
 
-  /** Passes on that a caller went away before its answer was whole. */
+  /** Reports to the core that a caller disconnected before its answer was complete. */
   callerGone(request: ActiveRequest): void {
     this.#options.emit({ kind: 'caller-gone', request: request.description.id });
   }
 
-  /** Forgets a request. */
+  /** Removes a request and releases its body. */
   released(request: ActiveRequest): void {
     if (!this.#requests.delete(request.description.id)) return;
     this.bodies.release(request.heldBytes);
   }
 
-  /** The request is over, so nothing of it can be sent: the core must not wait for it. */
-  #performForForgotten(effect: RequestEffect): void {
+  /** Reports a dispatch of a released request as not sent, so that the core does not wait for it. */
+  #reportNotSentForReleased(effect: RequestEffect): void {
     if (effect.kind !== 'dispatch') return;
     const event: AttemptEvent = {
       kind: 'not-sent',
@@ -236,7 +240,7 @@
     attempt.send(pool);
   }
 
-  /** Takes over a request and tells the core of it. */
+  /** Registers a request and reports its arrival to the core. */
   begin(intake: Intake, response: ServerResponse): void {
     const { description, call, plan } = intake;
     const active = new ActiveRequest(this, description, response, call, plan);
@@ -246,11 +250,11 @@
 
   /** The id of the next request. */
   nextId(): RequestId {
-    this.#arrivals += 1;
-    return `${this.#options.daemonName}-${this.#options.incarnation}-${this.#arrivals}`;
+    this.#arrivalCount += 1;
+    return `${this.#options.daemonName}-${this.#options.incarnation}-${this.#arrivalCount}`;
   }
 
-  /** The look-ups of the configuration in force. */
+  /** The index of the configuration that is in force, rebuilt when its version has changed. */
   index(): ConfigurationIndex {
     const configuration = this.#options.configuration();
     if (configuration.version !== this.#index.version) {
--- a/src/shell/http/chunk-rewriter.ts
+++ b/src/shell/http/chunk-rewriter.ts
@@ -1,24 +1,24 @@
 /**
- * Turns an engine's stream frames into the caller's: one id, time of creation and model over the
- * whole answer, also where another engine goes on with it, and chat chunks where chat was asked.
- * An engine's frames begin alike up to `"choices":[`; that beginning is learned from an attempt's
- * first frame and replaced byte for byte, so that a token costs no parsing. The version that writes
- * (`system_fingerprint`) is passed on; a frame of another version than the answer's is malformed.
+ * Rewrites an engine's stream frames into the caller's chunks: the id, creation time and model are
+ * the same in the complete answer, even when another engine resumes it, and chat requests get chat
+ * chunks. The frames of an attempt normally start with the same bytes up to `"choices":[`. This
+ * prefix is learned from the first frame and replaced without parsing the later ones. The version
+ * (`system_fingerprint`) is forwarded; a frame of a version other than the answer's is malformed.
  */
 import type { EventBuffer } from './event-buffer.js';
 import type { FrameKind } from './frame-reader.js';
 import type { CompletionShape } from './model-call.js';
 
-/** What is the same in all chunks of one answer. */
+/** The fields that are the same in all chunks of one answer. */
 export interface AnswerHead {
   readonly id: string;
-  /** Seconds since 1970. */
+  /** Unix time in seconds. */
   readonly created: number;
   readonly model: string;
   readonly shape: CompletionShape;
 }
 
-/** The token counts that an engine states at the end. */
+/** The token counts that an engine reports at the end of an answer. */
 export interface TokenUsage {
   readonly promptTokens: number;
   readonly outputTokens: number;
@@ -38,7 +38,7 @@
   'system_fingerprint',
 ]);
 
-/** The beginning of every event that the caller gets, up to `"choices":[`. */
+/** The start of each event sent to the caller, up to `"choices":[`. */
 function callerPrefix(head: AnswerHead, version: string | null): Buffer {
   const fields = JSON.stringify({
     id: head.id,
@@ -50,7 +50,7 @@
   return Buffer.from(`data: ${fields.slice(0, -1)},${CHOICES}`);
 }
 
-/** The end marker of a whole answer. */
+/** The end marker of a complete answer. */
 export const DONE_EVENT = Buffer.from('data: [DONE]\n\n');
 
 /** Rewrites the frames of one attempt. */
@@ -60,10 +60,10 @@
   #callerPrefix: Buffer;
   #version: string | null;
   #usage: TokenUsage | null = null;
-  /** Null until learned, and for an engine whose frames must each be rebuilt. */
+  /** Null until learned; stays null for an engine whose frames must each be parsed and rebuilt. */
   #enginePrefix: Buffer | null = null;
 
-  /** `version` is the one that wrote what the caller has already; null at an answer's beginning. */
+  /** `version` generated the tokens that the caller already has; null at the start of an answer. */
   constructor(head: AnswerHead, version: string | null, includeUsage: boolean) {
     this.#head = head;
     this.#includeUsage = includeUsage;
@@ -71,20 +71,20 @@
     this.#callerPrefix = callerPrefix(head, version);
   }
 
-  /** The version that writes the answer; null while no frame has stated one. */
+  /** The model version that generates the answer; null until a frame states one. */
   get version(): string | null {
     return this.#version;
   }
 
-  /** The token counts, once a frame has stated them. */
+  /** The token counts, or null until a frame states them. */
   get usage(): TokenUsage | null {
     return this.#usage;
   }
 
-  /** Rewrites the frame's data between `start` and `end` into `output`. */
+  /** Appends the rewritten frame to `output`. `start` and `end` delimit the frame's data. */
   rewrite(bytes: Buffer, start: number, end: number, output: EventBuffer): FrameKind {
     const engine = this.#enginePrefix;
-    if (engine === null || !beginsWithToken(bytes, start, end, engine)) {
+    if (engine === null || !isTokenWithPrefix(bytes, start, end, engine)) {
       return this.#rebuild(bytes.toString('utf8', start, end), output);
     }
     output.append(this.#callerPrefix);
@@ -96,48 +96,48 @@
   #rebuild(text: string, output: EventBuffer): FrameKind {
     const frame = parseObject(text);
     if (frame === null || !Array.isArray(frame.choices)) return 'malformed';
-    if (!this.#takeVersion(frame.system_fingerprint)) return 'malformed';
+    if (!this.#acceptVersion(frame.system_fingerprint)) return 'malformed';
     const choices = frame.choices as readonly unknown[];
-    if (choices.length === 0) return this.#takeUsage(frame, output);
+    if (choices.length === 0) return this.#acceptUsage(frame, output);
     const choice = choices[0];
     if (choices.length > 1 || !isObject(choice)) return 'malformed';
     const converted = convertChoice(choice, this.#head.shape);
     if (converted === null) return 'malformed';
-    if (converted === choice) this.#learn(text, frame);
-    this.#event(JSON.stringify(converted), '', output);
+    if (converted === choice) this.#learnEnginePrefix(text, frame);
+    this.#appendEvent(JSON.stringify(converted), '', output);
     return 'token';
   }
 
-  /** Whether a frame is of the version that has written the answer so far. */
-  #takeVersion(stated: unknown): boolean {
-    if (typeof stated !== 'string') return this.#version === null;
+  /** Whether a frame has the answer's version, which is the first one that a frame states. */
+  #acceptVersion(fingerprint: unknown): boolean {
+    if (typeof fingerprint !== 'string') return this.#version === null;
     if (this.#version === null) {
-      this.#version = stated;
-      this.#callerPrefix = callerPrefix(this.#head, stated);
+      this.#version = fingerprint;
+      this.#callerPrefix = callerPrefix(this.#head, fingerprint);
     }
-    return this.#version === stated;
+    return this.#version === fingerprint;
   }
 
-  /** Takes the token counts; a repeat of them is had already. */
-  #takeUsage(frame: JsonObject, output: EventBuffer): FrameKind {
+  /** Records the token counts and forwards them if requested; repeats are ignored. */
+  #acceptUsage(frame: JsonObject, output: EventBuffer): FrameKind {
     if (this.#usage !== null) return 'usage';
     const usage = frame.usage;
     if (!isObject(usage)) return 'malformed';
     const { prompt_tokens: promptTokens, completion_tokens: outputTokens } = usage;
     if (typeof promptTokens !== 'number' || typeof outputTokens !== 'number') return 'malformed';
     this.#usage = { promptTokens, outputTokens };
-    if (this.#includeUsage) this.#event('', `,"usage":${JSON.stringify(usage)}`, output);
+    if (this.#includeUsage) this.#appendEvent('', `,"usage":${JSON.stringify(usage)}`, output);
     return 'usage';
   }
 
-  #event(choice: string, more: string, output: EventBuffer): void {
+  #appendEvent(choice: string, trailingFields: string, output: EventBuffer): void {
     output.append(this.#callerPrefix);
-    output.append(Buffer.from(`${choice}]${more}}`));
+    output.append(Buffer.from(`${choice}]${trailingFields}}`));
     output.append(EVENT_END);
   }
 
-  /** Learns the engine's beginning if all that must be replaced stands in it. */
-  #learn(text: string, frame: JsonObject): void {
+  /** Learns the engine's prefix if it contains all fields that must be replaced, and no others. */
+  #learnEnginePrefix(text: string, frame: JsonObject): void {
     const at = text.indexOf(CHOICES);
     if (at < 0 || frame.object !== objectName(this.#head.shape)) return;
     const head = parseObject(`${text.slice(0, at).trimEnd().replace(/,$/, '')}}`);
@@ -150,7 +150,7 @@
   }
 }
 
-/** Whether a token's data says that the answer ends with it. */
+/** Whether a token's data has a finish reason, which marks the last token of an answer. */
 export function hasFinishReason(data: string): boolean {
   const frame = parseObject(data);
   const choices = frame?.choices;
@@ -158,7 +158,10 @@
   return isObject(choice) && typeof choice.finish_reason === 'string';
 }
 
-/** A choice in the caller's shape, the same object if it is in it already, null if in neither. */
+/**
+ * Converts a choice to the caller's shape. Returns the same object if it has that shape already,
+ * and null if it has neither shape.
+ */
 function convertChoice(choice: JsonObject, shape: CompletionShape): JsonObject | null {
   if (shape === 'completion') return typeof choice.text === 'string' ? choice : null;
   if (isObject(choice.delta)) return choice;
@@ -174,7 +177,7 @@
   return shape === 'chat' ? 'chat.completion.chunk' : 'text_completion';
 }
 
-function beginsWithToken(bytes: Buffer, start: number, end: number, prefix: Buffer): boolean {
+function isTokenWithPrefix(bytes: Buffer, start: number, end: number, prefix: Buffer): boolean {
   const length = prefix.length;
   if (end - start <= length || bytes[start + length] !== OPEN_BRACE) return false;
   if (bytes[end - 1] !== CLOSE_BRACE) return false;
--- a/src/shell/http/client-error.ts
+++ b/src/shell/http/client-error.ts
@@ -1,14 +1,14 @@
-/** Answers to what is not a well-formed HTTP request, or did not come in time. */
+/** Answers malformed HTTP requests and requests that did not arrive in time. */
 import type { Socket } from 'node:net';
 import { type Fault, refusedNotRun } from '../../core/errors/fault.js';
 import { faultResponse } from './fault-http.js';
 
-/** What node:http reports of a caller's broken request. */
+/** The error of node:http's `clientError` event. */
 export interface ClientError extends Error {
   readonly code?: string;
 }
 
-/** Answers with a typed error where the connection still can, and closes it. */
+/** Answers with a typed error if the socket is still writable, then closes the connection. */
 export function answerClientError(error: ClientError, socket: Socket): void {
   if (error.code === 'ECONNRESET' || !socket.writable) {
     socket.destroy();
--- a/src/shell/http/configuration-index.ts
+++ b/src/shell/http/configuration-index.ts
@@ -1,4 +1,4 @@
-/** Look-ups into the configuration document, rebuilt once for each version of it. */
+/** Indexes the configuration document for look-ups; built once for each version. */
 import { createHash } from 'node:crypto';
 import type { AdapterName, ModelName, TenantName } from '../../core/common/identifiers.js';
 import type {
@@ -8,28 +8,28 @@
   VersionedConfiguration,
 } from '../../core/configuration/document.js';
 
-/** What a caller's `model` names. */
+/** The model, and the adapter if any, that a request's `model` field selects. */
 export interface ServedModel {
   readonly model: ModelName;
   readonly adapter: AdapterName | null;
 }
 
-/** A tenant under its name. */
+/** A tenant with its name. */
 export interface NamedTenant {
   readonly name: TenantName;
   readonly tenant: TenantConfiguration;
 }
 
-/** API keys whose digests are remembered, so that a busy caller's key is not hashed each time. */
-const MAX_REMEMBERED_KEYS = 10_000;
+/** API keys whose tenants are cached, to avoid hashing a key on each request. */
+const MAX_CACHED_KEYS = 10_000;
 
-/** The look-ups of one version. */
+/** The index of one configuration version. */
 export class ConfigurationIndex {
   readonly version: number;
   readonly document: ConfigurationDocument;
   readonly models = new Map<string, ServedModel>();
   readonly #tenantsByDigest = new Map<string, NamedTenant>();
-  readonly #tenantsByKey = new Map<string, NamedTenant>();
+  readonly #cachedTenantsByKey = new Map<string, NamedTenant>();
   readonly #routes: readonly RouteConfiguration[];
 
   constructor(configuration: VersionedConfiguration) {
@@ -42,17 +42,17 @@
 
   /** The tenant of an API key, or undefined. */
   tenantOfKey(key: string): NamedTenant | undefined {
-    const remembered = this.#tenantsByKey.get(key);
-    if (remembered !== undefined) return remembered;
+    const cached = this.#cachedTenantsByKey.get(key);
+    if (cached !== undefined) return cached;
     const digest = createHash('sha256').update(key).digest('hex');
     const found = this.#tenantsByDigest.get(digest);
-    if (found !== undefined && this.#tenantsByKey.size < MAX_REMEMBERED_KEYS) {
-      this.#tenantsByKey.set(key, found);
+    if (found !== undefined && this.#cachedTenantsByKey.size < MAX_CACHED_KEYS) {
+      this.#cachedTenantsByKey.set(key, found);
     }
     return found;
   }
 
-  /** What unauthenticated callers are taken for, or undefined when they are refused. */
+  /** The tenant of unauthenticated callers, or undefined when they are refused. */
   anonymousTenant(): NamedTenant | undefined {
     const name = this.document.anonymousTenant;
     if (name === null) return undefined;
@@ -60,7 +60,7 @@
     return tenant === undefined ? undefined : { name, tenant };
   }
 
-  /** The route with the longest prefix of a path. A prefix ends at a path segment's end. */
+  /** The route with the longest prefix that matches the path at a segment boundary. */
   routeOf(path: string): RouteConfiguration | undefined {
     return this.#routes.find((route) => isPrefix(route.prefix, path));
   }
@@ -71,10 +71,10 @@
     }
   }
 
-  /** A model's name wins over an adapter's; of two adapters of one name the first model's wins. */
+  /** Model names take precedence over adapter names; of equal adapter names the first is used. */
   #indexModels(): void {
-    for (const [model, stated] of Object.entries(this.document.models)) {
-      for (const adapter of Object.keys(stated.adapters)) {
+    for (const [model, modelConfiguration] of Object.entries(this.document.models)) {
+      for (const adapter of Object.keys(modelConfiguration.adapters)) {
         if (!this.models.has(adapter)) this.models.set(adapter, { model, adapter });
       }
     }
--- a/src/shell/http/early-refusal.ts
+++ b/src/shell/http/early-refusal.ts
@@ -1,16 +1,16 @@
 /**
- * Answers a request whose body has not been read to its end. The connection is closed afterwards,
- * but not before the caller has had a chance to read the answer: closing with unread bytes in the
- * receive buffer would reset it.
+ * Refuses a request whose body has not been read completely. The rest of the body is read and
+ * discarded before the connection is closed: closing a socket with unread bytes in its receive
+ * buffer resets the connection, and the caller might lose the answer.
  */
 import type { IncomingMessage, ServerResponse } from 'node:http';
 import type { Fault } from '../../core/errors/fault.js';
 import { faultResponse } from './fault-http.js';
 
-/** How much of the unwanted body is still read and thrown away. */
+/** The maximum number of body bytes that are read and discarded after a refusal. */
 const MAX_DISCARDED_BYTES = 1024 * 1024;
 
-/** Answers at once with a fault; then discards what comes, within bounds, and closes. */
+/** Answers with a fault at once, then discards a limited amount of the body and closes. */
 export function refuseEarly(
   request: IncomingMessage,
   response: ServerResponse,
@@ -24,7 +24,7 @@
   }
   response.writeHead(status, { ...headers, connection: 'close' });
   response.write(body);
-  discard(request, () => response.end());
+  discardBody(request, () => response.end());
 }
 
 function hasNoBody(request: IncomingMessage): boolean {
@@ -32,7 +32,7 @@
   return headers['content-length'] === undefined && headers['transfer-encoding'] === undefined;
 }
 
-function discard(request: IncomingMessage, done: () => void): void {
+function discardBody(request: IncomingMessage, done: () => void): void {
   let discarded = 0;
   request.on('data', (chunk: Buffer) => {
     discarded += chunk.length;
--- a/src/shell/http/engine-refusal.ts
+++ b/src/shell/http/engine-refusal.ts
@@ -1,4 +1,4 @@
-/** Engine answers that may say `not run`. Only `"notRun": true` in the body says so. */
+/** Reads engine refusals. Only `"notRun": true` in the body confirms that nothing was run. */
 import type { IncomingHttpHeaders } from 'node:http';
 import type { Milliseconds } from '../../core/common/time.js';
 import { single } from './headers.js';
@@ -8,18 +8,18 @@
 const REASON = /^[a-z0-9-]{1,40}$/;
 const RETRY_AFTER = /^[0-9]{1,6}$/;
 
-/** What a refusal says. */
+/** The contents of a refusal. */
 export interface RefusalWords {
   readonly reason: string;
   readonly retryAfterMs?: Milliseconds;
 }
 
-/** Whether a status may go with a refusal. */
+/** Whether an answer with this status may be a refusal. */
 export function isRefusalStatus(status: number): boolean {
   return REFUSAL_STATUSES.has(status);
 }
 
-/** Collects the body of what may be a refusal. */
+/** Collects the body of an answer that may be a refusal. */
 export class EngineRefusal {
   readonly status: number;
   readonly #retryAfter: string | undefined;
@@ -31,7 +31,7 @@
     this.#retryAfter = single(headers['retry-after']);
   }
 
-  /** Takes a piece; false when the body is longer than any refusal. */
+  /** Adds a chunk; false when the body exceeds the size limit of refusals. */
   add(chunk: Buffer): boolean {
     this.#bytes += chunk.length;
     if (this.#bytes > MAX_REFUSAL_BYTES) return false;
@@ -39,13 +39,13 @@
     return true;
   }
 
-  /** The refusal, or null when the answer does not say that the request was not run. */
+  /** The refusal, or null when the body does not confirm that the request was not run. */
   read(): RefusalWords | null {
     const reason = reasonOf(Buffer.concat(this.#chunks).toString('utf8'));
     if (reason === null) return null;
-    const seconds = this.#retryAfter;
-    if (seconds === undefined || !RETRY_AFTER.test(seconds)) return { reason };
-    return { reason, retryAfterMs: Number(seconds) * 1_000 };
+    const retryAfter = this.#retryAfter;
+    if (retryAfter === undefined || !RETRY_AFTER.test(retryAfter)) return { reason };
+    return { reason, retryAfterMs: Number(retryAfter) * 1_000 };
   }
 }
 
--- a/src/shell/http/event-buffer.ts
+++ b/src/shell/http/event-buffer.ts
@@ -1,23 +1,23 @@
 /**
- * Memory in which the events for one caller are put together before they are written. One serves
- * all streams: it is filled and taken within one turn of the event loop.
+ * A buffer in which the events for one caller are assembled before they are written. All streams
+ * share one buffer, because it is filled and emptied within one turn of the event loop.
  */
 
-const FIRST_BYTES = 16 * 1024;
-/** Larger memory, grown for one large chunk, is not kept. */
-const MAX_KEPT_BYTES = 256 * 1024;
+const INITIAL_BYTES = 16 * 1024;
+/** A buffer that has grown beyond this size for a large chunk is replaced by a small one. */
+const MAX_RETAINED_BYTES = 256 * 1024;
 
 /** A growing buffer that is emptied by `take`. */
 export class EventBuffer {
-  #bytes = Buffer.allocUnsafeSlow(FIRST_BYTES);
+  #bytes = Buffer.allocUnsafeSlow(INITIAL_BYTES);
   #length = 0;
 
-  /** Bytes put in since the last `take`. */
+  /** Bytes appended since the last `take`. */
   get length(): number {
     return this.#length;
   }
 
-  /** Puts in a part of some bytes. */
+  /** Appends the bytes of `source` from `start` to `end`. */
   append(source: Buffer, start = 0, end = source.length): void {
     const needed = this.#length + end - start;
     if (needed > this.#bytes.length) this.#grow(needed);
@@ -25,17 +25,18 @@
     this.#length = needed;
   }
 
-  /** Takes back what was put in beyond a length. */
+  /** Removes the bytes beyond a length. */
   truncate(length: number): void {
     this.#length = Math.min(this.#length, length);
   }
 
-  /** A copy of what was put in; empties the buffer. */
+  /** Returns a copy of the contents and empties the buffer. */
   take(): Buffer {
     const taken = Buffer.allocUnsafe(this.#length);
     this.#bytes.copy(taken, 0, 0, this.#length);
     this.#length = 0;
-    if (this.#bytes.length > MAX_KEPT_BYTES) this.#bytes = Buffer.allocUnsafeSlow(FIRST_BYTES);
+    if (this.#bytes.length > MAX_RETAINED_BYTES)
+      this.#bytes = Buffer.allocUnsafeSlow(INITIAL_BYTES);
     return taken;
   }
 
--- a/src/shell/http/fault-http.ts
+++ b/src/shell/http/fault-http.ts
@@ -1,7 +1,7 @@
-/** Faults on the wire: OpenAI's error shape, a status for each code, and `Retry-After`. */
+/** The HTTP form of faults: OpenAI's error shape, a status for each code, and `Retry-After`. */
 import type { Fault, FaultCode } from '../../core/errors/fault.js';
 
-/** OpenAI's `type` of an error. */
+/** The `type` field of OpenAI's error object. */
 type ErrorType =
   | 'invalid_request_error'
   | 'authentication_error'
@@ -9,7 +9,7 @@
   | 'rate_limit_error'
   | 'server_error';
 
-/** How a code is told to callers. */
+/** The HTTP status and error type of a fault code. */
 export interface FaultStatus {
   readonly status: number;
   readonly type: ErrorType;
@@ -45,7 +45,7 @@
   internal: { status: 500, type: 'server_error' },
 };
 
-/** The outcome as callers read it. */
+/** The outcome text in the body of a fault. */
 function outcomeText(fault: Fault): string {
   return fault.outcome === 'refused-not-run' ? 'refused: not run' : 'unknown';
 }
@@ -64,7 +64,7 @@
   });
 }
 
-/** A fault as a response: status, headers by lower-case name, body. */
+/** The HTTP response of a fault. Header names are in lower case. */
 export interface FaultResponse {
   readonly status: number;
   readonly headers: Record<string, string>;
--- a/src/shell/http/intake.ts
+++ b/src/shell/http/intake.ts
@@ -1,4 +1,4 @@
-/** Builds what the core and the backends need of a caller's request once its body is here. */
+/** Builds the core's description and the backend call of a request whose body has arrived. */
 import type { IncomingMessage } from 'node:http';
 import { err, ok, type Result } from 'neverthrow';
 import type { RequestId } from '../../core/common/identifiers.js';
@@ -19,31 +19,31 @@
   ['/v1/chat/completions', 'chat'],
 ]);
 
-/** What is known of an arriving request besides its headers. */
+/** An arriving request with its body, and the configuration that applies to it. */
 export interface Arrival {
   readonly id: RequestId;
   readonly request: IncomingMessage;
-  /** Without the query. */
+  /** The path without its query. */
   readonly path: string;
   readonly body: Buffer;
   readonly now: MonotonicMs;
   readonly index: ConfigurationIndex;
 }
 
-/** A request ready for the core. */
+/** A request that is ready to be passed to the core. */
 export interface Intake {
   readonly description: RequestDescription;
   readonly call: BackendCall;
   readonly plan: AnswerPlan;
 }
 
-/** Prompt blocks that prefix affinity looks at; hashing more costs more than it gains. */
+/** The prompt blocks hashed for prefix affinity; hashing more costs more than it gains. */
 const MAX_PREFIX_BLOCKS = 32;
 const REPEATABLE_METHODS: ReadonlySet<string> = new Set(['GET', 'HEAD']);
 const WHOLE_PLAN: AnswerPlan = { answerHead: null, includeUsage: false };
 const MODEL_HEADERS = ['content-type', 'application/json'] as const;
 
-/** Takes in a completion or chat completion request. */
+/** Prepares a completion or chat completion request. */
 export function takeModelRequest(
   arrival: Arrival,
   shape: CompletionShape,
@@ -53,9 +53,9 @@
   const { body, index, path } = arrival;
   const options = readCallerOptions(index, arrival.request.headers, caller);
   if (options.isErr()) return err(options.error);
-  const read = readModelCall(body, shape, maxOutputTokens);
-  if (read.isErr()) return err(read.error);
-  const call = read.value;
+  const parsedCall = readModelCall(body, shape, maxOutputTokens);
+  if (parsedCall.isErr()) return err(parsedCall.error);
+  const call = parsedCall.value;
   const served = index.models.get(call.modelName);
   if (served === undefined) return err(UNKNOWN_MODEL);
   const { className, deadlineMs, idempotencyKey, repeatable } = options.value;
@@ -84,7 +84,7 @@
   return ok({ description, call: { method: 'POST', path, body, headers: MODEL_HEADERS }, plan });
 }
 
-/** Takes in a request to a web service. */
+/** Prepares a request to a web service. */
 export function takeWebRequest(
   arrival: Arrival,
   route: RouteConfiguration,
@@ -112,8 +112,9 @@
     callerAddress: request.socket.remoteAddress ?? '',
     stripAuthorization: caller.byKey,
   });
-  const sent = body.length === 0 && request.headers['content-length'] === undefined ? null : body;
-  return ok({ description, call: { method, path, body: sent, headers }, plan: WHOLE_PLAN });
+  const bodyToSend =
+    body.length === 0 && request.headers['content-length'] === undefined ? null : body;
+  return ok({ description, call: { method, path, body: bodyToSend, headers }, plan: WHOLE_PLAN });
 }
 
 function answerHead(
--- a/src/shell/http/limits.ts
+++ b/src/shell/http/limits.ts
@@ -1,50 +1,50 @@
-/** The bounds of the callers' side. All are settings; docs/CALLER-API.md says what each protects. */
+/** The limits of caller HTTP. All are settings; docs/CALLER-API.md says what each one protects. */
 import type { Milliseconds } from '../../core/common/time.js';
 
 /** Limits of the callers' HTTP server and of its connections to backends. */
 export interface HttpLimits {
-  /** Open caller connections; further ones are closed at once. */
+  /** Open caller connections; connections beyond it are closed at once. */
   readonly maxConnections: number;
-  /** Bytes of a request's line and headers; more is answered 431. */
+  /** Bytes of the request line and headers; larger ones are answered with 431. */
   readonly maxHeaderBytes: number;
-  /** From the first byte of a connection or request to the end of its headers; then 408. */
+  /** Time from the first byte of a connection or request to the end of its headers; then 408. */
   readonly headersTimeoutMs: Milliseconds;
-  /** From the first byte of a request to the end of its body; then 408. */
+  /** Time from the first byte of a request to the end of its body; then 408. */
   readonly requestTimeoutMs: Milliseconds;
   /** How long an idle caller connection is kept. */
   readonly keepAliveTimeoutMs: Milliseconds;
-  /** Bytes of one request's body; more is answered 413. */
+  /** Bytes of one request's body; a larger one is answered with 413. */
   readonly maxBodyBytes: number;
-  /** Bytes of all request bodies held at once; beyond it new bodies are answered 503. */
+  /** Bytes of all request bodies held at once; a body that would exceed it is answered with 503. */
   readonly maxBufferedBytes: number;
-  /** The largest `max_tokens` a caller may ask for. */
+  /** The largest `max_tokens` that a caller may request. */
   readonly maxOutputTokens: number;
-  /** How long a caller may leave a full send buffer unread before its connection is ended. */
+  /** How long a caller may leave written bytes unread before its connection is closed. */
   readonly callerStallTimeoutMs: Milliseconds;
-  /** How long a planned stop still takes callers that have not seen it yet, and tells them. */
+  /** How long a planned stop still accepts connections while it announces the stop to callers. */
   readonly stopIdleGraceMs: Milliseconds;
-  /** To open a connection to a backend. */
+  /** Timeout for opening a connection to a backend. */
   readonly connectTimeoutMs: Milliseconds;
-  /** From a request's being sent to the backend's response headers. */
+  /** Time from sending a request to the backend's response headers. */
   readonly backendHeadersTimeoutMs: Milliseconds;
-  /** Between two pieces of a backend's answer. */
+  /** Time between two chunks of a backend's answer. */
   readonly backendStallTimeoutMs: Milliseconds;
-  /** How long an idle backend connection is kept. Must be below the backends' own limit. */
+  /** How long an idle backend connection is kept. Must be below the backends' own idle timeout. */
   readonly backendKeepAliveMs: Milliseconds;
-  /** Connections to one backend. */
+  /** Open connections to one backend. */
   readonly maxConnectionsPerBackend: number;
   /** Bytes of one server-sent event from an engine. */
   readonly maxFrameBytes: number;
-  /** Whole answers up to this size are forwarded only once they are complete. */
+  /** Unstreamed answers up to this size are held until they are complete, then forwarded. */
   readonly maxHeldAnswerBytes: number;
-  /** Answers up to this size are kept for the replay of an idempotency key. */
+  /** Answers up to this size are stored, to be replayed for their idempotency key. */
   readonly maxReplayBytes: number;
 }
 
 const KIB = 1024;
 const MIB = 1024 * KIB;
 
-/** What holds where the settings say nothing. */
+/** The defaults of the settings. */
 export const DEFAULT_HTTP_LIMITS: HttpLimits = {
   maxConnections: 10_000,
   maxHeaderBytes: 16 * KIB,
--- a/src/shell/http/model-call.ts
+++ b/src/shell/http/model-call.ts
@@ -1,26 +1,26 @@
-/** Reads the body of a completion or chat completion request: only what routing and limits need. */
+/** Reads the fields of a completion or chat completion request that routing and limits need. */
 import { err, ok, type Result } from 'neverthrow';
 import { type Fault, refusedNotRun } from '../../core/errors/fault.js';
 
-/** Which of OpenAI's two shapes the caller speaks. */
+/** Which of OpenAI's two completion APIs the caller uses. */
 export type CompletionShape = 'completion' | 'chat';
 
-/** What was read of a body. The body itself goes to the engine as it came. */
+/** The fields read from a body. The body itself is forwarded to the engine unchanged. */
 export interface ModelCall {
   readonly modelName: string;
   readonly streamed: boolean;
-  /** Whether the caller asked for a last chunk with the token counts. */
+  /** Whether the caller requested a last chunk with the token counts. */
   readonly includeUsage: boolean;
   readonly maxOutputTokens: number;
   readonly promptText: string;
-  /** Estimated. */
+  /** The estimated number of prompt tokens. */
   readonly promptTokens: number;
 }
 
-/** Assumed where a caller does not say how long its answer may be. */
+/** The answer length assumed for a request without `max_tokens`. */
 const DEFAULT_OUTPUT_TOKENS = 256;
 const CHARACTERS_PER_TOKEN = 4;
-/** A rough cost of an image part. */
+/** The estimated prompt tokens of an image part. */
 const TOKENS_PER_IMAGE = 512;
 const MAX_MODEL_NAME_CHARACTERS = 200;
 
@@ -31,7 +31,7 @@
   readonly tokens: number;
 }
 
-/** Reads and checks a body. */
+/** Parses and validates a body. */
 export function readModelCall(
   body: Buffer,
   shape: CompletionShape,
@@ -46,15 +46,15 @@
   if (modelName.length > MAX_MODEL_NAME_CHARACTERS) {
     return invalid('`model` is too long. Name a model of GET /v1/models.');
   }
-  const flaw = flawOfOptions(parsed, maxOutputTokens);
-  if (flaw !== null) return invalid(flaw);
-  const prompt = shape === 'chat' ? readMessages(parsed.messages) : runPrefill(parsed.prompt);
+  const problem = optionsError(parsed, maxOutputTokens);
+  if (problem !== null) return invalid(problem);
+  const prompt = shape === 'chat' ? readMessages(parsed.messages) : readPrompt(parsed.prompt);
   if (typeof prompt === 'string') return invalid(prompt);
   return ok({
     modelName,
     streamed: parsed.stream === true,
-    includeUsage: asksForUsage(parsed.stream_options),
-    maxOutputTokens: outputTokens(parsed) ?? DEFAULT_OUTPUT_TOKENS,
+    includeUsage: requestsUsage(parsed.stream_options),
+    maxOutputTokens: requestedOutputTokens(parsed) ?? DEFAULT_OUTPUT_TOKENS,
     promptText: prompt.text,
     promptTokens: prompt.tokens,
   });
@@ -77,12 +77,12 @@
   return typeof value === 'object' && value !== null && !Array.isArray(value);
 }
 
-/** What is wrong with the options beside model and prompt, or null. */
-function flawOfOptions(body: JsonObject, maxOutputTokens: number): string | null {
+/** The error in the options other than model and prompt, or null. */
+function optionsError(body: JsonObject, maxOutputTokens: number): string | null {
   if (!isOptionalBoolean(body.stream)) return '`stream` must be true or false.';
   for (const name of ['max_tokens', 'max_completion_tokens']) {
-    const flaw = flawOfTokenLimit(name, body[name], maxOutputTokens);
-    if (flaw !== null) return flaw;
+    const problem = tokenLimitError(name, body[name], maxOutputTokens);
+    if (problem !== null) return problem;
   }
   for (const name of ['n', 'best_of']) {
     const value = body[name];
@@ -101,23 +101,23 @@
   return value === undefined || value === null || typeof value === 'boolean';
 }
 
-function flawOfTokenLimit(name: string, value: unknown, limit: number): string | null {
+function tokenLimitError(name: string, value: unknown, limit: number): string | null {
   if (value === undefined || value === null) return null;
-  const whole = typeof value === 'number' && Number.isSafeInteger(value);
-  if (whole && value >= 1 && value <= limit) return null;
+  const isInteger = typeof value === 'number' && Number.isSafeInteger(value);
+  if (isInteger && value >= 1 && value <= limit) return null;
   return `\`${name}\` must be a whole number from 1 to ${limit}.`;
 }
 
-function outputTokens(body: JsonObject): number | undefined {
-  const stated = body.max_completion_tokens ?? body.max_tokens;
-  return typeof stated === 'number' ? stated : undefined;
+function requestedOutputTokens(body: JsonObject): number | undefined {
+  const requested = body.max_completion_tokens ?? body.max_tokens;
+  return typeof requested === 'number' ? requested : undefined;
 }
 
-function asksForUsage(options: unknown): boolean {
+function requestsUsage(options: unknown): boolean {
   return isObject(options) && options.include_usage === true;
 }
 
-function runPrefill(prompt: unknown): Prompt | string {
+function readPrompt(prompt: unknown): Prompt | string {
   if (typeof prompt === 'string') {
     return { text: prompt, tokens: Math.ceil(prompt.length / CHARACTERS_PER_TOKEN) };
   }
@@ -131,7 +131,7 @@
   return typeof value === 'number' && Number.isSafeInteger(value) && value >= 0;
 }
 
-/** A chat's prompt is its contents joined by line feeds, as docs/ENGINE-API.md defines it. */
+/** The prompt of a chat is its contents joined by line feeds, as docs/ENGINE-API.md defines it. */
 function readMessages(messages: unknown): Prompt | string {
   if (!Array.isArray(messages) || messages.length === 0) {
     return '`messages` must be a list of at least one message.';
--- a/src/shell/http/pages.ts
+++ b/src/shell/http/pages.ts
@@ -1,17 +1,17 @@
-/** The pages that the daemon answers itself: models, health, readiness and metrics. */
+/** The pages that the daemon serves itself: models, health, readiness and metrics. */
 import type { IncomingMessage, ServerResponse } from 'node:http';
 import { refusedNotRun } from '../../core/errors/fault.js';
 import { identifyCaller } from './caller-options.js';
 import type { ConfigurationIndex } from './configuration-index.js';
 import { refuseEarly } from './early-refusal.js';
 
-/** What the pages show of the daemon. */
+/** The daemon's data that the pages show. */
 export interface PageSources {
   readiness(): { readonly ready: boolean; readonly reason: string };
   metricsText(): Promise<string>;
 }
 
-/** The answer to a known path with another method. */
+/** The answer to a known path with a method that it does not support. */
 export const METHOD_NOT_ALLOWED = refusedNotRun(
   'method-not-allowed',
   'This path takes another method. docs/CALLER-API.md lists them.',
@@ -31,7 +31,7 @@
 
 const PAGES: ReadonlySet<string> = new Set(['/v1/models', '/healthz', '/readyz', '/metrics']);
 
-/** Answers if the path is a page's; false where it is not. */
+/** Answers a request for a page; returns false when the path is not a page. */
 export function answerPage(
   request: IncomingMessage,
   response: ServerResponse,
--- a/src/shell/http/stream-attempt.ts
+++ b/src/shell/http/stream-attempt.ts
@@ -1,6 +1,7 @@
 /**
- * An attempt with a streamed model answer. Frames are checked by attempt and offset and handed over
- * in the caller's shape; the end marker goes out only after the last token and the token counts.
+ * An attempt with a streamed model answer. Frames are checked for their attempt and offset and
+ * forwarded in the caller's shape. The end marker is sent only after the last token and the token
+ * counts.
  */
 import type { IncomingHttpHeaders } from 'node:http';
 import type { ActiveRequest } from './active-request.js';
@@ -16,8 +17,9 @@
 import { type FrameKind, FrameReader, type FrameSink } from './frame-reader.js';
 
 const EVENT_STREAM = 'text/event-stream';
-/** The engine's word on a flaw of the request itself, which is not a stream. */
-interface FlawAnswer {
+
+/** An engine's report of an error in the request itself; it is not a stream. */
+interface RequestErrorAnswer {
   readonly status: number;
   readonly chunks: Buffer[];
   bytes: number;
@@ -28,7 +30,7 @@
   readonly #reader: FrameReader;
   readonly #rewriter: ChunkRewriter;
   readonly #output: EventBuffer;
-  #flawAnswer: FlawAnswer | null = null;
+  #requestErrorAnswer: RequestErrorAnswer | null = null;
 
   constructor(request: ActiveRequest, effect: DispatchEffect, head: AnswerHead) {
     super(request, effect);
@@ -42,18 +44,18 @@
     );
   }
 
-  /** Takes a frame's data from the reader; of what is malformed nothing is handed over. */
+  /** Rewrites a frame's data into the output buffer; removes it again if it is malformed. */
   frame(bytes: Buffer, start: number, end: number): FrameKind {
-    const before = this.#output.length;
-    const counted = this.#rewriter.usage !== null;
+    const lengthBefore = this.#output.length;
+    const hasUsage = this.#rewriter.usage !== null;
     const kind = this.#rewriter.rewrite(bytes, start, end, this.#output);
-    if (kind === 'token' && !counted) return this.#token(bytes, start, end);
-    if (kind === 'usage' && (counted || this.#hasAllTokens())) return 'usage';
-    this.#output.truncate(before);
+    if (kind === 'token' && !hasUsage) return this.#recordToken(bytes, start, end);
+    if (kind === 'usage' && (hasUsage || this.#hasAllTokens())) return 'usage';
+    this.#output.truncate(lengthBefore);
     return 'malformed';
   }
 
-  #token(bytes: Buffer, start: number, end: number): FrameKind {
+  #recordToken(bytes: Buffer, start: number, end: number): FrameKind {
     const { lastToken } = this.request;
     lastToken.bytes = bytes;
     lastToken.start = start;
@@ -68,20 +70,20 @@
     return hasFinishReason(bytes.toString('utf8', start, end));
   }
 
-  /** The end marker; whether the answer is whole is judged when the chunk has been read. */
+  /** Ignored: `answerData` checks the end marker and completeness after reading a chunk. */
   done(): void {}
 
   protected override answerBegins(status: number, headers: IncomingHttpHeaders): void {
-    if (status !== 200) this.#beginFlaw(status);
+    if (status !== 200) this.#startRequestError(status);
     else if (!(headers['content-type'] ?? '').startsWith(EVENT_STREAM)) this.broken('not-a-stream');
   }
 
   protected override answerData(chunk: Buffer): void {
-    if (this.#flawAnswer !== null) {
-      this.#flawData(this.#flawAnswer, chunk);
+    if (this.#requestErrorAnswer !== null) {
+      this.#addRequestErrorData(this.#requestErrorAnswer, chunk);
       return;
     }
-    // Nothing of another stream may ever stand in the shared buffer.
+    // The shared buffer must not contain bytes of another stream.
     this.#output.truncate(0);
     this.#reader.push(chunk);
     this.request.nextOffset = this.#reader.nextOffset;
@@ -96,22 +98,22 @@
   }
 
   protected override answerEnds(): void {
-    if (this.#flawAnswer === null) this.broken('ended-early');
-    else this.#forwardFlaw(this.#flawAnswer);
+    if (this.#requestErrorAnswer === null) this.broken('ended-early');
+    else this.#forwardRequestError(this.#requestErrorAnswer);
   }
 
-  #beginFlaw(status: number): void {
+  #startRequestError(status: number): void {
     if (this.request.headersForwarded) this.broken(`status-${status}`);
-    else this.#flawAnswer = { status, chunks: [], bytes: 0 };
+    else this.#requestErrorAnswer = { status, chunks: [], bytes: 0 };
   }
 
-  #flawData(answer: FlawAnswer, chunk: Buffer): void {
+  #addRequestErrorData(answer: RequestErrorAnswer, chunk: Buffer): void {
     answer.bytes += chunk.length;
     answer.chunks.push(chunk);
     if (answer.bytes > this.request.host.limits.maxHeldAnswerBytes) this.broken('answer-too-large');
   }
 
-  #forwardFlaw(answer: FlawAnswer): void {
+  #forwardRequestError(answer: RequestErrorAnswer): void {
     const body = Buffer.concat(answer.chunks);
     this.request.writeHead(answer.status, {
       'content-type': 'application/json',
--- a/src/shell/http/whole-attempt.ts
+++ b/src/shell/http/whole-attempt.ts
@@ -1,6 +1,7 @@
 /**
- * An attempt whose answer is handed over as the backend gives it. Small answers are held until they
- * are whole, so that a backend that breaks off leaves room for another; larger ones are piped.
+ * An attempt whose answer is forwarded unchanged. Small answers are held until they are complete,
+ * so that another backend can be tried if this one breaks off; larger ones are forwarded chunk by
+ * chunk.
  */
 import type { IncomingHttpHeaders } from 'node:http';
 import { BackendAttempt, contentLengthOf } from './backend-attempt.js';
@@ -8,78 +9,78 @@
 import { responseHeadersToCaller } from './headers.js';
 import { readUsage } from './usage.js';
 
-interface AnswerBegin {
+interface AnswerStart {
   readonly status: number;
   readonly headers: Record<string, string | string[]>;
-  /** Null where the backend sends chunks of no stated total. */
+  /** The Content-Length, or null when the backend declares none. */
   readonly length: number | null;
 }
 
 const BODILESS_STATUSES: ReadonlySet<number> = new Set([204, 304]);
 
-/** An attempt with a whole answer. */
+/** An attempt whose answer is forwarded unchanged. */
 export class WholeAttempt extends BackendAttempt {
-  #begin: AnswerBegin | null = null;
-  #held: Buffer[] | null = null;
-  #received = 0;
+  #start: AnswerStart | null = null;
+  #chunks: Buffer[] | null = null;
+  #receivedBytes = 0;
   #lastChunk: Buffer | null = null;
 
   protected override answerBegins(status: number, headers: IncomingHttpHeaders): void {
     const length = contentLengthOf(headers);
-    if (length === null && !this.#mayLackLength(status, headers)) {
+    if (length === null && !this.#isLengthOptional(status, headers)) {
       this.broken('no-length');
       return;
     }
-    this.#begin = { status, headers: this.#callerHeaders(headers, length), length };
-    if (length !== null && length <= this.request.host.limits.maxHeldAnswerBytes) this.#held = [];
-    else this.#forwardHead(this.#begin);
+    this.#start = { status, headers: this.#callerHeaders(headers, length), length };
+    if (length !== null && length <= this.request.host.limits.maxHeldAnswerBytes) this.#chunks = [];
+    else this.#forwardHead(this.#start);
   }
 
   protected override answerData(chunk: Buffer): void {
-    this.#received += chunk.length;
+    this.#receivedBytes += chunk.length;
     this.#lastChunk = chunk;
-    if (this.#held !== null) this.#held.push(chunk);
+    if (this.#chunks !== null) this.#chunks.push(chunk);
     else this.request.write(chunk);
   }
 
   protected override answerEnds(): void {
-    const begin = this.#begin;
-    if (begin === null || !this.#isWhole(begin)) {
+    const start = this.#start;
+    if (start === null || !this.#isComplete(start)) {
       this.broken('wrong-length');
       return;
     }
-    if (this.#held !== null) {
-      this.#forwardHeld(begin, this.#held);
+    if (this.#chunks !== null) {
+      this.#forwardHeld(start, this.#chunks);
       return;
     }
     this.request.end();
-    this.#completed(this.#lastChunk === null ? null : readUsage(this.#lastChunk));
+    this.#reportCompleted(this.#lastChunk === null ? null : readUsage(this.#lastChunk));
   }
 
-  /** Hands over a held answer, unless a model's whole answer is not one. */
-  #forwardHeld(begin: AnswerBegin, held: readonly Buffer[]): void {
-    const body = held.length === 1 && held[0] !== undefined ? held[0] : Buffer.concat(held);
+  /** Forwards a held answer, unless a model's answer with status 200 is malformed. */
+  #forwardHeld(start: AnswerStart, chunks: readonly Buffer[]): void {
+    const body = chunks.length === 1 && chunks[0] !== undefined ? chunks[0] : Buffer.concat(chunks);
     const isModel = this.request.description.target.kind === 'model';
     const usage = isModel ? readUsage(body) : null;
-    if (isModel && begin.status === 200 && (usage === null || !isJson(body))) {
+    if (isModel && start.status === 200 && (usage === null || !isJson(body))) {
       this.broken('malformed-answer');
       return;
     }
-    this.request.writeHead(begin.status, begin.headers);
+    this.request.writeHead(start.status, start.headers);
     this.request.end(body);
-    this.#completed(usage);
+    this.#reportCompleted(usage);
   }
 
-  #forwardHead(begin: AnswerBegin): void {
-    this.request.writeHead(begin.status, begin.headers);
+  #forwardHead(start: AnswerStart): void {
+    this.request.writeHead(start.status, start.headers);
     this.request.host.attemptEvent(this.request, {
       kind: 'first-byte',
       attempt: this.effect.attempt,
-      status: begin.status,
+      status: start.status,
     });
   }
 
-  #completed(usage: TokenUsage | null): void {
+  #reportCompleted(usage: TokenUsage | null): void {
     const capture = this.request.capture;
     this.finish({
       kind: 'completed',
@@ -90,12 +91,12 @@
     });
   }
 
-  #isWhole(begin: AnswerBegin): boolean {
-    if (begin.length === null || this.#isBodiless(begin.status)) return true;
-    return this.#received === begin.length;
+  #isComplete(start: AnswerStart): boolean {
+    if (start.length === null || this.#isBodiless(start.status)) return true;
+    return this.#receivedBytes === start.length;
   }
 
-  #mayLackLength(status: number, headers: IncomingHttpHeaders): boolean {
+  #isLengthOptional(status: number, headers: IncomingHttpHeaders): boolean {
     return headers['transfer-encoding'] !== undefined || this.#isBodiless(status);
   }
 
@@ -108,16 +109,16 @@
     length: number | null,
   ): Record<string, string | string[]> {
     if (this.request.description.target.kind === 'web') return responseHeadersToCaller(headers);
-    const passed: Record<string, string> = {
+    const forwarded: Record<string, string> = {
       'content-type': headers['content-type'] ?? 'application/json',
       'x-request-id': this.request.description.id,
     };
-    if (length !== null) passed['content-length'] = String(length);
-    return passed;
+    if (length !== null) forwarded['content-length'] = String(length);
+    return forwarded;
   }
 }
 
-/** A length that is too small leaves a body that HTTP calls whole; its JSON tells. */
+/** Detects answers cut short by a too small Content-Length, which HTTP regards as complete. */
 function isJson(body: Buffer): boolean {
   try {
     JSON.parse(body.toString('utf8'));
--- a/test/http/answer-version.test.ts
+++ b/test/http/answer-version.test.ts
@@ -3,7 +3,7 @@
 import { ChunkRewriter } from '../../src/shell/http/chunk-rewriter.js';
 import { EventBuffer } from '../../src/shell/http/event-buffer.js';
 
-const HEAD = { id: 'cmpl-1', created: 7, model: 'labels', shape: 'completion' } as const;
+const ANSWER_HEAD = { id: 'cmpl-1', created: 7, model: 'labels', shape: 'completion' } as const;
 
 function frame(text: string, version: string | null): Buffer {
   const fingerprint = version === null ? {} : { system_fingerprint: version };
@@ -18,8 +18,8 @@
   return kind === 'token' ? output.take().toString() : kind;
 }
 
-test('the caller learns the version that writes, in every event', () => {
-  const rewriter = new ChunkRewriter(HEAD, null, false);
+test('every event of an answer names the model version that generated it', () => {
+  const rewriter = new ChunkRewriter(ANSWER_HEAD, null, false);
   for (const text of ['one', 'two', 'three']) {
     assert.equal(
       rewritten(rewriter, frame(text, '7+2')),
@@ -29,17 +29,26 @@
   assert.equal(rewriter.version, '7+2');
 });
 
-test('a frame of another version, or of none, does not go on with an answer', () => {
-  const rewriter = new ChunkRewriter(HEAD, null, false);
+test('a frame with another version than the answer, or with none, is malformed', () => {
+  const rewriter = new ChunkRewriter(ANSWER_HEAD, null, false);
   assert.match(rewritten(rewriter, frame('one', '7')), /"text":"one"/);
   assert.equal(rewritten(rewriter, frame('two', '8')), 'malformed');
-  assert.equal(rewritten(new ChunkRewriter(HEAD, '7', false), frame('two', '8')), 'malformed');
-  assert.equal(rewritten(new ChunkRewriter(HEAD, '7', false), frame('two', null)), 'malformed');
-  assert.match(rewritten(new ChunkRewriter(HEAD, '7', false), frame('two', '7')), /"text":"two"/);
+  assert.equal(
+    rewritten(new ChunkRewriter(ANSWER_HEAD, '7', false), frame('two', '8')),
+    'malformed',
+  );
+  assert.equal(
+    rewritten(new ChunkRewriter(ANSWER_HEAD, '7', false), frame('two', null)),
+    'malformed',
+  );
+  assert.match(
+    rewritten(new ChunkRewriter(ANSWER_HEAD, '7', false), frame('two', '7')),
+    /"text":"two"/,
+  );
 });
 
-test('an engine that states no version is taken as it is', () => {
-  const rewriter = new ChunkRewriter(HEAD, null, false);
+test('frames of an engine that states no version are accepted', () => {
+  const rewriter = new ChunkRewriter(ANSWER_HEAD, null, false);
   assert.doesNotMatch(rewritten(rewriter, frame('one', null)), /fingerprint|malformed/);
   assert.equal(rewriter.version, null);
 });
--- a/test/http/bad-input.test.ts
+++ b/test/http/bad-input.test.ts
@@ -1,4 +1,4 @@
-/** Callers that send what they should not, too much of it, too slowly, or go away. */
+/** Callers that send malformed, oversized or slow requests, or disconnect early. */
 import assert from 'node:assert/strict';
 import { once } from 'node:events';
 import { connect, type Socket } from 'node:net';
@@ -25,9 +25,9 @@
   callerStallTimeoutMs: 100,
 };
 const AUTHORIZATION = `authorization: Bearer ${KEY}\r\n`;
-const HEAD = `POST /v1/completions HTTP/1.1\r\nhost: a\r\n${AUTHORIZATION}`;
-const STREAM_BODY = JSON.stringify({ model: 'labels', prompt: 'p', stream: true });
-const STREAM_REQUEST = `${HEAD}content-length: ${STREAM_BODY.length}\r\n\r\n${STREAM_BODY}`;
+const REQUEST_HEAD = `POST /v1/completions HTTP/1.1\r\nhost: a\r\n${AUTHORIZATION}`;
+const STREAMED_BODY = JSON.stringify({ model: 'labels', prompt: 'p', stream: true });
+const STREAM_REQUEST = `${REQUEST_HEAD}content-length: ${STREAMED_BODY.length}\r\n\r\n${STREAMED_BODY}`;
 
 let harness: Harness;
 let engine: Backend;
@@ -43,7 +43,7 @@
   await engine.close();
 });
 
-/** Checks that the answer is a typed error and that the server serves on. */
+/** Checks that the answer is a typed error and that the server still answers. */
 async function assertTyped(answer: string, status: number, code: string): Promise<void> {
   assert.match(answer, new RegExp(`^HTTP/1.1 ${status} `), answer.slice(0, 200));
   assert.ok(answer.includes(`"code":"${code}"`), answer);
@@ -58,43 +58,49 @@
 }
 
 const MALFORMED: readonly (readonly [name: string, request: string])[] = [
-  ['both lengths', `${HEAD}content-length: 3\r\ntransfer-encoding: chunked\r\n\r\n0\r\n\r\n`],
-  ['two lengths', `${HEAD}content-length: 3\r\ncontent-length: 4\r\n\r\nabcd`],
-  ['a negative length', `${HEAD}content-length: -3\r\n\r\nabc`],
-  ['a length that is not a number', `${HEAD}content-length: 3x\r\n\r\nabc`],
-  ['chunked not last', `${HEAD}transfer-encoding: chunked, gzip\r\n\r\n0\r\n\r\n`],
-  ['a bad chunk size', `${HEAD}transfer-encoding: chunked\r\n\r\nzz\r\nabc\r\n0\r\n\r\n`],
-  ['a header with a space', `${HEAD}content-length : 3\r\n\r\nabc`],
-  ['no HTTP at all', 'hello there\r\n\r\n'],
-  ['a bare line feed in a header', `${HEAD}x-a: b\n\rcontent-length: 0\r\n\r\n`],
+  [
+    'content-length with transfer-encoding',
+    `${REQUEST_HEAD}content-length: 3\r\ntransfer-encoding: chunked\r\n\r\n0\r\n\r\n`,
+  ],
+  ['two content lengths', `${REQUEST_HEAD}content-length: 3\r\ncontent-length: 4\r\n\r\nabcd`],
+  ['a negative content length', `${REQUEST_HEAD}content-length: -3\r\n\r\nabc`],
+  ['a content length that is not a number', `${REQUEST_HEAD}content-length: 3x\r\n\r\nabc`],
+  [
+    'a transfer-encoding that does not end in chunked',
+    `${REQUEST_HEAD}transfer-encoding: chunked, gzip\r\n\r\n0\r\n\r\n`,
+  ],
+  ['a bad chunk size', `${REQUEST_HEAD}transfer-encoding: chunked\r\n\r\nzz\r\nabc\r\n0\r\n\r\n`],
+  ['a space before the colon of a header', `${REQUEST_HEAD}content-length : 3\r\n\r\nabc`],
+  ['a request that is not HTTP', 'hello there\r\n\r\n'],
+  ['a bare line feed in a header', `${REQUEST_HEAD}x-a: b\n\rcontent-length: 0\r\n\r\n`],
 ];
 
 for (const [name, request] of MALFORMED) {
-  test(`${name} is refused`, async () => {
+  test(`a malformed request is refused with 400: ${name}`, async () => {
     await assertTyped(await rawCall(harness.port, request), 400, 'invalid-request');
   });
 }
 
-test('headers that are too large are refused', async () => {
-  const request = `${HEAD}x-large: ${'a'.repeat(5_000)}\r\ncontent-length: 0\r\n\r\n`;
+test('headers over the size limit are refused with 431', async () => {
+  const request = `${REQUEST_HEAD}x-large: ${'a'.repeat(5_000)}\r\ncontent-length: 0\r\n\r\n`;
   await assertTyped(await rawCall(harness.port, request), 431, 'headers-too-large');
 });
 
-test('a declared body that is too large is refused before it is sent', async () => {
-  const answer = await rawCall(harness.port, `${HEAD}content-length: 10001\r\n\r\n`);
+test('a declared body over the size limit is refused with 413 before it is sent', async () => {
+  const answer = await rawCall(harness.port, `${REQUEST_HEAD}content-length: 10001\r\n\r\n`);
   await assertTyped(answer, 413, 'body-too-large');
 });
 
-test('a chunked body that grows too large is refused', async () => {
+test('a chunked body that grows over the size limit is refused with 413', async () => {
   const chunk = `400\r\n${'a'.repeat(1_024)}\r\n`;
   const answer = await rawCall(
     harness.port,
-    `${HEAD}transfer-encoding: chunked\r\n\r\n${chunk.repeat(20)}0\r\n\r\n`,
+    `${REQUEST_HEAD}transfer-encoding: chunked\r\n\r\n${chunk.repeat(20)}0\r\n\r\n`,
   );
   await assertTyped(answer, 413, 'body-too-large');
 });
 
-test('bodies beyond what may be held at once are refused as overload', async (t) => {
+test('a body over the limit for all held bodies is refused as overload', async (t) => {
   const small = await startHarness({ limits: { maxBufferedBytes: 100 } });
   t.after(() => small.close());
   const body = { model: 'labels', prompt: 'p'.repeat(200) };
@@ -105,12 +111,12 @@
   assert.equal(small.server.heldBodyBytes, 0);
 });
 
-for (const [name, begin] of [
+for (const [name, incomplete] of [
   ['headers', 'POST /v1/completions HTTP/1.1\r\nhost: a\r\nx-slow: '],
-  ['a body', `${HEAD}content-length: 100\r\n\r\nabc`],
+  ['body', `${REQUEST_HEAD}content-length: 100\r\n\r\nabc`],
 ] as const) {
-  test(`${name} that do not come to an end are given up on`, async () => {
-    await assertTyped(await rawCall(harness.port, begin), 408, 'body-timeout');
+  test(`a request that never completes its ${name} is refused with 408`, async () => {
+    await assertTyped(await rawCall(harness.port, incomplete), 408, 'body-timeout');
   });
 }
 
@@ -137,7 +143,7 @@
   '['.repeat(9_000),
 ];
 
-test('bodies that are no completion request are refused', async () => {
+test('bodies that are not a valid completion request are refused with 400', async () => {
   for (const body of BAD_BODIES) {
     const answer = await call(harness.port, '/v1/completions', { method: 'POST', body });
     assert.equal(answer.status, 400, body.slice(0, 80));
@@ -150,7 +156,7 @@
   await assertServes();
 });
 
-test('a number of a million digits is refused', async (t) => {
+test('a number with a million digits is refused with 400', async (t) => {
   const large = await startHarness();
   t.after(() => large.close());
   const body = `{"model":"labels","prompt":"p","max_tokens":${'9'.repeat(1_000_000)}}`;
@@ -158,7 +164,7 @@
   assert.equal(answer.status, 400);
 });
 
-test('headers that make no sense are refused', async () => {
+test('invalid values of request headers are refused with 400', async () => {
   const body = { model: 'labels', prompt: 'p' };
   for (const headers of [
     { 'x-threadfork-class': 'nobody' },
@@ -186,7 +192,7 @@
   );
 });
 
-test('paths and headers with odd bytes get an answer', async () => {
+test('paths and headers with unusual bytes are answered', async () => {
   onEngineRequest = (socket) => socket.end('HTTP/1.1 200 OK\r\ncontent-length: 0\r\n\r\n');
   for (const [target, header] of [
     ['/sheets/a"b|c', 'x'],
@@ -206,12 +212,12 @@
   await assertServes();
 });
 
-for (const [name, leave] of [
+for (const [name, disconnect] of [
   ['resets its connection', (socket: Socket) => socket.resetAndDestroy()],
   ['closes its connection', (socket: Socket) => socket.destroy()],
   ['half-closes its connection', (socket: Socket) => socket.end()],
 ] as const) {
-  test(`the engine work of a caller that ${name} mid-stream is cancelled`, async () => {
+  test(`the engine's work is cancelled when the caller ${name} mid-stream`, async () => {
     const cancelled = new Promise<void>((resolve) => {
       onEngineRequest = (socket, text) => {
         const attempt = attemptOf(text);
@@ -223,7 +229,7 @@
     caller.on('error', () => {});
     caller.write(STREAM_REQUEST);
     await once(caller, 'data');
-    leave(caller);
+    disconnect(caller);
     await cancelled;
     await harness.eventually(() => harness.table.activeCount === 0);
     caller.destroy();
@@ -231,19 +237,19 @@
   });
 }
 
-test('a caller that does not read holds a bounded share of memory and is cut', async () => {
+test('the connection of a caller that does not read is closed, with bounded memory use', async () => {
   let sent = 0;
-  const cut = new Promise<void>((resolve) => {
+  const connectionClosed = new Promise<void>((resolve) => {
     onEngineRequest = (socket, text) => {
       const attempt = attemptOf(text);
       let offset = 0;
       const write = (): void => {
-        let room = true;
-        while (room && offset < 2_000_000) {
+        let writable = true;
+        while (writable && offset < 2_000_000) {
           const frame = tokenFrame(attempt, offset, 'x'.repeat(4_000));
           offset += 1;
           sent += frame.length;
-          room = socket.write(frame);
+          writable = socket.write(frame);
         }
       };
       socket.on('drain', write);
@@ -256,24 +262,29 @@
   caller.on('error', () => {});
   caller.pause();
   caller.write(STREAM_REQUEST);
-  await cut;
-  assert.ok(sent < 64 * 1024 * 1024, `${sent} bytes went out towards a caller that does not read`);
+  await connectionClosed;
+  assert.ok(
+    sent < 64 * 1024 * 1024,
+    `the engine sent ${sent} bytes for a caller that does not read`,
+  );
   await harness.eventually(() => harness.table.activeCount === 0);
   caller.destroy();
   await assertServes();
 });
 
-test('a caller that pipelines requests and reads no answer is cut', async (t) => {
+test('the connection of a caller that pipelines requests without reading is closed', async (t) => {
   const body = wholeAnswer('x'.repeat(60_000));
   onEngineRequest = (socket, text) =>
     socket.write(
       `HTTP/1.1 200 OK\r\nx-threadfork-attempt: ${attemptOf(text)}\r\ncontent-length: ${body.length}\r\n\r\n${body}`,
     );
-  const whole = JSON.stringify({ model: 'labels', prompt: 'p' });
+  const completionBody = JSON.stringify({ model: 'labels', prompt: 'p' });
   const caller = connect(harness.port, '127.0.0.1');
   caller.on('error', () => {});
   caller.pause();
-  caller.write(`${HEAD}content-length: ${whole.length}\r\n\r\n${whole}`.repeat(300));
+  caller.write(
+    `${REQUEST_HEAD}content-length: ${completionBody.length}\r\n\r\n${completionBody}`.repeat(300),
+  );
   await harness.eventually(() => harness.events.length > 20);
   const ticker = setInterval(() => harness.tick(), 10);
   t.after(() => clearInterval(ticker));
--- a/test/http/caller-server.test.ts
+++ b/test/http/caller-server.test.ts
@@ -1,4 +1,4 @@
-/** The model API and web routes over real HTTP, with the request table deciding. */
+/** The model API and web routes over real HTTP, with the real request table. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import { prefixBlockHashes } from '../../src/core/common/prefix-blocks.js';
@@ -18,7 +18,7 @@
 
 const COMPLETION = { model: 'labels', prompt: 'read this label', max_tokens: 8 };
 
-test('a whole completion reaches its caller with the engine headers set', async (t) => {
+test('an unstreamed completion is forwarded, and the engine receives the protocol headers', async (t) => {
   let seen: Record<string, unknown> = {};
   const engine = await startHttpBackend('e1', (request, response) => {
     seen = request.headers;
@@ -52,7 +52,7 @@
     { model: 'latin', messages: [{ role: 'user', content: 'hi' }], stream: true },
   ],
 ] as const) {
-  test(`a stream of ${path} comes in the caller's shape and ends with [DONE]`, async (t) => {
+  test(`a stream of ${path} has the chunk type of that path and ends with [DONE]`, async (t) => {
     const engine = await startRawBackend('e1', (socket, text) => {
       const attempt = attemptOf(text);
       socket.write(streamHead(attempt));
@@ -70,11 +70,11 @@
     const object = path.includes('chat') ? 'chat.completion.chunk' : 'text_completion';
     assert.deepEqual([...new Set(dataOf(answer.body).map((chunk) => chunk.object))], [object]);
     assert.equal(new Set(dataOf(answer.body).map((chunk) => chunk.id)).size, 1);
-    assert.ok(!answer.body.includes('e-d1'), 'the engine id is not shown');
+    assert.ok(!answer.body.includes('e-d1'), 'the id of the engine must not appear in the answer');
   });
 }
 
-test('a stream whose engine dies goes on at the first missing token on another', async (t) => {
+test('a stream whose engine fails is resumed at the first missing token on another engine', async (t) => {
   const offsets: number[] = [];
   const dying = await startRawBackend('e1', (socket, text) => {
     const attempt = attemptOf(text);
@@ -98,7 +98,7 @@
   assert.ok(answer.body.endsWith('data: [DONE]\n\n'));
 });
 
-test('a stream that none can go on with ends visibly broken', async (t) => {
+test('a stream that no engine can resume ends with an error event and a closed connection', async (t) => {
   const dying = await startRawBackend('e1', (socket, text) => {
     const attempt = attemptOf(text);
     socket.write(streamHead(attempt) + tokenFrame(attempt, 0, 'a'), () => socket.destroy());
@@ -112,7 +112,7 @@
   assert.ok(!answer.body.includes('[DONE]'));
 });
 
-test('web requests go by the longest prefix, without hop-by-hop headers', async (t) => {
+test('web requests are routed by the longest prefix, without hop-by-hop headers', async (t) => {
   let seen: Record<string, unknown> = {};
   const web = await startHttpBackend('w1', (request, response) => {
     seen = { ...request.headers, url: request.url };
@@ -143,7 +143,7 @@
   assert.deepEqual(services, ['orders']);
 });
 
-test('pages and typed errors', async (t) => {
+test('pages are served and errors are typed', async (t) => {
   const harness = await startHarness();
   t.after(() => harness.close());
   const { port } = harness;
@@ -159,7 +159,7 @@
   assert.equal(refused.headers['retry-after'], '1');
   assert.equal(refused.headers['x-request-id'], 'd1-1-1');
   assert.deepEqual(JSON.parse(refused.body).error, {
-    message: 'None is left.',
+    message: 'No backend is left.',
     type: 'server_error',
     code: 'no-backend',
     param: null,
@@ -171,7 +171,7 @@
   assert.equal((await call(port, '/v1/completions')).status, 405);
 });
 
-test('before any configuration a web path is refused as not configured, not as unknown', async (t) => {
+test('without a configuration a web path is refused as not configured, not as unknown', async (t) => {
   const harness = await startHarness({ configurationVersion: 0 });
   t.after(() => harness.close());
   const answer = await call(harness.port, '/tiles/1');
@@ -180,7 +180,7 @@
   assert.equal(answer.headers['retry-after'], '1');
 });
 
-test('answers without a body, and targets that name the host, pass through', async (t) => {
+test('answers without a body and targets in absolute form are forwarded', async (t) => {
   const seen: string[] = [];
   const web = await startHttpBackend('w1', (request, response) => {
     seen.push(`${request.method} ${request.url}`);
@@ -200,7 +200,7 @@
   assert.equal(seen.at(-1), 'GET /sheets/2?q');
 });
 
-test('prompts are hashed as engines hash them, chats too', async (t) => {
+test('the prompt of a chat is hashed in the same blocks as engines hash it', async (t) => {
   const harness = await startHarness();
   t.after(() => harness.close());
   const contents = ['Lees dit etiket. '.repeat(40), 'Leiden 1821 '.repeat(40)];
--- a/test/http/fault-http.test.ts
+++ b/test/http/fault-http.test.ts
@@ -1,4 +1,4 @@
-/** docs/ERRORS.md and docs/CALLER-API.md against the code. */
+/** docs/ERRORS.md and docs/CALLER-API.md match the code; Retry-After is rounded up. */
 import assert from 'node:assert/strict';
 import { readFileSync } from 'node:fs';
 import { test } from 'node:test';
@@ -9,19 +9,19 @@
   return readFileSync(new URL(`../../../docs/${name}`, import.meta.url), 'utf8');
 }
 
-test('ERRORS.md lists each code once, with its status, and no other', () => {
+test('ERRORS.md lists each code once with its status, and no other code', () => {
   const rows = [...page('ERRORS.md').matchAll(/^\| `([a-z-]+)` +\| (\d+) /gm)];
   const listed = rows.map((row) => `${row[1]} ${row[2]}`).sort();
   const known = Object.entries(FAULT_STATUS).map(([code, { status }]) => `${code} ${status}`);
   assert.deepEqual(listed, known.sort());
 });
 
-test('CALLER-API.md lists each limit', () => {
+test('CALLER-API.md lists exactly the HTTP limits', () => {
   const rows = [...page('CALLER-API.md').matchAll(/^\| `([A-Za-z]+)` +\| [\d,]+ /gm)];
   assert.deepEqual(rows.map((row) => row[1]).sort(), Object.keys(DEFAULT_HTTP_LIMITS).sort());
 });
 
-test('Retry-After is rounded up to whole seconds and never 0', () => {
+test('Retry-After is rounded up to full seconds and is never 0', () => {
   const fault = { code: 'overloaded', message: 'm', retryable: true, outcome: 'unknown' } as const;
   const seconds = (retryAfterMs: number): string | undefined =>
     faultResponse({ ...fault, retryAfterMs }).headers['retry-after'];
--- a/test/http/frame-reader.test.ts
+++ b/test/http/frame-reader.test.ts
@@ -1,4 +1,4 @@
-/** The frame reader against a simple oracle, for any frames cut into any chunks. */
+/** Compares the frame reader with a simple model, for random frames and random chunking. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import fc from 'fast-check';
@@ -33,9 +33,9 @@
   return reading;
 }
 
-/** Cuts the bytes at the given places. */
-function cut(bytes: Buffer, places: readonly number[]): Buffer[] {
-  const sorted = [...new Set(places.map((place) => place % (bytes.length + 1)))].sort(
+/** Splits the bytes at the given positions. */
+function splitAt(bytes: Buffer, positions: readonly number[]): Buffer[] {
+  const sorted = [...new Set(positions.map((position) => position % (bytes.length + 1)))].sort(
     (a, b) => a - b,
   );
   const edges = [0, ...sorted, bytes.length];
@@ -70,7 +70,7 @@
   return `id: ${item.attempt}:${item.offset}\ndata: not for this caller\n\n`;
 }
 
-/** In order: each own offset once, stopping at the first gap. */
+/** The expected tokens: each offset of the own attempt once, up to the first gap. */
 function oracle(frames: readonly Frame[], start: number): { tokens: string[]; gap: boolean } {
   const tokens: string[] = [];
   for (const item of frames) {
@@ -81,15 +81,15 @@
   return { tokens, gap: false };
 }
 
-test('late, repeated and foreign frames are dropped and a gap is a fault, under any chunking', () => {
+test('under any chunking, frames of other attempts and repeats are dropped and a gap is a fault', () => {
   fc.assert(
     fc.property(
       fc.array(frame, { maxLength: 30 }),
       fc.nat(3),
       fc.array(fc.nat(4_000), { maxLength: 60 }),
-      (frames, start, places) => {
+      (frames, start, positions) => {
         const bytes = Buffer.from(frames.map(encode).join(''));
-        const { reader, tokens } = read(cut(bytes, places), start);
+        const { reader, tokens } = read(splitAt(bytes, positions), start);
         const expected = oracle(frames, start);
         assert.deepEqual(tokens, expected.tokens);
         assert.equal(reader.nextOffset, start + expected.tokens.length);
@@ -101,7 +101,7 @@
   );
 });
 
-test('a whole stream comes through byte by byte', () => {
+test('a complete stream is read from chunks of one byte', () => {
   const text = `: hello\n\nid: ${OWN}:0\ndata: a\n\nid: ${OWN}:1\ndata: b\n\nid: ${OWN}:2\ndata: usage\n\ndata: [DONE]\n\nrest`;
   const bytes = Buffer.from(text);
   const { tokens, reader, done } = read([...bytes].map((byte) => Buffer.from([byte])));
@@ -110,7 +110,7 @@
   assert.ok(done);
 });
 
-test('any bytes at all end in tokens of this attempt, or in a fault, within bounded memory', () => {
+test('arbitrary bytes yield only tokens of this attempt or a fault', () => {
   const piece = fc.oneof(
     fc.uint8Array({ maxLength: 40 }).map((bytes) => Buffer.from(bytes)),
     fc
@@ -137,17 +137,21 @@
 for (const [name, text, fault] of [
   ['a frame without data', `id: ${OWN}:0\nevent: x\n\n`, 'malformed-frame'],
   ['a frame with an id only', `id: ${OWN}:0\n\n`, 'malformed-frame'],
-  ['an offset that is no number', `id: ${OWN}:x\ndata: a\n\n`, 'malformed-frame'],
-  ['an offset beyond reason', `id: ${OWN}:99999999999\ndata: a\n\n`, 'malformed-frame'],
+  ['an offset that is not a number', `id: ${OWN}:x\ndata: a\n\n`, 'malformed-frame'],
+  ['an offset with too many digits', `id: ${OWN}:99999999999\ndata: a\n\n`, 'malformed-frame'],
   ['data on two lines', `id: ${OWN}:0\ndata: a\ndata: b\n\n`, 'malformed-frame'],
-  ['data that its reader refuses', `id: ${OWN}:0\ndata: bad\n\n`, 'malformed-frame'],
+  ['data that the sink reports as malformed', `id: ${OWN}:0\ndata: bad\n\n`, 'malformed-frame'],
   ['data without an id', 'data: a\n\n', 'malformed-frame'],
   [
-    'a whole frame that is too large',
+    'a complete frame over the size limit',
     `id: ${OWN}:0\ndata: ${'a'.repeat(200)}\n\n`,
     'frame-too-large',
   ],
-  ['a frame that never ends', `id: ${OWN}:0\ndata: ${'a'.repeat(300)}`, 'frame-too-large'],
+  [
+    'an incomplete frame over the size limit',
+    `id: ${OWN}:0\ndata: ${'a'.repeat(300)}`,
+    'frame-too-large',
+  ],
 ] as const) {
   test(`${name} is a fault`, () => {
     const { reader, tokens } = read([Buffer.from(text)]);
--- a/test/http/grant-lapse.test.ts
+++ b/test/http/grant-lapse.test.ts
@@ -1,4 +1,4 @@
-/** The dispatch grant is looked at again when a request is about to leave. */
+/** The grant to dispatch is checked again immediately before a request is sent. */
 import assert from 'node:assert/strict';
 import { once } from 'node:events';
 import { type AddressInfo, createServer, type Socket } from 'node:net';
@@ -13,17 +13,17 @@
   wholeAnswer,
 } from './support.js';
 
-const WHOLE = { model: 'labels', prompt: 'p' };
-const GRANTED_UNTIL = 1_000;
+const COMPLETION = { model: 'labels', prompt: 'p' };
+const GRANT_ENDS_AT_MS = 1_000;
 
-function serveWhole(socket: Socket, text: string): void {
+function serveCompletion(socket: Socket, text: string): void {
   const body = wholeAnswer('whole');
   socket.end(
     `HTTP/1.1 200 OK\r\ncontent-type: application/json\r\nx-threadfork-attempt: ${attemptOf(text)}\r\ncontent-length: ${Buffer.byteLength(body)}\r\n\r\n${body}`,
   );
 }
 
-/** A backend that counts what it gets; `closed` resolves once its first connection is over. */
+/** A backend whose `closed` resolves to the byte count of its first connection when that closes. */
 async function startCountingBackend() {
   const server = createServer();
   const first = once(server, 'connection');
@@ -45,22 +45,22 @@
   return { kind: 'dispatch', backend: name, address, port, sendBefore };
 }
 
-test('a request whose grant ends while it connects leaves no byte and goes elsewhere', async (t) => {
+test('a request whose grant lapses while connecting sends no byte and goes to another backend', async (t) => {
   const counting = await startCountingBackend();
   const slow = { name: 'slow', address: '127.0.0.1', port: counting.port, close: async () => {} };
-  const other = await startRawBackend('other', serveWhole);
-  let clock = GRANTED_UNTIL - 1;
+  const other = await startRawBackend('other', serveCompletion);
+  let clock = GRANT_ENDS_AT_MS - 1;
   let choices = 0;
   const harness = await startHarness({
     now: () => clock,
     choose: () => {
       choices += 1;
       if (choices > 1) return choiceOf(other, clock + 1_000);
-      // Runs after the dispatch and before any connection can be open.
+      // Runs after the dispatch and before a connection can be established.
       queueMicrotask(() => {
-        clock = GRANTED_UNTIL;
+        clock = GRANT_ENDS_AT_MS;
       });
-      return choiceOf(slow, GRANTED_UNTIL);
+      return choiceOf(slow, GRANT_ENDS_AT_MS);
     },
   });
   t.after(async () => {
@@ -68,7 +68,7 @@
     await other.close();
     counting.close();
   });
-  const answer = await call(harness.port, '/v1/completions', { body: WHOLE });
+  const answer = await call(harness.port, '/v1/completions', { body: COMPLETION });
   assert.equal(answer.status, 200);
   assert.equal(await counting.closed, 0);
   const reports = harness.events.flatMap((event) =>
@@ -83,17 +83,19 @@
   );
 });
 
-test('a grant that has ended at the dispatch opens no connection', async (t) => {
-  const unused = await startRawBackend('unused', () => assert.fail('a request came'));
+test('a request whose grant has lapsed before the dispatch opens no connection', async (t) => {
+  const unused = await startRawBackend('unused', () =>
+    assert.fail('the backend received a request without a valid grant'),
+  );
   const harness = await startHarness({
-    now: () => GRANTED_UNTIL,
-    choose: () => choiceOf(unused, GRANTED_UNTIL),
+    now: () => GRANT_ENDS_AT_MS,
+    choose: () => choiceOf(unused, GRANT_ENDS_AT_MS),
   });
   t.after(async () => {
     await harness.close();
     await unused.close();
   });
-  const answer = await call(harness.port, '/v1/completions', { body: WHOLE });
+  const answer = await call(harness.port, '/v1/completions', { body: COMPLETION });
   assert.equal(answer.status, 503);
   assert.match(answer.body, /"outcome":"refused: not run"/);
 });
--- a/test/http/hostile-backends.test.ts
+++ b/test/http/hostile-backends.test.ts
@@ -1,4 +1,4 @@
-/** Backends that break the protocol: callers get their own whole answer or a visible failure. */
+/** Backends that violate the protocol: callers get a complete answer or a visible failure. */
 import assert from 'node:assert/strict';
 import type { Socket } from 'node:net';
 import { describe, type TestContext, test } from 'node:test';
@@ -19,18 +19,18 @@
 } from './support.js';
 
 const LIMITS = { backendStallTimeoutMs: 100, backendHeadersTimeoutMs: 100, maxFrameBytes: 2_000 };
-const STREAM = { model: 'labels', prompt: 'p', stream: true };
-const WHOLE = { model: 'labels', prompt: 'p' };
+const STREAMED_COMPLETION = { model: 'labels', prompt: 'p', stream: true };
+const COMPLETION = { model: 'labels', prompt: 'p' };
 const TEXT = ['a ', 'b ', 'c ', 'd'];
 
-/** What a hostile engine writes for an attempt. */
+/** Writes a hostile engine's answer to an attempt. */
 type Script = (socket: Socket, attempt: string) => void;
 
-/** An engine that does everything right, from the offset it is asked for. */
-function serveWell(socket: Socket, text: string): void {
+/** Answers as a correct engine does, from the requested resume offset. */
+function serveCorrectly(socket: Socket, text: string): void {
   const attempt = attemptOf(text);
   if (!text.includes('"stream":true')) {
-    socket.end(wholeResponse(attempt, wholeAnswer('whole')));
+    socket.end(completionResponse(attempt, wholeAnswer('whole')));
     return;
   }
   socket.write(streamHead(attempt));
@@ -40,14 +40,18 @@
   socket.end(endFrames(attempt, TEXT.length));
 }
 
-function wholeResponse(attempt: string, body: string, length = Buffer.byteLength(body)): string {
+function completionResponse(
+  attempt: string,
+  body: string,
+  length = Buffer.byteLength(body),
+): string {
   return `HTTP/1.1 200 OK\r\ncontent-type: application/json\r\nx-threadfork-attempt: ${attempt}\r\ncontent-length: ${length}\r\n\r\n${body}`;
 }
 
 async function startPair(t: TestContext, script: Script, healthy = true): Promise<Harness> {
   const hostile = await startRawBackend('e1', (socket, text) => script(socket, attemptOf(text)));
   const backends = [hostile];
-  if (healthy) backends.push(await startRawBackend('e2', serveWell));
+  if (healthy) backends.push(await startRawBackend('e2', serveCorrectly));
   const harness = await startHarness({ backends, limits: LIMITS });
   t.after(async () => {
     await harness.close();
@@ -65,7 +69,7 @@
 const STREAM_SCRIPTS: readonly (readonly [name: string, reason: string | null, script: Script])[] =
   [
     [
-      'foreign, late and repeated frames',
+      'repeated frames and frames of other attempts',
       null,
       (socket, attempt) => {
         socket.write(streamHead(attempt) + tokenFrame(attempt, 0, 'a '));
@@ -77,7 +81,7 @@
       },
     ],
     [
-      'a gap',
+      'a gap in the offsets',
       'offset-gap',
       (socket, attempt) => {
         socket.write(streamHead(attempt) + tokenFrame(attempt, 0, 'a '));
@@ -90,7 +94,7 @@
       (socket, attempt) => socket.end(streamHead(attempt) + tokenFrame(attempt, 0, 'a ')),
     ],
     [
-      'a reset',
+      'a connection reset',
       'ended-early|ECONNRESET|UND_ERR_SOCKET',
       (socket, attempt) => {
         const sent = streamHead(attempt) + tokenFrame(attempt, 0, 'a ');
@@ -127,7 +131,7 @@
     ],
     ['a stall before the head', 'UND_ERR_HEADERS_TIMEOUT', () => {}],
     [
-      'garbage in a frame',
+      'a frame with invalid JSON',
       'malformed-frame',
       (socket, attempt) => {
         const good = streamHead(attempt) + tokenFrame(attempt, 0, 'a ');
@@ -135,7 +139,7 @@
       },
     ],
     [
-      'a frame without an end',
+      'an incomplete frame over the size limit',
       'frame-too-large',
       (socket, attempt) => {
         const good = streamHead(attempt) + tokenFrame(attempt, 0, 'a ');
@@ -145,11 +149,11 @@
     [
       "another attempt's answer",
       'foreign-answer',
-      (socket) => serveWell(socket, 'x-threadfork-attempt: d9-1-1.1\r\n"stream":true'),
+      (socket) => serveCorrectly(socket, 'x-threadfork-attempt: d9-1-1.1\r\n"stream":true'),
     ],
-    ['no HTTP', 'HTTPParserError', (socket) => socket.end('garbage\r\n\r\n')],
+    ['an answer that is not HTTP', 'HTTPParserError', (socket) => socket.end('garbage\r\n\r\n')],
     [
-      'a 500',
+      'a status 500',
       'status-500',
       (socket, attempt) =>
         socket.end(
@@ -157,7 +161,7 @@
         ),
     ],
     [
-      'a refusal that does not say that it was not run',
+      'a refusal that does not confirm that the request was not run',
       'status-503',
       (socket) => socket.end('HTTP/1.1 503 No\r\ncontent-length: 2\r\n\r\n{}'),
     ],
@@ -165,9 +169,9 @@
 
 describe('streamed answers', { concurrency: true }, () => {
   for (const [name, reason, script] of STREAM_SCRIPTS) {
-    test(`stream, ${name}: the caller gets each token once, from a healthy engine if need be`, async (t) => {
+    test(`stream, ${name}: the caller gets each token once, if needed from another engine`, async (t) => {
       const harness = await startPair(t, script);
-      const answer = await call(harness.port, '/v1/completions', { body: STREAM });
+      const answer = await call(harness.port, '/v1/completions', { body: STREAMED_COMPLETION });
       assert.equal(streamedText(answer.body), TEXT.join(''));
       assert.ok(answer.body.endsWith('data: [DONE]\n\n'));
       assert.equal(answer.broken, false);
@@ -175,10 +179,13 @@
     });
 
     if (reason === null) continue;
-    test(`stream, ${name}, not repeatable: a visible failure of unknown outcome`, async (t) => {
+    test(`stream, ${name}, not repeatable: the caller gets a failure with unknown outcome`, async (t) => {
       const harness = await startPair(t, script);
       const headers = { 'x-threadfork-repeatable': 'false' };
-      const answer = await call(harness.port, '/v1/completions', { body: STREAM, headers });
+      const answer = await call(harness.port, '/v1/completions', {
+        body: STREAMED_COMPLETION,
+        headers,
+      });
       assertVisiblyFailed(answer);
       assert.equal(harness.effects.filter((effect) => effect.kind === 'dispatch').length, 1);
     });
@@ -196,45 +203,46 @@
   }
 }
 
-const LARGE = wholeAnswer('x'.repeat(200_000));
+const LARGE_COMPLETION = wholeAnswer('x'.repeat(200_000));
 
-const WHOLE_SCRIPTS: readonly (readonly [name: string, reason: string, script: Script])[] = [
+const COMPLETION_SCRIPTS: readonly (readonly [name: string, reason: string, script: Script])[] = [
   [
     'an early close',
     'UND_ERR_SOCKET',
-    (socket, attempt) => socket.end(wholeResponse(attempt, wholeAnswer('cut').slice(0, 50), 400)),
+    (socket, attempt) =>
+      socket.end(completionResponse(attempt, wholeAnswer('cut').slice(0, 50), 400)),
   ],
   [
     'a stall',
     'UND_ERR_BODY_TIMEOUT',
-    (socket, attempt) => socket.write(wholeResponse(attempt, '{"id"', 400)),
+    (socket, attempt) => socket.write(completionResponse(attempt, '{"id"', 400)),
   ],
   [
-    'no length',
+    'no content length',
     'no-length',
     (socket, attempt) =>
       socket.end(`HTTP/1.1 200 OK\r\nx-threadfork-attempt: ${attempt}\r\n\r\n${wholeAnswer('x')}`),
   ],
   [
-    'an answer that is not one',
+    'an answer that is not JSON',
     'malformed-answer',
-    (socket, attempt) => socket.end(wholeResponse(attempt, 'garbage')),
+    (socket, attempt) => socket.end(completionResponse(attempt, 'garbage')),
   ],
   [
-    'a length that is too small',
+    'a content length that is too small',
     'malformed-answer',
     (socket, attempt) => {
       const body = wholeAnswer('cut');
-      socket.end(wholeResponse(attempt, body, body.length - 2));
+      socket.end(completionResponse(attempt, body, body.length - 2));
     },
   ],
   [
-    'a foreign answer',
+    "another attempt's answer",
     'foreign-answer',
-    (socket) => socket.end(wholeResponse('d9-1-1.1', wholeAnswer('FOREIGN'))),
+    (socket) => socket.end(completionResponse('d9-1-1.1', wholeAnswer('FOREIGN'))),
   ],
   [
-    'two lengths',
+    'two content lengths',
     'UND_ERR_RES_CONTENT_LENGTH_MISMATCH',
     (socket, attempt) =>
       socket.end(
@@ -243,83 +251,86 @@
   ],
 ];
 
-describe('whole answers', { concurrency: true }, () => {
-  for (const [name, reason, script] of WHOLE_SCRIPTS) {
-    test(`whole, ${name}: the caller gets the answer of a healthy engine`, async (t) => {
+describe('unstreamed answers', { concurrency: true }, () => {
+  for (const [name, reason, script] of COMPLETION_SCRIPTS) {
+    test(`unstreamed, ${name}: the caller gets the answer of a healthy engine`, async (t) => {
       const harness = await startPair(t, script);
-      const answer = await call(harness.port, '/v1/completions', { body: WHOLE });
+      const answer = await call(harness.port, '/v1/completions', { body: COMPLETION });
       assert.equal(answer.body, wholeAnswer('whole'));
       assert.deepEqual(brokenReasons(harness), [reason]);
     });
 
-    test(`whole, ${name}, not repeatable: a failure of unknown outcome`, async (t) => {
+    test(`unstreamed, ${name}, not repeatable: the caller gets a failure with unknown outcome`, async (t) => {
       const harness = await startPair(t, script);
       const headers = { 'x-threadfork-repeatable': 'false' };
-      const answer = await call(harness.port, '/v1/completions', { body: WHOLE, headers });
+      const answer = await call(harness.port, '/v1/completions', { body: COMPLETION, headers });
       assertVisiblyFailed(answer);
     });
   }
 });
 
-test('a large whole answer that breaks off after its head is cut, never ended as if whole', async (t) => {
+test('the connection is closed, not ended normally, when a large answer breaks off after its head', async (t) => {
   const harness = await startPair(t, (socket, attempt) => {
-    const part = wholeResponse(attempt, LARGE).slice(0, 150_000);
+    const part = completionResponse(attempt, LARGE_COMPLETION).slice(0, 150_000);
     socket.write(part, () => socket.destroy());
   });
-  const answer = await call(harness.port, '/v1/completions', { body: WHOLE });
+  const answer = await call(harness.port, '/v1/completions', { body: COMPLETION });
   assert.equal(answer.broken, true);
   assert.equal(harness.effects.filter((effect) => effect.kind === 'dispatch').length, 1);
 });
 
-for (const [name, leave] of [
+for (const [name, disconnect] of [
   ['closes', (socket: Socket) => socket.end()],
   ['resets', (socket: Socket) => setImmediate(() => socket.resetAndDestroy())],
 ] as const) {
   for (const connection of ['close', 'keep-alive']) {
-    test(`a chunked answer whose backend ${name} in the middle (${connection}) is cut`, async (t) => {
+    test(`the connection is closed when the backend ${name} mid-answer (chunked, ${connection})`, async (t) => {
       const head = `HTTP/1.1 200 OK\r\ntransfer-encoding: chunked\r\nconnection: ${connection}\r\n\r\n`;
       const harness = await startPair(t, (socket) =>
-        socket.write(`${head}5\r\nhello\r\n`, () => leave(socket)),
+        socket.write(`${head}5\r\nhello\r\n`, () => disconnect(socket)),
       );
       const answer = await call(harness.port, '/sheets/1');
-      // A reset may overtake what was written before it; then another backend has answered.
-      assert.ok(answer.broken || answer.body !== 'hello', 'a cut answer was ended as if whole');
+      // A reset may discard the data written before it; then the other backend answers instead.
+      assert.ok(
+        answer.broken || answer.body !== 'hello',
+        'an incomplete answer was ended as complete',
+      );
     });
   }
 }
 
-test('bytes beyond the stated length are not handed over', async (t) => {
+test('bytes beyond the Content-Length are not forwarded', async (t) => {
   const body = wholeAnswer('right');
   const harness = await startPair(t, (socket, attempt) =>
-    socket.end(`${wholeResponse(attempt, body)}MORE`),
+    socket.end(`${completionResponse(attempt, body)}MORE`),
   );
-  const answer = await call(harness.port, '/v1/completions', { body: WHOLE });
+  const answer = await call(harness.port, '/v1/completions', { body: COMPLETION });
   assert.equal(answer.body, body);
 });
 
-test('refusals go to another engine; an overloaded fleet is answered with Retry-After', async (t) => {
+test('a refused request goes to another engine; if none is left, it is refused as not run', async (t) => {
   const refusal = '{"error":{"code":"engine-full","message":"full"},"notRun":true}';
   const script: Script = (socket) =>
     socket.end(
       `HTTP/1.1 429 Full\r\nretry-after: 7\r\ncontent-length: ${refusal.length}\r\n\r\n${refusal}`,
     );
   const pair = await startPair(t, script);
-  const answer = await call(pair.port, '/v1/completions', { body: WHOLE });
+  const answer = await call(pair.port, '/v1/completions', { body: COMPLETION });
   assert.equal(answer.body, wholeAnswer('whole'));
   const alone = await startPair(t, script, false);
-  const refused = await call(alone.port, '/v1/completions', { body: WHOLE });
+  const refused = await call(alone.port, '/v1/completions', { body: COMPLETION });
   assert.equal(refused.status, 503);
   assert.match(refused.body, /"outcome":"refused: not run"/);
 });
 
-test("an engine's word on a flaw of the request goes to the caller as it is", async (t) => {
+test("an engine's report of an error in the request is forwarded unchanged", async (t) => {
   const flaw = '{"error":{"message":"prompt too long"}}';
   const script: Script = (socket, attempt) =>
     socket.end(
       `HTTP/1.1 400 Bad\r\nx-threadfork-attempt: ${attempt}\r\ncontent-length: ${flaw.length}\r\n\r\n${flaw}`,
     );
   const harness = await startPair(t, script);
-  for (const body of [STREAM, WHOLE]) {
+  for (const body of [STREAMED_COMPLETION, COMPLETION]) {
     const answer = await call(harness.port, '/v1/completions', { body });
     assert.deepEqual([answer.status, answer.body], [400, flaw]);
   }
--- a/test/http/idempotency-and-stop.test.ts
+++ b/test/http/idempotency-and-stop.test.ts
@@ -1,4 +1,4 @@
-/** Idempotency keys over HTTP, and a planned stop of the server. */
+/** Idempotency keys over HTTP, and planned stops of the server. */
 import assert from 'node:assert/strict';
 import { once } from 'node:events';
 import type { ServerResponse } from 'node:http';
@@ -27,7 +27,7 @@
   return harness;
 }
 
-/** An order service that counts its runs and answers when told to. */
+/** An order service that records its running requests; tests answer them. */
 async function startOrders(): Promise<{
   readonly backend: Backend;
   readonly running: ServerResponse[];
@@ -43,7 +43,7 @@
   return { backend, running, arrived };
 }
 
-test('a repeat of a key gets the recorded answer, another body a conflict, and the work runs once', async (t) => {
+test('a repeat of a key gets the recorded answer, another body a conflict, and the request runs once', async (t) => {
   const orders = await startOrders();
   const harness = await start(t, orders.backend);
   const arrived = orders.arrived();
@@ -64,14 +64,14 @@
   assert.equal(orders.running.length, 1);
 });
 
-test('a renewal whose caller left runs on, and a repeat learns its outcome', async (t) => {
+test('a keyed request continues after its caller disconnects, and a repeat gets its outcome', async (t) => {
   const orders = await startOrders();
   const harness = await start(t, orders.backend);
   const arrived = orders.arrived();
-  const leaving = new AbortController();
-  const first = call(harness.port, '/sheets/orders', { ...KEYED, signal: leaving.signal });
+  const callerAbort = new AbortController();
+  const first = call(harness.port, '/sheets/orders', { ...KEYED, signal: callerAbort.signal });
   await arrived;
-  leaving.abort();
+  callerAbort.abort();
   await assert.rejects(first);
   await harness.eventually(() => harness.events.some((event) => event.kind === 'caller-gone'));
   orders.running[0]?.end('renewed');
@@ -81,7 +81,7 @@
   assert.equal(harness.server.activeRequests, 0);
 });
 
-test('a renewal whose service breaks off is unknown, and so is its repeat', async (t) => {
+test('a keyed request whose service breaks off has an unknown outcome, and so has its repeat', async (t) => {
   let runs = 0;
   const service = await startRawBackend('orders', (socket) => {
     runs += 1;
@@ -97,7 +97,7 @@
   assert.equal(runs, 1);
 });
 
-test('with the store down a keyed request is refused as not run', async (t) => {
+test('a keyed request is refused as not run while the store is down', async (t) => {
   const orders = await startOrders();
   const harness = await start(t, orders.backend);
   harness.store.mode = 'down';
@@ -107,7 +107,7 @@
   assert.equal(orders.running.length, 0);
 });
 
-test('a streamed answer under a key is replayed whole', async (t) => {
+test('a streamed answer is replayed completely for a repeat of its key', async (t) => {
   const engine = await startRawBackend('e1', (socket, text) => {
     const attempt = attemptOf(text);
     socket.end(streamHead(attempt) + tokenFrame(attempt, 0, 'a', true) + endFrames(attempt, 1));
@@ -124,7 +124,7 @@
   assert.equal(repeat.headers['content-type'], 'text/event-stream');
 });
 
-test('a planned stop lets running answers end, says so on open connections and closes them', async (t) => {
+test('a planned stop closes idle connections and lets running answers complete', async (t) => {
   const orders = await startOrders();
   const harness = await start(t, orders.backend);
   const agent = new Agent({ keepAlive: true, maxSockets: 1 });
@@ -133,7 +133,7 @@
   await once(idle, 'connect');
   idle.resume();
   const arrived = orders.arrived();
-  const running = keptCall(harness.port, agent);
+  const running = callWithAgent(harness.port, agent);
   await arrived;
   const stopped = harness.server.stopAccepting();
   assert.equal(harness.server.activeRequests, 1);
@@ -144,7 +144,7 @@
   await harness.eventually(() => harness.table.activeCount === 0);
 });
 
-test('a connection that is used during a stop is told to close', async (t) => {
+test('a request on an open connection during a stop is answered with connection: close', async (t) => {
   const harness = await startHarness({ limits: { stopIdleGraceMs: 500 } });
   t.after(() => harness.close());
   const socket = connect(harness.port, '127.0.0.1');
@@ -162,7 +162,7 @@
   assert.match(text, /connection: close/i);
 });
 
-function keptCall(port: number, agent: Agent): Promise<string> {
+function callWithAgent(port: number, agent: Agent): Promise<string> {
   return new Promise((resolve, reject) => {
     const request = sendRequest(
       {
--- a/test/http/support.ts
+++ b/test/http/support.ts
@@ -1,4 +1,4 @@
-/** A caller server with the real request table behind it, and backends that tests script. */
+/** A caller server with the real request table, and backends whose answers the tests script. */
 import { createHash } from 'node:crypto';
 import { once } from 'node:events';
 import {
@@ -51,13 +51,13 @@
   anonymousTenant: null,
 });
 
-/** A backend as the harness chooses it. */
+/** A backend that the harness can dispatch to. */
 export interface Backend extends Endpoint {
   readonly name: string;
   close(): Promise<void>;
 }
 
-/** Everything a test needs of one running caller server. */
+/** A running caller server with its request table, store, events and effects. */
 export interface Harness {
   readonly server: CallerServer;
   readonly table: RequestTable;
@@ -65,7 +65,7 @@
   readonly store: FakeStore;
   readonly events: readonly CallerEvent[];
   readonly effects: readonly RequestTableEffect[];
-  /** Resolves once a seen or coming event satisfies the condition. */
+  /** Resolves when the condition holds; it is checked now and after each event. */
   eventually(condition: () => boolean): Promise<void>;
   tick(): void;
   close(): Promise<void>;
@@ -75,14 +75,16 @@
   readonly backends?: readonly Backend[];
   readonly limits?: Partial<HttpLimits>;
   readonly anonymous?: boolean;
-  /** 0: no configuration was ever stated. */
+  /** 0: no configuration has been set. */
   readonly configurationVersion?: number;
-  /** The daemon's clock; the machine's own unless given. */
+  /** The daemon's monotonic clock in milliseconds; `performance.now()` by default. */
   readonly now?: () => number;
   readonly choose?: (description: RequestDescription) => RouteChoice | null;
 }
 
-const NO_BACKEND: Fault = refusedNotRun('no-backend', 'None is left.', { retryAfterMs: 1_000 });
+const NO_BACKEND: Fault = refusedNotRun('no-backend', 'No backend is left.', {
+  retryAfterMs: 1_000,
+});
 
 /** Starts a caller server whose requests go to the first backend that is not excluded. */
 export async function startHarness(options: HarnessOptions = {}): Promise<Harness> {
@@ -170,7 +172,7 @@
   return ['dispatch', 'refuse', 'abort', 'cancel', 'replay'].includes(effect.kind);
 }
 
-/** A backend that speaks HTTP as scripted. */
+/** A backend whose HTTP answers the test scripts. */
 export async function startHttpBackend(name: string, handle: RequestListener): Promise<Backend> {
   const server = createServer(handle);
   server.listen(0, '127.0.0.1');
@@ -183,7 +185,7 @@
   return { name, address: '127.0.0.1', port, close };
 }
 
-/** A backend that writes what it likes. `handle` gets each request's head and body as text. */
+/** A backend that writes raw bytes. `handle` receives each request's head and body as text. */
 export async function startRawBackend(
   name: string,
   handle: (socket: Socket, text: string) => void,
@@ -196,10 +198,10 @@
     let text = '';
     socket.on('data', (chunk) => {
       text += chunk.toString('latin1');
-      if (!isWholeRequest(text)) return;
-      const whole = text;
+      if (!isCompleteRequest(text)) return;
+      const requestText = text;
       text = '';
-      handle(socket, whole);
+      handle(socket, requestText);
     });
   });
   server.listen(0, '127.0.0.1');
@@ -212,7 +214,7 @@
   return { name, address: '127.0.0.1', port, close };
 }
 
-function isWholeRequest(text: string): boolean {
+function isCompleteRequest(text: string): boolean {
   const head = text.indexOf('\r\n\r\n');
   if (head < 0) return false;
   const length = /content-length: *(\d+)/i.exec(text.slice(0, head))?.[1] ?? '0';
@@ -240,12 +242,12 @@
   return `id: ${attempt}:${offset}\ndata: {"id":"e-${attempt}","object":"text_completion","created":1,"model":"labels","choices":[],"usage":{"prompt_tokens":3,"completion_tokens":${offset}}}\n\ndata: [DONE]\n\n`;
 }
 
-/** The head of an engine's streamed answer; its body ends with the connection. */
+/** The head of an engine's streamed answer, whose body ends when the connection closes. */
 export function streamHead(attempt: string): string {
   return `HTTP/1.1 200 OK\r\ncontent-type: text/event-stream\r\nx-threadfork-attempt: ${attempt}\r\nconnection: close\r\n\r\n`;
 }
 
-/** A whole model answer. */
+/** The body of an unstreamed completion. */
 export function wholeAnswer(text: string): string {
   return JSON.stringify({
     id: 'cmpl-1',
@@ -257,7 +259,7 @@
   });
 }
 
-/** What a caller got. `broken`: the connection was cut before the answer was whole. */
+/** The answer that a caller received. `broken`: the connection closed before its end. */
 export interface Answer {
   readonly status: number;
   readonly headers: IncomingHttpHeaders;
@@ -272,7 +274,7 @@
   readonly signal?: AbortSignal;
 }
 
-/** Sends a request as a caller with the test's API key. */
+/** Sends a request with the test's API key. */
 export function call(port: number, path: string, options: CallOptions = {}): Promise<Answer> {
   const { body, method = body === undefined ? 'GET' : 'POST' } = options;
   return new Promise((resolve, reject) => {
@@ -308,7 +310,7 @@
   });
 }
 
-/** The texts of a completion stream's chunks, joined. */
+/** The joined texts of a completion stream's chunks. */
 export function streamedText(body: string): string {
   return dataOf(body)
     .map((chunk) => chunk.choices?.[0]?.text ?? chunk.choices?.[0]?.delta?.content ?? '')
@@ -327,7 +329,7 @@
   }[];
 }
 
-/** The parsed data of a stream's events but the end marker. */
+/** The parsed data of a stream's events, without the end marker. */
 export function dataOf(body: string): readonly Chunk[] {
   return body
     .split('\n\n')
@@ -335,7 +337,7 @@
     .map((event) => JSON.parse(event.slice('data: '.length)) as Chunk);
 }
 
-/** Opens a raw connection to the server; collects what comes back until it closes. */
+/** Sends raw text to the server and returns all that it answers until the connection closes. */
 export function rawCall(port: number, text: string, end = false): Promise<string> {
   return new Promise((resolve) => {
     const socket = connect(port, '127.0.0.1');
