--- a/src/shell/http/caller-routes.ts
+++ b/src/shell/http/caller-routes.ts
@@ -31,7 +31,7 @@
   /** The index of the configuration that is in force now. */
   index(): ConfigurationIndex;
   /** Starts a request. Its body stays reserved in `bodies` until the request is released. */
-  begin(intake: Intake, response: ServerResponse): void;
+  begin(preparedRequest: Intake, response: ServerResponse): void;
 }
 
 type TakeIn = (arrival: Arrival, caller: Caller) => Result<Intake, Fault>;
--- a/src/shell/http/caller-server.ts
+++ b/src/shell/http/caller-server.ts
@@ -241,8 +241,8 @@
   }
 
   /** Registers a request and reports its arrival to the core. */
-  begin(intake: Intake, response: ServerResponse): void {
-    const { description, call, plan } = intake;
+  begin(preparedRequest: Intake, response: ServerResponse): void {
+    const { description, call, plan } = preparedRequest;
     const active = new ActiveRequest(this, description, response, call, plan);
     this.#requests.set(description.id, active);
     this.#options.emit({ kind: 'request-arrived', description });
