--- a/src/core/admission/admission-queue.ts
+++ b/src/core/admission/admission-queue.ts
@@ -1,6 +1,6 @@
 /**
- * Admission by the product's own API document: classes and tenants are those of the configuration, and
- * requests cost what their tokens cost.
+ * Admission of requests of the product's own API. Classes and tenants come from the configuration document; the
+ * cost of a request follows from its tokens.
  */
 import type { ClassName, RequestId } from '../common/identifiers.js';
 import {
@@ -15,10 +15,13 @@
 import { estimatedCost, type TokenUse, tokenCost } from './token-cost.js';
 import { type AdmissionLimits, WaitingLines } from './waiting-lines.js';
 
-/** A class that the configuration has dropped while requests of it were under way. */
-const UNSTATED_CLASS: ClassConfiguration = classSchema.parse({ priority: 9, deadlineMs: 30_000 });
+/** Applies to requests whose class was removed from the configuration while they were in progress. */
+const REMOVED_CLASS_DEFAULTS: ClassConfiguration = classSchema.parse({
+  priority: 9,
+  deadlineMs: 30_000,
+});
 
-/** The rules of one configuration after the other. */
+/** Admission rules that follow the current configuration document. */
 class DocumentRules implements AdmissionRules<RequestDescription> {
   readonly minClassShare = MIN_CLASS_SHARE;
   document: ConfigurationDocument = EMPTY_CONFIGURATION.document;
@@ -32,7 +35,7 @@
   }
 
   classOf(name: ClassName): ClassConfiguration {
-    return this.document.classes[name] ?? UNSTATED_CLASS;
+    return this.document.classes[name] ?? REMOVED_CLASS_DEFAULTS;
   }
 
   weightOf(tenant: string): number {
@@ -40,7 +43,7 @@
   }
 }
 
-/** All requests of the product's own API that wait or were let go. */
+/** All requests of the product's own API that are waiting or admitted. */
 export class AdmissionQueue extends WaitingLines<RequestDescription> {
   readonly #documentRules: DocumentRules;
 
@@ -50,13 +53,13 @@
     this.#documentRules = rules;
   }
 
-  /** Takes over classes, shares and weights. */
+  /** Applies the classes, shares and weights of a configuration. */
   configure(configuration: ConfigurationDocument): void {
     this.#documentRules.document = configuration;
     this.rulesChanged();
   }
 
-  /** Notes the end of a request with what it used in fact; null when it was not run. */
+  /** Records the end of a request with the tokens that it used; null when it was not run. */
   finished(id: RequestId, used: TokenUse | null): void {
     this.settle(id, used === null ? 0 : tokenCost(used));
   }
--- a/src/core/admission/admission-rules.ts
+++ b/src/core/admission/admission-rules.ts
@@ -1,36 +1,36 @@
 /**
- * What admission has to know of requests, classes and tenants, wherever they are described: the product's
- * own API document or the routes of a gateway.
+ * What admission needs to know about requests, classes and tenants. The rules come from the configuration document
+ * of the product's own API, or from the routes of a gateway.
  */
 import type { ClassName, RequestId, TenantName } from '../common/identifiers.js';
 import type { MonotonicMs } from '../common/time.js';
 
-/** A request as far as admission looks at it. */
+/** The fields of a request that admission uses. */
 export interface Admissible {
   readonly id: RequestId;
   readonly tenant: TenantName;
   readonly className: ClassName;
   readonly arrivedAt: MonotonicMs;
-  /** When it has to be let go at the latest. */
+  /** The latest time at which the request may be dispatched. */
   readonly deadline: MonotonicMs;
 }
 
-/** What a class may have while others wait. */
+/** The priority of a class, and its share of capacity while other classes wait. */
 export interface ClassRules {
-  /** A lower number goes first. */
+  /** Classes with a lower number are dispatched first. */
   readonly priority: number;
-  /** Its part of what was let go lately, from 0 to 1, while another class waits. */
+  /** The largest fraction (0 to 1) of the recently admitted cost that the class may have while another class waits. */
   readonly share: number;
 }
 
-/** How requests are told apart. */
+/** How requests are grouped, priced and prioritized. */
 export interface AdmissionRules<Request extends Admissible> {
-  /** Requests of one lane wait for the same room. */
+  /** The key of a request's lane. Requests of one lane wait for the same capacity. */
   laneOf(request: Request): string;
-  /** What it is expected to take up; above 0. */
+  /** The expected cost of a request; above 0. */
   costOf(request: Request): number;
   classOf(name: ClassName): ClassRules;
   weightOf(tenant: TenantName): number;
-  /** What each class that waits gets at least; 0 where the order of classes is strict. */
+  /** The minimum share of each class that has requests waiting; 0 where the order of classes is strict. */
   readonly minClassShare: number;
 }
--- a/src/core/admission/drain-rate.ts
+++ b/src/core/admission/drain-rate.ts
@@ -1,47 +1,47 @@
 /**
- * How fast a lane's queue is being served, measured only while something waits: the cost let go a
- * second, with older seconds counting less.
+ * The rate at which a lane's queue drains: dispatched cost per millisecond, as an exponentially decaying average.
+ * Only time in which requests wait counts.
  */
 import type { Milliseconds, MonotonicMs } from '../common/time.js';
 
-/** The time over which a measurement fades to 1/e. */
-const FADE_MS: Milliseconds = 5_000;
-/** Waiting time that has to be seen before a rate is given. */
-const MIN_SEEN_MS: Milliseconds = 100;
+/** The time in which a measurement decays to 1/e of its weight. */
+const DECAY_TIME_MS: Milliseconds = 5_000;
+/** No rate is reported before requests have waited for this long in total. */
+const MIN_MEASURED_MS: Milliseconds = 100;
 
-/** The measurement. Updated in place by its owner. */
+/** Measures the drain rate of one lane. Updated in place by its owner. */
 export class DrainRate {
   #cost = 0;
   #busyMs = 0;
-  #seenUpTo: MonotonicMs | null = null;
+  #measuredUpTo: MonotonicMs | null = null;
 
-  /** Notes that something waits from now on, or goes on waiting. */
+  /** Records that requests are waiting, from now on or still. */
   busy(now: MonotonicMs): void {
-    if (this.#seenUpTo !== null) {
-      this.#pass(Math.max(0, now - this.#seenUpTo));
+    if (this.#measuredUpTo !== null) {
+      this.#advance(Math.max(0, now - this.#measuredUpTo));
     }
-    this.#seenUpTo = now;
+    this.#measuredUpTo = now;
   }
 
-  /** Notes that nothing waits from now on. */
+  /** Records that no requests wait from now on. */
   idle(now: MonotonicMs): void {
     this.busy(now);
-    this.#seenUpTo = null;
+    this.#measuredUpTo = null;
   }
 
-  /** Notes that waiting work was let go. */
+  /** Records the cost of a waiting request that was dispatched. */
   served(cost: number): void {
     this.#cost += cost;
   }
 
-  /** Cost let go a millisecond while something waits, or null before enough was seen. */
+  /** Cost dispatched per millisecond while requests wait; null before enough waiting time was measured. */
   get perMs(): number | null {
-    return this.#busyMs < MIN_SEEN_MS ? null : this.#cost / this.#busyMs;
+    return this.#busyMs < MIN_MEASURED_MS ? null : this.#cost / this.#busyMs;
   }
 
-  #pass(elapsed: Milliseconds): void {
-    const kept = Math.exp(-elapsed / FADE_MS);
-    this.#cost *= kept;
-    this.#busyMs = this.#busyMs * kept + FADE_MS * (1 - kept);
+  #advance(elapsed: Milliseconds): void {
+    const factor = Math.exp(-elapsed / DECAY_TIME_MS);
+    this.#cost *= factor;
+    this.#busyMs = this.#busyMs * factor + DECAY_TIME_MS * (1 - factor);
   }
 }
--- a/src/core/admission/expected-wait.ts
+++ b/src/core/admission/expected-wait.ts
@@ -1,10 +1,10 @@
-/** How long a request offered now would wait for its turn. */
+/** Estimates how long a request offered now would wait before it is dispatched. */
 import type { TenantName } from '../common/identifiers.js';
 import type { Milliseconds } from '../common/time.js';
 import type { FairQueue } from './fair-queue.js';
 import type { Lane } from './lane.js';
 
-/** What an estimate is made from. */
+/** The input of an estimate. */
 export interface WaitInput {
   readonly lane: Pick<Lane, 'costAbove' | 'rate' | 'size'>;
   readonly queue: Pick<FairQueue, 'activeWeight' | 'cost' | 'costOf'>;
@@ -13,18 +13,18 @@
   readonly weight: number;
 }
 
-/** An estimate of the wait. All null before the lane's speed is known. */
+/** An estimate of the wait. All fields are null before the lane's drain rate is known. */
 export interface WaitEstimate {
-  /** The wait of this request. */
+  /** The expected wait of this request. */
   readonly waitMs: Milliseconds | null;
-  /** The wait of a request of the same class by a tenant that has nothing waiting. */
+  /** The expected wait of a request of the same class by a tenant that has no requests waiting. */
   readonly freshTenantWaitMs: Milliseconds | null;
 }
 
 /**
- * Estimates the wait: classes of a higher priority go first; within the class, by fair queueing, a
- * tenant waits for its own earlier requests and for the others' part of the time that these take,
- * but never for more than waits in the class altogether.
+ * Estimates the wait of a request. All waiting requests of higher-priority classes are dispatched first. Within the
+ * class, by fair queueing, a request waits for its tenant's earlier requests and for the cost that other tenants
+ * are served in the same time, but never for more than the total cost waiting in the class.
  */
 export function expectWait(input: WaitInput): WaitEstimate {
   const { lane, queue, priority, tenant, weight } = input;
@@ -33,11 +33,14 @@
     const unknown = lane.size === 0 ? 0 : null;
     return { waitMs: unknown, freshTenantWaitMs: unknown };
   }
-  const above = lane.costAbove(priority);
-  const own = queue.costOf(tenant);
-  const othersWeight = queue.activeWeight + (own > 0 ? 0 : weight);
-  const ahead = Math.min(queue.cost, (own * othersWeight) / weight);
-  return { waitMs: duration(above + ahead, perMs), freshTenantWaitMs: duration(above, perMs) };
+  const higherPriorityCost = lane.costAbove(priority);
+  const ownCost = queue.costOf(tenant);
+  const othersWeight = queue.activeWeight + (ownCost > 0 ? 0 : weight);
+  const costAhead = Math.min(queue.cost, (ownCost * othersWeight) / weight);
+  return {
+    waitMs: duration(higherPriorityCost + costAhead, perMs),
+    freshTenantWaitMs: duration(higherPriorityCost, perMs),
+  };
 }
 
 function duration(cost: number, perMs: number): Milliseconds {
--- a/src/core/admission/fair-queue.ts
+++ b/src/core/admission/fair-queue.ts
@@ -1,14 +1,15 @@
 /**
- * Start-time fair queueing over token cost (Goyal, Vin and Cheng 1997) among the tenants of one
- * class: with all of them waiting, each gets capacity in proportion to its weight, whatever the
- * number and size of its requests. What a request used in fact corrects what it was charged.
+ * Start-time fair queueing over request cost (Goyal, Vin and Cheng 1997) among the tenants of one class. While all
+ * tenants have requests waiting, each gets capacity in proportion to its weight, whatever the number and size of
+ * its requests. A request is charged its expected cost when it is dispatched; the charge is corrected to the actual
+ * cost when the request ends.
  */
 import type { TenantName } from '../common/identifiers.js';
 import type { Admissible } from './admission-rules.js';
 import { IndexedHeap } from './indexed-heap.js';
 import type { WaitingRequest } from './waiting-request.js';
 
-/** A tenant's place in the queue; its heap key is the start tag of its first waiting request. */
+/** A tenant's waiting requests; the heap key is the start tag of the first one. */
 interface TenantQueue<Request extends Admissible> {
   key: number;
   place: number;
@@ -17,7 +18,7 @@
   /** The virtual time up to which the tenant has been served. */
   finish: number;
   waiting: WaitingRequest<Request>[];
-  /** Summed cost of what waits. */
+  /** Summed cost of the waiting requests. */
   cost: number;
 }
 
@@ -30,32 +31,32 @@
   #cost = 0;
   #activeWeight = 0;
 
-  /** Requests waiting. */
+  /** The number of waiting requests. */
   get size(): number {
     return this.#waiting;
   }
 
-  /** Summed cost of what waits. */
+  /** Summed cost of the waiting requests. */
   get cost(): number {
     return this.#cost;
   }
 
-  /** Summed weight of the tenants that wait. */
+  /** Summed weight of the tenants that have requests waiting. */
   get activeWeight(): number {
     return this.#activeWeight;
   }
 
-  /** Requests of a tenant that wait. */
+  /** The number of a tenant's waiting requests. */
   sizeOf(tenant: TenantName): number {
     return this.#tenants.get(tenant)?.waiting.length ?? 0;
   }
 
-  /** Summed cost of a tenant's requests that wait. */
+  /** Summed cost of a tenant's waiting requests. */
   costOf(tenant: TenantName): number {
     return this.#tenants.get(tenant)?.cost ?? 0;
   }
 
-  /** Adds a request, at the tenant's front when it was charged before, else at its end. */
+  /** Adds a request: at the front of its tenant's requests when it was charged before (a retry), else at the end. */
   add(request: WaitingRequest<Request>, weight: number): void {
     const queue = this.#queueOf(request.description.tenant, weight);
     if (request.charged) {
@@ -73,63 +74,66 @@
     }
   }
 
-  /** The request whose turn it is. */
+  /** The request to dispatch next. */
   first(): WaitingRequest<Request> | undefined {
     return this.#active.first()?.waiting[0];
   }
 
-  /** Takes out the request whose turn it is and charges it. */
+  /** Removes the request to dispatch next and charges its tenant, unless the request was charged before. */
   takeFirst(): WaitingRequest<Request> | undefined {
     const queue = this.#active.first();
     const request = queue?.waiting.shift();
     if (queue === undefined || request === undefined) {
       return undefined;
     }
-    this.#leave(queue, request);
+    this.#subtractCost(queue, request);
     this.#virtualTime = Math.max(this.#virtualTime, queue.key);
     if (!request.charged) {
       queue.finish = queue.key + request.cost / queue.weight;
     }
-    this.#settle(queue);
+    this.#reposition(queue);
     return request;
   }
 
-  /** Charges a request that never waited. */
+  /** Charges a tenant for a request that was dispatched without waiting. */
   charge(tenant: TenantName, weight: number, cost: number): void {
     const queue = this.#queueOf(tenant, weight);
     const start = Math.max(this.#virtualTime, queue.finish);
     this.#virtualTime = start;
     queue.finish = start + cost / queue.weight;
-    this.#settle(queue);
+    this.#reposition(queue);
   }
 
-  /** Corrects a tenant's charge by what was used in fact less what was charged. */
+  /** Corrects a tenant's charge by the difference between actual and charged cost. */
   correct(tenant: TenantName, weight: number, difference: number): void {
     const queue = this.#queueOf(tenant, weight);
     queue.finish += difference / queue.weight;
-    this.#settle(queue);
+    this.#reposition(queue);
   }
 
-  /** Takes out a request that has gone away. */
+  /** Removes a waiting request that was cancelled or expired. */
   remove(request: WaitingRequest<Request>): void {
     const queue = this.#tenants.get(request.description.tenant);
-    const place = queue?.waiting.indexOf(request) ?? -1;
-    if (queue === undefined || place < 0) {
+    const index = queue?.waiting.indexOf(request) ?? -1;
+    if (queue === undefined || index < 0) {
       return;
     }
-    queue.waiting.splice(place, 1);
-    this.#leave(queue, request);
-    this.#settle(queue);
+    queue.waiting.splice(index, 1);
+    this.#subtractCost(queue, request);
+    this.#reposition(queue);
   }
 
-  #leave(queue: TenantQueue<Request>, request: WaitingRequest<Request>): void {
+  #subtractCost(queue: TenantQueue<Request>, request: WaitingRequest<Request>): void {
     queue.cost -= request.cost;
     this.#waiting -= 1;
     this.#cost -= request.cost;
   }
 
-  /** Puts a tenant where its charge says it belongs, and forgets one that is owed nothing. */
-  #settle(queue: TenantQueue<Request>): void {
+  /**
+   * Updates a tenant's position after a change of its charge. A tenant with no waiting requests is forgotten once
+   * virtual time has reached its finish tag, as a new entry would start at the same tag.
+   */
+  #reposition(queue: TenantQueue<Request>): void {
     if (queue.waiting.length > 0) {
       queue.key = Math.max(this.#virtualTime, queue.finish);
       this.#active.update(queue);
@@ -147,7 +151,7 @@
   #queueOf(tenant: TenantName, weight: number): TenantQueue<Request> {
     const known = this.#tenants.get(tenant);
     if (known !== undefined) {
-      this.#reweigh(known, weight);
+      this.#setWeight(known, weight);
       return known;
     }
     const created: TenantQueue<Request> = {
@@ -163,7 +167,7 @@
     return created;
   }
 
-  #reweigh(queue: TenantQueue<Request>, weight: number): void {
+  #setWeight(queue: TenantQueue<Request>, weight: number): void {
     if (queue.place >= 0) {
       this.#activeWeight += weight - queue.weight;
     }
--- a/src/core/admission/index.ts
+++ b/src/core/admission/index.ts
@@ -1,4 +1,4 @@
-/** Admission: which request goes next, which waits and which is refused at the door. */
+/** Admission: decides which request is dispatched next, which waits and which is refused on arrival. */
 export { AdmissionQueue } from './admission-queue.js';
 export type { Admissible, AdmissionRules, ClassRules } from './admission-rules.js';
 export { type RetryInput, RetryLine } from './retry-line.js';
--- a/src/core/admission/indexed-heap.ts
+++ b/src/core/admission/indexed-heap.ts
@@ -1,21 +1,20 @@
 /**
- * A binary min-heap whose items know their place, so that one whose key has changed or that has to
- * leave is found at once.
+ * A binary min-heap whose items store their own index, so that an item is updated or removed in O(log n) without a
+ * search.
  */
 
-/** What an item of the heap carries. */
+/** The fields that each heap item must have. */
 export interface HeapItem {
-  /** The key; changed only together with a call of `update`. */
+  /** The sort key. After a change of the key, `update` must be called. */
   key: number;
-  /** The place in the heap; -1 outside. Written by the heap only. */
+  /** The index in the heap; -1 while the item is not in the heap. Written by the heap only. */
   place: number;
 }
 
-/** The heap. Equal keys leave in no particular order. */
+/** The heap. The order of items with equal keys is undefined. */
 export class IndexedHeap<Item extends HeapItem> {
   readonly #items: Item[] = [];
 
-  /** Items held. */
   get size(): number {
     return this.#items.length;
   }
@@ -32,7 +31,7 @@
     this.#rise(item);
   }
 
-  /** Restores the order after an item's key has changed. Items outside are left alone. */
+  /** Restores the heap order after an item's key has changed. Items that are not in the heap are ignored. */
   update(item: Item): void {
     if (item.place >= 0) {
       this.#rise(item);
@@ -40,7 +39,7 @@
     }
   }
 
-  /** Takes an item out. Items outside are left alone. */
+  /** Removes an item. Items that are not in the heap are ignored. */
   remove(item: Item): void {
     const place = item.place;
     const last = place >= 0 ? this.#items.pop() : undefined;
--- a/src/core/admission/lane.ts
+++ b/src/core/admission/lane.ts
@@ -1,6 +1,6 @@
 /**
- * The waiting requests for one model, adapter or web service, by class. Classes go in order of
- * priority as long as each stays within its share of what was let go lately.
+ * The waiting requests for one model, adapter or web service, by class. Classes are served in order of priority,
+ * except that a class above its share of the recently admitted cost is skipped while another class waits.
  */
 import type { ClassName } from '../common/identifiers.js';
 import type { MonotonicMs } from '../common/time.js';
@@ -10,7 +10,7 @@
 import { FairQueue } from './fair-queue.js';
 import type { WaitingRequest } from './waiting-request.js';
 
-/** A class with its queue, in order of priority. */
+/** A class and its queue. */
 interface LaneClass<Request extends Admissible> {
   readonly name: ClassName;
   readonly queue: FairQueue<Request>;
@@ -18,7 +18,7 @@
   share: number;
 }
 
-/** The lane. Updated in place by its owner. */
+/** The queues of one lane. Updated in place by its owner. */
 export class Lane<Request extends Admissible = Admissible> {
   readonly rate = new DrainRate();
   readonly #use = new ClassUse();
@@ -26,38 +26,37 @@
   #classes: LaneClass<Request>[] = [];
   #size = 0;
 
-  /** @param minClassShare what each class that waits gets at least */
+  /** @param minClassShare the minimum share of each class that has requests waiting */
   constructor(minClassShare: number) {
     this.#minClassShare = minClassShare;
   }
 
-  /** Requests waiting in all classes. */
+  /** The number of waiting requests over all classes. */
   get size(): number {
     return this.#size;
   }
 
-  /** The queue of a class. Its priority and share are taken over from the configuration. */
-  queueOf(name: ClassName, stated: ClassRules): FairQueue<Request> {
+  /** The queue of a class, created with the given priority and share on first use. */
+  queueOf(name: ClassName, rules: ClassRules): FairQueue<Request> {
     const known = this.#classes.find((candidate) => candidate.name === name);
     if (known !== undefined) {
       return known.queue;
     }
     const queue = new FairQueue<Request>();
-    this.#classes.push({ name, queue, priority: stated.priority, share: stated.share });
+    this.#classes.push({ name, queue, priority: rules.priority, share: rules.share });
     this.#sort();
     return queue;
   }
 
-  /** Takes over changed priorities and shares. */
-  configure(stated: (name: ClassName) => ClassRules): void {
+  /** Applies changed priorities and shares. */
+  configure(rules: (name: ClassName) => ClassRules): void {
     for (const known of this.#classes) {
-      known.priority = stated(known.name).priority;
-      known.share = stated(known.name).share;
+      known.priority = rules(known.name).priority;
+      known.share = rules(known.name).share;
     }
     this.#sort();
   }
 
-  /** Adds a waiting request. */
   add(
     request: WaitingRequest<Request>,
     queue: FairQueue<Request>,
@@ -69,31 +68,31 @@
     this.#size += 1;
   }
 
-  /** The request whose turn it is. */
+  /** The request to dispatch next. */
   first(): WaitingRequest<Request> | undefined {
-    return this.#turn()?.queue.first();
+    return this.#nextClass()?.queue.first();
   }
 
-  /** Takes out the request whose turn it is. */
+  /** Removes the request to dispatch next. */
   takeFirst(now: MonotonicMs): WaitingRequest<Request> | undefined {
-    const turn = this.#turn();
-    const request = turn?.queue.takeFirst();
-    if (turn === undefined || request === undefined) {
+    const nextClass = this.#nextClass();
+    const request = nextClass?.queue.takeFirst();
+    if (nextClass === undefined || request === undefined) {
       return undefined;
     }
     this.rate.busy(now);
     this.rate.served(request.cost);
-    this.#use.add(turn.name, request.cost, now);
-    this.#left(now);
+    this.#use.add(nextClass.name, request.cost, now);
+    this.#recordRemoval(now);
     return request;
   }
 
-  /** Notes work that was let go without waiting. */
+  /** Records the cost of a request that was dispatched without waiting. */
   passed(name: ClassName, cost: number, now: MonotonicMs): void {
     this.#use.add(name, cost, now);
   }
 
-  /** Takes out a request that has gone away. */
+  /** Removes a waiting request that was cancelled or expired. */
   remove(request: WaitingRequest<Request>, now: MonotonicMs): void {
     const known = this.#classes.find(
       (candidate) => candidate.name === request.description.className,
@@ -101,11 +100,11 @@
     const before = known?.queue.size ?? 0;
     known?.queue.remove(request);
     if (known !== undefined && known.queue.size < before) {
-      this.#left(now);
+      this.#recordRemoval(now);
     }
   }
 
-  /** Summed cost of what waits in classes of a higher priority (a lower number). */
+  /** Summed cost of the requests waiting in classes of higher priority (a lower number). */
   costAbove(priority: number): number {
     let cost = 0;
     for (const known of this.#classes) {
@@ -114,20 +113,20 @@
     return cost;
   }
 
-  #left(now: MonotonicMs): void {
+  #recordRemoval(now: MonotonicMs): void {
     this.#size -= 1;
     if (this.#size === 0) {
       this.rate.idle(now);
     }
   }
 
-  #turn(): LaneClass<Request> | undefined {
+  #nextClass(): LaneClass<Request> | undefined {
     const waiting = this.#classes.filter((known) => known.queue.size > 0);
-    const most = 1 - this.#minClassShare * (waiting.length - 1);
-    const within = waiting.find(
-      (known) => this.#use.fraction(known.name) <= Math.min(known.share, most),
+    const maxShare = 1 - this.#minClassShare * (waiting.length - 1);
+    const withinShare = waiting.find(
+      (known) => this.#use.fraction(known.name) <= Math.min(known.share, maxShare),
     );
-    return within ?? waiting[0];
+    return withinShare ?? waiting[0];
   }
 
   #sort(): void {
--- a/src/core/admission/retry-line.ts
+++ b/src/core/admission/retry-line.ts
@@ -1,37 +1,37 @@
 /**
- * When refused callers may come back: one after the other, each when there is expected to be room for it
- * beside those that were told before, so that those refused together do not return together.
+ * Assigns retry times to refused callers. Each caller gets its own slot, at the time when capacity is expected for
+ * it in addition to the callers scheduled before, so that callers refused together do not return together.
  */
 import type { Milliseconds, MonotonicMs } from '../common/time.js';
 
-/** Callers that were told the same moment come back over this part of their wait more. */
+/** Callers with the same slot are spread at random over this additional fraction of their wait. */
 const RETRY_SPREAD = 0.5;
 
-/** What a time to come back is made from. */
+/** The input of a retry time. */
 export interface RetryInput {
   readonly nowMs: MonotonicMs;
-  /** Until there would be room for it, if nothing else came. */
+  /** Time until capacity is expected for the request if no other requests arrive. */
   readonly roomInMs: Milliseconds;
-  /** What this daemon's part of the servers takes for one like it. */
+  /** The time that this daemon's share of the servers needs for one such request: the distance between slots. */
   readonly spacingMs: Milliseconds;
-  /** Until its caller gives up: a later time is of no use to it. */
+  /** Time until the caller stops waiting; a later retry is of no use to it. */
   readonly mostMs: Milliseconds;
-  /** 0 to 1. */
+  /** A random number from 0 to 1. */
   readonly entropy: number;
 }
 
-/** The times that were told to callers of one kind. */
+/** The retry times assigned to callers of one lane. */
 export class RetryLine {
-  #promisedUntilMs: MonotonicMs = 0;
+  #scheduledUntilMs: MonotonicMs = 0;
 
-  /** How long the caller is told to wait. */
+  /** Takes the next free slot and returns the time to wait until then, to be reported to the caller. */
   promise({ nowMs, roomInMs, spacingMs, mostMs, entropy }: RetryInput): Milliseconds {
-    const firstAtMs = nowMs + Math.max(0, roomInMs);
-    const isUseful = this.#promisedUntilMs <= nowMs + mostMs;
-    // Where the line is longer than callers wait it begins anew: they come back spread over that time.
-    const roomAtMs = isUseful ? Math.max(firstAtMs, this.#promisedUntilMs) : firstAtMs;
-    this.#promisedUntilMs = roomAtMs + Math.max(0, spacingMs);
-    const spreadMs = RETRY_SPREAD * entropy * (roomAtMs - nowMs + spacingMs);
-    return roomAtMs - nowMs + spreadMs;
+    const earliestMs = nowMs + Math.max(0, roomInMs);
+    const isBeforeTimeout = this.#scheduledUntilMs <= nowMs + mostMs;
+    // If the schedule extends beyond the caller's time limit, it starts over at the earliest slot.
+    const slotAtMs = isBeforeTimeout ? Math.max(earliestMs, this.#scheduledUntilMs) : earliestMs;
+    this.#scheduledUntilMs = slotAtMs + Math.max(0, spacingMs);
+    const spreadMs = RETRY_SPREAD * entropy * (slotAtMs - nowMs + spacingMs);
+    return slotAtMs - nowMs + spreadMs;
   }
 }
--- a/src/core/admission/shed-fault.ts
+++ b/src/core/admission/shed-fault.ts
@@ -1,17 +1,17 @@
-/** The refusals of admission, each with the time after which a retry would be taken. */
+/** The refusals of admission, each with a time after which a retry is expected to be admitted. */
 import type { Milliseconds } from '../common/time.js';
 import { type Fault, refusedNotRun } from '../errors/fault.js';
 import type { WaitEstimate } from './expected-wait.js';
 
-/** The shortest and longest retry times told to a caller. */
+/** The shortest and longest retry times reported to a caller. */
 const MIN_RETRY_MS: Milliseconds = 250;
 const MAX_RETRY_MS: Milliseconds = 600_000;
-/** What is added to an expected wait for the error of its measurement. */
+/** The margin added to an expected wait for measurement error, as a fraction of the wait. */
 const WAIT_ERROR_SHARE = 0.1;
-/** The retry time where the queue's speed is not known. */
+/** The retry time while the queue's drain rate is not known. */
 const UNKNOWN_SPEED_RETRY_MS: Milliseconds = 1_000;
 
-/** What is known of a request at the door. */
+/** What is known about a request on arrival. */
 export interface ShedInput {
   readonly estimate: WaitEstimate;
   /** Time left until the request's deadline. */
@@ -20,7 +20,7 @@
   readonly tenantOverPart: boolean;
 }
 
-/** The refusal for a request that is not to be taken, or null. */
+/** The refusal for a request that must not be queued; null when it may be. */
 export function shedFault(input: ShedInput): Fault | null {
   const { estimate, slackMs } = input;
   const waitMs = estimate.waitMs;
@@ -32,8 +32,8 @@
     return null;
   }
   const retryAfterMs = retryTime(waitMs, tooLate ? slackMs : 0);
-  const freshWaitMs = estimate.freshTenantWaitMs;
-  const othersFit = freshWaitMs !== null && freshWaitMs <= slackMs;
+  const otherTenantWaitMs = estimate.freshTenantWaitMs;
+  const othersFit = otherTenantWaitMs !== null && otherTenantWaitMs <= slackMs;
   if (input.tenantOverPart || (tooLate && !input.queueFull && othersFit)) {
     return refusedNotRun(
       'tenant-over-share',
@@ -58,7 +58,7 @@
   );
 }
 
-/** The time until the queue has shrunk so far that the wait fits into the slack. */
+/** The time until the queue has drained enough for the wait to fit into the slack. */
 function retryTime(waitMs: Milliseconds | null, slackMs: Milliseconds): Milliseconds {
   if (waitMs === null) {
     return UNKNOWN_SPEED_RETRY_MS;
--- a/src/core/admission/token-cost.ts
+++ b/src/core/admission/token-cost.ts
@@ -1,17 +1,17 @@
 /**
- * The cost of a request in prompt-token equivalents: what shares and weights are counted in.
+ * The cost of a request in prompt-token equivalents, the unit in which class shares and tenant weights are counted.
  */
 import type { RequestTarget } from '../requests/types.js';
 
 /**
- * What an output token costs beside a prompt token. Engines read some thousands of prompt tokens a
- * second and write some hundreds of output tokens; assumed, and corrected by nothing but the ratio.
+ * The cost of an output token relative to a prompt token: engines process some thousands of prompt tokens per second
+ * but generate only some hundreds of output tokens.
  */
 const OUTPUT_TOKEN_COST = 6;
-/** The cost of a request to a web backend. */
+/** The cost of a request to a web backend, which has no tokens. */
 const WEB_REQUEST_COST = 1;
 
-/** Tokens that were used in fact. */
+/** The tokens that a request used. */
 export interface TokenUse {
   readonly promptTokens: number;
   readonly outputTokens: number;
@@ -22,7 +22,7 @@
   return Math.max(1, use.promptTokens + OUTPUT_TOKEN_COST * use.outputTokens);
 }
 
-/** The cost of a request as far as it can be told before it runs: its output counts in full. */
+/** The cost estimated before a request runs: it is assumed to generate its maximum number of output tokens. */
 export function estimatedCost(target: RequestTarget): number {
   if (target.kind === 'web') {
     return WEB_REQUEST_COST;
--- a/src/core/admission/waiting-lines.ts
+++ b/src/core/admission/waiting-lines.ts
@@ -1,8 +1,8 @@
 /**
- * Admission: decides at once whether a request goes, waits or is refused. Queues are bounded, and a
- * request that can't be expected to start before its deadline is refused at the door with the time
- * after which it would be taken. What a request, a class and a tenant are is told by its rules, so that
- * each way into a daemon has the same admission.
+ * Admission: decides on arrival whether a request is dispatched, queued or refused. Queues are bounded, and a request
+ * that is not expected to start before its deadline is refused on arrival, with a time after which a retry would be
+ * admitted. `AdmissionRules` supplies the class, lane, cost and weight of a request, so that the product's own API
+ * and the gateway's routes share this code.
  */
 import type { RequestId } from '../common/identifiers.js';
 import type { Milliseconds, MonotonicMs } from '../common/time.js';
@@ -14,33 +14,32 @@
 import { deadlineFault, shedFault } from './shed-fault.js';
 import type { AdmittedRequest, WaitingRequest } from './waiting-request.js';
 
-/** Limits of the queues. */
+/** Limits of the queues of one scheduler. */
 export interface AdmissionLimits {
-  /** Requests that may wait in one class of one lane. */
+  /** The maximum number of requests waiting in one class of one lane. */
   readonly maxWaitingPerClass: number;
 }
 
-/** The limits unless told otherwise. */
 export const ADMISSION_DEFAULTS: AdmissionLimits = { maxWaitingPerClass: 8_192 };
 
-/** The part of a class's queue up to which no tenant is held to its part of it. */
-const UNSHARED_QUEUE_PART = 0.5;
+/** Tenants are held to their share of a class's queue only while it is filled to at least this fraction. */
+const UNRESTRICTED_QUEUE_SHARE = 0.5;
 
-/** What becomes of an offered request. */
+/** The decision about an offered request. */
 export type AdmissionAnswer =
   | { readonly kind: 'dispatch-now' }
-  /** `expectedWaitMs` is null before the lane's speed is known. */
+  /** `expectedWaitMs` is null before the lane's drain rate is known. */
   | { readonly kind: 'queued'; readonly expectedWaitMs: Milliseconds | null }
   | { readonly kind: 'refused'; readonly fault: Fault };
 
-/** What is known when a request is offered. */
+/** The circumstances of an offer. */
 export interface OfferContext {
   readonly now: MonotonicMs;
-  /** Whether a backend could take it this moment (routing chose one). */
+  /** Whether a backend could run the request now (routing chose one). */
   readonly hasCapacity: boolean;
 }
 
-/** All requests that wait or were let go. A hot container that its owner updates in place. */
+/** All requests that are waiting or admitted. Updated in place by its owner, as it is on the path of every request. */
 export class WaitingLines<Request extends Admissible> {
   readonly #rules: AdmissionRules<Request>;
   readonly #limits: AdmissionLimits;
@@ -54,70 +53,74 @@
     this.#limits = { ...ADMISSION_DEFAULTS, ...limits };
   }
 
-  /** To be called when the rules say other classes. A tenant's new weight counts from its next request on. */
+  /**
+   * Must be called after the rules' priorities or shares of classes have changed. A tenant's new weight applies from
+   * its next request on.
+   */
   rulesChanged(): void {
     for (const lane of this.#lanes.values()) {
       lane.configure((name) => this.#rules.classOf(name));
     }
   }
 
-  /** Requests waiting. */
+  /** The number of waiting requests. */
   get waiting(): number {
     return this.#waiting.size;
   }
 
-  /** Requests let go and not ended. */
+  /** The number of requests that were admitted and have not ended. */
   get admitted(): number {
     return this.#admitted.size;
   }
 
-  /** The earliest deadline among those waiting, for the owner's timer. */
+  /** The earliest deadline among the waiting requests, for the owner's timer. */
   get nextDeadline(): MonotonicMs | null {
     return this.#deadlines.first()?.key ?? null;
   }
 
   /**
-   * Offers a request. One that was let go before (a retry) goes again, or waits in front of its
-   * tenant's others, and is not charged twice.
+   * Offers a request. A request that was admitted before (a retry) is dispatched again, or waits ahead of its
+   * tenant's other requests, and is not charged twice.
    */
   offer(description: Request, context: OfferContext): AdmissionAnswer {
     const { now, hasCapacity } = context;
     const lane = this.#laneOf(description);
-    const before = this.#admitted.get(description.id);
-    if (hasCapacity && (before !== undefined || lane.size === 0)) {
-      this.#admitDirectly(description, lane, before, now);
+    const earlierAdmission = this.#admitted.get(description.id);
+    if (hasCapacity && (earlierAdmission !== undefined || lane.size === 0)) {
+      this.#admitDirectly(description, lane, earlierAdmission, now);
       return { kind: 'dispatch-now' };
     }
     const estimate = this.#estimate(description, lane);
     if (this.#waiting.has(description.id)) {
       return { kind: 'queued', expectedWaitMs: estimate.waitMs };
     }
-    const fault = before === undefined ? this.#shed(description, lane, estimate, now) : null;
+    const fault =
+      earlierAdmission === undefined ? this.#refusalOf(description, lane, estimate, now) : null;
     if (fault !== null) {
       return { kind: 'refused', fault };
     }
-    this.#enqueue(description, lane, before, now);
+    this.#enqueue(description, lane, earlierAdmission, now);
     return { kind: 'queued', expectedWaitMs: estimate.waitMs };
   }
 
   /**
-   * Takes out the next request that a backend could take. Call until null after capacity was freed.
-   * `hasCapacity` is asked once for each lane at most.
+   * Removes and returns the next request that a backend could run. After capacity was freed, call until null.
+   * `hasCapacity` is called at most once for each lane.
    */
   next(now: MonotonicMs, hasCapacity: (request: Request) => boolean): Request | null {
-    for (const lane of this.#lanesByTurn()) {
+    for (const lane of this.#lanesByPriority()) {
       const first = lane.first();
       if (first !== undefined && hasCapacity(first.description)) {
         lane.takeFirst(now);
-        this.#forgetWaiting(first);
-        this.#noteAdmitted(first, now);
+        this.#removeWaiting(first);
+        this.#recordAdmitted(first, now);
         return first.description;
       }
     }
     return null;
   }
 
-  /** Notes the end of a request with the cost that it had in fact; 0 when it was not run. */
+  /** Records the end of a request with its actual cost; 0 when it was not run. */
   settle(id: RequestId, cost: number): void {
     const admitted = this.#admitted.get(id);
     if (admitted === undefined) {
@@ -131,56 +134,56 @@
     queue?.correct(admitted.tenant, weight, cost - admitted.cost);
   }
 
-  /** Takes out a request whose caller has gone. Unknown ids are ignored. */
+  /** Removes a request whose caller has disconnected. Unknown ids are ignored. */
   remove(id: RequestId, now: MonotonicMs): void {
     const waiting = this.#waiting.get(id);
     if (waiting !== undefined) {
       this.#lanes.get(waiting.lane)?.remove(waiting, now);
-      this.#forgetWaiting(waiting);
+      this.#removeWaiting(waiting);
     }
     this.settle(id, 0);
   }
 
-  /** How long a request like this one would wait now; null before the lane's speed is known. */
+  /** The expected wait of such a request if it were offered now; null before the lane's drain rate is known. */
   expectedWaitMs(description: Request): Milliseconds | null {
     return this.#estimate(description, this.#laneOf(description)).waitMs;
   }
 
-  /** Takes out the waiting requests whose deadline has passed, with the fault for each. */
+  /** Removes the waiting requests whose deadline has passed, and returns each with its fault. */
   expired(now: MonotonicMs): ExpiredRequest<Request>[] {
-    const gone: ExpiredRequest<Request>[] = [];
+    const expiredRequests: ExpiredRequest<Request>[] = [];
     for (;;) {
       const first = this.#deadlines.first();
       if (first === undefined || first.key > now) {
-        return gone;
+        return expiredRequests;
       }
       const lane = this.#lanes.get(first.lane);
       const estimate = lane === undefined ? null : this.#estimate(first.description, lane);
       this.remove(first.description.id, now);
-      gone.push({ description: first.description, fault: deadlineFault(estimate) });
+      expiredRequests.push({ description: first.description, fault: deadlineFault(estimate) });
     }
   }
 
   #admitDirectly(
     description: Request,
     lane: Lane<Request>,
-    before: AdmittedRequest | undefined,
+    earlierAdmission: AdmittedRequest | undefined,
     now: MonotonicMs,
   ): void {
-    if (before !== undefined) {
+    if (earlierAdmission !== undefined) {
       return;
     }
     const cost = this.#rules.costOf(description);
     const queue = lane.queueOf(description.className, this.#rules.classOf(description.className));
     queue.charge(description.tenant, this.#rules.weightOf(description.tenant), cost);
     lane.passed(description.className, cost, now);
-    this.#noteAdmitted({ description, lane: this.#rules.laneOf(description), cost }, now);
+    this.#recordAdmitted({ description, lane: this.#rules.laneOf(description), cost }, now);
   }
 
   #enqueue(
     description: Request,
     lane: Lane<Request>,
-    before: AdmittedRequest | undefined,
+    earlierAdmission: AdmittedRequest | undefined,
     now: MonotonicMs,
   ): void {
     const request: WaitingRequest<Request> = {
@@ -188,8 +191,8 @@
       place: -1,
       description,
       lane: this.#rules.laneOf(description),
-      cost: before?.cost ?? this.#rules.costOf(description),
-      charged: before !== undefined,
+      cost: earlierAdmission?.cost ?? this.#rules.costOf(description),
+      charged: earlierAdmission !== undefined,
     };
     const queue = lane.queueOf(description.className, this.#rules.classOf(description.className));
     lane.add(request, queue, this.#rules.weightOf(description.tenant), now);
@@ -198,17 +201,17 @@
   }
 
   #estimate(description: Request, lane: Lane): WaitEstimate {
-    const stated = this.#rules.classOf(description.className);
+    const classRules = this.#rules.classOf(description.className);
     return expectWait({
       lane,
-      queue: lane.queueOf(description.className, stated),
-      priority: stated.priority,
+      queue: lane.queueOf(description.className, classRules),
+      priority: classRules.priority,
       tenant: description.tenant,
       weight: this.#rules.weightOf(description.tenant),
     });
   }
 
-  #shed(
+  #refusalOf(
     description: Request,
     lane: Lane<Request>,
     estimate: WaitEstimate,
@@ -217,17 +220,17 @@
     const queue = lane.queueOf(description.className, this.#rules.classOf(description.className));
     const limit = this.#limits.maxWaitingPerClass;
     const weight = this.#rules.weightOf(description.tenant);
-    const part = (limit * weight) / (queue.activeWeight + weight);
-    const overPart = queue.sizeOf(description.tenant) >= Math.max(1, part);
+    const tenantLimit = (limit * weight) / (queue.activeWeight + weight);
+    const isOverShare = queue.sizeOf(description.tenant) >= Math.max(1, tenantLimit);
     return shedFault({
       estimate,
       slackMs: description.deadline - now,
       queueFull: queue.size >= limit,
-      tenantOverPart: queue.size >= limit * UNSHARED_QUEUE_PART && overPart,
+      tenantOverPart: queue.size >= limit * UNRESTRICTED_QUEUE_SHARE && isOverShare,
     });
   }
 
-  #noteAdmitted(
+  #recordAdmitted(
     request: Pick<WaitingRequest<Request>, 'description' | 'lane' | 'cost'>,
     now: MonotonicMs,
   ) {
@@ -236,13 +239,13 @@
     this.#admitted.set(id, { id, tenant, className, lane, cost, at: now });
   }
 
-  #forgetWaiting(request: WaitingRequest<Request>): void {
+  #removeWaiting(request: WaitingRequest<Request>): void {
     this.#waiting.delete(request.description.id);
     this.#deadlines.remove(request);
   }
 
-  /** Lanes with the request of the highest priority first; of equals, the one that waits longest. */
-  #lanesByTurn(): Lane<Request>[] {
+  /** Lanes with waiting requests, ordered by the priority of their first request, then by its arrival. */
+  #lanesByPriority(): Lane<Request>[] {
     const lanes = [...this.#lanes.values()].filter((lane) => lane.size > 0);
     return lanes.length < 2 ? lanes : lanes.sort((left, right) => this.#compare(left, right));
   }
@@ -271,7 +274,7 @@
   }
 }
 
-/** A request that waited past its deadline and the answer it is to be given. */
+/** A request that waited past its deadline, and the fault to answer it with. */
 export interface ExpiredRequest<Request> {
   readonly description: Request;
   readonly fault: Fault;
--- a/src/core/admission/waiting-request.ts
+++ b/src/core/admission/waiting-request.ts
@@ -1,4 +1,4 @@
-/** A request that waits for its turn. */
+/** Requests that are waiting or admitted. */
 import type { ClassName, RequestId, TenantName } from '../common/identifiers.js';
 import type { MonotonicMs } from '../common/time.js';
 import type { Admissible } from './admission-rules.js';
@@ -9,11 +9,11 @@
   readonly description: Request;
   readonly lane: string;
   readonly cost: number;
-  /** True when its cost was charged at an earlier admission, before a retry. */
+  /** Whether the cost was charged at an earlier admission, before a retry. */
   readonly charged: boolean;
 }
 
-/** A request that was let go and has not ended. */
+/** A request that was admitted and has not ended. */
 export interface AdmittedRequest {
   readonly id: RequestId;
   readonly tenant: TenantName;
--- a/src/core/admission/waiting-room.ts
+++ b/src/core/admission/waiting-room.ts
@@ -1,7 +1,8 @@
 /**
- * The requests that wait at a daemon for room at servers, over the same admission as any other way in: in
- * strict order of the operator's ranks, in a rank what can be in time before what cannot, then by a fair share
- * between tenants, then by arrival. Each has a latest start, after which it could not be in time any more.
+ * The requests that wait at a gateway for capacity at servers, on top of the scheduler that all requests share.
+ * Requests are dispatched in strict order of the operator's ranks; within a rank, requests that can still meet their
+ * deadline go before those that cannot; then tenants share fairly; then arrival decides. Each request has a latest
+ * start, after which it can no longer meet its deadline.
  */
 import type { RequestId, TenantName } from '../common/identifiers.js';
 import type { Milliseconds, MonotonicMs } from '../common/time.js';
@@ -14,15 +15,15 @@
   WaitingLines,
 } from './waiting-lines.js';
 
-/** A request at the door of a room. */
+/** A request offered to the queue, in the form that the scheduler needs. */
 export interface RoomRequest extends Admissible {
-  /** Requests of one lane wait for the same room and are alike. */
+  /** Requests of one lane wait for the same capacity and have similar costs. */
   readonly lane: string;
-  /** The time of a server that it is expected to take up. */
+  /** The server time that the request is expected to need. */
   readonly costMs: Milliseconds;
 }
 
-/** What a place in the order is made from. */
+/** What decides the position of a request in the queue. */
 export interface RoomPlace {
   readonly id: RequestId;
   readonly lane: string;
@@ -35,54 +36,54 @@
   readonly latestStartMs: MonotonicMs;
 }
 
-/** Of each rank: what can be in time, and what cannot. */
+/** Each rank has one class for requests that can meet their deadline and one for those that cannot. */
 const CLASSES_PER_RANK = 2;
-/** No request is free. */
-const LEAST_COST_MS: Milliseconds = 1;
-/** The configuration of described requests gives tenants no weights. */
+/** The minimum cost of a request, as the scheduler needs costs above 0. */
+const MIN_COST_MS: Milliseconds = 1;
+/** The gateway's configuration gives tenants no weights. */
 const EQUAL_WEIGHT = 1;
 
 const ROOM_RULES: AdmissionRules<RoomRequest> = {
   minClassShare: 0,
   laneOf: ({ lane }) => lane,
-  costOf: ({ costMs }) => Math.max(LEAST_COST_MS, costMs),
+  costOf: ({ costMs }) => Math.max(MIN_COST_MS, costMs),
   classOf: (name): ClassRules => ({ priority: Number(name), share: 1 }),
   weightOf: () => EQUAL_WEIGHT,
 };
 
-/** The room. Updated in place by its owner; it reads no clock. */
+/** The queue of waiting requests. Updated in place by its owner; it reads no clock. */
 export class WaitingRoom {
-  readonly #lines: WaitingLines<RoomRequest>;
+  readonly #scheduler: WaitingLines<RoomRequest>;
   readonly #waitingByLane = new Map<string, number>();
 
   constructor(limits: Partial<AdmissionLimits> = {}) {
-    this.#lines = new WaitingLines(ROOM_RULES, limits);
+    this.#scheduler = new WaitingLines(ROOM_RULES, limits);
   }
 
-  /** Requests that wait. */
+  /** The number of waiting requests. */
   get waiting(): number {
-    return this.#lines.waiting;
+    return this.#scheduler.waiting;
   }
 
-  /** Requests of a lane that wait. */
+  /** The number of waiting requests of a lane. */
   waitingIn(lane: string): number {
     return this.#waitingByLane.get(lane) ?? 0;
   }
 
-  /** The earliest of the latest starts. */
+  /** The earliest latest start among the waiting requests. */
   get nextLatestStart(): MonotonicMs | null {
-    return this.#lines.nextDeadline;
+    return this.#scheduler.nextDeadline;
   }
 
-  /** Lets a request go, has it wait, or refuses it with the time after which it would be taken. */
+  /** Dispatches, queues or refuses a request; a refusal has a time after which a retry would be admitted. */
   enter(place: RoomPlace, context: OfferContext): AdmissionAnswer {
-    const answer = this.#lines.offer(requestOf(place), context);
+    const answer = this.#scheduler.offer(requestOf(place), context);
     switch (answer.kind) {
       case 'dispatch-now':
-        this.#lines.settle(place.id, Math.max(LEAST_COST_MS, place.costMs));
+        this.#scheduler.settle(place.id, Math.max(MIN_COST_MS, place.costMs));
         break;
       case 'queued':
-        this.#count(place.lane, 1);
+        this.#adjustCount(place.lane, 1);
         break;
       case 'refused':
         break;
@@ -90,30 +91,30 @@
     return answer;
   }
 
-  /** Takes out the request whose turn it is, of those for which there is room. */
+  /** Removes and returns the next request for which there is capacity. */
   next(now: MonotonicMs, hasRoom: (id: RequestId) => boolean): RoomRequest | null {
-    const next = this.#lines.next(now, ({ id }) => hasRoom(id));
+    const next = this.#scheduler.next(now, ({ id }) => hasRoom(id));
     if (next === null) return null;
-    this.#lines.settle(next.id, ROOM_RULES.costOf(next));
-    this.#count(next.lane, -1);
+    this.#scheduler.settle(next.id, ROOM_RULES.costOf(next));
+    this.#adjustCount(next.lane, -1);
     return next;
   }
 
-  /** Takes out a request whose caller has gone. */
+  /** Removes a request whose caller has disconnected. */
   leave(place: Pick<RoomPlace, 'id' | 'lane'>, now: MonotonicMs): void {
-    const before = this.#lines.waiting;
-    this.#lines.remove(place.id, now);
-    if (this.#lines.waiting < before) this.#count(place.lane, -1);
+    const before = this.#scheduler.waiting;
+    this.#scheduler.remove(place.id, now);
+    if (this.#scheduler.waiting < before) this.#adjustCount(place.lane, -1);
   }
 
-  /** Takes out those whose latest start has passed, each with its refusal. */
+  /** Removes the requests whose latest start has passed, and returns each with its refusal. */
   expired(now: MonotonicMs): readonly ExpiredRequest<RoomRequest>[] {
-    const expired = this.#lines.expired(now);
-    for (const { description } of expired) this.#count(description.lane, -1);
+    const expired = this.#scheduler.expired(now);
+    for (const { description } of expired) this.#adjustCount(description.lane, -1);
     return expired;
   }
 
-  #count(lane: string, change: number): void {
+  #adjustCount(lane: string, change: number): void {
     const waiting = this.waitingIn(lane) + change;
     if (waiting <= 0) this.#waitingByLane.delete(lane);
     else this.#waitingByLane.set(lane, waiting);
--- a/src/core/capacity/capacity-duty.ts
+++ b/src/core/capacity/capacity-duty.ts
@@ -1,8 +1,9 @@
 /**
- * One daemon's part in ordering capacity: of all daemons one holds the duty (`record-lease.ts`). The duty's record
- * keeps what each zone was given when the duty was first taken, as nobody can read back what was ordered, and what
- * the holder orders now. A holder orders what differs from its plan. Another steps in when that lasts, which shows
- * that the holder is gone: soon where servers are lost and nothing is on its way, later where nobody suffers.
+ * One daemon's part in ordering capacity. One daemon at a time holds the duty (`record-lease.ts`). The platform does
+ * not report earlier orders, so the duty's record stores the number of servers per zone that was found when the duty
+ * was first taken, and the current orders of the holder. The holder orders whatever differs from its plan. When a
+ * difference persists, the holder has failed and another daemon takes over: after a short time if servers were lost
+ * and no replacements are on their way, later if callers are not affected.
  */
 import {
   type DutyRecord,
@@ -17,17 +18,17 @@
 import { planCapacity } from './plan-capacity.js';
 import type { CapacityBelief, ScaledService, ServicePlan } from './scaled-service.js';
 
-/** Servers of both kinds that each zone is to have, by service. */
+/** The target number of servers per zone, spot and plain together, by service. */
 export type WantedPerZone = Readonly<Record<string, number>>;
 
-/** What the store keeps of the duty. */
+/** The duty's record in the store. */
 export interface CapacityRecord extends DutyRecord {
   readonly wantedPerZone: WantedPerZone;
-  /** What the holder orders, so that others know what is coming; absent where it bears no loss. */
+  /** The holder's orders, from which the other daemons know what is coming; absent unless zone loss is tolerated. */
   readonly targets?: readonly CapacityOrder[] | undefined;
 }
 
-/** What is to be done next. */
+/** The next action of the caller. */
 export type CapacityAction =
   | { readonly kind: 'none' }
   | { readonly kind: 'read' }
@@ -38,40 +39,42 @@
     }
   | { readonly kind: 'order'; readonly order: CapacityOrder; readonly fence: number };
 
-/** What a duty is built from. */
 export interface CapacityDutySettings extends RecordLeaseSettings {
-  /** Whether servers are ordered with room for a loss, and made up at once after one. */
+  /** Whether spare servers are ordered for the loss of a zone's spot servers, and lost servers replaced at once. */
   readonly bearsLoss: boolean;
 }
 
-/** Another daemon steps in when what is wanted is not there for so many times as long as servers boot. */
-const STEP_IN_BOOTS = 3;
+/** Another daemon takes over when an order has been due for this many boot times of the slowest service. */
+const TAKE_OVER_BOOTS = 3;
 /**
- * After a loss it does so after this time: the holder has looked several times and told what it orders, and callers
- * have not yet waited for as long as servers take to boot.
+ * After a loss, another daemon takes over when no replacements were announced within this time. A working holder has
+ * checked several times and announced its orders by then, and callers have waited for less than a server's boot time.
  */
-const LOSS_STEP_IN_MS = 1_000;
-/** So many servers that are neither there nor coming are a loss; a single failure is made up in time. */
-const LEAST_LOSS = 2;
-const LOSS_SHARE = 0.1;
+const LOSS_TAKE_OVER_MS = 1_000;
+/**
+ * A loss is at least this many missing servers, and at least this share of the wanted ones, that are neither present
+ * nor coming. A single failed server is replaced by the holder's regular orders.
+ */
+const MIN_LOST_SERVERS = 2;
+const MIN_LOST_SHARE = 0.1;
 
-/** Decides; whoever drives it makes the calls, one at a time, and says what became of them. */
+/** Decides the next action; the caller carries out one action at a time and passes back its outcome. */
 export class CapacityDuty {
   readonly #lease: RecordLease<CapacityRecord>;
   readonly #bearsLoss: boolean;
-  readonly #book = new OrderBook();
-  readonly #planner = new LossBearingPlanner(this.#book);
+  readonly #orders = new OrderBook();
+  readonly #planner = new LossBearingPlanner(this.#orders);
   #plans: readonly ServicePlan[] = [];
-  /** Since when there is something to order. */
-  #wantedSinceMs: number | undefined;
-  /** Since when servers are lacking that nobody has ordered. */
+  /** Since when an order has been due. */
+  #orderDueSinceMs: number | undefined;
+  /** Since when servers have been missing that nobody has ordered. */
   #shortSinceMs: number | undefined;
-  /** Where the record stood when it was last seen. */
-  #seen: StorePosition = { era: FIRST_ERA, revision: 0 };
-  /** What each zone was given, as the record last said. */
-  #known: WantedPerZone = {};
-  /** What each zone had of a service when this daemon first saw it. */
-  readonly #firstSeen = new Map<string, number>();
+  /** The store position of the record when it was last seen. */
+  #seenPosition: StorePosition = { era: FIRST_ERA, revision: 0 };
+  /** The servers per zone as last read from the record. */
+  #recordedPerZone: WantedPerZone = {};
+  /** The servers per zone of each service when this daemon first saw it. */
+  readonly #firstSeenPerZone = new Map<string, number>();
   /** Whether the holder has probably written since the record was read. */
   #isOutdated = false;
   #hasRead = false;
@@ -85,21 +88,21 @@
     return this.#lease.isHolder;
   }
 
-  /** What the last plan was made from; none where the duty bears no loss, or its record was never read. */
+  /** The inputs of the last plan; empty unless zone loss is tolerated and the record was read. */
   get beliefs(): readonly CapacityBelief[] {
     if (!this.#hasRead) return [];
     return this.#plans.flatMap(({ belief }) => (belief === undefined ? [] : [belief]));
   }
 
-  /** The next action for the services as they are now. */
+  /** Decides the next action from the current state of the services. */
   next(services: readonly ScaledService[], nowMs: number): CapacityAction {
     if (services.length === 0) return { kind: 'none' };
     const wanted = this.#wantedPerZone(services);
     this.#plans = services.map((service) => this.#planOf(service, wanted, nowMs));
     if (!this.#hasRead) return { kind: 'read' };
-    this.#noteShort(nowMs);
+    this.#trackShortage(nowMs);
     const order = this.#nextOrder(nowMs);
-    this.#noteWanted(order !== undefined, nowMs);
+    this.#trackOrderDue(order !== undefined, nowMs);
     if (this.#bearsLoss && this.#isOutdated && !this.isHolder) return { kind: 'read' };
     if (order === undefined) return this.#announcement(wanted, nowMs);
     const seen = this.#lease.current(nowMs);
@@ -107,11 +110,11 @@
     if (this.#lease.mayAct(nowMs)) {
       return { kind: 'order', order, fence: this.#lease.nextHead().fence };
     }
-    return this.#take(seen, wanted, services, nowMs);
+    return this.#tryTakeOver(seen, wanted, services, nowMs);
   }
 
   /**
-   * The record was read, or written, or could not be.
+   * Applies the outcome of a read or write of the record.
    * @param sentMs when the call was sent
    */
   takeRecord(outcome: RecordOutcome<CapacityRecord>, sentMs: number, nowMs: number): void {
@@ -119,23 +122,23 @@
     this.#isOutdated = false;
     if (outcome.kind !== 'seen') return;
     this.#hasRead = true;
-    // A record that is there no more was lost with what an older copy of the store lacks.
-    this.#known = outcome.record?.wantedPerZone ?? this.#known;
+    // A record that no longer exists was lost when the store was restored from an older copy; the last values stay.
+    this.#recordedPerZone = outcome.record?.wantedPerZone ?? this.#recordedPerZone;
     const seen = { era: outcome.era, revision: outcome.version };
-    const isNews = !isSamePosition(seen, this.#seen) && !outcome.isOwnWrite;
-    this.#seen = seen;
-    if (isNews) this.#takeTargets(outcome.record?.targets ?? [], nowMs);
+    const isUpdate = !isSamePosition(seen, this.#seenPosition) && !outcome.isOwnWrite;
+    this.#seenPosition = seen;
+    if (isUpdate) this.#applyTargets(outcome.record?.targets ?? [], nowMs);
   }
 
-  /** An order was given; after a conflict the record tells whether the duty is still this daemon's. */
+  /** Records the outcome of an order. After a conflict, another daemon may hold the duty: the record is read again. */
   takeOrder(outcome: OrderOutcome, order: CapacityOrder, bootMs: number, nowMs: number): void {
-    this.#book.take(outcome, order, bootMs, nowMs);
+    this.#orders.take(outcome, order, bootMs, nowMs);
     if (this.#bearsLoss) this.#planner.noteOrder(order, outcome);
     if (outcome === 'conflict') this.#lease.noteDoubt();
   }
 
-  /** A record that stands still is taken over by one that has seen long enough that nobody acts on it. */
-  #take(
+  /** Writes the record to take over or keep the duty, if the holder has had enough time to act. */
+  #tryTakeOver(
     { record, version }: SeenRecord<CapacityRecord>,
     wantedPerZone: WantedPerZone,
     services: readonly ScaledService[],
@@ -143,22 +146,22 @@
   ): CapacityAction {
     if (!this.#lease.mayWrite(nowMs)) return { kind: 'none' };
     const longestBootMs = Math.max(...services.map(({ limits }) => limits.bootMs));
-    const isOpen = record === undefined || this.isHolder;
-    const isLasting = lastsFor(this.#wantedSinceMs, STEP_IN_BOOTS * longestBootMs, nowMs);
-    const isLoss = lastsFor(this.#shortSinceMs, LOSS_STEP_IN_MS, nowMs);
-    if (!isOpen && !isLasting && !isLoss) return { kind: 'none' };
+    const isVacantOrOwn = record === undefined || this.isHolder;
+    const isOverdue = hasLasted(this.#orderDueSinceMs, TAKE_OVER_BOOTS * longestBootMs, nowMs);
+    const isLossUnanswered = hasLasted(this.#shortSinceMs, LOSS_TAKE_OVER_MS, nowMs);
+    if (!isVacantOrOwn && !isOverdue && !isLossUnanswered) return { kind: 'none' };
     return this.#write(wantedPerZone, version);
   }
 
-  /** The holder tells what it has ordered, while it is the holder without doubt. */
+  /** Writes changed orders to the record, if this daemon certainly holds the duty. */
   #announcement(wantedPerZone: WantedPerZone, nowMs: number): CapacityAction {
     const seen = this.#lease.current(nowMs);
     if (!this.#bearsLoss || seen === undefined || !this.#lease.mayAct(nowMs)) {
       return { kind: 'none' };
     }
-    const told = seen.record?.targets ?? [];
-    const isTold = JSON.stringify(told) === JSON.stringify(this.#targets());
-    return isTold ? { kind: 'none' } : this.#write(wantedPerZone, seen.version);
+    const announced = seen.record?.targets ?? [];
+    const isAnnounced = JSON.stringify(announced) === JSON.stringify(this.#targets());
+    return isAnnounced ? { kind: 'none' } : this.#write(wantedPerZone, seen.version);
   }
 
   #write(wantedPerZone: WantedPerZone, expectedVersion: number): CapacityAction {
@@ -167,14 +170,14 @@
     return { kind: 'write', record, expectedVersion };
   }
 
-  /** As the record says; what it does not know is kept as it was first seen. */
+  /** The recorded numbers; for services that the record lacks, the numbers that this daemon first saw. */
   #wantedPerZone(services: readonly ScaledService[]): WantedPerZone {
     for (const { service, zones } of services) {
-      if (this.#firstSeen.has(service)) continue;
+      if (this.#firstSeenPerZone.has(service)) continue;
       const present = zones.reduce((sum, { plain, spot }) => sum + plain + spot, 0);
-      this.#firstSeen.set(service, Math.ceil(present / Math.max(1, zones.length)));
+      this.#firstSeenPerZone.set(service, Math.ceil(present / Math.max(1, zones.length)));
     }
-    return { ...Object.fromEntries(this.#firstSeen), ...this.#known };
+    return { ...Object.fromEntries(this.#firstSeenPerZone), ...this.#recordedPerZone };
   }
 
   #planOf(scaled: ScaledService, wanted: WantedPerZone, nowMs: number): ServicePlan {
@@ -188,18 +191,19 @@
   }
 
   /**
-   * What was wanted has come, so the holder has written; a daemon that knows how long the record has stood since
-   * need not wait for that when the holder is lost.
+   * Tracks since when an order has been due. Once none is due any more, the holder has probably written the record,
+   * so it is read again: a daemon that already knows how long the record has been unchanged can take over without
+   * first waiting for a lease duration.
    */
-  #noteWanted(isWanted: boolean, nowMs: number): void {
-    if (!isWanted && this.#wantedSinceMs !== undefined) this.#isOutdated = true;
-    this.#wantedSinceMs = isWanted ? (this.#wantedSinceMs ?? nowMs) : undefined;
+  #trackOrderDue(isWanted: boolean, nowMs: number): void {
+    if (!isWanted && this.#orderDueSinceMs !== undefined) this.#isOutdated = true;
+    this.#orderDueSinceMs = isWanted ? (this.#orderDueSinceMs ?? nowMs) : undefined;
   }
 
-  #noteShort(nowMs: number): void {
+  #trackShortage(nowMs: number): void {
     const isShort = this.beliefs.some(
       ({ present, coming, wanted }) =>
-        wanted - present - coming >= Math.max(LEAST_LOSS, LOSS_SHARE * wanted),
+        wanted - present - coming >= Math.max(MIN_LOST_SERVERS, MIN_LOST_SHARE * wanted),
     );
     if (isShort && this.#shortSinceMs === undefined) this.#isOutdated = true;
     this.#shortSinceMs = isShort ? (this.#shortSinceMs ?? nowMs) : undefined;
@@ -220,22 +224,22 @@
     if (plan.belief !== undefined && !this.#planner.mayOrder(plan, order, present, nowMs)) {
       return false;
     }
-    return this.#book.isDue(order, present, nowMs);
+    return this.#orders.isDue(order, present, nowMs);
   }
 
   #targets(): readonly CapacityOrder[] {
     return this.#plans.flatMap((plan) => (plan.belief === undefined ? [] : ordersOf(plan)));
   }
 
-  #takeTargets(targets: readonly CapacityOrder[], nowMs: number): void {
+  #applyTargets(targets: readonly CapacityOrder[], nowMs: number): void {
     for (const order of targets) {
       const plan = this.#plans.find(({ scaled }) => scaled.service === order.service);
-      if (plan !== undefined) this.#book.announce(order, plan.scaled.limits.bootMs, nowMs);
+      if (plan !== undefined) this.#orders.announce(order, plan.scaled.limits.bootMs, nowMs);
     }
   }
 }
 
-/** Spot servers first: those that they replace go once they have come. */
+/** Orders spot servers first, as plain servers are removed only once the spot servers that replace them have come. */
 function ordersOf({ scaled, targets }: ServicePlan): readonly CapacityOrder[] {
   const { service } = scaled;
   return targets.flatMap(({ zone, plain, spot }) => [
@@ -244,6 +248,6 @@
   ]);
 }
 
-function lastsFor(sinceMs: number | undefined, spanMs: number, nowMs: number): boolean {
+function hasLasted(sinceMs: number | undefined, spanMs: number, nowMs: number): boolean {
   return sinceMs !== undefined && nowMs - sinceMs >= spanMs;
 }
--- a/src/core/capacity/held-need.ts
+++ b/src/core/capacity/held-need.ts
@@ -1,19 +1,22 @@
-/** The servers that a service's work needs: up at once, down only when it has been lower for long. */
+/** The number of servers that a service needs: raised at once, lowered only after a lasting decrease. */
 
 interface TimedNeed {
   readonly servers: number;
   readonly atMs: number;
 }
 
-/** So many boots: servers that were let go for a lull would come back too late for what follows it. */
+/**
+ * The time for which a peak counts, in boot times. Servers removed during a short lull would boot too late for the
+ * work after it.
+ */
 const HOLD_BOOTS = 5;
 
-/** The greatest need of the newest while. */
+/** The peak need within the last `HOLD_BOOTS` boot times. */
 export class HeldNeed {
-  /** Each lower than the one before. */
+  /** In order of time, each lower than the one before. */
   #peaks: TimedNeed[] = [];
 
-  /** The need to count with, as it is this much now. */
+  /** Records the current need and returns the peak. */
   take(servers: number, bootMs: number, nowMs: number): number {
     const oldestMs = nowMs - HOLD_BOOTS * bootMs;
     this.#peaks = this.#peaks.filter((peak) => peak.servers > servers && peak.atMs >= oldestMs);
--- a/src/core/capacity/index.ts
+++ b/src/core/capacity/index.ts
@@ -1,4 +1,4 @@
-/** Capacity that is paid by the second: how many servers a zone is to have, and who orders them. */
+/** Capacity that is billed per second: how many servers each zone should have, and which daemon orders them. */
 export {
   type CapacityAction,
   CapacityDuty,
--- a/src/core/capacity/loss-bearing-planner.ts
+++ b/src/core/capacity/loss-bearing-planner.ts
@@ -1,6 +1,6 @@
 /**
- * Plans capacity that bears the loss of a zone's spot servers (`plan-for-loss.ts`), with what it has seen: the need
- * of the newest while, which zones have spot servers to give, and what is on its way.
+ * Plans capacity that survives the loss of a zone's spot servers (`plan-for-loss.ts`). The plan takes into account the
+ * recent peak need, which zones have spot servers available, and the servers that are on their way.
  */
 import { HeldNeed } from './held-need.js';
 import type { CapacityKind, CapacityOrder, OrderBook, OrderOutcome } from './order-book.js';
@@ -9,33 +9,33 @@
 import { SpotSupply } from './spot-supply.js';
 
 /**
- * Spot servers are let go after so many boots without a use for them: they cost little, and prompts that they keep
- * would have to be read again.
+ * Surplus spot servers are removed after this many boot times. They cost little, and the prompts that they have cached
+ * would have to be processed again by other servers.
  */
-const LOWER_BOOTS = 5;
+const SCALE_DOWN_BOOTS = 5;
 
 interface ServiceNeed {
-  readonly held: HeldNeed;
-  /** Whether any work was seen. */
-  readonly hasBegun: boolean;
+  readonly peak: HeldNeed;
+  /** Whether the service has had any work yet. */
+  readonly hasSeenWork: boolean;
 }
 
 /** Plans for the services of one duty. */
 export class LossBearingPlanner {
-  readonly #book: OrderBook;
+  readonly #orders: OrderBook;
   readonly #supply = new SpotSupply();
   readonly #needs = new Map<string, ServiceNeed>();
-  /** Since when a zone has more spot servers than it is to have. */
+  /** Since when a zone has had more spot servers than its target. */
   readonly #surplusSinceMs = new Map<string, number>();
 
   constructor(book: OrderBook) {
-    this.#book = book;
+    this.#orders = book;
   }
 
-  /** What each zone is to have now. */
+  /** Computes the current target of each zone. */
   plan(scaled: ScaledService, givenPerZone: number, nowMs: number): ServicePlan {
     const { service, limits } = scaled;
-    const lost = this.#seeLosses(scaled, nowMs);
+    const lost = this.#detectLosses(scaled, nowMs);
     const zones = this.#suppliesOf(scaled, nowMs);
     const needed = this.#neededNow(scaled, givenPerZone, nowMs);
     const { targets, wantedInAll } = planForLoss({
@@ -56,38 +56,38 @@
     return { scaled, targets, belief };
   }
 
-  /** Whether an order that the plan asks for may be given yet. */
+  /** Whether an order of the plan may be sent now. */
   mayOrder(plan: ServicePlan, order: CapacityOrder, present: number, nowMs: number): boolean {
     if (!order.isSpot) return true;
     const key = keyOf(order.service, order.zone);
     const isLower = order.servers < present;
     if (!isLower) this.#surplusSinceMs.delete(key);
     if (!this.#hasSpot(order, present, nowMs)) {
-      return !isLower && nowMs >= this.#book.againAtMs(order);
+      return !isLower && nowMs >= this.#orders.againAtMs(order);
     }
     if (!isLower) return true;
     const sinceMs = this.#surplusSinceMs.get(key) ?? nowMs;
     this.#surplusSinceMs.set(key, sinceMs);
-    const left = presentOf(plan.scaled) - (present - order.servers);
-    const isEnough = left >= (plan.belief?.wanted ?? 0);
-    return isEnough && nowMs - sinceMs >= LOWER_BOOTS * plan.scaled.limits.bootMs;
+    const remaining = presentOf(plan.scaled) - (present - order.servers);
+    const isEnough = remaining >= (plan.belief?.wanted ?? 0);
+    return isEnough && nowMs - sinceMs >= SCALE_DOWN_BOOTS * plan.scaled.limits.bootMs;
   }
 
-  /** An order was given. */
+  /** Records the outcome of an order. */
   noteOrder({ service, zone, isSpot }: CapacityOrder, outcome: OrderOutcome): void {
     if (isSpot) this.#supply.noteOrder(keyOf(service, zone), outcome);
   }
 
-  /** @returns spot servers that were taken away since the last look */
-  #seeLosses({ service, limits, zones }: ScaledService, nowMs: number): number {
+  /** @returns the number of spot servers reclaimed by the platform since the last call */
+  #detectLosses({ service, limits, zones }: ScaledService, nowMs: number): number {
     let lost = 0;
     for (const { zone, spot } of zones) {
       const kind = { service, zone, isSpot: true };
-      const ordered = this.#book.orderedOf(kind) ?? spot;
-      const taken = this.#supply.see(keyOf(service, zone), spot, ordered, nowMs);
-      // Those that leave are still counted by the platform until they are gone.
-      if (taken > 0) this.#book.noteTakenAway(kind, nowMs + limits.bootMs);
-      lost += taken;
+      const ordered = this.#orders.orderedOf(kind) ?? spot;
+      const reclaimed = this.#supply.see(keyOf(service, zone), spot, ordered, nowMs);
+      // Until they have stopped, the platform still counts the reclaimed servers, so a new order would bring none.
+      if (reclaimed > 0) this.#orders.noteTakenAway(kind, nowMs + limits.bootMs);
+      lost += reclaimed;
     }
     return lost;
   }
@@ -96,8 +96,8 @@
     return zones.map((now): ZoneSupply => {
       const { zone, plain, spot } = now;
       const coming =
-        this.#book.comingOf({ service, zone, isSpot: false }, plain, nowMs) +
-        this.#book.comingOf({ service, zone, isSpot: true }, spot, nowMs);
+        this.#orders.comingOf({ service, zone, isSpot: false }, plain, nowMs) +
+        this.#orders.comingOf({ service, zone, isSpot: true }, spot, nowMs);
       return {
         ...now,
         coming,
@@ -106,20 +106,23 @@
     });
   }
 
-  /** A zone that has refused more than it has already is asked no more for those: it may have some after a while. */
+  /**
+   * Whether spot servers can be ordered in a zone. A zone that refused to add to the spot servers it has is asked again
+   * after the back-off of the refused order.
+   */
   #hasSpot(kind: CapacityKind, present: number, nowMs: number): boolean {
     const isOpen = this.#supply.hasSpot(keyOf(kind.service, kind.zone));
-    return isOpen || (present > 0 && nowMs >= this.#book.againAtMs(kind));
+    return isOpen || (present > 0 && nowMs >= this.#orders.againAtMs(kind));
   }
 
-  /** Before any work was seen, whoever gave the servers is taken to have given what the work needs. */
+  /** The servers needed now. Until the service has had work, its initial servers are assumed to be what it needs. */
   #neededNow(scaled: ScaledService, givenPerZone: number, nowMs: number): number {
     const { service, limits, zones, neededWithRoom } = scaled;
-    const known = this.#needs.get(service) ?? { held: new HeldNeed(), hasBegun: false };
-    const hasBegun = known.hasBegun || neededWithRoom > 0;
-    this.#needs.set(service, { ...known, hasBegun });
-    const servers = hasBegun ? neededWithRoom : givenPerZone * zones.length;
-    return known.held.take(servers, limits.bootMs, nowMs);
+    const known = this.#needs.get(service) ?? { peak: new HeldNeed(), hasSeenWork: false };
+    const hasSeenWork = known.hasSeenWork || neededWithRoom > 0;
+    this.#needs.set(service, { ...known, hasSeenWork });
+    const servers = hasSeenWork ? neededWithRoom : givenPerZone * zones.length;
+    return known.peak.take(servers, limits.bootMs, nowMs);
   }
 }
 
--- a/src/core/capacity/order-book.ts
+++ b/src/core/capacity/order-book.ts
@@ -1,6 +1,7 @@
 /**
- * The orders that were given, or announced by the duty's holder: whether one is to be given (again), and how many
- * servers are still to come from it. Orders are counts, so that one that is given twice asks for nothing more.
+ * The newest orders, sent by this daemon or announced by the duty's holder: whether an order must be sent (again), and
+ * how many of its servers are still to come. An order states the total number of servers, so sending it twice orders
+ * nothing more.
  */
 
 /** Servers of one kind in one zone. */
@@ -10,45 +11,48 @@
   readonly isSpot: boolean;
 }
 
-/** How many servers of one kind a zone is to have. */
+/** The number of servers of one kind that a zone should have. */
 export interface CapacityOrder extends CapacityKind {
   readonly servers: number;
 }
 
-/** What became of an order. */
+/** The outcome of an order. */
 export type OrderOutcome =
   | 'accepted'
-  /** None are to be had, or another daemon has used a higher fencing token. */
+  /** No servers are available, or another daemon has used a higher fencing token. */
   | 'conflict'
-  /** It may have been taken, or not. */
+  /** The order may or may not have taken effect. */
   | 'unknown';
 
 interface SentOrder {
   readonly servers: number;
-  /** How often in a row it was given and did not bring what it asked for. */
+  /** How many times in a row the order was sent without bringing all of its servers. */
   readonly tries: number;
-  /** When it is given again if its servers have not come. */
+  /** When the order is sent again if its servers have not come. */
   readonly againAtMs: number;
   readonly wasAccepted: boolean;
 }
 
-/** An order is given again when its servers have not come in so many times the time that they take to boot. */
+/** An accepted order is sent again when its servers have not come within this many boot times. */
 const RETRY_BOOTS = 2;
-/** Where none are to be had it is asked again sooner: they may be there again before others could have booted. */
+/**
+ * An order that was not accepted is sent again after this many boot times. The wait is shorter, as servers may become
+ * available before replacements ordered elsewhere have booted.
+ */
 const CONFLICT_RETRY_BOOTS = 0.5;
-/** The wait before that doubles so often at most. */
-const MOST_DOUBLINGS = 3;
+/** The wait doubles with each attempt, at most this many times. */
+const MAX_DOUBLINGS = 3;
 
-/** The newest order of each kind of servers in each zone. */
+/** The newest order for each kind of server in each zone. */
 export class OrderBook {
   readonly #sent = new Map<string, SentOrder>();
 
-  /** An order was given. */
+  /** Records the outcome of an order that this daemon sent. */
   take(outcome: OrderOutcome, order: CapacityOrder, bootMs: number, nowMs: number): void {
-    const before = this.#sent.get(keyOf(order));
-    const tries = before?.servers === order.servers ? before.tries + 1 : 1;
+    const previous = this.#sent.get(keyOf(order));
+    const tries = previous?.servers === order.servers ? previous.tries + 1 : 1;
     const boots = outcome === 'accepted' ? RETRY_BOOTS : CONFLICT_RETRY_BOOTS;
-    const waitMs = boots * bootMs * 2 ** Math.min(MOST_DOUBLINGS, tries - 1);
+    const waitMs = boots * bootMs * 2 ** Math.min(MAX_DOUBLINGS, tries - 1);
     this.#sent.set(keyOf(order), {
       servers: order.servers,
       tries,
@@ -57,40 +61,40 @@
     });
   }
 
-  /** Another daemon gives this order as the duty's holder: its servers are taken to be coming. */
+  /** Records an order that the duty's holder announced; its servers are assumed to be coming. */
   announce(order: CapacityOrder, bootMs: number, nowMs: number): void {
     const againAtMs = nowMs + RETRY_BOOTS * bootMs;
     const sent = { servers: order.servers, tries: 1, againAtMs, wasAccepted: true };
     this.#sent.set(keyOf(order), sent);
   }
 
-  /** What was ordered has been taken away: nothing is coming, and it is asked for again after this time. */
+  /** Records that the platform reclaimed ordered servers: none are coming, the order is sent again at `againAtMs`. */
   noteTakenAway(kind: CapacityKind, againAtMs: number): void {
     const servers = this.orderedOf(kind) ?? 0;
     this.#sent.set(keyOf(kind), { servers, tries: 0, againAtMs, wasAccepted: false });
   }
 
-  /** How many were asked for last. */
+  /** The number of servers last ordered. */
   orderedOf(kind: CapacityKind): number | undefined {
     return this.#sent.get(keyOf(kind))?.servers;
   }
 
-  /** Whether an order is to be given, with so many servers there now. */
+  /** Whether an order must be sent, given the number of servers present. */
   isDue(order: CapacityOrder, present: number, nowMs: number): boolean {
     const sent = this.#sent.get(keyOf(order));
     if (sent === undefined || sent.servers !== order.servers) return present !== order.servers;
     if (present < order.servers) return nowMs >= sent.againAtMs;
-    // It has brought what it asked for. Servers that others add are not taken away again.
+    // The order is fulfilled. Servers that others have added are not removed.
     this.#sent.set(keyOf(order), { ...sent, tries: 0 });
     return false;
   }
 
-  /** When an order of this kind is given again, whatever number it is for. */
+  /** When an order of this kind may be sent again, whatever its number of servers. */
   againAtMs(kind: CapacityKind): number {
     return this.#sent.get(keyOf(kind))?.againAtMs ?? Number.NEGATIVE_INFINITY;
   }
 
-  /** Servers that an order is still to bring, with so many there now. */
+  /** The number of ordered servers that are still to come, given the number present. */
   comingOf(kind: CapacityKind, present: number, nowMs: number): number {
     const sent = this.#sent.get(keyOf(kind));
     if (sent === undefined || !sent.wasAccepted || nowMs >= sent.againAtMs) return 0;
--- a/src/core/capacity/plan-capacity.ts
+++ b/src/core/capacity/plan-capacity.ts
@@ -1,34 +1,33 @@
 /**
- * How many servers each zone is to have, where they are paid by the second. Spot servers cost a part of the others
- * and may be taken away, all of a zone at once; so every zone keeps some that are not, and the rest is spot as far
- * as it is to be had. Plain servers go as spot servers come. Those that are taken away are made up by plain ones
- * only where the service would be short of its need: they are to be had again in seconds, and engines that come
- * and go have to read their prompts again.
+ * Plans how many servers each zone should have of a service that is billed per second. Spot servers cost a fraction of
+ * plain (on-demand) servers, but the platform may reclaim all spot servers of a zone at once. So every zone keeps some
+ * plain servers, and the rest are spot as far as available. Plain servers are removed as spot servers come. Reclaimed
+ * spot servers are replaced by plain ones only if the service would otherwise be short of servers: spot servers are
+ * usually available again within seconds, and replacement engines have to process cached prompts again.
  */
 import type { ScalingLimits } from '../gateway/index.js';
 import { withinLimits } from './within-limits.js';
 
-/** Servers of a zone, by kind: those that take work, or those that it is to have. */
+/** The servers of a zone by kind: those that accept work, or the targets. `plain` servers are on-demand servers. */
 export interface ZoneCapacity {
   readonly zone: string;
   readonly plain: number;
   readonly spot: number;
 }
 
-/** What the plan is made from. */
 export interface CapacityInput {
   readonly limits: ScalingLimits;
   readonly zones: readonly ZoneCapacity[];
-  /** Servers that each zone is to have, whatever their kind. */
+  /** The number of servers that each zone should have, of both kinds together. */
   readonly wantedPerZone: number;
-  /** Servers without which the service falls behind its work. */
+  /** The minimum number of servers with which the service keeps up with its work. */
   readonly neededInAll: number;
 }
 
-/** Plain servers that a zone keeps beside its spot servers, so that it is never without any. */
-const PLAIN_KEPT = 1;
+/** Plain servers that each zone keeps, so that it has a server when its spot servers are reclaimed. */
+const MIN_PLAIN_PER_ZONE = 1;
 
-/** What each zone is to have. */
+/** Computes the target of each zone. */
 export function planCapacity({
   limits,
   zones,
@@ -37,14 +36,14 @@
 }: CapacityInput): readonly ZoneCapacity[] {
   const wanted = withinLimits(wantedPerZone, limits);
   if (limits.spotPrice >= 1) return zones.map(({ zone }) => ({ zone, plain: wanted, spot: 0 }));
-  const kept = Math.min(wanted, PLAIN_KEPT);
-  const spotWanted = wanted - kept;
+  const minPlain = Math.min(wanted, MIN_PLAIN_PER_ZONE);
+  const spotWanted = wanted - minPlain;
   const isShort = serversOf(zones) < neededInAll;
   return zones.map(({ zone, plain, spot }) => {
-    const missing = Math.max(0, wanted - kept - spot);
-    const spare = Math.max(0, plain - kept);
-    const target = kept + (isShort ? missing : Math.min(missing, spare));
-    // The limit holds while both kinds are there.
+    const missing = Math.max(0, wanted - minPlain - spot);
+    const spare = Math.max(0, plain - minPlain);
+    const target = minPlain + (isShort ? missing : Math.min(missing, spare));
+    // The limit applies to both kinds together while plain servers are being replaced.
     return { zone, plain: target, spot: Math.min(spotWanted, limits.max - target) };
   });
 }
--- a/src/core/capacity/plan-for-loss.ts
+++ b/src/core/capacity/plan-for-loss.ts
@@ -1,46 +1,46 @@
 /**
- * How many servers each zone is to have so that the loss of a zone's spot servers leaves enough for the work.
+ * Plans how many servers each zone should have so that enough remain for the work after the loss of all spot servers of
+ * one zone.
  *
- * To bear the loss of one of n zones, spot servers must number n / (n - 1) of what the work needs. While that many cost
- * less than plain servers for all the work (price x n / (n - 1) below 1), nearly all servers are spot; otherwise what the
- * work needs is plain, and only the rest is spot.
+ * To survive the loss of one of n zones, there must be n / (n - 1) times as many spot servers as the work needs. While
+ * these cost less than plain servers for all the work (price x n / (n - 1) below 1), nearly all servers are spot.
+ * Otherwise the servers that the work needs are plain, and only the rest are spot.
  *
- * - Spot servers are spread evenly: a zone that has more is a greater loss, and each server that is added for that
- *   costs more than the cheaper zone saves. What cannot be shared evenly goes to the cheapest zones.
- * - Where a zone has none to give, the others take its share at once; its own share is still asked for.
- * - Plain servers come only where all spot servers together would not do for the work, the cheapest zones first, and
- *   go again once enough are there without them.
+ * - Spot servers are distributed evenly: a zone with more servers is a greater loss, and the servers added to make up
+ *   for that cost more than a cheaper zone saves. The remainder goes to the cheapest zones.
+ * - If a zone has no spot servers available, the other zones get its share at once; its own share is still ordered.
+ * - Plain servers are added only when all spot servers together are too few for the work, in the cheapest zones first,
+ *   and are removed once there are enough servers without them.
  */
 import type { ScalingLimits } from '../gateway/index.js';
 import type { ZoneCapacity } from './plan-capacity.js';
 import { withinLimits } from './within-limits.js';
 
-/** A zone's servers, and what is known of more. */
+/** A zone's servers, the servers on their way, and whether spot servers are available. */
 export interface ZoneSupply extends ZoneCapacity {
-  /** Servers under order or booting, of both kinds. */
+  /** Servers of both kinds that are ordered or booting. */
   readonly coming: number;
-  /** Whether spot servers are to be had there, as far as is known. */
+  /** Whether spot servers are available in the zone, as far as is known. */
   readonly hasSpot: boolean;
 }
 
-/** What the plan is made from. */
 export interface LossPlanInput {
   readonly limits: ScalingLimits;
   readonly zones: readonly ZoneSupply[];
-  /** Servers that each zone was given by whoever set the deployment up, whatever their kind. */
+  /** The number of servers, of both kinds, that each zone had when the deployment was set up. */
   readonly givenPerZone: number;
-  /** Servers with which work that comes unevenly still finds one free. */
+  /** The number of servers with which a free one is found even when work arrives unevenly. */
   readonly neededInAll: number;
 }
 
-/** What each zone is to have, and what that was decided from. */
+/** The target of each zone, and the total. */
 export interface LossPlan {
   readonly targets: readonly ZoneCapacity[];
-  /** Servers that there are to be, the spare ones counted. */
+  /** The total number of servers wanted, including spares. */
   readonly wantedInAll: number;
 }
 
-/** A zone's share of something, changed while it is dealt out. */
+/** A zone's share of the servers being distributed; `count` grows up to `most`. */
 interface Share {
   readonly zone: string;
   readonly price: number;
@@ -48,72 +48,75 @@
   count: number;
 }
 
-/** One that reads and one that generates stay whatever is taken away, so that no work stops altogether. */
-const PLAIN_KEPT = 2;
-/** Spot servers that are asked for in any case where there were none. */
-const SPOT_ASKED = 2;
-/** Callers that repeat count as more work: beyond this part of what was given, the demand is not believed. */
-const MOST_GROWTH = 1.5;
-/** More is ordered by steps of this part, so that a demand that swings does not bring an order each time. */
+/** One prefill and one decode server stay when all spot servers are reclaimed, so that work does not stop entirely. */
+const MIN_PLAIN_TOTAL = 2;
+/** Room kept in a zone without available spot servers, for an order that shows whether there are some again. */
+const MIN_SPOT_REQUEST = 2;
+/** Retries of callers inflate the measured demand, so growth is limited to this multiple of the initial servers. */
+const MAX_GROWTH = 1.5;
+/** Growth is rounded up to steps of this share, so that fluctuating demand does not cause an order each time. */
 const GROWTH_STEP = 0.1;
 
-/** Rounding errors of products are not rounded up to a whole server. */
-const ROUNDING = 1e-9;
+/** Keeps floating-point errors of products from being rounded up to another server. */
+const ROUNDING_TOLERANCE = 1e-9;
 
-/** What each zone is to have. */
+/** Computes the target of each zone. */
 export function planForLoss(input: LossPlanInput): LossPlan {
   const { limits, zones } = input;
   const wantedInAll = wantedServers(input);
-  const kept = plainKept(input, wantedInAll);
+  const kept = keptPlain(input, wantedInAll);
   const spot = spotTargets(input, wantedInAll - sumOf(kept), kept);
-  // Beyond what was given only cheap servers are ordered.
-  const neededInAll = Math.min(input.neededInAll, givenInAll(input));
-  const covered = sumOf(kept) + zones.reduce((sum, now) => sum + expectedSpot(now, spot), 0);
-  const room = (now: ZoneSupply) =>
-    limits.max - (kept.get(now.zone) ?? 0) - roomForSpot(now, spot.get(now.zone) ?? 0);
-  const extra = dealToCheapest(Math.max(0, neededInAll - covered), sharesOf(input, zones, room));
-  const leastOf = ({ zone }: ZoneSupply) =>
+  // Beyond the initial number of servers, only spot servers are ordered.
+  const neededInAll = Math.min(input.neededInAll, initialTotal(input));
+  const covered = sumOf(kept) + zones.reduce((sum, supply) => sum + expectedSpot(supply, spot), 0);
+  const plainLimit = (supply: ZoneSupply) =>
+    limits.max - (kept.get(supply.zone) ?? 0) - reservedForSpot(supply, spot.get(supply.zone) ?? 0);
+  const extra = distributeToCheapest(
+    Math.max(0, neededInAll - covered),
+    sharesOf(input, zones, plainLimit),
+  );
+  const minPlainOf = ({ zone }: ZoneSupply) =>
     Math.max((kept.get(zone) ?? 0) + (extra.get(zone) ?? 0), limits.min - (spot.get(zone) ?? 0));
-  const least = new Map(zones.map((now) => [now.zone, leastOf(now)]));
-  const plain = plainTargets(input, least);
+  const minPlain = new Map(zones.map((supply) => [supply.zone, minPlainOf(supply)]));
+  const plain = plainTargets(input, minPlain);
   const targets = zones.map(({ zone }) => ({
     zone,
     plain: plain.get(zone) ?? 0,
-    // The limit holds while both kinds are there.
+    // The limit applies to both kinds together while plain servers are being replaced.
     spot: Math.max(0, Math.min(spot.get(zone) ?? 0, limits.max - (plain.get(zone) ?? 0))),
   }));
   return { targets, wantedInAll };
 }
 
-function givenInAll({ limits, zones, givenPerZone }: LossPlanInput): number {
+function initialTotal({ limits, zones, givenPerZone }: LossPlanInput): number {
   return withinLimits(givenPerZone, limits) * zones.length;
 }
 
-/** Servers there are to be: as given, or more where the work and a loss take more. */
+/** The total number of servers wanted: the initial number, or more if the work needs more to survive a zone loss. */
 function wantedServers({ limits, zones, givenPerZone, neededInAll }: LossPlanInput): number {
-  const given = withinLimits(givenPerZone, limits);
+  const initial = withinLimits(givenPerZone, limits);
   const others = zones.length - 1;
-  if (others < 1) return given;
-  const spotNeeded = Math.max(0, neededInAll - PLAIN_KEPT);
-  const withSpare = PLAIN_KEPT + (spotNeeded * zones.length) / others;
-  const growth = Math.min(MOST_GROWTH, withSpare / (given * zones.length));
-  const steps = Math.max(0, Math.ceil((growth - 1) / GROWTH_STEP - ROUNDING));
-  const perZone = Math.ceil(given * (1 + steps * GROWTH_STEP) - ROUNDING);
+  if (others < 1) return initial;
+  const spotNeeded = Math.max(0, neededInAll - MIN_PLAIN_TOTAL);
+  const withSpare = MIN_PLAIN_TOTAL + (spotNeeded * zones.length) / others;
+  const growth = Math.min(MAX_GROWTH, withSpare / (initial * zones.length));
+  const steps = Math.max(0, Math.ceil((growth - 1) / GROWTH_STEP - ROUNDING_TOLERANCE));
+  const perZone = Math.ceil(initial * (1 + steps * GROWTH_STEP) - ROUNDING_TOLERANCE);
   return withinLimits(perZone, limits) * zones.length;
 }
 
-/** Plain servers that stay whatever spot servers there are: few where spot servers bear the loss of a zone. */
-function plainKept(input: LossPlanInput, wantedInAll: number): ReadonlyMap<string, number> {
+/** Plain servers kept per zone regardless of spot servers: few if spot servers are cheaper for surviving a loss. */
+function keptPlain(input: LossPlanInput, wantedInAll: number): ReadonlyMap<string, number> {
   const { limits, zones, neededInAll } = input;
   const sparePrice = (limits.spotPrice * zones.length) / (zones.length - 1);
-  const count = sparePrice < 1 ? PLAIN_KEPT : Math.max(PLAIN_KEPT, neededInAll);
+  const count = sparePrice < 1 ? MIN_PLAIN_TOTAL : Math.max(MIN_PLAIN_TOTAL, neededInAll);
   const shares = sharesOf(input, zones, () => limits.max);
-  return dealEvenly(Math.min(count, wantedInAll), shares);
+  return distributeEvenly(Math.min(count, wantedInAll), shares);
 }
 
 /**
- * Evenly over the zones that have spot servers, after the least that a zone may have; the others are asked for the
- * share that they would have.
+ * The spot target of each zone: first the minimum of each zone, then distributed evenly over the zones that have spot
+ * servers available. For zones without, the target is the share that they would have if spot servers were available.
  */
 function spotTargets(
   input: LossPlanInput,
@@ -121,49 +124,56 @@
   kept: ReadonlyMap<string, number>,
 ): ReadonlyMap<string, number> {
   const { limits, zones } = input;
-  const room = ({ zone, plain }: ZoneSupply) => limits.max - Math.max(plain, kept.get(zone) ?? 0);
-  const sharesOfLeast = (some: readonly ZoneSupply[]) =>
-    sharesOf(input, some, room).map((share) => {
-      const least = Math.max(0, limits.min - (kept.get(share.zone) ?? 0));
-      return { ...share, count: Math.min(share.most, least) };
+  const plainLimit = ({ zone, plain }: ZoneSupply) =>
+    limits.max - Math.max(plain, kept.get(zone) ?? 0);
+  const sharesWithMinimum = (some: readonly ZoneSupply[]) =>
+    sharesOf(input, some, plainLimit).map((share) => {
+      const minPlain = Math.max(0, limits.min - (kept.get(share.zone) ?? 0));
+      return { ...share, count: Math.min(share.most, minPlain) };
     });
-  const asked = dealEvenly(total, sharesOfLeast(zones));
-  const open = zones.filter(({ hasSpot }) => hasSpot);
+  const evenTargets = distributeEvenly(total, sharesWithMinimum(zones));
+  const zonesWithSpot = zones.filter(({ hasSpot }) => hasSpot);
   const leftElsewhere = zones.reduce((sum, { hasSpot, spot }) => sum + (hasSpot ? 0 : spot), 0);
-  const taken = dealEvenly(total - leftElsewhere, sharesOfLeast(open));
-  return new Map([...asked, ...taken]);
+  const availableTargets = distributeEvenly(
+    total - leftElsewhere,
+    sharesWithMinimum(zonesWithSpot),
+  );
+  return new Map([...evenTargets, ...availableTargets]);
 }
 
-/** Spot servers that there will be soon: of a zone that has none to give, those that are left. */
+/** Spot servers expected soon; in a zone without available spot servers, only those still present. */
 function expectedSpot({ zone, spot, hasSpot }: ZoneSupply, targets: ReadonlyMap<string, number>) {
   const target = targets.get(zone) ?? 0;
   return hasSpot ? target : Math.min(target, spot);
 }
 
-/** In a zone that has no spot servers, plain ones leave room for as many as show that there are some again. */
-function roomForSpot({ spot, hasSpot }: ZoneSupply, target: number): number {
-  return hasSpot ? target : Math.min(target, Math.max(spot, SPOT_ASKED));
+/**
+ * Servers of a zone's limit that are reserved for spot servers. Without available spot servers, plain servers leave
+ * enough of the limit free for an order that shows when spot servers are available again.
+ */
+function reservedForSpot({ spot, hasSpot }: ZoneSupply, target: number): number {
+  return hasSpot ? target : Math.min(target, Math.max(spot, MIN_SPOT_REQUEST));
 }
 
-/** Plain servers that are not to stay go, the dearest first, once as many as were given are there without them. */
+/** Removes surplus plain servers, the most expensive first, once the initial number of servers exists without them. */
 function plainTargets(
   input: LossPlanInput,
-  least: ReadonlyMap<string, number>,
+  minPlain: ReadonlyMap<string, number>,
 ): ReadonlyMap<string, number> {
   const { limits, zones } = input;
-  let spare = zones.reduce((sum, { plain, spot }) => sum + plain + spot, 0) - givenInAll(input);
+  let spare = zones.reduce((sum, { plain, spot }) => sum + plain + spot, 0) - initialTotal(input);
   const dearestFirst = zones.toSorted(
     (one, other) => priceOf(limits, other.zone) - priceOf(limits, one.zone),
   );
   const targets = new Map<string, number>();
   for (const { zone, plain } of dearestFirst) {
-    const target = least.get(zone) ?? 0;
+    const target = minPlain.get(zone) ?? 0;
     const surplus = Math.max(0, plain - target);
-    const going = Math.min(surplus, Math.max(0, spare));
-    // Not one by one as others come: each step would be an order.
-    const gone = 2 * going >= surplus ? going : 0;
-    spare -= gone;
-    targets.set(zone, Math.min(limits.max, Math.max(target, plain - gone)));
+    const removable = Math.min(surplus, Math.max(0, spare));
+    // Not one by one as spot servers come, as each step would be an order.
+    const removed = 2 * removable >= surplus ? removable : 0;
+    spare -= removed;
+    targets.set(zone, Math.min(limits.max, Math.max(target, plain - removed)));
   }
   return targets;
 }
@@ -171,32 +181,36 @@
 function sharesOf(
   { limits }: Pick<LossPlanInput, 'limits'>,
   zones: readonly ZoneSupply[],
-  mostOf: (zone: ZoneSupply) => number,
+  maxOf: (zone: ZoneSupply) => number,
 ): Share[] {
-  return zones.map((now) => ({
-    zone: now.zone,
-    price: priceOf(limits, now.zone),
-    most: Math.max(0, mostOf(now)),
+  return zones.map((supply) => ({
+    zone: supply.zone,
+    price: priceOf(limits, supply.zone),
+    most: Math.max(0, maxOf(supply)),
     count: 0,
   }));
 }
 
-/** One after the other to the zone that has fewest, of these the cheapest. */
-function dealEvenly(total: number, shares: Share[]): ReadonlyMap<string, number> {
-  return deal(total, shares, (one, other) => one.count - other.count || one.price - other.price);
+/** Adds servers one by one to the zone with the fewest; among equals, to the cheapest. */
+function distributeEvenly(total: number, shares: Share[]): ReadonlyMap<string, number> {
+  return distribute(
+    total,
+    shares,
+    (one, other) => one.count - other.count || one.price - other.price,
+  );
 }
 
-function dealToCheapest(total: number, shares: Share[]): ReadonlyMap<string, number> {
-  return deal(total, shares, (one, other) => one.price - other.price);
+function distributeToCheapest(total: number, shares: Share[]): ReadonlyMap<string, number> {
+  return distribute(total, shares, (one, other) => one.price - other.price);
 }
 
-function deal(
+function distribute(
   total: number,
   shares: Share[],
   order: (one: Share, other: Share) => number,
 ): ReadonlyMap<string, number> {
-  const dealt = shares.reduce((sum, { count }) => sum + count, 0);
-  for (let left = total - dealt; left > 0; left -= 1) {
+  const distributed = shares.reduce((sum, { count }) => sum + count, 0);
+  for (let left = total - distributed; left > 0; left -= 1) {
     const next = shares.filter(({ count, most }) => count < most).toSorted(order)[0];
     if (next === undefined) break;
     next.count += 1;
--- a/src/core/capacity/scaled-service.ts
+++ b/src/core/capacity/scaled-service.ts
@@ -1,39 +1,39 @@
-/** A service whose servers are paid by the second, and what is planned for it. */
+/** A service whose servers are billed per second, and the plan for it. */
 import type { ScalingLimits } from '../gateway/index.js';
 import type { ZoneCapacity } from './plan-capacity.js';
 
-/** A service whose servers are paid by the second, as it is now. */
+/** The current state of a service whose servers are billed per second. */
 export interface ScaledService {
   readonly service: string;
   readonly limits: ScalingLimits;
-  /** Servers that take work; those that are about to leave are not among them. */
+  /** Servers that accept work, without those that are about to stop. */
   readonly zones: readonly ZoneCapacity[];
-  /** Servers without which the service falls behind its work. */
+  /** The minimum number of servers with which the service keeps up with its work. */
   readonly neededInAll: number;
-  /** Servers with which work that comes unevenly still finds one free. */
+  /** The number of servers with which a free one is found even when work arrives unevenly. */
   readonly neededWithRoom: number;
 }
 
-/** What a plan that bears a loss was made from. */
+/** The figures behind a plan that tolerates the loss of a zone. */
 export interface CapacityBelief {
   readonly service: string;
-  /** Servers that the work needs, with room for its unevenness. */
+  /** Servers that the work needs, with headroom for uneven arrivals. */
   readonly needed: number;
-  /** Servers that there are to be, the spare ones counted. */
+  /** The total number of servers wanted, including spares. */
   readonly wanted: number;
   readonly present: number;
-  /** Under order or booting. */
+  /** Servers that are ordered or booting. */
   readonly coming: number;
-  /** Zones that have no spot servers to give. */
+  /** Zones without available spot servers. */
   readonly zonesWithoutSpot: readonly string[];
-  /** Spot servers that were seen to be taken away in this look. */
+  /** Spot servers that were found to be reclaimed when this plan was made. */
   readonly lost: number;
 }
 
-/** What each zone of a service is to have. */
+/** The targets of a service's zones. */
 export interface ServicePlan {
   readonly scaled: ScaledService;
   readonly targets: readonly ZoneCapacity[];
-  /** Undefined where the plan bears no loss. */
+  /** Undefined if the plan does not tolerate the loss of a zone. */
   readonly belief: CapacityBelief | undefined;
 }
--- a/src/core/capacity/spot-supply.ts
+++ b/src/core/capacity/spot-supply.ts
@@ -1,7 +1,7 @@
 /**
- * Which zones have spot servers to give. A zone's spot servers are taken away all at once, and for a while no others
- * are to be had there; that shows when most of them go together, before any order is refused. A zone that has none to
- * give is asked again now and then, and has some again once an order was accepted.
+ * Tracks which zones have spot servers available. The platform reclaims a zone's spot servers all at once, and none are
+ * available there for a while. This is detected when most of them disappear together, before any order is refused. A
+ * zone without available spot servers is asked again periodically, and counts as available once an order is accepted.
  */
 import type { OrderOutcome } from './order-book.js';
 
@@ -10,65 +10,65 @@
   readonly atMs: number;
 }
 
-interface ZoneBelief {
+interface ZoneState {
   counts: SpotCount[];
   hasSpot: boolean;
 }
 
-/** Servers of one zone that go within this time go for one cause: a list of them comes in parts. */
-const TOGETHER_MS = 3_000;
-/** A zone that loses this part of its spot servers at once has had them taken away; less may be a failure. */
-const TAKEN_SHARE = 0.5;
-/** One server alone may have failed. */
-const LEAST_TAKEN = 2;
+/** Servers of a zone that disappear within this time count as one loss, as updates of the server list come in parts. */
+const LOSS_WINDOW_MS = 3_000;
+/** A zone that loses this share of its spot servers at once has had them reclaimed; fewer may be failures. */
+const MIN_RECLAIMED_SHARE = 0.5;
+/** Fewer lost servers than this may be failures. */
+const MIN_RECLAIMED_SERVERS = 2;
 
-/** What is believed of each zone's spot servers; zones by any key. */
+/** The availability of spot servers by zone; any string may identify a zone. */
 export class SpotSupply {
-  readonly #zones = new Map<string, ZoneBelief>();
+  readonly #zones = new Map<string, ZoneState>();
 
   hasSpot(zone: string): boolean {
     return this.#zones.get(zone)?.hasSpot ?? true;
   }
 
   /**
-   * So many spot servers of a zone take work now.
-   * @param ordered how many were asked for last: those beyond go as they are to
-   * @returns how many were taken away, where that shows for the first time
+   * Records the number of a zone's spot servers that accept work.
+   * @param ordered the number last ordered; servers beyond it are expected to disappear
+   * @returns the number of reclaimed servers when a loss is first detected, else 0
    */
   see(zone: string, servers: number, ordered: number, nowMs: number): number {
-    const belief = this.#beliefOf(zone);
-    belief.counts = belief.counts.filter(({ atMs }) => nowMs - atMs <= TOGETHER_MS);
-    const newest = belief.counts.at(-1)?.servers;
-    if (newest !== undefined && servers > newest) belief.hasSpot = true;
-    const seen = Math.max(servers, ...belief.counts.map((count) => count.servers));
-    const most = Math.max(servers, Math.min(seen, ordered));
-    const lost = most - servers;
-    if (lost >= LEAST_TAKEN && lost >= TAKEN_SHARE * most) {
-      belief.counts = [{ servers, atMs: nowMs }];
-      belief.hasSpot = false;
+    const state = this.#stateOf(zone);
+    state.counts = state.counts.filter(({ atMs }) => nowMs - atMs <= LOSS_WINDOW_MS);
+    const newest = state.counts.at(-1)?.servers;
+    if (newest !== undefined && servers > newest) state.hasSpot = true;
+    const peak = Math.max(servers, ...state.counts.map((count) => count.servers));
+    const countBefore = Math.max(servers, Math.min(peak, ordered));
+    const lost = countBefore - servers;
+    if (lost >= MIN_RECLAIMED_SERVERS && lost >= MIN_RECLAIMED_SHARE * countBefore) {
+      state.counts = [{ servers, atMs: nowMs }];
+      state.hasSpot = false;
       return lost;
     }
-    if (newest === servers) belief.counts.pop();
-    belief.counts.push({ servers, atMs: nowMs });
+    if (newest === servers) state.counts.pop();
+    state.counts.push({ servers, atMs: nowMs });
     return 0;
   }
 
-  /** Spot servers were asked for in a zone. */
+  /** Records the outcome of an order of spot servers in a zone. */
   noteOrder(zone: string, outcome: OrderOutcome): void {
-    const belief = this.#beliefOf(zone);
+    const state = this.#stateOf(zone);
     switch (outcome) {
       case 'accepted':
-        belief.hasSpot = true;
+        state.hasSpot = true;
         return;
       case 'conflict':
-        belief.hasSpot = false;
+        state.hasSpot = false;
         return;
       case 'unknown':
         return;
     }
   }
 
-  #beliefOf(zone: string): ZoneBelief {
+  #stateOf(zone: string): ZoneState {
     const known = this.#zones.get(zone);
     if (known !== undefined) return known;
     const created = { counts: [], hasSpot: true };
--- a/src/core/capacity/within-limits.ts
+++ b/src/core/capacity/within-limits.ts
@@ -1,7 +1,7 @@
-/** How many servers a zone may have. */
+/** Limits on the number of servers of a zone. */
 import type { ScalingLimits } from '../gateway/index.js';
 
-/** The number nearest to it that a zone may have, of both kinds together. */
+/** Clamps a zone's number of servers, of both kinds together, to its limits. */
 export function withinLimits(servers: number, { min, max }: ScalingLimits): number {
   return Math.min(max, Math.max(min, servers));
 }
--- a/src/core/common/hash.ts
+++ b/src/core/common/hash.ts
@@ -1,6 +1,6 @@
 /**
- * A fast 64-bit hash of text in plain arithmetic, for emulated output and content and for digests of views. Not
- * cryptographic: never for keys, digests of secrets, or anything an attacker gains by colliding.
+ * A fast 64-bit text hash in plain integer arithmetic, for emulated output and content and for digests of views. Not
+ * cryptographic: do not use it for keys, digests of secrets, or anything that an attacker could exploit by collisions.
  */
 
 /** A 64-bit hash as two unsigned 32-bit lanes. */
@@ -9,7 +9,7 @@
   readonly low: number;
 }
 
-/** The hash of nothing. */
+/** The hash of the empty text. */
 export const EMPTY_HASH: Hash64 = { high: 0x9e3779b9, low: 0x85ebca6b };
 
 // The prime of FNV-1a and a second odd constant, so that the two lanes differ.
--- a/src/core/common/identifiers.ts
+++ b/src/core/common/identifiers.ts
@@ -1,13 +1,13 @@
 /**
- * Names and identifiers shared by every part of the core. All are opaque strings outside the
- * module that mints them.
+ * Names and identifiers shared by all modules of the core. String identifiers are opaque outside the module that
+ * creates them.
  */
 
-/** A daemon's configured name, unique in the fleet, stable over restarts. */
+/** A daemon's configured name: unique in the fleet, and unchanged by restarts. */
 export type DaemonName = string;
-/** Distinguishes two lives of a daemon under one name; grows with each start. */
+/** Distinguishes successive processes of a daemon under one name; grows with each start. */
 export type Incarnation = number;
-/** The name of a backend (engine or web backend) as the machine list states it. */
+/** The name of a backend (engine or web backend) as given in the machine list. */
 export type BackendName = string;
 /** A failure domain, for example `leiden-a`. */
 export type ZoneName = string;
@@ -15,21 +15,21 @@
 export type ModelName = string;
 /** A fine-tuned adapter over a base model; callers may name it as a model. */
 export type AdapterName = string;
-/** The version of a model or adapter as the weight store names it. */
+/** The version of a model or adapter, as named by the weight store. */
 export type VersionName = string;
 /** A kind of work with a priority, share and deadline. */
 export type ClassName = string;
 /** The owner of an API key. */
 export type TenantName = string;
-/** One caller request, minted by the daemon that accepted it: `<daemon>-<incarnation>-<counter>`. */
+/** Identifies one caller request; created by the daemon that accepted it: `<daemon>-<incarnation>-<counter>`. */
 export type RequestId = string;
-/** One dispatch of a request to one backend: `<requestId>.<attempt number>`. */
+/** Identifies one dispatch of a request to one backend: `<requestId>.<attempt number>`. */
 export type AttemptId = string;
-/** One durable order to one engine. */
+/** Identifies one durable order to one engine. */
 export type OrderId = string;
-/** One operator change; the operator may choose it so that a repeat takes effect once. */
+/** Identifies one operator change; the operator may choose the id so that a repeated change takes effect only once. */
 export type ChangeId = string;
-/** One life of an engine process; an engine draws a new one at each start. */
+/** Identifies one boot of an engine; an engine draws a new id at each start. */
 export type BootId = string;
-/** Engines under one controller, as the machine list states it. */
+/** The name of a group of engines under one controller, as given in the machine list. */
 export type PoolName = string;
--- a/src/core/common/jitter.ts
+++ b/src/core/common/jitter.ts
@@ -1,5 +1,5 @@
 /**
- * Jitter and exponential back-off, computed from the entropy that the shell draws for each step.
+ * Jitter and exponential back-off, computed from the random number that the shell draws for each step.
  */
 import type { Milliseconds } from './time.js';
 
@@ -10,9 +10,9 @@
   return (entropy >>> 0) / ENTROPY_RANGE;
 }
 
-/** A span drawn evenly between two bounds. */
-export function jittered(least: Milliseconds, most: Milliseconds, entropy: number): Milliseconds {
-  return least + (most - least) * fractionOf(entropy);
+/** A duration, uniformly distributed between two bounds. */
+export function jittered(lower: Milliseconds, upper: Milliseconds, entropy: number): Milliseconds {
+  return lower + (upper - lower) * fractionOf(entropy);
 }
 
 /** Bounds of an exponential back-off. */
@@ -21,7 +21,7 @@
   readonly mostMs: Milliseconds;
 }
 
-/** The wait before the next try: between half and all of a span that doubles with each failure. */
+/** The wait before the next attempt: between half and all of a duration that doubles with each failure. */
 export function backoff(bounds: BackoffBounds, failures: number, entropy: number): Milliseconds {
   const doubled = bounds.firstMs * 2 ** Math.max(0, failures - 1);
   const span = Math.min(bounds.mostMs, doubled);
--- a/src/core/common/prefix-blocks.ts
+++ b/src/core/common/prefix-blocks.ts
@@ -1,6 +1,6 @@
 /**
- * Hashes of a prompt's successive prefix blocks, as engines publish them in cache events and
- * daemons compute them for prefix affinity. The definition is part of docs/ENGINE-API.md.
+ * Hashes of a prompt's successive prefix blocks. Engines publish them in cache events, and daemons compute them for
+ * prefix affinity. The definition is part of docs/ENGINE-API.md.
  */
 
 /** The length of a block in UTF-16 code units of the prompt. */
@@ -11,10 +11,10 @@
 const SECOND_LANE_PRIME = 0x85ebca6b;
 
 /**
- * The hashes of the whole blocks of a prompt, first to last; a trailing part block has none. Each
- * covers everything before it, so that equal hashes mean equal prefixes: 16 hexadecimal digits,
- * FNV-1a in one 32-bit lane and a multiplicative hash in the other. A hint only; not cryptographic.
- * @param limit the most blocks that are hashed
+ * The hashes of the complete blocks of a prompt, first to last; a trailing partial block has none. Each hash covers
+ * everything before the end of its block, so equal hashes mean equal prefixes. A hash has 16 hexadecimal digits:
+ * FNV-1a in one 32-bit lane and a multiplicative hash in the other. Not cryptographic; use it as a hint only.
+ * @param limit the maximum number of blocks to hash
  */
 export function prefixBlockHashes(prompt: string, limit: number): string[] {
   const blocks = Math.min(limit, Math.floor(prompt.length / PREFIX_BLOCK_CHARACTERS));
--- a/src/core/common/time.ts
+++ b/src/core/common/time.ts
@@ -6,5 +6,5 @@
 /** A span of time in milliseconds. */
 export type Milliseconds = number;
 
-/** A reading of one process's monotonic clock in milliseconds. Never compared across processes. */
+/** A reading of one process's monotonic clock in milliseconds. Readings of different processes must not be compared. */
 export type MonotonicMs = number;
--- a/src/core/common/transition.ts
+++ b/src/core/common/transition.ts
@@ -3,7 +3,7 @@
  */
 import type { MonotonicMs } from './time.js';
 
-/** What a reducer may know beside its state and the event. */
+/** The input of a reducer besides its state and the event. */
 export interface StepContext {
   /** The process's monotonic clock when the event was observed. */
   readonly now: MonotonicMs;
--- a/src/core/duty/index.ts
+++ b/src/core/duty/index.ts
@@ -1,4 +1,4 @@
-/** Duties that one daemon at a time has, under a fencing token. */
+/** Duties: tasks that one daemon at a time performs, under a fencing token. */
 export {
   type DutyRecord,
   RecordLease,
--- a/src/core/lease/authority.ts
+++ b/src/core/lease/authority.ts
@@ -1,26 +1,26 @@
 /**
- * A holder's authority: what others need to know of a lease in order to act under it.
+ * A lease holder's authority: the facts about a lease that other modules need to act under it.
  */
 import type { MonotonicMs } from '../common/time.js';
 
-/** The authority that a held lease gives, until a time on the holder's own monotonic clock. */
+/** The authority given by a held lease, until a time on the holder's own monotonic clock. */
 export interface Authority {
-  /** The epoch of every order's fence. */
+  /** The epoch, which is the fencing token of every order. */
   readonly epoch: number;
-  /** The version of the row `epoch/<resource>` that a dependent write must check. */
+  /** The version of the row `epoch/<resource>`, which each write that depends on the lease must check. */
   readonly epochRowVersion: number;
-  /** Nothing may be done under the lease at or after this time. */
+  /** No action under the lease is allowed at or after this time. */
   readonly until: MonotonicMs;
 }
 
-/** Whether an authority holds at a time. */
+/** Whether an authority is valid at a given time. */
 export function isInForce(authority: Authority | null, now: MonotonicMs): authority is Authority {
   return authority !== null && now < authority.until;
 }
 
 /**
- * The check that the shell makes right before it writes an order to a socket: the order's epoch
- * must be that of an authority which still holds.
+ * The check that the shell makes right before it writes an order to a socket: the authority must still be valid and
+ * have the order's epoch.
  */
 export function maySendUnder(
   authority: Authority | null,
--- a/src/core/lease/index.ts
+++ b/src/core/lease/index.ts
@@ -1,4 +1,4 @@
-/** Leases: who may act on a resource, under which epoch and until when. */
+/** Leases: which daemon may act on a resource, under which epoch and until when. */
 export { type Authority, isInForce, maySendUnder } from './authority.js';
 export {
   authorityOf,
--- a/src/core/lease/observation.ts
+++ b/src/core/lease/observation.ts
@@ -1,5 +1,5 @@
 /**
- * What a daemon has read of a lease's rows, and what follows from it.
+ * What a daemon has read of a lease's rows, and what that says about the lease's holder.
  */
 import type { MonotonicMs } from '../common/time.js';
 import { isFenceOf } from '../platform/era-fence.js';
@@ -19,8 +19,8 @@
 };
 
 /**
- * Takes rows of an answer into what is known. A version seen before keeps its first time; in a new era of the store
- * nothing but the highest epoch is known.
+ * Merges the rows of an answer into the observed state. A version that was seen before keeps the time when it was first
+ * seen. In a new era of the store, only the highest epoch is kept.
  */
 export function absorbRows(
   settings: LeaseSettings,
@@ -34,13 +34,13 @@
     ? known
     : { ...ABSENT, era, epoch: known?.epoch ?? 0, firstSeenAt: now };
   for (const row of rows) {
-    if (row.key === leaseKey(settings.resource)) observed = absorbLeaseRow(observed, row, now);
-    if (row.key === epochKey(settings.resource)) observed = absorbEpochRow(observed, row);
+    if (row.key === leaseKey(settings.resource)) observed = applyLeaseRow(observed, row, now);
+    if (row.key === epochKey(settings.resource)) observed = applyEpochRow(observed, row);
   }
   return { ...observed, lastSeenAt: now };
 }
 
-function absorbLeaseRow(observed: ObservedLease, row: TableRow, now: MonotonicMs): ObservedLease {
+function applyLeaseRow(observed: ObservedLease, row: TableRow, now: MonotonicMs): ObservedLease {
   if (row.version < observed.version) return observed;
   const value = row.value as LeaseRow | null;
   const firstSeenAt = row.version === observed.version ? observed.firstSeenAt : now;
@@ -48,7 +48,7 @@
   return { ...observed, version: row.version, row: value, firstSeenAt, epoch };
 }
 
-function absorbEpochRow(observed: ObservedLease, row: TableRow): ObservedLease {
+function applyEpochRow(observed: ObservedLease, row: TableRow): ObservedLease {
   if (row.version < observed.epochRowVersion) return observed;
   const value = row.value as EpochRow | null;
   const epoch = Math.max(observed.epoch, value?.epoch ?? 0);
@@ -56,21 +56,21 @@
 }
 
 /**
- * Whether nobody holds the lease: it is absent or was released. Where the store has come back from an older copy, the
- * row of a holder may be lost; then that is sure only of a row of this era.
+ * Whether nobody holds the lease: the row is absent, or the lease was released. After the store was restored from an
+ * older copy, a holder's row may be lost, so the lease counts as free only if a row of the current era says so.
  */
 export function isFree({ row, era }: ObservedLease): boolean {
   if (row === null) return era === FIRST_ERA;
   return row.holder === null && isFenceOf(era, row.epoch);
 }
 
-/** Whether the row names this life of this daemon; a row of an era before names nobody. */
+/** Whether the row names this incarnation of this daemon; a row of an earlier era names no valid holder. */
 export function holdsRow(settings: LeaseSettings, { row, era }: ObservedLease): boolean {
   if (row === null || !isFenceOf(era, row.epoch)) return false;
   return row.holder === settings.daemon && row.incarnation === settings.incarnation;
 }
 
-/** From when on the lease has lapsed if its row's version does not change until then. */
+/** The time at which the lease lapses unless its row's version changes before. */
 export function standsStillUntil(settings: LeaseSettings, observed: ObservedLease): MonotonicMs {
   const durationMs = observed.row?.durationMs ?? settings.durationMs;
   return observed.firstSeenAt + durationMs + settings.marginMs;
--- a/src/core/lease/state.ts
+++ b/src/core/lease/state.ts
@@ -1,5 +1,5 @@
 /**
- * The state, events and effects of one daemon's part in one lease.
+ * The state, events and effects of the lease reducer: one daemon's part in one lease.
  */
 import type { DaemonName, Incarnation } from '../common/identifiers.js';
 import type { Milliseconds, MonotonicMs } from '../common/time.js';
@@ -8,32 +8,30 @@
 import type { Authority } from './authority.js';
 import type { LeaseRow } from './types.js';
 
-/** What does not change during a daemon's life. */
+/** What does not change while the daemon's process runs. */
 export interface LeaseSettings {
   /** What the lease is for, for example `pool/labels@leiden-a`. */
   readonly resource: string;
   readonly daemon: DaemonName;
   readonly incarnation: Incarnation;
-  /** How long a renewal lasts. */
+  /** How long the lease is held after a renewal. */
   readonly durationMs: Milliseconds;
-  /** Taken off the holder's deadline and added to the observer's wait, for clock drift. */
+  /** Subtracted from the holder's deadline and added to the observers' wait, to allow for clock drift. */
   readonly marginMs: Milliseconds;
 }
 
-/** The duration of a lease unless the settings say otherwise. */
 export const DEFAULT_LEASE_DURATION_MS: Milliseconds = 5_000;
-/** The drift margin of a lease unless the settings say otherwise. */
 export const DEFAULT_LEASE_MARGIN_MS: Milliseconds = 500;
 
 /** The rows of a lease as last read. */
 export interface ObservedLease {
-  /** The era of the store that the versions are of. */
+  /** The era of the store to which the versions belong. */
   readonly era: number;
   /** The lease row's version; 0 while it is absent. */
   readonly version: number;
   readonly row: LeaseRow | null;
   readonly epochRowVersion: number;
-  /** The highest epoch that either row states. */
+  /** The highest epoch in either row. */
   readonly epoch: number;
   /** When this daemon first received this version. */
   readonly firstSeenAt: MonotonicMs;
@@ -41,7 +39,7 @@
   readonly lastSeenAt: MonotonicMs;
 }
 
-/** What a table call is for. */
+/** The purpose of a table call. */
 export type LeaseCallPurpose = 'read' | 'acquire' | 'renew' | 'release';
 
 /** The one table call that may be in flight. */
@@ -54,35 +52,35 @@
 /** One daemon's part in one lease. */
 export interface LeaseState {
   readonly settings: LeaseSettings;
-  /** Whether the daemon would hold the lease. */
+  /** Whether the daemon wants to hold the lease. */
   readonly candidate: boolean;
-  /** True after `release`: the lease is given up and not taken again. */
+  /** True after `release`: the lease is released and not acquired again. */
   readonly stopping: boolean;
   readonly observed: ObservedLease | null;
-  /** The authority of the lease held, which may have run out; null when not held. */
+  /** The authority of the held lease, which may have expired; null when not held. */
   readonly held: Authority | null;
   readonly pending: PendingLeaseCall | null;
-  /** A write was lost or conflicted: the rows must be read before anything else is written. */
+  /** A write had no answer or conflicted: the rows must be read before the next write. */
   readonly uncertain: boolean;
   readonly nextCallAt: MonotonicMs;
-  /** Table calls in a row that did not answer. */
+  /** The number of consecutive table calls that failed or were not answered. */
   readonly failures: number;
-  /** Table calls made, for tokens. */
+  /** The number of table calls made, from which call tokens are built. */
   readonly calls: number;
 }
 
-/** What a lease reducer reacts to. */
+/** The events of the lease reducer. */
 export type LeaseEvent =
   | { readonly kind: 'tick' }
   | TableResultEvent
-  /** The daemon becomes a candidate, or ceases to be one and gives up what it holds. */
+  /** The daemon becomes a candidate, or stops being one and releases the lease if it holds it. */
   | { readonly kind: 'want'; readonly candidate: boolean }
-  /** A peer says that the lease was released: read it now instead of at the next poll. */
+  /** A peer reported that the lease was released: read the rows now instead of at the next poll. */
   | { readonly kind: 'refresh' }
-  /** The daemon stops: give up the lease for good. */
+  /** The daemon is stopping: release the lease and do not acquire it again. */
   | { readonly kind: 'release' };
 
-/** What became of the lease, for the daemon's composition. */
+/** Changes of the lease, for the modules that depend on it. */
 export type LeaseEffect =
   | { readonly kind: 'lease-acquired'; readonly resource: string; readonly epoch: number }
   | {
@@ -92,7 +90,7 @@
       readonly reason: 'deposed' | 'released';
     };
 
-/** Everything that a lease reducer asks for. */
+/** All effects of the lease reducer. */
 export type LeaseOutput = TableEffect | LogEffect | LeaseEffect;
 
 /** The state of a daemon that has not read the lease yet and is not a candidate. */
@@ -111,7 +109,7 @@
   };
 }
 
-/** The authority that the daemon has, or null. Its `until` may have passed. */
+/** The daemon's authority, or null. Its `until` may have passed. */
 export function authorityOf(state: LeaseState): Authority | null {
   if (state.stopping || !state.candidate) return null;
   return state.held;
@@ -123,12 +121,12 @@
   return authority !== null && now < authority.until;
 }
 
-/** The epoch of the lease held, or null. */
+/** The epoch of the held lease, or null. */
 export function epochOf(state: LeaseState): number | null {
   return state.held?.epoch ?? null;
 }
 
-/** Whether nothing is left to give up, so that a stopping daemon may exit. */
+/** Whether nothing is left to release, so that a stopping daemon may exit. */
 export function isReleased(state: LeaseState): boolean {
   return state.held === null && state.pending?.purpose !== 'acquire';
 }
--- a/src/core/lease/step.ts
+++ b/src/core/lease/step.ts
@@ -1,10 +1,10 @@
 /**
- * The reducer of one daemon's part in one lease: observe, take over, renew, give up.
+ * The reducer of one daemon's part in one lease: observe, take over, renew, release.
  *
- * - A write is made only on the version last read, so that of two writers one wins.
- * - After a lost answer or a conflict the rows are read before anything else is written.
- * - A row that names this life of this daemon is adopted without authority; authority comes only
- *   from a renewal that this daemon knows to have been committed, counted from its sending.
+ * - Each write is conditional on the version last read, so only one of two concurrent writers succeeds.
+ * - After a lost answer or a conflict, the rows are read before the next write.
+ * - A row that names this incarnation of this daemon is adopted without authority. Authority comes only from a write
+ *   that this daemon knows to have been committed, and lasts from the time when that write was sent.
  */
 import { backoff, jittered } from '../common/jitter.js';
 import type { Milliseconds, MonotonicMs } from '../common/time.js';
@@ -22,18 +22,18 @@
 } from './state.js';
 import { acquireCall, readCall, releaseCall, renewCall } from './table-calls.js';
 
-/** Renewals are sent at this share of the duration, less jitter. */
+/** Renewals are sent after this share of the lease duration, less jitter. */
 const RENEWAL_SHARE = 1 / 3;
-/** The earliest renewal, as a share of the span between renewals. */
-const RENEWAL_LEAST_SHARE = 0.8;
-/** Candidates for a free lease spread their first tries over this span. */
+/** The earliest renewal, as a share of the interval between renewals. */
+const MIN_RENEWAL_SHARE = 0.8;
+/** Candidates for a free lease spread their first attempts over this time. */
 const ACQUIRE_SPREAD_MS: Milliseconds = 100;
 /** The first wait after a failed table call. */
 const FIRST_BACKOFF_MS: Milliseconds = 100;
 
 type LeaseTransition = Transition<LeaseState, LeaseOutput>;
 
-/** One step of a daemon's part in a lease. */
+/** Applies one event to a daemon's part in a lease. */
 export function stepLease(
   state: LeaseState,
   event: LeaseEvent,
@@ -55,10 +55,10 @@
   }
 }
 
-/** Makes the next table call when it is due and none is in flight. */
+/** Makes the next table call if it is due and none is in flight. */
 function act(state: LeaseState, context: StepContext): LeaseTransition {
   if (state.pending !== null || context.now < state.nextCallAt) return unchanged(state);
-  // Nothing is left to give up; a stop must not wait for a table service that is down.
+  // A lapsed lease needs no release, and a stop must not wait for a table service that is down.
   const isLapsed = state.held !== null && context.now >= state.held.until;
   if (state.stopping && isLapsed) return released(state, context);
   const mayWrite = state.held !== null || (state.candidate && !state.stopping);
@@ -70,8 +70,8 @@
 }
 
 /**
- * What was read longer than a lease ago is read again before it is written on: in a new era of the store its versions
- * may be those of a later holder.
+ * Rows that were read longer than a lease duration ago must be read again before a conditional write: after a restore
+ * of the store, a version may have been reused for the row of a later holder.
  */
 function isOutdated({ observed, settings }: LeaseState, context: StepContext): boolean {
   return observed !== null && context.now - observed.lastSeenAt >= settings.durationMs;
@@ -125,7 +125,7 @@
   if (event.result.kind === 'unavailable' || event.result.kind === 'lost') {
     return receiveFailure(next, pending, event.result, context);
   }
-  const recovered = state.failures > 0 ? [log(LEASE_EVENTS.storeRecovered, fields(state))] : [];
+  const recovered = state.failures > 0 ? [log(LEASE_EVENTS.storeRecovered, logFields(state))] : [];
   const { state: after, effects } = receiveRows(
     { ...next, failures: 0 },
     pending,
@@ -143,8 +143,8 @@
 ): LeaseTransition {
   const failures = state.failures + 1;
   const bounds = { firstMs: FIRST_BACKOFF_MS, mostMs: renewalSpan(state) };
-  const asked = result.kind === 'unavailable' ? result.retryAfterMs : 0;
-  const wait = Math.max(asked, backoff(bounds, failures, context.entropy));
+  const requestedWaitMs = result.kind === 'unavailable' ? result.retryAfterMs : 0;
+  const wait = Math.max(requestedWaitMs, backoff(bounds, failures, context.entropy));
   const lostWrite = result.kind === 'lost' && pending.purpose !== 'read';
   return {
     state: {
@@ -155,7 +155,7 @@
     },
     effects:
       failures === 1
-        ? [log(LEASE_EVENTS.storeUnavailable, { ...fields(state), reason: result.reason })]
+        ? [log(LEASE_EVENTS.storeUnavailable, { ...logFields(state), reason: result.reason })]
         : [],
   };
 }
@@ -169,7 +169,7 @@
   const observed = absorbRows(state.settings, state.observed, result, context.now);
   const seen: LeaseState = { ...state, observed, uncertain: result.kind === 'conflict' };
   const isHeld = holdsRow(state.settings, observed);
-  // A write may be committed in a new era on a version that was given out again: it gives nothing there.
+  // In a new era, a write may be committed because its expected version was reused; it gives no authority.
   const isCommitted = result.kind === 'committed' && (isHeld || pending.purpose === 'release');
   if (isCommitted) return receiveCommit(seen, pending, context);
   if (isHeld) {
@@ -177,7 +177,7 @@
     return { state: { ...seen, nextCallAt: context.now }, effects: [] };
   }
   if (state.held !== null) return depose(seen, context);
-  return { state: { ...seen, nextCallAt: nextObservation(seen, context) }, effects: [] };
+  return { state: { ...seen, nextCallAt: nextPollAt(seen, context) }, effects: [] };
 }
 
 function receiveCommit(
@@ -195,12 +195,12 @@
     until: pending.sentAt + durationMs - marginMs,
   };
   const span = renewalSpan(state);
-  const wait = jittered(span * RENEWAL_LEAST_SHARE, span, context.entropy);
+  const wait = jittered(span * MIN_RENEWAL_SHARE, span, context.entropy);
   const nextCallAt = state.stopping || !state.candidate ? context.now : pending.sentAt + wait;
   const effects: LeaseOutput[] =
     pending.purpose === 'acquire'
       ? [
-          log(LEASE_EVENTS.acquired, { ...fields(state), epoch: held.epoch }),
+          log(LEASE_EVENTS.acquired, { ...logFields(state), epoch: held.epoch }),
           { kind: 'lease-acquired', resource: state.settings.resource, epoch: held.epoch },
         ]
       : [];
@@ -208,8 +208,8 @@
 }
 
 /**
- * The row names this life of this daemon: a write whose answer was lost took effect, or the lease
- * is simply still held. Authority already known for the same epoch stays; none is assumed.
+ * Handles a row that names this incarnation of this daemon: either a write whose answer was lost took effect, or the
+ * lease is still held. Known authority for the same epoch stays; no new authority is assumed.
  */
 function adopt(state: LeaseState, context: StepContext): LeaseTransition {
   const observed = state.observed;
@@ -225,7 +225,7 @@
   return {
     state: { ...state, held, nextCallAt: context.now },
     effects: [
-      log(LEASE_EVENTS.acquired, { ...fields(state), epoch: held.epoch }),
+      log(LEASE_EVENTS.acquired, { ...logFields(state), epoch: held.epoch }),
       { kind: 'lease-acquired', resource: state.settings.resource, epoch: held.epoch },
     ],
   };
@@ -235,9 +235,12 @@
   const epoch = state.held?.epoch ?? 0;
   const wasReleased = state.stopping || !state.candidate;
   return {
-    state: { ...state, held: null, nextCallAt: nextObservation(state, context) },
+    state: { ...state, held: null, nextCallAt: nextPollAt(state, context) },
     effects: [
-      log(wasReleased ? LEASE_EVENTS.released : LEASE_EVENTS.deposed, { ...fields(state), epoch }),
+      log(wasReleased ? LEASE_EVENTS.released : LEASE_EVENTS.deposed, {
+        ...logFields(state),
+        epoch,
+      }),
       {
         kind: 'lease-lost',
         resource: state.settings.resource,
@@ -253,19 +256,19 @@
   return {
     state: { ...state, held: null, nextCallAt: context.now + renewalSpan(state) },
     effects: [
-      log(LEASE_EVENTS.released, { ...fields(state), epoch }),
+      log(LEASE_EVENTS.released, { ...logFields(state), epoch }),
       { kind: 'lease-lost', resource: state.settings.resource, epoch, reason: 'released' },
     ],
   };
 }
 
-/** When an observer looks next: soon at a free lease, at the latest when a held one may lapse. */
-function nextObservation(state: LeaseState, context: StepContext): MonotonicMs {
+/** When an observer reads the rows next: soon if the lease is free, at the latest when a held lease may have lapsed. */
+function nextPollAt(state: LeaseState, context: StepContext): MonotonicMs {
   const observed = state.observed;
   const spread = jittered(0, ACQUIRE_SPREAD_MS, context.entropy);
   if (observed === null || state.uncertain || isFree(observed)) return context.now + spread;
   const span = renewalSpan(state);
-  const poll = context.now + jittered(span * RENEWAL_LEAST_SHARE, span, context.entropy);
+  const poll = context.now + jittered(span * MIN_RENEWAL_SHARE, span, context.entropy);
   return Math.min(poll, standsStillUntil(state.settings, observed) + spread);
 }
 
@@ -273,6 +276,6 @@
   return state.settings.durationMs * RENEWAL_SHARE;
 }
 
-function fields(state: LeaseState): { readonly resource: string } {
+function logFields(state: LeaseState): { readonly resource: string } {
   return { resource: state.settings.resource };
 }
--- a/src/core/lease/table-calls.ts
+++ b/src/core/lease/table-calls.ts
@@ -1,5 +1,5 @@
 /**
- * The table calls of a lease. Each write checks the version last read.
+ * The table calls of a lease. Each write is conditional on the version last read.
  */
 import { nextFence } from '../platform/era-fence.js';
 import type { TableCall } from '../platform/table.js';
@@ -11,7 +11,7 @@
   return { kind: 'get', keys: [leaseKey(settings.resource), epochKey(settings.resource)] };
 }
 
-/** Takes a free or lapsed lease under the next epoch. */
+/** Acquires a free or lapsed lease under the next epoch. */
 export function acquireCall(settings: LeaseSettings, observed: ObservedLease): TableCall {
   const epoch = nextFence(observed.era, observed.epoch);
   const lease: LeaseRow = {
@@ -35,7 +35,7 @@
   };
 }
 
-/** Renews a lease held; the epoch row stays as it is. */
+/** Renews a held lease; the epoch row is not written. */
 export function renewCall(settings: LeaseSettings, observed: ObservedLease): TableCall {
   const renewals = (observed.row?.renewals ?? 0) + 1;
   const lease: LeaseRow = {
@@ -48,7 +48,7 @@
   return writeLease(settings.resource, observed, lease);
 }
 
-/** Gives a lease up so that the next holder need not wait for it to lapse. */
+/** Releases a held lease, so that the next holder does not have to wait until it lapses. */
 export function releaseCall(settings: LeaseSettings, observed: ObservedLease): TableCall {
   const lease: LeaseRow = {
     holder: null,
--- a/src/core/lease/types.ts
+++ b/src/core/lease/types.ts
@@ -1,7 +1,7 @@
 /**
- * The lease row in the table service. A lease has no wall-clock time in it: an observer may take it
- * over only after it has seen the same row version for the lease's whole duration on its own
- * monotonic clock (Gray and Cheriton 1989, with fencing by epoch as in Chubby).
+ * The rows of a lease in the table service. They contain no wall-clock time: an observer may take a lease over only
+ * after it has seen the same row version for the full lease duration on its own monotonic clock (Gray and Cheriton
+ * 1989, with fencing by epoch as in Chubby).
  */
 import type { DaemonName, Incarnation } from '../common/identifiers.js';
 import type { Milliseconds } from '../common/time.js';
@@ -10,17 +10,17 @@
 export interface LeaseRow {
   readonly holder: DaemonName | null;
   readonly incarnation: Incarnation;
-  /** Grows by one with each change of holder; the epoch of every order's fence. */
+  /** Rises with each change of the holder; the fencing token of every order. */
   readonly epoch: number;
   readonly durationMs: Milliseconds;
-  /** Changes with each renewal so that the row's version does. */
+  /** Counts renewals, so that each renewal changes the row's value and version. */
   readonly renewals: number;
 }
 
 /**
- * The value of the row `epoch/<resource>`, written in the same transaction as each take-over and
- * never by a renewal. A write that needs the lease checks this row's version: it fails once another
- * holder has taken over, and does not race with the holder's own renewals.
+ * The value of the row `epoch/<resource>`, which is written in the transaction of each take-over and never by a
+ * renewal. A write that depends on the lease checks this row's version: the write fails once another holder has taken
+ * over, but does not conflict with the holder's own renewals.
  */
 export interface EpochRow {
   readonly epoch: number;
--- a/src/core/platform/era-fence.ts
+++ b/src/core/platform/era-fence.ts
@@ -1,17 +1,18 @@
 /**
- * Fencing tokens across eras of the store. The record of the last tokens may be lost with what an older copy lacks, so
- * nobody can count on from there: each era has tokens of its own, above those of all eras before.
+ * Fencing tokens across eras of the store. When the store is restored from an older copy, the record of the newest
+ * tokens may be lost, so the next token can't be derived from it. Therefore each era has its own range of tokens, above
+ * the ranges of all earlier eras.
  */
 
-/** More holders than this do not follow each other within an era. */
-const FENCES_OF_ERA = 1_000_000;
+/** The size of an era's range: the maximum number of changes of the holder within an era. */
+const FENCES_PER_ERA = 1_000_000;
 
-/** Whether a token was given out in an era, not before it. */
+/** Whether a token was issued in the given era and not before. */
 export function isFenceOf(era: number, fence: number): boolean {
-  return fence > era * FENCES_OF_ERA;
+  return fence > era * FENCES_PER_ERA;
 }
 
-/** The token after another one, in an era. */
+/** The next token after the given one, within an era. */
 export function nextFence(era: number, fence: number): number {
-  return Math.max(fence, era * FENCES_OF_ERA) + 1;
+  return Math.max(fence, era * FENCES_PER_ERA) + 1;
 }
--- a/src/core/platform/store-position.ts
+++ b/src/core/platform/store-position.ts
@@ -1,9 +1,9 @@
 /**
- * Places in the history of the platform's store. A store that comes back from an older copy gives its revisions out
- * again: what it then answers is of the next era, and a revision is compared within one era alone.
+ * Positions in the history of the platform's store. A store that was restored from an older copy issues some revisions
+ * a second time. Each restore therefore starts a new era, and revisions are compared only within one era.
  */
 
-/** The era of a store that tells none. */
+/** The era of a store that reports none. */
 export const FIRST_ERA = 0;
 
 /** A revision of the store, within its era. */
@@ -12,12 +12,11 @@
   readonly revision: number;
 }
 
-/** Whether two places are the same one. */
 export function isSamePosition(one: StorePosition, other: StorePosition): boolean {
   return one.era === other.era && one.revision === other.revision;
 }
 
-/** Whether a place comes after another one. */
+/** Whether the first position is later than the second. */
 export function isAfter(one: StorePosition, other: StorePosition): boolean {
   return one.era === other.era ? one.revision > other.revision : one.era > other.era;
 }
--- a/src/core/platform/table.ts
+++ b/src/core/platform/table.ts
@@ -1,16 +1,16 @@
 /**
- * The port to the platform's transactional table service, as the core sees it: effects go out,
- * results come back as events. See docs/PLATFORM-API.md for the wire form.
+ * The core's port to the platform's transactional table service: calls are effects, and their results arrive as
+ * events. See docs/PLATFORM-API.md for the wire format.
  */
 
-/** A row. `version` grows with each write of the key and is never reused within an era of the store; 0 means absent. */
+/** A row. `version` rises with each write of the key and is never reused within an era of the store; 0 means absent. */
 export interface TableRow {
   readonly key: string;
   readonly version: number;
   readonly value: unknown;
 }
 
-/** A condition of a transaction: the key must be at exactly this version (0: absent). */
+/** A condition of a transaction: the key must have exactly this version (0: absent). */
 export interface TableCheck {
   readonly key: string;
   readonly version: number;
@@ -29,7 +29,7 @@
       readonly kind: 'scan';
       readonly prefix: string;
       readonly limit: number;
-      /** Only rows whose key comes after this one; for the next part of a long scan. */
+      /** Only rows with a greater key are returned; used for the next part of a long scan. */
       readonly after?: string | undefined;
     }
   | {
@@ -38,14 +38,14 @@
       readonly writes: readonly TableWrite[];
     };
 
-/** Rows of an answer. */
+/** The rows of an answer. */
 export interface TableAnswer {
   readonly rows: readonly TableRow[];
-  /** The era of the store that their versions are of; absent where it tells none. */
+  /** The era of the store to which the row versions belong; absent if the store reports none. */
   readonly era?: number | undefined;
 }
 
-/** What became of a call. `lost`: it may or may not have taken effect; read back to find out. */
+/** The outcome of a call. `lost`: the call may or may not have taken effect; read the rows to find out. */
 export type TableResult =
   | ({ readonly kind: 'rows' } & TableAnswer)
   | ({ readonly kind: 'committed' } & TableAnswer)
@@ -53,10 +53,10 @@
   | { readonly kind: 'unavailable'; readonly reason: string; readonly retryAfterMs: number }
   | { readonly kind: 'lost'; readonly reason: string };
 
-/** Asks the shell for a call on the table service; the result comes back under the same token. */
+/** Requests a call on the table service from the shell; the result has the same token. */
 export interface TableEffect {
   readonly kind: 'table';
-  /** Unique among the calls in flight of the reducer that asked. */
+  /** Unique among the reducer's calls in flight. */
   readonly token: string;
   readonly call: TableCall;
 }
--- a/src/core/tenant-usage/index.ts
+++ b/src/core/tenant-usage/index.ts
@@ -1,4 +1,4 @@
-/** Usage of tenants: counted by each daemon, collected and reported by one. */
+/** Tenant usage: each daemon counts its own requests; one daemon collects and reports the counts of all. */
 
 export {
   type CollectedCounts,
--- a/src/core/tenant-usage/report-duty.ts
+++ b/src/core/tenant-usage/report-duty.ts
@@ -1,8 +1,7 @@
 /**
- * One daemon's part in reporting usage: of all daemons one holds the duty, and each window is reported once,
- * with one set of counts, whoever dies when. What is to be reported is written to the duty's record first; so a
- * window has one set of counts, a successor sends the same again, and the writes that are needed anyway carry the
- * lease: one a window.
+ * One daemon's part in reporting usage. One daemon at a time holds the duty, and each window is reported with one set
+ * of counts, whichever daemons fail. The counts are written to the duty's record before they are reported, so that a
+ * successor reports the same counts again. These writes, one per window, also renew the lease.
  */
 import {
   type DutyRecord,
@@ -12,45 +11,43 @@
   type SeenRecord,
 } from '../duty/index.js';
 
-/** What the store keeps of the duty: its holder, and the newest window with what is reported of it. */
+/** The duty's record in the store: the holder, and the newest window with its reported counts. */
 export interface UsageRecord extends DutyRecord {
   readonly window: number;
   readonly counts: Readonly<Record<string, number>>;
 }
 
-/** The moment, and what is known of the others. */
+/** The current time, and the progress reported by other daemons. */
 export interface UsageMoment {
-  /** Steady clock. */
+  /** Monotonic clock. */
   readonly nowMs: number;
-  /** The newest window that is over for so long that this daemon reports it if no other has. */
+  /** The newest window that ended long enough ago for this daemon to report it if no other daemon has. */
   readonly dueWindow: number;
-  /** The oldest window that can still be reported in time. */
+  /** The oldest window that can still be reported before its deadline. */
   readonly oldestWindow: number;
-  /** The newest window that another daemon says it has reported. */
+  /** The newest window that another daemon has announced as reported. */
   readonly reportedByOther: number;
 }
 
-/** What is to be done next. */
+/** The next action of the caller. */
 export type UsageAction =
   | { readonly kind: 'none' }
-  /** Read the record. */
   | { readonly kind: 'read' }
-  /** Ask the daemons for their counts of a window, and say when they are in. */
+  /** Request the counts of a window from all daemons, and pass them to `next` once they have arrived. */
   | { readonly kind: 'collect'; readonly window: number }
-  /** Write the record if it is still at this version; 0 where there is none. */
+  /** Write the record if it still has this version; 0 if it does not exist. */
   | { readonly kind: 'write'; readonly record: UsageRecord; readonly expectedVersion: number }
-  /** Send the report. */
   | { readonly kind: 'report'; readonly record: UsageRecord };
 
-/** What became of a report. */
+/** The outcome of a report. */
 export type ReportOutcome =
   | 'accepted'
   /** Another daemon has used a higher fencing token. */
   | 'deposed'
-  /** It may have been taken, or not. */
+  /** The report may or may not have been accepted. */
   | 'unknown';
 
-/** Decides; whoever drives it makes the calls, one at a time, and says what became of them. */
+/** Decides the next action; the caller carries out one action at a time and passes back its outcome. */
 export class UsageDuty {
   readonly #lease: RecordLease<UsageRecord>;
   #reportedWindow = Number.NEGATIVE_INFINITY;
@@ -59,7 +56,7 @@
     this.#lease = new RecordLease(settings);
   }
 
-  /** The newest window that this daemon knows to be reported. */
+  /** The newest window that this daemon knows to have been reported. */
   get reportedWindow(): number {
     return this.#reportedWindow;
   }
@@ -69,8 +66,8 @@
   }
 
   /**
-   * The next action.
-   * @param collected the counts that were asked for; undefined while they come in
+   * Decides the next action.
+   * @param collected the counts that were requested by `collect`; undefined until they have arrived
    */
   next(moment: UsageMoment, collected: CollectedCounts | undefined): UsageAction {
     const { dueWindow, nowMs } = moment;
@@ -83,7 +80,7 @@
   }
 
   /**
-   * The record was read, or written, or could not be.
+   * Applies the outcome of a read or write of the record.
    * @param sentMs when the call was sent
    */
   takeRecord(outcome: RecordOutcome<UsageRecord>, sentMs: number, nowMs: number): void {
@@ -108,11 +105,11 @@
     moment: UsageMoment,
     collected: CollectedCounts | undefined,
   ): UsageAction {
-    const isOpen =
+    const isUnreported =
       record !== undefined &&
       record.window > this.#reportedWindow &&
       record.window >= moment.oldestWindow;
-    if (isOpen) {
+    if (isUnreported) {
       if (this.#lease.mayAct(moment.nowMs)) return { kind: 'report', record };
       return this.#write(version, record.window, record.counts);
     }
@@ -129,7 +126,7 @@
   }
 }
 
-/** The counts of a window, from all daemons that answered. */
+/** The summed counts of a window from all daemons that answered. */
 export interface CollectedCounts {
   readonly window: number;
   readonly counts: UsageRecord['counts'];
--- a/src/core/tenant-usage/run-collection.ts
+++ b/src/core/tenant-usage/run-collection.ts
@@ -1,45 +1,45 @@
 /**
- * The counts of one window as the daemon that reports it has them from the others. Each daemon answers in
- * numbered parts that fit a datagram; an answer that comes twice counts once, and another life of the same
- * daemon counts beside the one before, as it has counted other requests.
+ * Collects the counts of one window at the daemon that reports it. Each daemon answers in numbered parts that fit into
+ * a datagram. A part that arrives twice counts once. Another incarnation of the same daemon counts in addition, as it
+ * has counted different requests.
  */
 import type { TenantCounts } from './run-counts.js';
 
-/** A part of one daemon's counts of a window. */
+/** One part of a daemon's counts of a window. */
 export interface UsagePart {
   readonly daemon: string;
   readonly incarnation: number;
   readonly window: number;
-  /** From 0. */
+  /** The index of the part, from 0. */
   readonly part: number;
   readonly parts: number;
   readonly counts: readonly (readonly [tenant: string, runs: number])[];
 }
 
-/** Entries of one part, so that it stays within one packet. */
-const MOST_ENTRIES = 60;
+/** The maximum number of entries of a part, so that a part fits into one packet. */
+const MAX_ENTRIES_PER_PART = 60;
 
-/** A daemon's counts as parts to be sent; at least one, as an empty answer is an answer. */
+/** Splits a daemon's counts into parts. There is at least one, so that a daemon without counts also answers. */
 export function partsOf(
   counts: TenantCounts,
   head: Pick<UsagePart, 'daemon' | 'incarnation' | 'window'>,
 ): readonly UsagePart[] {
   const entries = [...counts];
-  const parts = Math.max(1, Math.ceil(entries.length / MOST_ENTRIES));
+  const parts = Math.max(1, Math.ceil(entries.length / MAX_ENTRIES_PER_PART));
   return Array.from({ length: parts }, (_, part) => ({
     ...head,
     part,
     parts,
-    counts: entries.slice(part * MOST_ENTRIES, (part + 1) * MOST_ENTRIES),
+    counts: entries.slice(part * MAX_ENTRIES_PER_PART, (part + 1) * MAX_ENTRIES_PER_PART),
   }));
 }
 
-/** What has come in for one window. */
+/** The counts received for one window. */
 export class UsageCollection {
   readonly window: number;
-  /** By daemon and life, then by part. */
+  /** By daemon and incarnation, then by part. */
   readonly #received = new Map<string, Map<number, UsagePart>>();
-  /** Daemons whose answer is whole. */
+  /** Daemons whose answer is complete. */
   readonly #answered = new Set<string>();
 
   constructor(window: number) {
@@ -63,7 +63,7 @@
     return this.#answered.size;
   }
 
-  /** The sum over all that came in, by tenants in the order of their names: the same counts read the same. */
+  /** The sum of all received counts, sorted by tenant name so that equal counts are serialized equally. */
   total(): TenantCounts {
     const total = new Map<string, number>();
     for (const parts of this.#received.values()) {
--- a/src/core/tenant-usage/run-counts.ts
+++ b/src/core/tenant-usage/run-counts.ts
@@ -1,14 +1,14 @@
 /**
- * How many requests of each tenant began to run, by windows of true time. Each daemon counts its own; a window
- * is kept until it can no longer be reported.
+ * Counts the requests of each tenant that started to run, by windows of wall-clock time. Each daemon counts its own
+ * requests and keeps a window until it can no longer be reported.
  */
 
-/** Runs that began, by the tenant's name. */
+/** The number of runs that started, by tenant name. */
 export type TenantCounts = ReadonlyMap<string, number>;
 
 const NO_COUNTS: TenantCounts = new Map();
 
-/** The number of the window that a moment lies in: window k begins k window lengths after the start of 1970. */
+/** The number of the window that contains a time: window k starts k window lengths after the Unix epoch. */
 export function windowAt(unixMs: number, windowMs: number): number {
   return Math.floor(unixMs / windowMs);
 }
@@ -16,20 +16,20 @@
 /** One daemon's own counts. */
 export class UsageCounts {
   readonly #windowMs: number;
-  /** Windows kept beside the one that runs. */
-  readonly #keptWindows: number;
+  /** The number of windows kept in addition to the current one. */
+  readonly #retainedWindows: number;
   readonly #byWindow = new Map<number, Map<string, number>>();
 
   /**
    * @param windowMs the length of a window
-   * @param keptMs how long after its end a window may be asked for
+   * @param retentionMs how long after its end a window may be requested
    */
-  constructor(windowMs: number, keptMs: number) {
+  constructor(windowMs: number, retentionMs: number) {
     this.#windowMs = windowMs;
-    this.#keptWindows = Math.ceil(keptMs / windowMs) + 1;
+    this.#retainedWindows = Math.ceil(retentionMs / windowMs) + 1;
   }
 
-  /** A request of a tenant began to run. */
+  /** Records that a request of a tenant started to run. */
   note(tenant: string, unixMs: number): void {
     const window = windowAt(unixMs, this.#windowMs);
     const counts = this.#byWindow.get(window) ?? this.#open(window);
@@ -42,7 +42,7 @@
 
   #open(window: number): Map<string, number> {
     for (const old of [...this.#byWindow.keys()]) {
-      if (old < window - this.#keptWindows) this.#byWindow.delete(old);
+      if (old < window - this.#retainedWindows) this.#byWindow.delete(old);
     }
     const counts = new Map<string, number>();
     this.#byWindow.set(window, counts);
