--- a/test/admission/admission.test.ts
+++ b/test/admission/admission.test.ts
@@ -42,7 +42,7 @@
 const full = (now: number) => ({ now, hasCapacity: false });
 const always = () => true;
 
-/** Lets `count` requests go, one each `stepMs`, each ending at once; counts them by `key`. */
+/** Dispatches `count` requests, one per millisecond, each of which finishes at once; counts them by `key`. */
 function serve(
   queue: AdmissionQueue,
   count: number,
@@ -60,7 +60,7 @@
 }
 
 describe('admission', () => {
-  it('lets a request go at once when there is capacity and nobody waits', () => {
+  it('dispatches a request at once if there is capacity and no request is waiting', () => {
     const queue = queueFor();
     assert.equal(queue.offer(request(), { now: 0, hasCapacity: true }).kind, 'dispatch-now');
     assert.equal(queue.offer(request(), full(0)).kind, 'queued');
@@ -69,7 +69,7 @@
     assert.equal(queue.admitted, 1);
   });
 
-  it('shares by weight over 7,300 tenants with one at ten times the weight of the others', () => {
+  it('shares capacity by weight among 7,300 tenants, one of which has ten times the weight of the others', () => {
     const queue = queueFor(
       { tenants: { heavy: { weight: 10, class: 'interactive' } } },
       {
@@ -92,7 +92,7 @@
     assert.ok([...served.values()].every((count) => count >= 1 && count <= 3));
   });
 
-  it('corrects a charge by what was used: a tenant that understates gets no more', () => {
+  it('corrects charges by actual cost: a tenant that understates its costs gets no more than its share', () => {
     const queue = queueFor();
     for (let repeat = 0; repeat < 400; repeat += 1) {
       queue.offer(request({ tenant: 'honest', tokens: 100 }), full(0));
@@ -102,7 +102,7 @@
     assert.ok(Math.abs((served.get('honest') ?? 0) - 150) <= 2);
   });
 
-  it('gives back the charge of a request that was not run', () => {
+  it('refunds the charge of a request that was not run', () => {
     const queue = queueFor();
     for (let repeat = 0; repeat < 50; repeat += 1) {
       queue.offer(request({ tenant: 'a' }), full(0));
@@ -117,7 +117,7 @@
         next?.tenant === 'a' ? null : { promptTokens: 100, outputTokens: 0 },
       );
     }
-    assert.ok(served <= 1, `b was let go ${served} times while a was owed`);
+    assert.ok(served <= 1, `b was dispatched ${served} times before a got its refund`);
   });
 
   const classes = {
@@ -126,7 +126,7 @@
     interactive: { priority: 1, share: 1, deadlineMs: 1_000 },
   };
 
-  it('serves classes by priority, tempered by shares, and starves none', () => {
+  it('serves classes by priority within their shares, and starves none', () => {
     for (const [className, expected] of [
       ['urgent', 0.7],
       ['interactive', 0.95],
@@ -142,7 +142,7 @@
     }
   });
 
-  it('sheds at the door by expected wait, and a retry after the stated time is taken', () => {
+  it('refuses on arrival by expected wait, and admits a retry after the reported time', () => {
     const queue = queueFor();
     const late = (now: number, tenant: string) => request({ tenant, deadline: now + 1_000 });
     for (let repeat = 0; repeat < 300; repeat += 1) {
@@ -157,13 +157,16 @@
     const retryAt = 500 + (answer.fault.retryAfterMs ?? 0);
     for (let now = 510; now <= retryAt; now += 10) {
       const tooEarly = now < retryAt - 500 ? queue.offer(late(now, 't0'), full(now)) : null;
-      assert.ok(tooEarly === null || tooEarly.kind === 'refused', `taken ${retryAt - now} early`);
+      assert.ok(
+        tooEarly === null || tooEarly.kind === 'refused',
+        `admitted ${retryAt - now} ms before the reported retry time`,
+      );
       queue.next(now, always);
     }
     assert.equal(queue.offer(late(retryAt, 't0'), full(retryAt)).kind, 'queued');
   });
 
-  it('tells a tenant over its share from an overloaded fleet', () => {
+  it('distinguishes a tenant over its share from an overloaded fleet', () => {
     const queue = queueFor({}, { maxWaitingPerClass: 100 });
     for (let repeat = 0; repeat < 60; repeat += 1) {
       queue.offer(request({ tenant: 'flood' }), full(0));
@@ -179,7 +182,7 @@
     assert.ok(queue.waiting <= 100);
   });
 
-  it('ends what waits past its deadline, with a time to retry', () => {
+  it('expires requests that wait past their deadline, with a fault for the caller', () => {
     const queue = queueFor();
     queue.offer(request({ deadline: 50 }), full(0));
     queue.offer(request({ deadline: 20 }), full(0));
@@ -193,7 +196,7 @@
     assert.equal(queue.waiting, 1);
   });
 
-  it('does not let a full model hold up another', () => {
+  it('a lane without capacity does not block another lane', () => {
     const queue = queueFor();
     const other = request();
     queue.offer(request(), full(0));
@@ -206,7 +209,7 @@
     );
   });
 
-  it('loses and doubles no request, whatever the order of events', () => {
+  it('neither loses nor duplicates a request, in any order of events', () => {
     const command = fc.record({
       action: fc.constantFrom('offer', 'offer', 'next', 'finish', 'remove', 'expire', 'retry'),
       tenant: fc.constantFrom('a', 'b', 'c'),
--- a/test/admission/overload.test.ts
+++ b/test/admission/overload.test.ts
@@ -10,16 +10,16 @@
 const SERVICE_MS = 200;
 const DEADLINE_MS = 2_000;
 const DURATION_MS = 30_000;
-/** Requests a millisecond that the slots finish when they never stand idle. */
+/** Requests per millisecond that the slots finish when none is ever idle. */
 const CAPACITY = SLOTS / SERVICE_MS;
 
-/** Serves Poisson arrivals at a multiple of capacity; what starts in time is finished work. */
-function serve(load: number, seed: number) {
+/** Serves Poisson arrivals at a multiple of capacity; requests that start before their deadline count as goodput. */
+function simulate(load: number, seed: number) {
   const clock = new VirtualClock();
   const random = new Random(seed);
   const queue = new AdmissionQueue();
   queue.configure(configurationSchema.parse({}));
-  const result = { inTime: 0, late: 0, refusedAtDoor: 0, expired: 0, mostWaiting: 0 };
+  const result = { inTime: 0, late: 0, refusedOnArrival: 0, expired: 0, maxWaiting: 0 };
   let running = 0;
   let arrived = 0;
   const begin = (request: RequestDescription) => {
@@ -40,8 +40,8 @@
     const request = describe(arrived, clock.now);
     const answer = queue.offer(request, { now: clock.now, hasCapacity: running < SLOTS });
     if (answer.kind === 'dispatch-now') begin(request);
-    if (answer.kind === 'refused') result.refusedAtDoor += 1;
-    result.mostWaiting = Math.max(result.mostWaiting, queue.waiting);
+    if (answer.kind === 'refused') result.refusedOnArrival += 1;
+    result.maxWaiting = Math.max(result.maxWaiting, queue.waiting);
     clock.at(clock.now + random.exponential(CAPACITY * load), arrive);
   };
   clock.at(0, arrive);
@@ -65,15 +65,21 @@
   };
 }
 
-it('keeps goodput at ten times capacity, and tells nearly all it can not serve at the door', () => {
+it('at ten times capacity goodput stays near its peak, and nearly all refusals happen on arrival', () => {
   for (let seed = 1; seed <= 3; seed += 1) {
-    const loads = [0.8, 0.95, 1.1, 1.5].map((load) => serve(load, seed));
+    const loads = [0.8, 0.95, 1.1, 1.5].map((load) => simulate(load, seed));
     const peak = Math.max(...loads.map(({ inTime }) => inTime));
-    const over = serve(10, seed);
-    assert.ok(over.inTime >= 0.95 * peak, `${over.inTime} of ${peak}`);
+    const over = simulate(10, seed);
+    assert.ok(
+      over.inTime >= 0.95 * peak,
+      `${over.inTime} requests in time, ${peak} at the best load`,
+    );
     assert.equal(over.late, 0);
-    const unserved = over.refusedAtDoor + over.expired;
-    assert.ok(over.refusedAtDoor >= 0.95 * unserved, `${over.refusedAtDoor} of ${unserved}`);
-    assert.ok(over.mostWaiting <= 3 * CAPACITY * DEADLINE_MS, `${over.mostWaiting} waiting`);
+    const unserved = over.refusedOnArrival + over.expired;
+    assert.ok(
+      over.refusedOnArrival >= 0.95 * unserved,
+      `${over.refusedOnArrival} of ${unserved} unserved requests refused on arrival`,
+    );
+    assert.ok(over.maxWaiting <= 3 * CAPACITY * DEADLINE_MS, `${over.maxWaiting} waiting`);
   }
 });
--- a/test/admission/waiting-room.test.ts
+++ b/test/admission/waiting-room.test.ts
@@ -1,4 +1,4 @@
-/** Order, shares and ends in the waiting room. */
+/** Order, tenant shares and expiry in the gateway's wait queue, and retry times of refused callers. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import fc from 'fast-check';
@@ -25,7 +25,7 @@
 const full = { now: 0, hasCapacity: false };
 const always = () => true;
 
-/** All that wait, in the order in which they go. */
+/** The ids of all waiting requests in the order of dispatch. */
 function drain(room: WaitingRoom, now = 0): string[] {
   const ids: string[] = [];
   for (;;) {
@@ -35,7 +35,7 @@
   }
 }
 
-test('the rules bind in their order: rank, in time, tenants in turn, arrival', () => {
+test('requests are ordered by rank, then ability to meet the deadline, then tenant fairness, then arrival', () => {
   const room = new WaitingRoom();
   const lessUrgent = place({ rank: 2 });
   const late = place({ canBeInTime: false });
@@ -48,7 +48,7 @@
   assert.deepEqual(drain(room), expected);
 });
 
-test('over any arrivals nothing goes before what is more urgent', () => {
+test('no request is dispatched before one of a more urgent rank, for any arrivals', () => {
   const arrivals = fc.array(fc.record({ rank: fc.nat(4), tenant: fc.nat(3) }), { maxLength: 60 });
   fc.assert(
     fc.property(arrivals, (all) => {
@@ -69,7 +69,7 @@
   );
 });
 
-test('a kind for which there is no room keeps no other waiting', () => {
+test('a lane without capacity does not block another lane', () => {
   const room = new WaitingRoom();
   const long = place({ rank: 0, lane: 'reader/long' });
   const short = place({ rank: 1, lane: 'reader/short' });
@@ -79,7 +79,7 @@
   assert.equal(room.waitingIn('reader/long'), 1);
 });
 
-test('a caller that leaves frees its place, and what waited too long is told when to come back', () => {
+test('a request is removed when its caller disconnects, and expires with a retry time at its latest start', () => {
   const room = new WaitingRoom();
   const leaving = place();
   const expiring = place({ latestStartMs: 50 });
@@ -96,8 +96,11 @@
   assert.equal(room.waitingIn('reader/read'), 0);
 });
 
-/** Serves a room for 20 s: one place in 10 ms, small tenants at half of that, and a large one's burst. */
-function servedOfSmall(burstFactor: number): number {
+/**
+ * Serves a queue for 20 s at one request per 10 ms. Ten small tenants send half of that load, and a large tenant sends
+ * a burst in the middle. Returns the fraction of the small tenants' requests that were served.
+ */
+function servedFractionOfSmall(burstFactor: number): number {
   const random = new Random(3);
   const room = new WaitingRoom();
   const served = new Set<string>();
@@ -122,14 +125,17 @@
   return served.size / small.size;
 }
 
-test("a large tenant's burst of ten times the room leaves the others what they had", () => {
-  const before = servedOfSmall(0.2);
-  const beside = servedOfSmall(10);
-  assert.ok(before >= 0.95, `${before} without the burst`);
-  assert.ok(beside >= 0.95 * before, `${beside} beside the burst, ${before} without`);
+test("a large tenant's burst of ten times the capacity does not reduce the served fraction of other tenants", () => {
+  const before = servedFractionOfSmall(0.2);
+  const duringBurst = servedFractionOfSmall(10);
+  assert.ok(before >= 0.95, `${before} served without the burst`);
+  assert.ok(
+    duringBurst >= 0.95 * before,
+    `${duringBurst} served during the burst, ${before} without`,
+  );
 });
 
-test('no caller is told a time at which it would be gone', () => {
+test('no caller is given a retry time after its own time limit', () => {
   const line = new RetryLine();
   const told = Array.from({ length: 100 }, () =>
     line.promise({ nowMs: 0, roomInMs: 300, spacingMs: 200, mostMs: 2_000, entropy: 0 }),
@@ -138,7 +144,7 @@
   assert.ok(new Set(told).size >= 8);
 });
 
-test('those refused together are told to come back one after the other, when there is room', () => {
+test('callers refused together get successive retry times, none before capacity is expected', () => {
   const random = new Random(5);
   const line = new RetryLine();
   const told = Array.from({ length: 20 }, () =>
--- a/test/capacity/capacity-duty.test.ts
+++ b/test/capacity/capacity-duty.test.ts
@@ -1,4 +1,4 @@
-/** Who orders capacity and what: over daemons, a record and a platform in memory, in virtual time. */
+/** Which daemon orders capacity, and what: daemons, a record and a platform in memory, in virtual time. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import {
@@ -13,7 +13,7 @@
 const STEP_MS = 100;
 const ZONES = ['a', 'b'];
 
-interface Given {
+interface ReceivedOrder {
   readonly daemon: string;
   readonly zone: string;
   readonly isSpot: boolean;
@@ -22,14 +22,14 @@
   readonly atMs: number;
 }
 
-/** A platform whose servers come after their boot and go at once, and the duty's record. */
+/** A platform that adds servers after a boot time and removes them at once, and the duty's record. */
 class Platform {
   nowMs = 0;
   version = 0;
   record: CapacityRecord | undefined;
-  /** No servers are to be had until then. */
-  dryUntilMs = 0;
-  readonly given: Given[] = [];
+  /** Until when no servers can be added. */
+  unavailableUntilMs = 0;
+  readonly given: ReceivedOrder[] = [];
   readonly counts = new Map<string, number>();
   #coming: { readonly key: string; readonly servers: number; readonly atMs: number }[] = [];
 
@@ -48,7 +48,7 @@
     return [{ service: 'reader', limits, zones, neededInAll, neededWithRoom: neededInAll }];
   }
 
-  order(given: Given): 'accepted' | 'conflict' {
+  order(given: ReceivedOrder): 'accepted' | 'conflict' {
     this.given.push(given);
     const key = `${given.zone} ${given.isSpot ? 'spot' : 'plain'}`;
     const present = this.counts.get(key) ?? 0;
@@ -56,7 +56,7 @@
       this.counts.set(key, given.servers);
       return 'accepted';
     }
-    if (this.nowMs < this.dryUntilMs) return 'conflict';
+    if (this.nowMs < this.unavailableUntilMs) return 'conflict';
     this.#coming.push({ key, servers: given.servers, atMs: this.nowMs + BOOT_MS });
     return 'accepted';
   }
@@ -130,7 +130,7 @@
   }
 }
 
-function play(platform: Platform, daemons: readonly Daemon[], spanMs: number, needed = 0): void {
+function runFor(platform: Platform, daemons: readonly Daemon[], spanMs: number, needed = 0): void {
   const endMs = platform.nowMs + spanMs;
   while (platform.nowMs < endMs) {
     platform.advance();
@@ -143,62 +143,62 @@
   return [platform, names.map((name) => new Daemon(platform, name, 1))];
 }
 
-test('one daemon orders spot servers for the plain ones, and never has fewer in all meanwhile', () => {
+test('one daemon replaces plain servers by spot servers, and the total never falls below the initial number', () => {
   const [platform, daemons] = fleet(['x', 'y', 'z']);
   for (let steps = 0; steps < 200; steps += 1) {
-    play(platform, daemons, STEP_MS);
+    runFor(platform, daemons, STEP_MS);
     assert.ok(platform.count('plain') + platform.count('spot') >= 24);
   }
   assert.equal(platform.count('plain'), 2);
   assert.equal(platform.count('spot'), 22);
   assert.equal(new Set(platform.given.map(({ daemon }) => daemon)).size, 1);
-  assert.equal(platform.given.length, 4, 'each zone was told once of each kind');
+  assert.equal(platform.given.length, 4, 'more than one order per zone and kind');
 });
 
-test('spot servers that were taken away come back once there are some again', () => {
+test('reclaimed spot servers are replaced by spot servers once these are available again', () => {
   const [platform, daemons] = fleet(['x', 'y']);
-  play(platform, daemons, 20_000);
+  runFor(platform, daemons, 20_000);
   platform.counts.set('a spot', 0);
-  platform.dryUntilMs = platform.nowMs + 5_000;
-  play(platform, daemons, 20_000);
+  platform.unavailableUntilMs = platform.nowMs + 5_000;
+  runFor(platform, daemons, 20_000);
   assert.equal(platform.count('spot'), 22);
   assert.equal(platform.count('plain'), 2);
   assert.equal(new Set(platform.given.map(({ fence }) => fence)).size, 1);
 });
 
-test('a successor steps in when the holder is gone, under a higher fence, and knows what was wanted', () => {
+test('when the holder fails, a successor takes over under a higher fence and keeps the recorded target', () => {
   const [platform, daemons] = fleet(['x', 'y']);
-  play(platform, daemons, 20_000);
+  runFor(platform, daemons, 20_000);
   const others = daemons.filter(({ isHolder }) => !isHolder);
   assert.equal(others.length, 1);
   platform.counts.set('a spot', 0);
   const before = platform.given.length;
-  play(platform, others, 30_000);
+  runFor(platform, others, 30_000);
   assert.equal(platform.count('spot'), 22);
   const later = platform.given.slice(before);
   assert.ok(later.every(({ fence }) => fence > (platform.given[0]?.fence ?? 0)));
   assert.ok((later[0]?.atMs ?? 0) >= 20_000 + LEASE_MS);
 });
 
-test('another life of the holder orders under a higher fence as well', () => {
+test('a restarted holder orders under a higher fence', () => {
   const [platform, daemons] = fleet(['x']);
-  play(platform, daemons, 20_000);
+  runFor(platform, daemons, 20_000);
   platform.counts.set('b spot', 0);
-  play(platform, [new Daemon(platform, 'x', 2)], 30_000);
+  runFor(platform, [new Daemon(platform, 'x', 2)], 30_000);
   assert.equal(platform.count('spot'), 22);
   assert.deepEqual([...new Set(platform.given.map(({ fence }) => fence))], [1, 2]);
 });
 
-test('plain servers come in place of lost ones within two boots where the work needs them', () => {
+test('lost spot servers that the work needs are replaced by plain servers within two boot times', () => {
   const [platform, daemons] = fleet(['x', 'y']);
-  play(platform, daemons, 20_000);
+  runFor(platform, daemons, 20_000);
   platform.counts.set('a spot', 0);
-  play(platform, daemons, 2 * BOOT_MS, 20);
+  runFor(platform, daemons, 2 * BOOT_MS, 20);
   assert.ok(platform.count('plain') + platform.count('spot') >= 20);
 });
 
-// After its record was lost with the store's copy a duty went by what its daemon had seen first.
-test('what zones are to have is kept where the record is lost as the store comes back from a copy', () => {
+// Failure: after a store restore lost the record, the duty used the numbers that its daemon had first seen instead.
+test('the target per zone is kept when a restore of the store from an older copy loses the record', () => {
   const [platform] = fleet([]);
   const duty = new CapacityDuty({
     daemon: 'x',
--- a/test/capacity/plan-capacity.test.ts
+++ b/test/capacity/plan-capacity.test.ts
@@ -1,4 +1,4 @@
-/** How many servers of each kind a zone is to have. */
+/** How many servers of each kind a zone should have. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import fc from 'fast-check';
@@ -27,27 +27,27 @@
   return planCapacity({ limits: LIMITS, wantedPerZone: 12, neededInAll: 0, ...fields });
 }
 
-test('spot servers are ordered beside the plain ones, which stay until those have come', () => {
+test('spot servers are ordered in addition to plain servers, which stay until the spot servers have come', () => {
   assert.deepEqual(plan({ zones: zones([12, 0], [12, 0]) }), zones([12, 11], [12, 11]));
   assert.deepEqual(plan({ zones: zones([12, 4], [12, 11]) }), zones([8, 11], [1, 11]));
 });
 
-test('spot servers that are taken away are asked for again, and not replaced while the rest will do', () => {
+test('reclaimed spot servers are ordered again, not replaced by plain ones, while the other servers suffice', () => {
   const after = zones([1, 0], [1, 11]);
   assert.deepEqual(plan({ zones: after, neededInAll: 10 }), zones([1, 11], [1, 11]));
 });
 
-test('they are replaced by plain ones where the rest will not do', () => {
+test('reclaimed spot servers are replaced by plain ones if the other servers do not suffice', () => {
   const after = zones([1, 0], [1, 11]);
   assert.deepEqual(plan({ zones: after, neededInAll: 20 }), zones([12, 11], [1, 11]));
 });
 
-test('where spot servers cost no less none are ordered', () => {
+test('no spot servers are ordered if they are not cheaper', () => {
   const limits = { ...LIMITS, spotPrice: 1 };
   assert.deepEqual(plan({ limits, zones: zones([10, 0], [12, 0]) }), zones([12, 0], [12, 0]));
 });
 
-test('whatever there is, a zone is never to have more than its limit, nor less than the least', () => {
+test('the target of a zone always lies within its limits', () => {
   const count = fc.integer({ min: 0, max: 30 });
   const zone = fc.tuple(count, count);
   fc.assert(
--- a/test/capacity/plan-for-loss.test.ts
+++ b/test/capacity/plan-for-loss.test.ts
@@ -1,4 +1,4 @@
-/** How many servers of each kind a zone is to have so that the loss of a zone's spot servers is borne. */
+/** How many servers of each kind a zone should have so that the fleet survives the loss of a zone's spot servers. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import fc from 'fast-check';
@@ -27,7 +27,7 @@
 
 const SETTLED = [zone('a', 1, 13), zone('b', 1, 14), zone('c', 0, 13)];
 
-test('as many as were given, two of them plain in the cheapest zones', () => {
+test('the initial number of servers is planned, two of them plain in the cheapest zones', () => {
   const { targets, wantedInAll } = plan({ zones: SETTLED });
   assert.equal(wantedInAll, 42);
   assert.deepEqual(targets, [
@@ -37,16 +37,19 @@
   ]);
 });
 
-test('whichever zone is lost, the others have what the work needs, as far as that is followed', () => {
+test('whichever zone is lost, the other zones have as many servers as the work needs', () => {
   for (let neededInAll = 1; neededInAll <= 42; neededInAll += 1) {
     const { targets } = plan({ zones: SETTLED, neededInAll });
     const total = targets.reduce((sum, { plain, spot }) => sum + plain + spot, 0);
     const most = Math.max(...targets.map(({ spot }) => spot));
-    assert.ok(total - most >= neededInAll, `${total} less ${most} for ${neededInAll}`);
+    assert.ok(
+      total - most >= neededInAll,
+      `${total} servers without the ${most} of a lost zone, ${neededInAll} needed`,
+    );
   }
 });
 
-test('where spot servers with a zone to spare cost as much as plain ones, the need is plain', () => {
+test('the servers that the work needs are plain if spot servers, with spares for a lost zone, cost as much', () => {
   const limits = { ...LIMITS, spotPrice: 0.7 };
   const { targets } = plan({ limits, zones: SETTLED });
   assert.equal(
@@ -55,12 +58,12 @@
   );
 });
 
-test('in a single zone no spot server bears the loss of others: the need is plain', () => {
+test('with a single zone, no spot servers survive its loss, so the servers that the work needs are plain', () => {
   const { targets } = plan({ zones: [zone('a', 14, 0)], neededInAll: 6 });
   assert.deepEqual(targets, [{ zone: 'a', plain: 14, spot: 8 }]);
 });
 
-test('whatever there is, a zone is never to have more than its limit, nor less than the least', () => {
+test('the target of a zone always lies within its limits', () => {
   const count = fc.integer({ min: 0, max: 30 });
   const supply = fc.tuple(count, count, fc.boolean());
   fc.assert(
--- a/test/capacity/server-list-settling.test.ts
+++ b/test/capacity/server-list-settling.test.ts
@@ -1,4 +1,4 @@
-/** When the list of a fleet that has just started is taken for what was given to it. */
+/** When the server list of a newly started fleet counts as complete. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import { ServerListSettling } from '../../src/core/capacity/index.js';
@@ -15,11 +15,11 @@
   return undefined;
 }
 
-test('servers that list themselves with gaps shorter than a boot are all waited for', () => {
+test('the list settles a boot time after the last of servers listed less than a boot time apart', () => {
   assert.equal(settledAtMs([1_200, 1_800, 3_900, 3_900, 5_000], BOOT_MS), 5_000 + BOOT_MS);
 });
 
-test('where servers boot at once the list still has to stand for a while', () => {
+test('if servers boot at once, the list must still be unchanged for the minimum time', () => {
   assert.equal(settledAtMs([100], 0), 1_600);
 });
 
--- a/test/capacity/spot-supply.test.ts
+++ b/test/capacity/spot-supply.test.ts
@@ -1,26 +1,26 @@
-/** When a zone is believed to have no spot servers to give. */
+/** When a zone counts as having no spot servers available. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import { SpotSupply } from '../../src/core/capacity/index.js';
 
-/** What is lost of a zone whose counts are seen one after the other, each so long after the one before. */
+/** The losses detected in a sequence of server counts of one zone, `gapMs` apart. */
 function lossesOf(counts: readonly number[], gapMs: number, ordered: number): readonly number[] {
   const supply = new SpotSupply();
   return counts.map((servers, index) => supply.see('a', servers, ordered, index * gapMs));
 }
 
-test('most of a zone at once, or within a moment, was taken away', () => {
+test('a loss of most servers of a zone, at once or within seconds, counts as reclaimed', () => {
   assert.deepEqual(lossesOf([13, 13, 0], 200, 13), [0, 0, 13]);
   assert.equal(Math.max(...lossesOf([13, 9, 4], 500, 13)), 9);
 });
 
-test('one by one, a single one, or those that were let go, were not', () => {
+test('servers lost one by one, a single server, or servers removed by an order do not count as reclaimed', () => {
   assert.deepEqual(lossesOf([4, 3, 2, 1], 4_000, 4), [0, 0, 0, 0]);
   assert.deepEqual(lossesOf([1, 0], 200, 1), [0, 0]);
   assert.deepEqual(lossesOf([20, 6], 200, 6), [0, 0]);
 });
 
-test('a zone has some again once an order was accepted, or servers have come', () => {
+test('a zone counts as having spot servers again once an order is accepted or servers have come', () => {
   const supply = new SpotSupply();
   supply.noteOrder('a', 'conflict');
   assert.equal(supply.hasSpot('a'), false);
--- a/test/capacity/support/spot-platform.ts
+++ b/test/capacity/support/spot-platform.ts
@@ -1,4 +1,4 @@
-/** A platform in memory and virtual time whose spot servers are taken away, the duty's record, and daemons over it. */
+/** A platform in memory and virtual time that reclaims spot servers, the duty's record, and daemons that use them. */
 import {
   type CapacityAction,
   CapacityDuty,
@@ -11,7 +11,7 @@
 export const BOOT_MS = 4_000;
 export const LEASE_MS = 3_000;
 const SERVICE = 'reader';
-const LOOK_MS = 200;
+const POLL_MS = 200;
 const STEP_MS = 50;
 const PRICES = new Map([
   ['a', 1],
@@ -20,7 +20,7 @@
 ]);
 
 /** An order that reached the platform. */
-export interface GivenOrder extends CapacityOrder {
+export interface ReceivedOrder extends CapacityOrder {
   readonly daemon: string;
   readonly fence: number;
   readonly atMs: number;
@@ -33,16 +33,16 @@
   readonly atMs: number;
 }
 
-/** Servers come after their boot and go at once. */
+/** Adds ordered servers after a boot time and removes servers at once. */
 export class SpotPlatform {
   nowMs = 0;
   version = 0;
   record: CapacityRecord | undefined;
-  /** Daemons that the store turns away. */
-  readonly turnedAway = new Set<string>();
-  /** Until when a zone has no spot servers to give. */
-  readonly dryUntilMs = new Map<string, number>();
-  readonly given: GivenOrder[] = [];
+  /** Daemons whose store calls are refused. */
+  readonly refusedDaemons = new Set<string>();
+  /** Until when a zone has no spot servers available. */
+  readonly noSpotUntilMs = new Map<string, number>();
+  readonly receivedOrders: ReceivedOrder[] = [];
   neededWithRoom: number;
   readonly spotPrice: number;
   readonly #counts = new Map<string, number>();
@@ -54,11 +54,11 @@
     this.spotPrice = spotPrice;
   }
 
-  /** Spot servers of a zone say that they leave; none are to be had there for a while. */
-  takeAway(zone: string, dryMs: number): void {
+  /** Reclaims all spot servers of a zone, including booting ones; none are available there for `unavailableMs`. */
+  reclaim(zone: string, unavailableMs: number): void {
     this.#counts.set(`${zone} spot`, 0);
     this.#coming = this.#coming.filter(({ key }) => key !== `${zone} spot`);
-    this.dryUntilMs.set(zone, this.nowMs + dryMs);
+    this.noSpotUntilMs.set(zone, this.nowMs + unavailableMs);
   }
 
   services(): readonly ScaledService[] {
@@ -86,7 +86,7 @@
 
   order(order: CapacityOrder, daemon: string, fence: number): OrderOutcome {
     const outcome = this.#carryOut(order);
-    this.given.push({ ...order, daemon, fence, atMs: this.nowMs, outcome });
+    this.receivedOrders.push({ ...order, daemon, fence, atMs: this.nowMs, outcome });
     return outcome;
   }
 
@@ -105,23 +105,23 @@
     const missing = servers - present - booting.reduce((sum, coming) => sum + coming.servers, 0);
     if (servers <= present) this.#counts.set(key, servers);
     if (missing <= 0) return 'accepted';
-    if (isSpot && this.nowMs < (this.dryUntilMs.get(zone) ?? 0)) return 'conflict';
+    if (isSpot && this.nowMs < (this.noSpotUntilMs.get(zone) ?? 0)) return 'conflict';
     this.#coming.push({ key, servers: missing, atMs: this.nowMs + BOOT_MS });
     return 'accepted';
   }
 }
 
-/** One daemon's part; it looks by turns, and makes one call after the other. */
+/** One daemon's part in the duty: polls at an interval and carries out one action at a time. */
 export class SpotDaemon {
   readonly name: string;
   readonly #platform: SpotPlatform;
   readonly #duty: CapacityDuty;
-  #lookAtMs: number;
+  #nextPollAtMs: number;
 
-  constructor(platform: SpotPlatform, name: string, firstLookMs = 0) {
+  constructor(platform: SpotPlatform, name: string, firstPollMs = 0) {
     this.name = name;
     this.#platform = platform;
-    this.#lookAtMs = firstLookMs;
+    this.#nextPollAtMs = firstPollMs;
     this.#duty = new CapacityDuty({
       daemon: name,
       incarnation: 1,
@@ -140,27 +140,27 @@
 
   step(): void {
     const { nowMs } = this.#platform;
-    if (nowMs < this.#lookAtMs) return;
+    if (nowMs < this.#nextPollAtMs) return;
     const action = this.#duty.next(this.#platform.services(), nowMs);
-    if (!this.#perform(action)) this.#lookAtMs = nowMs + LOOK_MS;
+    if (!this.#perform(action)) this.#nextPollAtMs = nowMs + POLL_MS;
   }
 
   /** @returns whether there may be more to do at once */
   #perform(action: CapacityAction): boolean {
-    const { nowMs, turnedAway, version } = this.#platform;
-    const isTurnedAway = turnedAway.has(this.name);
+    const { nowMs, refusedDaemons, version } = this.#platform;
+    const isRefused = refusedDaemons.has(this.name);
     switch (action.kind) {
       case 'none':
         return false;
       case 'read':
-        return this.#takeRecord(isTurnedAway, false);
+        return this.#takeRecord(isRefused, false);
       case 'write': {
-        const isWritten = !isTurnedAway && action.expectedVersion === version;
+        const isWritten = !isRefused && action.expectedVersion === version;
         if (isWritten) {
           this.#platform.version += 1;
           this.#platform.record = action.record;
         }
-        return this.#takeRecord(isTurnedAway, isWritten);
+        return this.#takeRecord(isRefused, isWritten);
       }
       case 'order': {
         const { order, fence } = action;
@@ -171,16 +171,20 @@
     }
   }
 
-  #takeRecord(isTurnedAway: boolean, isOwnWrite: boolean): boolean {
+  #takeRecord(isRefused: boolean, isOwnWrite: boolean): boolean {
     const { record, version, nowMs } = this.#platform;
     const seen = { kind: 'seen', record, version, era: 0, isOwnWrite } as const;
-    this.#duty.takeRecord(isTurnedAway ? { kind: 'refused' } : seen, nowMs, nowMs);
-    return !isTurnedAway;
+    this.#duty.takeRecord(isRefused ? { kind: 'refused' } : seen, nowMs, nowMs);
+    return !isRefused;
   }
 }
 
-/** Lets time pass for these daemons. */
-export function play(platform: SpotPlatform, daemons: readonly SpotDaemon[], spanMs: number): void {
+/** Advances virtual time for the platform and the given daemons. */
+export function runFor(
+  platform: SpotPlatform,
+  daemons: readonly SpotDaemon[],
+  spanMs: number,
+): void {
   const endMs = platform.nowMs + spanMs;
   while (platform.nowMs < endMs) {
     platform.advance();
--- a/test/duty/lease-after-copy.test.ts
+++ b/test/duty/lease-after-copy.test.ts
@@ -1,4 +1,4 @@
-/** Who holds a duty or a lease after the platform's store has come back from an older copy. */
+/** Which daemon holds a duty or a lease after the platform's store was restored from an older copy. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import { type DutyRecord, RecordLease, type RecordOutcome } from '../../src/core/duty/index.js';
@@ -13,17 +13,17 @@
 import { seededRandom } from '../gateway/support/seeded-random.js';
 
 const LEASE_MS = 3_000;
-/** Between the acts of two holders lies at least what each leaves for the drift of clocks. */
+/** The actions of two holders are at least the clock-drift margins of both apart. */
 const MARGIN_MS = 300;
-const TURN_MS = 2 * MARGIN_MS;
+const MIN_HANDOVER_MS = 2 * MARGIN_MS;
 const STEP_MS = 50;
-const PLAY_MS = 90_000;
+const RUN_MS = 90_000;
 const SEEDS = 60;
 const DAEMONS = ['front-1', 'front-2', 'front-3'];
 
-/** A store of rows whose versions come from one counter, which goes back as it comes back from a copy. */
-class CopiedStore {
-  isAway = false;
+/** A store whose row versions come from one counter. A restore from a copy also resets the counter. */
+class RestorableStore {
+  isDown = false;
   #era = 0;
   #version = 1;
   #rows = new Map<string, TableRow>();
@@ -39,7 +39,7 @@
   }
 
   call(call: TableCall): TableResult {
-    if (this.isAway) return { kind: 'lost', reason: 'away' };
+    if (this.isDown) return { kind: 'lost', reason: 'away' };
     const rowOf = (key: string) => this.#rows.get(key) ?? { key, version: 0, value: null };
     const era = this.#era;
     switch (call.kind) {
@@ -66,27 +66,27 @@
   }
 }
 
-/** Something done under a fence. */
-interface Act {
+/** An action under a fencing token. */
+interface Action {
   readonly atMs: number;
   readonly daemon: string;
   readonly fence: number;
 }
 
-/** One daemon's part; each step may make a call, and says under which fence it may act. */
+/** One daemon's part. A step may make a store call; it returns the fence under which the daemon may act, if any. */
 interface Holder {
-  step(nowMs: number, wants: boolean): number | undefined;
+  step(nowMs: number, isCandidate: boolean): number | undefined;
 }
 
-function recordHolder(daemon: string, incarnation: number, store: CopiedStore): Holder {
+function recordHolder(daemon: string, incarnation: number, store: RestorableStore): Holder {
   const key = 'duty';
   const lease = new RecordLease<DutyRecord>({ daemon, incarnation, leaseMs: LEASE_MS });
   const take = (call: TableCall, nowMs: number) => {
     lease.take(outcomeOf(store.call(call)), nowMs, nowMs);
   };
   return {
-    step: (nowMs, wants) => {
-      if (!wants) return undefined;
+    step: (nowMs, isCandidate) => {
+      if (!isCandidate) return undefined;
       const seen = lease.current(nowMs);
       if (lease.mayAct(nowMs)) return lease.nextHead().fence;
       if (seen === undefined || !lease.mayWrite(nowMs)) {
@@ -108,7 +108,7 @@
   return { kind: 'seen', record, version: row?.version ?? 0, era: result.era ?? 0, isOwnWrite };
 }
 
-function leaseHolder(daemon: string, incarnation: number, store: CopiedStore): Holder {
+function leaseHolder(daemon: string, incarnation: number, store: RestorableStore): Holder {
   const settings = {
     resource: 'r',
     daemon,
@@ -126,87 +126,91 @@
     }
   };
   return {
-    step: (nowMs, wants) => {
-      step({ kind: 'want', candidate: wants }, nowMs);
+    step: (nowMs, isCandidate) => {
+      step({ kind: 'want', candidate: isCandidate }, nowMs);
       step({ kind: 'tick' }, nowMs);
       return holdsAuthority(state, nowMs) ? (epochOf(state) ?? undefined) : undefined;
     },
   };
 }
 
-/** Who takes part. */
-interface Party {
+/** The mechanism under test. */
+interface Mechanism {
   readonly name: string;
-  readonly create: (daemon: string, incarnation: number, store: CopiedStore) => Holder;
-  /** Whether one that no longer wants it hands it over at once. */
+  readonly create: (daemon: string, incarnation: number, store: RestorableStore) => Holder;
+  /** Whether a daemon that no longer wants the lease releases it at once. */
   readonly releases: boolean;
 }
 
-/** Daemons that want the duty, stop wanting it and start anew, and a store that comes back from copies some seconds old. */
-function play({ create, releases }: Party, seed: number): readonly Act[] {
+/** Runs daemons that start and stop being candidates and restart, on a store that is restored from older copies. */
+function simulate({ create, releases }: Mechanism, seed: number): readonly Action[] {
   const random = seededRandom(seed);
-  const store = new CopiedStore();
+  const store = new RestorableStore();
   const holders = DAEMONS.map((daemon, index) => create(daemon, index, store));
-  const acts: Act[] = [];
+  const actions: Action[] = [];
   const copies: (() => void)[] = [];
-  let awayUntilMs = 0;
-  let wanting = 7;
+  let downUntilMs = 0;
+  let candidates = 7;
   let incarnations = DAEMONS.length;
-  for (let nowMs = 1_000; nowMs < PLAY_MS; nowMs += STEP_MS) {
-    if (!releases && random() < 0.01) wanting = Math.floor(random() * 8);
+  for (let nowMs = 1_000; nowMs < RUN_MS; nowMs += STEP_MS) {
+    if (!releases && random() < 0.01) candidates = Math.floor(random() * 8);
     if (random() < 0.002) {
       const restarted = Math.floor(random() * DAEMONS.length);
       incarnations += 1;
       holders[restarted] = create(DAEMONS[restarted] ?? '', incarnations, store);
     }
     copies.push(store.copy());
-    if (store.isAway && nowMs >= awayUntilMs) {
-      store.isAway = false;
+    if (store.isDown && nowMs >= downUntilMs) {
+      store.isDown = false;
       copies.at(-1 - Math.floor((random() * 6_000) / STEP_MS))?.();
     }
-    if (!store.isAway && random() < 0.003) {
-      store.isAway = true;
-      awayUntilMs = nowMs + random() * 3_000;
+    if (!store.isDown && random() < 0.003) {
+      store.isDown = true;
+      downUntilMs = nowMs + random() * 3_000;
     }
     for (const [index, holder] of holders.entries()) {
-      const fence = holder.step(nowMs, ((wanting >> index) & 1) === 1);
-      if (fence !== undefined) acts.push({ atMs: nowMs, daemon: DAEMONS[index] ?? '', fence });
+      const fence = holder.step(nowMs, ((candidates >> index) & 1) === 1);
+      if (fence !== undefined) actions.push({ atMs: nowMs, daemon: DAEMONS[index] ?? '', fence });
     }
   }
-  return acts;
+  return actions;
 }
 
-/** What is wrong with acts: fences go down or are shared, or daemons take turns within a lease. */
-function faultsOf(acts: readonly Act[]): readonly string[] {
-  return acts.flatMap((act, index) => {
-    const before = acts[index - 1];
-    if (before === undefined || before.daemon === act.daemon) {
-      return before !== undefined && act.fence < before.fence ? [`fence down at ${act.atMs}`] : [];
+/** Lists violations: a fence that falls or is shared by daemons, or a change of the holder without the margin. */
+function violationsOf(actions: readonly Action[]): readonly string[] {
+  return actions.flatMap((action, index) => {
+    const before = actions[index - 1];
+    if (before === undefined || before.daemon === action.daemon) {
+      return before !== undefined && action.fence < before.fence
+        ? [`fence down at ${action.atMs}`]
+        : [];
     }
-    const faults: string[] = [];
-    if (act.fence <= before.fence)
-      faults.push(`fence ${act.fence} at ${act.atMs}, ${before.fence} before`);
-    if (act.atMs - before.atMs < TURN_MS) faults.push(`turns within ${act.atMs - before.atMs} ms`);
-    return faults;
+    const violations: string[] = [];
+    if (action.fence <= before.fence)
+      violations.push(`fence ${action.fence} at ${action.atMs}, ${before.fence} before`);
+    if (action.atMs - before.atMs < MIN_HANDOVER_MS)
+      violations.push(`change of the holder within ${action.atMs - before.atMs} ms`);
+    return violations;
   });
 }
 
-const PARTIES: readonly Party[] = [
+const MECHANISMS: readonly Mechanism[] = [
   { name: 'duty', create: recordHolder, releases: false },
   { name: 'lease', create: leaseHolder, releases: true },
 ];
 
-for (const party of PARTIES) {
-  // The record was lost with the copy: another daemon took the duty at once, under a fence that had been used.
-  test(`after the store came back from copies a ${party.name} is never held twice, and no fence comes again`, () => {
-    const faults: string[] = [];
-    let acts = 0;
+for (const mechanism of MECHANISMS) {
+  // Failure: the copy lacked the newest record, and another daemon took the duty at once under a fence already used.
+  test(`after restores of the store, a ${mechanism.name} never has two holders, and no fence is reused`, () => {
+    const violations: string[] = [];
+    let actions = 0;
     for (let seed = 1; seed <= SEEDS; seed += 1) {
-      const played = play(party, seed);
-      acts += played.length;
-      for (const fault of faultsOf(played)) faults.push(`seed ${seed}: ${fault}`);
+      const simulated = simulate(mechanism, seed);
+      actions += simulated.length;
+      for (const violation of violationsOf(simulated))
+        violations.push(`seed ${seed}: ${violation}`);
     }
-    assert.ok(acts > SEEDS * 100, `only ${acts} acts`);
-    assert.deepEqual(faults, []);
+    assert.ok(actions > SEEDS * 100, `only ${actions} actions`);
+    assert.deepEqual(violations, []);
   });
 }
--- a/test/lease/step-lease.test.ts
+++ b/test/lease/step-lease.test.ts
@@ -21,7 +21,7 @@
   assert.equal(epochOf(harness.state(holder)), 1);
 });
 
-test('a paused holder finds itself deposed, and the next one has a higher epoch', () => {
+test('a paused holder is deposed, and the next holder has a higher epoch', () => {
   const harness = new Harness();
   harness.start('a');
   harness.run(300);
@@ -36,7 +36,7 @@
   assert.equal(epochOf(harness.state('a')), null);
 });
 
-test('a lapse is not assumed before the row has stood still for the duration and the margin', () => {
+test('a lease does not lapse before its row has been unchanged for the duration and the margin', () => {
   const harness = new Harness();
   harness.start('a');
   harness.run(300);
@@ -47,7 +47,7 @@
   assert.equal(epochOf(harness.state('b')), null);
 });
 
-test('a release lets the next candidate in without waiting for the lapse', () => {
+test('after a release the next candidate acquires the lease without waiting for the lapse', () => {
   const harness = new Harness();
   harness.start('a');
   harness.run(300);
@@ -61,7 +61,7 @@
   assert.equal(epochOf(harness.state('b')), 2);
 });
 
-test('with the store down authority ends at its deadline and resumes under the same epoch', () => {
+test('while the store is down, authority ends at its deadline; afterwards it resumes under the same epoch', () => {
   const harness = new Harness();
   harness.start('a');
   harness.run(300);
@@ -69,21 +69,21 @@
   const before = harness.calls;
   harness.run(60_000);
   assert.equal(harness.holder(), undefined);
-  assert.ok(harness.calls - before < 150, `${harness.calls - before} calls in a minute`);
+  assert.ok(harness.calls - before < 150, `${harness.calls - before} store calls in a minute`);
   harness.faults.set('a', 'none');
   harness.run(2_000);
   assert.equal(harness.holder(), 'a');
   assert.equal(epochOf(harness.state('a')), 1);
 });
 
-test('a lost answer is read back, whether or not the write took effect', () => {
+test('after a lost answer the rows are read again, whether or not the write took effect', () => {
   for (const fault of ['lost-before', 'lost-after'] as const) {
     const harness = new Harness();
     harness.faults.set('a', 'none');
     harness.start('a');
     harness.faults.set('a', fault);
     harness.run(150);
-    assert.equal(harness.holder(), undefined, 'no authority from an answer not had');
+    assert.equal(harness.holder(), undefined, 'authority without an answer');
     harness.faults.set('a', 'none');
     harness.run(1_000);
     assert.equal(harness.holder(), 'a');
@@ -92,7 +92,7 @@
   }
 });
 
-test('the next life of a daemon does not take its former life for itself', () => {
+test('a restarted daemon does not treat the lease of its former incarnation as its own', () => {
   const harness = new Harness();
   harness.start('a', 1);
   harness.run(300);
@@ -114,7 +114,7 @@
   assert.equal(isReleased(harness.state('a')), true);
 });
 
-test('a daemon that no longer wants a lease makes no calls for it, however old what it read is', () => {
+test('a daemon that is no longer a candidate makes no calls, even when its last read is outdated', () => {
   const harness = new Harness();
   harness.start('a');
   harness.run(300);
--- a/test/lease/support.ts
+++ b/test/lease/support.ts
@@ -9,14 +9,14 @@
 import type { TableCall, TableResult } from '../../src/core/platform/table.js';
 import { applyCall, EMPTY_TABLE, type ModelTable } from '../../src/lab/model/table.js';
 
-/** The lease of the tests. */
+/** The resource that the tests compete for. */
 export const RESOURCE = 'pool/labels';
 const TICK_MS = 50;
 
-/** How the table answers a call: as it should, or with a fault. */
+/** How a call fails. `lost-before`: it has no effect; `lost-after`: it takes effect, but its answer is lost. */
 type Fault = 'none' | 'down' | 'lost-before' | 'lost-after';
 
-/** Daemons that compete for a lease, in virtual time. At no time may two have authority. */
+/** Daemons that compete for a lease in virtual time. Asserts that no two have authority at the same time. */
 export class Harness {
   table: ModelTable = EMPTY_TABLE;
   now = 1_000;
@@ -73,7 +73,7 @@
       this.now += TICK_MS;
       for (const daemon of daemons) this.send(daemon, { kind: 'tick' });
       const holders = [...this.states.values()].filter((state) => holdsAuthority(state, this.now));
-      assert.ok(holders.length <= 1, 'two daemons with authority');
+      assert.ok(holders.length <= 1, 'two daemons have authority at the same time');
     }
   }
 
--- a/test/tenant-usage/run-counts.test.ts
+++ b/test/tenant-usage/run-counts.test.ts
@@ -1,4 +1,4 @@
-/** Counting the runs of tenants, and collecting the counts of all daemons. */
+/** Counting tenants' runs, and collecting the counts of all daemons. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import fc from 'fast-check';
@@ -6,7 +6,7 @@
 
 const DAEMONS = 200;
 
-test('a run counts in the window in which it began, and old windows are forgotten', () => {
+test('a run counts in the window in which it started, and old windows are removed', () => {
   const counts = new UsageCounts(5_000, 10_000);
   counts.note('a', 9_999);
   counts.note('a', 10_000);
@@ -23,7 +23,7 @@
   assert.deepEqual([...counts.of(1)], []);
 });
 
-test('the counts of 200 daemons add up however their parts come: twice, in any order, of two lives', () => {
+test('the counts of 200 daemons add up when parts arrive twice, in any order and from two incarnations', () => {
   const runs = fc.record({
     daemon: fc.integer({ min: 0, max: DAEMONS - 1 }),
     incarnation: fc.integer({ min: 1, max: 2 }),
@@ -60,7 +60,7 @@
   );
 });
 
-test('a daemon has answered once all of its parts are there', () => {
+test('a daemon has answered once all of its parts have arrived', () => {
   const counts = new UsageCounts(5_000, 10_000);
   for (let tenant = 0; tenant < 100; tenant += 1) counts.note(`t${tenant}`, 0);
   const parts = partsOf(counts.of(0), { daemon: 'a', incarnation: 1, window: 0 });
