--- a/src/core/admission/retry-line.ts
+++ b/src/core/admission/retry-line.ts
@@ -28,7 +28,7 @@
   promise({ nowMs, roomInMs, spacingMs, mostMs, entropy }: RetryInput): Milliseconds {
     const earliestMs = nowMs + Math.max(0, roomInMs);
     const isBeforeTimeout = this.#scheduledUntilMs <= nowMs + mostMs;
-    // If the schedule extends beyond the caller's time limit, it starts over at the earliest slot.
+    // A schedule that extends beyond the caller's time limit starts over, so that callers stay spread over that time.
     const slotAtMs = isBeforeTimeout ? Math.max(earliestMs, this.#scheduledUntilMs) : earliestMs;
     this.#scheduledUntilMs = slotAtMs + Math.max(0, spacingMs);
     const spreadMs = RETRY_SPREAD * entropy * (slotAtMs - nowMs + spacingMs);
--- a/src/core/capacity/capacity-duty.ts
+++ b/src/core/capacity/capacity-duty.ts
@@ -2,8 +2,8 @@
  * One daemon's part in ordering capacity. One daemon at a time holds the duty (`record-lease.ts`). The platform does
  * not report earlier orders, so the duty's record stores the number of servers per zone that was found when the duty
  * was first taken, and the current orders of the holder. The holder orders whatever differs from its plan. When a
- * difference persists, the holder has failed and another daemon takes over: after a short time if servers were lost
- * and no replacements are on their way, later if callers are not affected.
+ * difference persists, the holder is assumed to have failed and another daemon takes over: after a short time if
+ * servers were lost and no replacements are on their way, later if callers are not affected.
  */
 import {
   type DutyRecord,
--- a/src/core/capacity/plan-for-loss.ts
+++ b/src/core/capacity/plan-for-loss.ts
@@ -124,18 +124,21 @@
   kept: ReadonlyMap<string, number>,
 ): ReadonlyMap<string, number> {
   const { limits, zones } = input;
-  const plainLimit = ({ zone, plain }: ZoneSupply) =>
+  const spotLimit = ({ zone, plain }: ZoneSupply) =>
     limits.max - Math.max(plain, kept.get(zone) ?? 0);
   const sharesWithMinimum = (some: readonly ZoneSupply[]) =>
-    sharesOf(input, some, plainLimit).map((share) => {
-      const minPlain = Math.max(0, limits.min - (kept.get(share.zone) ?? 0));
-      return { ...share, count: Math.min(share.most, minPlain) };
+    sharesOf(input, some, spotLimit).map((share) => {
+      const minSpot = Math.max(0, limits.min - (kept.get(share.zone) ?? 0));
+      return { ...share, count: Math.min(share.most, minSpot) };
     });
   const evenTargets = distributeEvenly(total, sharesWithMinimum(zones));
   const zonesWithSpot = zones.filter(({ hasSpot }) => hasSpot);
-  const leftElsewhere = zones.reduce((sum, { hasSpot, spot }) => sum + (hasSpot ? 0 : spot), 0);
+  const remainingElsewhere = zones.reduce(
+    (sum, { hasSpot, spot }) => sum + (hasSpot ? 0 : spot),
+    0,
+  );
   const availableTargets = distributeEvenly(
-    total - leftElsewhere,
+    total - remainingElsewhere,
     sharesWithMinimum(zonesWithSpot),
   );
   return new Map([...evenTargets, ...availableTargets]);
@@ -162,11 +165,11 @@
 ): ReadonlyMap<string, number> {
   const { limits, zones } = input;
   let spare = zones.reduce((sum, { plain, spot }) => sum + plain + spot, 0) - initialTotal(input);
-  const dearestFirst = zones.toSorted(
+  const mostExpensiveFirst = zones.toSorted(
     (one, other) => priceOf(limits, other.zone) - priceOf(limits, one.zone),
   );
   const targets = new Map<string, number>();
-  for (const { zone, plain } of dearestFirst) {
+  for (const { zone, plain } of mostExpensiveFirst) {
     const target = minPlain.get(zone) ?? 0;
     const surplus = Math.max(0, plain - target);
     const removable = Math.min(surplus, Math.max(0, spare));
--- a/test/capacity/support/spot-platform.ts
+++ b/test/capacity/support/spot-platform.ts
@@ -145,7 +145,7 @@
     if (!this.#perform(action)) this.#nextPollAtMs = nowMs + POLL_MS;
   }
 
-  /** @returns whether there may be more to do at once */
+  /** @returns whether to take the next action at once instead of waiting for the next poll */
   #perform(action: CapacityAction): boolean {
     const { nowMs, refusedDaemons, version } = this.#platform;
     const isRefused = refusedDaemons.has(this.name);
