--- a/src/cli/change-outcome.ts
+++ b/src/cli/change-outcome.ts
@@ -10,11 +10,11 @@
 export function readChangeOutcome(id: string, call: CallOutcome): ChangeOutcome {
   if (call.kind === 'no-answer') {
     const tried = call.reasons.join('; ');
-    return unknown(id, `The answer was lost; the change may have been made (${tried}).`);
+    return unknownOutcome(id, `The answer was lost; the change may have been made (${tried}).`);
   }
   const outcome = readAnswer(id, call);
   if (outcome.kind === 'refused' && call.earlierAnswerLost) {
-    return unknown(
+    return unknownOutcome(
       id,
       `The answer of one daemon was lost, and ${call.daemon} then refused: ${outcome.fault.message}`,
     );
@@ -29,14 +29,14 @@
   }
   const error = errorAnswerSchema.safeParse(body);
   if (!error.success) {
-    return unknown(id, `${daemon} gave an answer that is not understood.`);
+    return unknownOutcome(id, `${daemon} gave an answer that is not understood.`);
   }
   const fault = error.data.error;
   return fault.outcome === 'unknown'
-    ? unknown(id, fault.message)
+    ? unknownOutcome(id, fault.message)
     : { kind: 'refused', id, fault, currentVersion: null };
 }
 
-function unknown(id: string, message: string): ChangeOutcome {
+function unknownOutcome(id: string, message: string): ChangeOutcome {
   return { kind: 'unknown', id, message, recordedVersion: null, waitingFor: [] };
 }
--- a/src/cli/commands/apply.ts
+++ b/src/cli/commands/apply.ts
@@ -65,7 +65,7 @@
     }
     const { value } = outcome;
     const nothingSent = value.kind === 'no-answer' && !value.maybeSent;
-    return nothingSent ? this.unreachable(value) : this.tell(readChangeOutcome(id, value));
+    return nothingSent ? this.unreachable(value) : this.printOutcome(readChangeOutcome(id, value));
   }
 
   private readBody(): Result<ChangeBody, string> {
@@ -81,20 +81,20 @@
     );
   }
 
-  private tell(outcome: ChangeOutcome): number {
+  private printOutcome(outcome: ChangeOutcome): number {
     if (this.json) {
       this.printJson(outcome);
     }
     const { id } = outcome;
     switch (outcome.kind) {
       case 'applied':
-        this.say(
+        this.printText(
           `applied: change ${id} is in force as version ${outcome.version} on ${outcome.inForce} daemon(s)`,
         );
         return EXIT_DONE;
       case 'dry-run':
-        this.say(`dry run against version ${outcome.version}, nothing was changed:`);
-        this.say(outcome.description.map((line) => `  ${printable(line)}`).join('\n'));
+        this.printText(`dry run against version ${outcome.version}, nothing was changed:`);
+        this.printText(outcome.description.map((line) => `  ${printable(line)}`).join('\n'));
         return EXIT_DONE;
       case 'refused':
         this.complain(
@@ -109,7 +109,7 @@
     }
   }
 
-  private say(text: string): void {
+  private printText(text: string): void {
     if (!this.json) {
       this.print(`${text}\n`);
     }
--- a/src/cli/commands/complete.ts
+++ b/src/cli/commands/complete.ts
@@ -13,10 +13,10 @@
 import { printable } from '../text.js';
 
 const DEFAULT_DEADLINE = '60s';
-/** How much longer than the deadline the command waits for the daemon's own final answer. */
+/** Added to the request deadline, so that the daemon's own final answer can still arrive. */
 const TIMEOUT_MARGIN_MS = 5_000;
 
-/** Sends a prompt and prints the answer, as it comes with `--stream`. */
+/** Sends a prompt and prints the answer; with `--stream`, prints each part as it arrives. */
 export class CompleteCommand extends BaseCommand {
   static override paths = [['complete']];
   static override usage = Command.Usage({
@@ -57,7 +57,7 @@
       return this.misused(completion.error);
     }
     const outcome = await sendCompletion(completion.value, (text) => this.show(text));
-    return this.tell(outcome);
+    return this.printOutcome(outcome);
   }
 
   private show(text: string): void {
@@ -66,7 +66,7 @@
     }
   }
 
-  private tell(outcome: CompletionOutcome): number {
+  private printOutcome(outcome: CompletionOutcome): number {
     if (this.json) {
       this.printJson(outcome);
     } else if (outcome.kind === 'answered') {
--- a/src/cli/commands/trace.ts
+++ b/src/cli/commands/trace.ts
@@ -9,10 +9,10 @@
 import { readLog } from '../log-reader.js';
 import { formatTable, printable } from '../text.js';
 
-const OWN_FIELDS = ['ms', 'daemon', 'event', 'message', 'server', 'detail'];
+const LINE_FIELDS = ['ms', 'daemon', 'event', 'message', 'server', 'detail'];
 const STANDARD_INPUT = '-';
 /** Fields that have a column of their own or say nothing of the cause. */
-const SHOWN_APART: ReadonlySet<string> = new Set(['level', 'request', 'server', 'msg']);
+const OMITTED_FROM_DETAIL: ReadonlySet<string> = new Set(['level', 'request', 'server', 'msg']);
 
 /** Explains one request from the log lines of gateways. */
 export class TraceCommand extends BaseCommand {
@@ -69,13 +69,13 @@
       server: String(line.fields.server ?? ''),
       detail: detailOf(line),
     }));
-    this.print(`\n${title}\n${formatTable(OWN_FIELDS, rows, this.colored)}`);
+    this.print(`\n${title}\n${formatTable(LINE_FIELDS, rows, this.colored)}`);
   }
 }
 
 function detailOf({ fields }: LogLine): string {
   const shown = Object.entries(fields).filter(
-    ([key, value]) => !SHOWN_APART.has(key) && value !== '' && value !== null,
+    ([key, value]) => !OMITTED_FROM_DETAIL.has(key) && value !== '' && value !== null,
   );
   return shown.map(([key, value]) => `${key}=${value}`).join(' ');
 }
--- a/src/cli/completion-client.ts
+++ b/src/cli/completion-client.ts
@@ -76,7 +76,7 @@
   }
   return completion.streamed
     ? readStream(answer.body, onText)
-    : readWhole(await answer.body.json(), onText);
+    : readComplete(await answer.body.json(), onText);
 }
 
 const errorSchema = z.object({
@@ -102,7 +102,7 @@
   choices: z.array(z.object({ text: z.string().default('') })),
 });
 
-function readWhole(body: unknown, onText: (text: string) => void): CompletionOutcome {
+function readComplete(body: unknown, onText: (text: string) => void): CompletionOutcome {
   const answer = answerSchema.safeParse(body);
   if (!answer.success) {
     return { kind: 'unknown', message: 'The answer is not a completion. Check the address.' };
@@ -117,10 +117,10 @@
   chunks: AsyncIterable<Buffer>,
   onText: (text: string) => void,
 ): Promise<CompletionOutcome> {
-  let whole = '';
+  let fullText = '';
   for await (const data of readEventData(chunks)) {
     if (data === END_OF_STREAM) {
-      return { kind: 'answered', answer: { text: whole } };
+      return { kind: 'answered', answer: { text: fullText } };
     }
     const event = parseJson(data);
     const error = errorSchema.safeParse(event);
@@ -129,7 +129,7 @@
     }
     const frame = answerSchema.safeParse(event);
     const text = frame.success ? textOf(frame.data) : '';
-    whole += text;
+    fullText += text;
     onText(text);
   }
   return { kind: 'unknown', message: 'The answer broke off before its end; it may have run.' };
--- a/src/cli/completion-script.ts
+++ b/src/cli/completion-script.ts
@@ -7,14 +7,14 @@
 /** One of them. */
 export type Shell = (typeof SHELLS)[number];
 
-interface CompletedCommand {
+interface CommandEntry {
   /** Words after the program's name, for example `config show`. */
   readonly path: string;
   readonly description: string;
-  readonly options: readonly CompletedOption[];
+  readonly options: readonly OptionEntry[];
 }
 
-interface CompletedOption {
+interface OptionEntry {
   readonly name: string;
   readonly description: string;
 }
@@ -32,7 +32,7 @@
   }
 }
 
-function readDefinition(definition: Definition): CompletedCommand {
+function readDefinition(definition: Definition): CommandEntry {
   const options = definition.options.flatMap((option) => {
     const [name] = /--[a-z][a-z-]*/.exec(option.definition) ?? [];
     return name === undefined ? [] : [{ name, description: option.description ?? '' }];
@@ -44,7 +44,7 @@
   };
 }
 
-function bashScript(commands: readonly CompletedCommand[]): string {
+function bashScript(commands: readonly CommandEntry[]): string {
   const cases = commands.map(({ path, options }) => {
     const words = options.map((option) => option.name).join(' ');
     return `    '${path}') words='${words}' ;;`;
@@ -73,7 +73,7 @@
 `;
 }
 
-function fishScript(commands: readonly CompletedCommand[]): string {
+function fishScript(commands: readonly CommandEntry[]): string {
   const lines = ['# threadfork completion; load it with: threadfork completion fish | source'];
   for (const { path, description, options } of commands) {
     const words = path.split(' ');
@@ -82,11 +82,13 @@
     lines.push(
       `complete -c threadfork -f -n '${condition}' -a ${words.at(-1)} -d ${quote(description)}`,
     );
-    const chosen = words.map((word) => `__fish_seen_subcommand_from ${word}`).join('; and ');
+    const commandCondition = words
+      .map((word) => `__fish_seen_subcommand_from ${word}`)
+      .join('; and ');
     for (const option of options) {
       const name = option.name.slice('--'.length);
       lines.push(
-        `complete -c threadfork -n '${chosen}' -l ${name} -d ${quote(option.description)}`,
+        `complete -c threadfork -n '${commandCondition}' -l ${name} -d ${quote(option.description)}`,
       );
     }
   }
@@ -97,17 +99,17 @@
   return `'${text.replace(/[\\']/g, '\\$&')}'`;
 }
 
-function firstWords(commands: readonly CompletedCommand[]): readonly string[] {
+function firstWords(commands: readonly CommandEntry[]): readonly string[] {
   return [...new Set(commands.map(({ path }) => path.split(' ')[0] ?? ''))];
 }
 
 /** First words that are followed by a second one, as in `config show`. */
-function groupNames(commands: readonly CompletedCommand[]): readonly string[] {
+function groupNames(commands: readonly CommandEntry[]): readonly string[] {
   const nested = commands.filter(({ path }) => path.includes(' '));
   return firstWords(nested);
 }
 
-function subcommandNames(commands: readonly CompletedCommand[], group: string): readonly string[] {
+function subcommandNames(commands: readonly CommandEntry[], group: string): readonly string[] {
   return commands
     .filter(({ path }) => path.startsWith(`${group} `))
     .map(({ path }) => path.slice(group.length + 1));
--- a/src/cli/daemon-options.ts
+++ b/src/cli/daemon-options.ts
@@ -14,12 +14,12 @@
 
 /** The addresses to try, in order; the error is a sentence for the operator. */
 export function readAddresses(source: AddressSource): Result<readonly Endpoint[], string> {
-  const stated = source.flags.length > 0 ? source.flags : splitList(source.env[source.variable]);
-  if (stated.length === 0) {
+  const texts = source.flags.length > 0 ? source.flags : splitList(source.env[source.variable]);
+  if (texts.length === 0) {
     return err(`no daemon is named; pass --daemon IP:PORT or set ${source.variable}`);
   }
   const endpoints: Endpoint[] = [];
-  for (const text of stated) {
+  for (const text of texts) {
     const endpoint = parseEndpoint(text);
     if (endpoint.isErr()) {
       return err(
--- a/src/daemon/command.ts
+++ b/src/daemon/command.ts
@@ -16,17 +16,17 @@
 
 /** Exit codes of `threadforkd`. */
 const EXIT_DONE = 0;
-/** The daemon could not start, or a stop cut running requests. */
+/** The daemon could not start, or stopping it aborted running requests. */
 const EXIT_FAILED = 1;
 /** The settings or flags can't be used; nothing was started. */
 export const EXIT_USAGE = 2;
 
-/** What the command needs beside the usual streams. */
+/** Dependencies of the command besides the standard streams. */
 export interface DaemonContext extends BaseContext {
   readonly startDaemon: StartDaemon;
 }
 
-/** Runs one daemon until it is told to stop. */
+/** Runs one daemon until a stop signal arrives. */
 export class DaemonCommand extends Command<DaemonContext> {
   static override paths = [Command.Default];
   static override usage = Command.Usage({
@@ -95,7 +95,7 @@
       level: settings.logLevel,
       writer: { daemon: settings.name, zone: settings.zone },
     });
-    // From here on a signal is a planned stop, also while the daemon starts.
+    // Installed before the start, so that a signal during it also leads to a planned stop.
     const signals = new StopSignals();
     try {
       const daemon = await this.context.startDaemon(settings, logger);
@@ -126,7 +126,10 @@
   });
 }
 
-/** Stops at the first signal; at the second, cuts what still runs. Resolves to the exit code. */
+/**
+ * Stops gracefully at the first signal and aborts the remaining requests at the second. Resolves to
+ * the exit code.
+ */
 async function runUntilSignalled(daemon: RunningDaemon, signals: StopSignals): Promise<number> {
   await signals.next();
   const second = signals.next().then(() => 'second-signal' as const);
--- a/src/daemon/daemon.ts
+++ b/src/daemon/daemon.ts
@@ -1,4 +1,4 @@
-/** Puts a daemon together: its shells, its fold and what operators see of it. */
+/** Wires a daemon together: network clients and servers, event loop and operator API. */
 import { performance } from 'node:perf_hooks';
 import type { Milliseconds } from '../core/common/time.js';
 import { EMPTY_CONFIGURATION } from '../core/configuration/document.js';
@@ -36,7 +36,7 @@
 const PLATFORM_TIMEOUT_MS: Milliseconds = 2_000;
 const ENGINE_CONTROL_TIMEOUT_MS: Milliseconds = 1_000;
 
-/** Starts a daemon; rejects when it can't listen where the settings say. */
+/** Starts a daemon; rejects when it can't listen on the configured addresses. */
 export async function startDaemon(
   settings: DaemonSettings,
   logger: Logger,
@@ -55,7 +55,7 @@
   #state: DaemonState | null = null;
   #operators: OperatorServer | null = null;
   #ticker: NodeJS.Timeout | null = null;
-  #stopReady: () => void = () => {};
+  #resolveStopReady: () => void = () => {};
   #endpoints: Pick<RunningDaemon, 'callers' | 'operators' | 'peers'> | null = null;
 
   constructor(settings: DaemonSettings, logger: Logger) {
@@ -93,15 +93,15 @@
   }
 
   get callers(): Endpoint {
-    return this.#listening().callers;
+    return this.#boundEndpoints().callers;
   }
 
   get operators(): Endpoint {
-    return this.#listening().operators;
+    return this.#boundEndpoints().operators;
   }
 
   get peers(): Endpoint {
-    return this.#listening().peers;
+    return this.#boundEndpoints().peers;
   }
 
   async start(): Promise<void> {
@@ -123,7 +123,7 @@
   async stop(): Promise<StopOutcome> {
     const { logger, callers } = this.#shells;
     logger.write(DAEMON_EVENTS.stopRequested, { running: callers.activeRequests });
-    const outcome = await Promise.race([this.#finish(), this.#graceLimit()]);
+    const outcome = await Promise.race([this.#drain(), this.#graceTimeout()]);
     logger.write(outcome === 'clean' ? DAEMON_EVENTS.stopped : DAEMON_EVENTS.stoppedUncleanly, {
       running: callers.activeRequests,
     });
@@ -137,23 +137,23 @@
     void this.#close();
   }
 
-  /** Stops taking callers, lets their requests end and gives up all duties. */
-  async #finish(): Promise<'clean'> {
+  /** Stops accepting callers, waits for their requests to end and releases all duties. */
+  async #drain(): Promise<'clean'> {
     this.#events.emit({ kind: 'stop' });
     const { logger, callers } = this.#shells;
     await callers.stopAccepting();
     logger.write(CALLER_HTTP_EVENTS.stoppedAccepting, { running: callers.activeRequests });
     await callers.connectionsEnded();
-    // From here on no request can arrive, so what is said of having finished is final.
+    // No request can arrive any more, so `stopReady` can't become false again.
     if (this.#state?.stopReady !== true) {
       await new Promise<void>((resolve) => {
-        this.#stopReady = resolve;
+        this.#resolveStopReady = resolve;
       });
     }
     return 'clean';
   }
 
-  #listening(): Pick<RunningDaemon, 'callers' | 'operators' | 'peers'> {
+  #boundEndpoints(): Pick<RunningDaemon, 'callers' | 'operators' | 'peers'> {
     if (this.#endpoints === null) {
       throw new Error('the daemon does not listen yet; await startDaemon first');
     }
@@ -177,7 +177,7 @@
       now: () => performance.now(),
       emit: (event) => this.#events.emit(event),
       onChangeAnswer: (effect) => operatorBackend.receiveAnswer(effect),
-      onStopReady: () => this.#stopReady(),
+      onStopReady: () => this.#resolveStopReady(),
     });
     void this.#fold(initial, (effect) => performer.perform(effect));
   }
@@ -191,7 +191,7 @@
     try {
       await runFold(this.#events.stream(), step, initial, perform);
     } catch (error) {
-      // A defect in a reducer: the state can't be trusted any more. The platform starts us anew.
+      // A defect in a reducer: the state can't be trusted any more. The platform restarts the process.
       const reason = error instanceof Error ? (error.stack ?? error.message) : String(error);
       this.#shells.logger.write(DAEMON_EVENTS.defect, { reason });
       this.#shells.logger.flush();
@@ -248,7 +248,7 @@
         );
   }
 
-  #graceLimit(): Promise<'cut'> {
+  #graceTimeout(): Promise<'cut'> {
     return new Promise((resolve) => {
       setTimeout(() => resolve('cut'), this.#settings.stopGraceMs).unref();
     });
--- a/src/daemon/effect-performer.ts
+++ b/src/daemon/effect-performer.ts
@@ -1,5 +1,6 @@
 /**
- * Carries out the effects of a daemon's fold on its shells and feeds their results back as events.
+ * Carries out the effects that the reducer returns, over the network clients and servers of the daemon,
+ * and emits the results as events.
  */
 
 import type { Result } from 'neverthrow';
@@ -32,7 +33,7 @@
 import type { HealthClient } from './health-client.js';
 import { performObjectCall } from './object-calls.js';
 
-/** The shells of one daemon. */
+/** The I/O components of one daemon. */
 export interface DaemonShells {
   readonly callers: CallerServer;
   readonly platform: PlatformClient;
@@ -43,10 +44,10 @@
   readonly logger: Logger;
 }
 
-/** What the performer needs of the daemon round it. */
+/** Dependencies of an `EffectPerformer`. */
 export interface PerformerOptions {
   readonly shells: DaemonShells;
-  /** The fold's latest state. */
+  /** The latest state of the reducer. */
   state(): DaemonState;
   now(): MonotonicMs;
   emit(event: DaemonEvent): void;
@@ -55,7 +56,7 @@
 }
 
 type OrderEffect = Extract<ControllerEffect, { kind: 'send-order' }>;
-type AskOrderEffect = Extract<ControllerEffect, { kind: 'query-order' }>;
+type QueryOrderEffect = Extract<ControllerEffect, { kind: 'query-order' }>;
 
 /** Carries out effects. No call throws or rejects. */
 export class EffectPerformer {
@@ -90,13 +91,13 @@
         this.#sendToPeer(effect);
         break;
       case 'ask-report':
-        void this.#askReport(effect);
+        void this.#requestReport(effect);
         break;
       case 'send-order':
         void this.#sendOrder(effect);
         break;
       case 'query-order':
-        void this.#askOrder(effect);
+        void this.#queryOrder(effect);
         break;
       case 'list-machines':
         void this.#listMachines();
@@ -149,7 +150,7 @@
     };
   }
 
-  async #askReport(effect: Extract<DaemonEffect, { kind: 'ask-report' }>): Promise<void> {
+  async #requestReport(effect: Extract<DaemonEffect, { kind: 'ask-report' }>): Promise<void> {
     const askedAt = this.#options.now();
     const { engine, endpoint } = effect;
     const answer = await this.#options.shells.engines.report(endpoint);
@@ -176,7 +177,10 @@
     this.#options.emit({ kind: 'order-answer', engine, orderId: id, fence, answer });
   }
 
-  /** The last check before an order leaves: a pause since the decision may have ended the lease. */
+  /**
+   * The last check before an order is sent: the lease may have expired since the decision, for
+   * example during a pause of this process.
+   */
   #maySend(order: Order): boolean {
     const state = this.#options.state();
     const duty = state.duties.get(poolOfEngine(state, order.engine));
@@ -184,7 +188,7 @@
     return maySendUnder(authority, order.fence.epoch, this.#options.now());
   }
 
-  async #askOrder({ engine, orderId, endpoint }: AskOrderEffect): Promise<void> {
+  async #queryOrder({ engine, orderId, endpoint }: QueryOrderEffect): Promise<void> {
     const state = await this.#options.shells.engines.orderState(endpoint, orderId);
     this.#options.emit({ kind: 'order-state', engine, orderId, state });
   }
@@ -200,7 +204,7 @@
     );
   }
 
-  /** An engine that comes back under its name after it was taken off the list is a new one. */
+  /** An engine that was removed from the machine list counts as new if it is listed again. */
   #forgetUnlisted(machines: readonly Machine[]): void {
     const listed = new Set(machines.map((machine) => machine.name));
     this.#reachability.retain((engine) => listed.has(engine));
--- a/src/daemon/fleet-sample.ts
+++ b/src/daemon/fleet-sample.ts
@@ -1,4 +1,4 @@
-/** Reads off a daemon's state what its gauges show. */
+/** Takes the values of the fleet gauges from a daemon's state. */
 import type { MonotonicMs } from '../core/common/time.js';
 import type { DaemonState } from '../core/daemon/index.js';
 import { epochOf, holdsAuthority } from '../core/lease/index.js';
@@ -6,7 +6,7 @@
 import type { FleetSample, HeldLease } from '../shell/metrics/index.js';
 import type { PeerCounters } from '../shell/peer/index.js';
 
-/** The sample of one moment. */
+/** The gauge values at time `now`. */
 export function fleetSample(
   state: DaemonState,
   now: MonotonicMs,
--- a/src/daemon/fold.ts
+++ b/src/daemon/fold.ts
@@ -1,7 +1,7 @@
 /**
- * The fold at the centre of a daemon: every input is an event on one stream; `step` decides; the
- * effects go out. Built on `most`, so that the same reducer can be driven by the live shells, by a
- * recorded stream or by the simulation's virtual time.
+ * The event loop of a daemon: every input is an event on one stream, the reducer `step` folds it into
+ * the state, and the effects that `step` returns are carried out. Built on `most`, so that the same
+ * reducer can be driven by live I/O, by a recorded stream or by the simulation's virtual time.
  */
 
 import { randomBytes } from 'node:crypto';
@@ -10,13 +10,13 @@
 import { fromEvent, type Stream } from 'most';
 import type { StepContext, Transition } from '../core/common/transition.js';
 
-/** An event with the time and the random draw under which it is folded. */
-export interface Observed<Event> {
+/** An event with the time and the random number that the reducer uses for it. */
+export interface StampedEvent<Event> {
   readonly event: Event;
   readonly context: StepContext;
 }
 
-/** A reducer from events to effects. */
+/** A reducer: computes the next state and the effects of one event. */
 export type Step<State, Event, Effect> = (
   state: State,
   event: Event,
@@ -42,20 +42,20 @@
   };
 }
 
-/** The one stream that all shells of a daemon emit into. */
+/** The single event stream that all I/O components of a daemon emit to. */
 export class EventSource<Event> {
   readonly #emitter = new EventEmitter();
   readonly #entropy = createEntropySource();
 
-  /** Emits an event, stamped with the monotonic time and a random draw. */
+  /** Emits an event, stamped with the monotonic time and a random number. */
   emit(event: Event): void {
     const context: StepContext = { now: performance.now(), entropy: this.#entropy() };
-    this.#emitter.emit(EVENT_NAME, { event, context } satisfies Observed<Event>);
+    this.#emitter.emit(EVENT_NAME, { event, context } satisfies StampedEvent<Event>);
   }
 
-  /** The events from now on. */
-  stream(): Stream<Observed<Event>> {
-    return fromEvent<Observed<Event>>(EVENT_NAME, this.#emitter);
+  /** The events emitted after this call. */
+  stream(): Stream<StampedEvent<Event>> {
+    return fromEvent<StampedEvent<Event>>(EVENT_NAME, this.#emitter);
   }
 }
 
@@ -64,14 +64,14 @@
  * Settles when the stream ends; rejects when a reducer or `perform` throws, which is a defect.
  */
 export function runFold<State, Event, Effect>(
-  stream: Stream<Observed<Event>>,
+  stream: Stream<StampedEvent<Event>>,
   step: Step<State, Event, Effect>,
   initial: State,
   perform: (effect: Effect) => void,
 ): Promise<void> {
   return stream
-    .loop((state: State, observed: Observed<Event>) => {
-      const transition = step(state, observed.event, observed.context);
+    .loop((state: State, stamped: StampedEvent<Event>) => {
+      const transition = step(state, stamped.event, stamped.context);
       return { seed: transition.state, value: transition.effects };
     }, initial)
     .observe((effects) => {
--- a/src/daemon/gateway-main.ts
+++ b/src/daemon/gateway-main.ts
@@ -1,6 +1,7 @@
 /**
- * The gateway's program on the users' platform: reads its settings, starts, reloads on SIGHUP and stops on
- * SIGTERM. The one place of the product that names an adapter. `scripts/gateway-loader.cjs` runs it.
+ * Entry point of a gateway on the users' platform: reads the settings, starts the gateway, reloads the
+ * settings on SIGHUP and stops on SIGTERM. Only this module refers to a concrete platform adapter.
+ * `scripts/gateway-loader.cjs` runs it.
  */
 import { readFileSync } from 'node:fs';
 import type { Result } from 'neverthrow';
@@ -20,15 +21,16 @@
 const EXIT_USAGE = 2;
 const STANDARD_OUTPUT = 1;
 /**
- * Lines are written together, as each write is handed to another thread and back: 5% less processor time on a
- * daemon that serves eleven requests a second (0.0301 and 0.0287 cores, one play of 16 daemons each). A process that is killed takes the lines of this time with it.
+ * Log lines are buffered for this time, because each write is a round trip to another thread. This saves
+ * 5% of the CPU time of a daemon at eleven requests/s (0.0287 instead of 0.0301 cores, with 16 daemons).
+ * A process that is killed loses the buffered lines.
  */
 const LOG_FLUSH_MS = 250;
-/** As many bytes are written at once; below the 16 KiB that pino's destination writes at most. */
+/** A buffer of this size is written at once. Below 16 KiB, the largest single write of pino's destination. */
 const LOG_WRITE_BYTES = 8_192;
 const MAX_BUFFERED_LOG_BYTES = 1_048_576;
 
-/** The settings file named on the command line, or else by the environment. */
+/** The settings file given on the command line, or otherwise by the environment variable. */
 function settingsPath(): string {
   return process.argv[2] ?? process.env[SETTINGS_VARIABLE] ?? '';
 }
@@ -37,15 +39,15 @@
   return parseGatewaySettings(readFileSync(settingsPath(), 'utf8'));
 }
 
-function exitOnWrongSettings(problem: SettingsProblem): never {
+function exitOnInvalidSettings(problem: SettingsProblem): never {
   const { key, found, remedy } = problem;
   process.stderr.write(`${settingsPath()}: ${key}: found ${found}. ${remedy}\n`);
   process.exit(EXIT_USAGE);
 }
 
-/** Runs a gateway until it is told to stop. */
+/** Runs a gateway until SIGTERM. */
 export function main(): void {
-  const settings = readSettings().match((value) => value, exitOnWrongSettings);
+  const settings = readSettings().match((value) => value, exitOnInvalidSettings);
   const destination = pino.destination({
     fd: STANDARD_OUTPUT,
     sync: false,
--- a/src/daemon/health-client.ts
+++ b/src/daemon/health-client.ts
@@ -1,4 +1,4 @@
-/** Asks web backends how they are: `GET /healthz` answers 200, or anything else when not. */
+/** Health checks of web backends: a backend is healthy if `GET /healthz` answers 200. */
 import { Agent, request } from 'undici';
 import type { Milliseconds } from '../core/common/time.js';
 import type { Endpoint } from '../core/registry/backend.js';
@@ -8,13 +8,13 @@
 
 /** Checks web backends. */
 export interface HealthClient {
-  /** Whether the backend says that it is well. Never rejects. */
+  /** Whether the backend reports itself healthy. Never rejects. */
   isHealthy(endpoint: Endpoint): Promise<boolean>;
   /** Closes the connections. */
   close(): Promise<void>;
 }
 
-/** Opens a client. Nothing is connected before the first check. */
+/** Creates a client. Connects at the first check. */
 export function createHealthClient(): HealthClient {
   const dispatcher = new Agent({
     connect: { timeout: CHECK_TIMEOUT_MS },
--- a/src/daemon/main.ts
+++ b/src/daemon/main.ts
@@ -33,5 +33,5 @@
 }
 
 const exitCode = await cli.run(parseArguments(), context);
-// The process ends here even where a connection or timer is still open.
+// Ends the process even if a connection or timer is still open.
 process.exit(exitCode);
--- a/src/daemon/object-calls.ts
+++ b/src/daemon/object-calls.ts
@@ -1,4 +1,4 @@
-/** Carries out the core's object store calls: objects hold JSON. */
+/** Carries out the core's object store calls. Objects contain JSON. */
 
 import type { Fault } from '../core/errors/fault.js';
 import type { ObjectCall, ObjectResult } from '../core/platform/object.js';
--- a/src/daemon/operator-backend.ts
+++ b/src/daemon/operator-backend.ts
@@ -1,4 +1,4 @@
-/** What operators ask of a daemon: tables, changes, explanations and its status. */
+/** Serves operator calls from the state of a daemon: tables, changes, explanations and status. */
 import { createHash } from 'node:crypto';
 import { err, ok, type Result } from 'neverthrow';
 import type { MonotonicMs } from '../core/common/time.js';
@@ -44,7 +44,7 @@
 
 const MAX_STORED_ROWS = 1_000;
 
-/** What the backend needs of the daemon round it. */
+/** Dependencies of a `DaemonOperatorBackend`. */
 export interface OperatorBackendOptions {
   readonly platform: PlatformClient;
   state(): DaemonState;
@@ -53,20 +53,20 @@
   submitChange(request: CoreChangeRequest): void;
 }
 
-/** Answers operators from the fold's latest state and from the table service. */
+/** Answers operators from the reducer's latest state and from the table service. */
 export class DaemonOperatorBackend implements OperatorBackend {
   readonly #options: OperatorBackendOptions;
-  readonly #waiting = new Map<string, (outcome: ChangeOutcome) => void>();
-  #calls = 0;
+  readonly #pendingChanges = new Map<string, (outcome: ChangeOutcome) => void>();
+  #changeCount = 0;
 
   constructor(options: OperatorBackendOptions) {
     this.#options = options;
   }
 
-  /** Takes the answer to a change that was submitted. */
+  /** Resolves the pending call of a submitted change with its outcome. */
   receiveAnswer(effect: ChangeAnswerEffect): void {
-    this.#waiting.get(effect.token)?.(effect.outcome);
-    this.#waiting.delete(effect.token);
+    this.#pendingChanges.get(effect.token)?.(effect.outcome);
+    this.#pendingChanges.delete(effect.token);
   }
 
   async rows(table: TableName, query: Query): Promise<Result<readonly Row[], Fault>> {
@@ -76,14 +76,14 @@
       const rows = await this.#storedRows(stored, key);
       return table === 'leases' ? rows.map((leases) => this.#withRemainingTime(leases)) : rows;
     }
-    return ok(this.#ownRows(table));
+    return ok(this.#localRows(table));
   }
 
   change(request: ChangeRequest): Promise<ChangeOutcome> {
-    this.#calls += 1;
-    const token = `operator-${this.#calls}`;
+    this.#changeCount += 1;
+    const token = `operator-${this.#changeCount}`;
     return new Promise((resolve) => {
-      this.#waiting.set(token, resolve);
+      this.#pendingChanges.set(token, resolve);
       this.#options.submitChange({
         token,
         id: request.id,
@@ -97,7 +97,7 @@
   }
 
   async explain(subject: ExplainSubject, id: string | null): Promise<Result<Explanation, Fault>> {
-    const orders = subject === 'engine' ? await this.#orders() : null;
+    const orders = subject === 'engine' ? await this.#storedOrders() : null;
     return explain({
       state: this.#options.state(),
       subject,
@@ -138,13 +138,13 @@
     return this.#options.state().configuration.inForce ?? EMPTY_CONFIGURATION;
   }
 
-  /** The durable intents; null while the table service does not answer. */
-  async #orders(): Promise<readonly Row[] | null> {
+  /** The orders recorded in the table service; null if it does not answer. */
+  async #storedOrders(): Promise<readonly Row[] | null> {
     const stored = STORED_TABLES.orders;
     return stored === undefined ? null : (await this.#storedRows(stored, null)).unwrapOr(null);
   }
 
-  #ownRows(table: TableName): readonly Row[] {
+  #localRows(table: TableName): readonly Row[] {
     const state = this.#options.state();
     switch (table) {
       case 'engines':
@@ -164,7 +164,7 @@
     return withOwnRemainingTime(leases, this.#options.state(), this.#options.now());
   }
 
-  /** A query that pins the key reads that row alone, however many there are. */
+  /** Reads only the row of `key` if the query fixes the key, and otherwise up to `MAX_STORED_ROWS` rows. */
   async #storedRows(
     table: StoredTable,
     key: string | null,
--- a/src/daemon/stop-signals.ts
+++ b/src/daemon/stop-signals.ts
@@ -1,12 +1,12 @@
 /**
- * The signals that ask the process to stop, kept in order until they are asked for.
+ * Queues the stop signals of the process, in order of arrival, until they are awaited.
  */
 import { EventEmitter, on } from 'node:events';
 
 const STOP_SIGNALS = ['SIGTERM', 'SIGINT'] as const;
 const RECEIVED = 'received';
 
-/** Takes over the process's stop signals until it is closed. */
+/** Handles the process's stop signals until it is closed. */
 export class StopSignals {
   readonly #emitter = new EventEmitter();
   readonly #received = on(this.#emitter, RECEIVED);
@@ -16,12 +16,12 @@
     for (const name of STOP_SIGNALS) process.on(name, this.#onSignal);
   }
 
-  /** Resolves at the next signal, at once for one that came before. */
+  /** Resolves at the next signal, or immediately if one is queued. */
   async next(): Promise<void> {
     await this.#received.next();
   }
 
-  /** Gives the signals back to the process. */
+  /** Removes the signal handlers. */
   close(): void {
     for (const name of STOP_SIGNALS) process.off(name, this.#onSignal);
   }
--- a/src/daemon/types.ts
+++ b/src/daemon/types.ts
@@ -1,23 +1,29 @@
 /**
- * What a started daemon offers to the command that started it.
+ * The interface between a running daemon and the command that started it.
  */
 import type { Endpoint } from '../core/registry/backend.js';
 import type { Logger } from '../shell/logging/index.js';
 import type { DaemonSettings } from '../shell/settings/index.js';
 
-/** How a planned stop ended: `clean` when every running request did, `cut` at the grace limit. */
+/**
+ * How a planned stop ended: `clean` if every running request has ended, `cut` if the grace period
+ * expired first.
+ */
 export type StopOutcome = 'clean' | 'cut';
 
-/** A daemon that listens. The endpoints hold the real ports where the settings said 0. */
+/** A daemon that listens. Where the settings have port 0, the endpoints hold the port assigned. */
 export interface RunningDaemon {
   readonly callers: Endpoint;
   readonly operators: Endpoint;
   readonly peers: Endpoint;
-  /** Takes no new requests, finishes the running ones and resolves within the stop grace. */
+  /**
+   * Refuses new requests and waits for the running ones. Resolves at the latest when the grace
+   * period of the settings expires.
+   */
   stop(): Promise<StopOutcome>;
-  /** Closes everything at once, cutting what runs. */
+  /** Closes everything immediately and aborts the running requests. */
   stopNow(): void;
 }
 
-/** Starts a daemon; rejects when it can't listen where the settings say. */
+/** Starts a daemon; rejects when it can't listen on the configured addresses. */
 export type StartDaemon = (settings: DaemonSettings, logger: Logger) => Promise<RunningDaemon>;
--- a/src/shell/engine/client.ts
+++ b/src/shell/engine/client.ts
@@ -85,7 +85,7 @@
  * may have been sent before.
  */
 function orderAnswer(order: Order, exchange: Exchange): OrderAnswer {
-  if (exchange.kind !== 'answered') return { kind: 'lost', reason: describe(exchange) };
+  if (exchange.kind !== 'answered') return { kind: 'lost', reason: describeFailure(exchange) };
   const body = parseJson(exchange.body);
   const answer = orderAnswerSchema.safeParse(body);
   if (exchange.status === 200 && answer.success) return answer.data;
@@ -96,20 +96,20 @@
 }
 
 function readAnswer<T>(exchange: Exchange, schema: z.ZodType<T>): Result<T, Fault> {
-  if (exchange.kind !== 'answered') return err(unanswered(describe(exchange)));
-  if (exchange.status !== 200) return err(unanswered(`it answered ${exchange.status}`));
+  if (exchange.kind !== 'answered') return err(unusableAnswerFault(describeFailure(exchange)));
+  if (exchange.status !== 200) return err(unusableAnswerFault(`it answered ${exchange.status}`));
   const parsed = schema.safeParse(parseJson(exchange.body));
   if (parsed.success) return ok(parsed.data);
   const issue = parsed.error.issues[0];
-  return err(unanswered(`${issue?.path.join('.')}: ${issue?.message} in its answer`));
+  return err(unusableAnswerFault(`${issue?.path.join('.')}: ${issue?.message} in its answer`));
 }
 
-function describe(exchange: Exclude<Exchange, { kind: 'answered' }>): string {
+function describeFailure(exchange: Exclude<Exchange, { kind: 'answered' }>): string {
   return exchange.kind === 'not-sent' ? `not sent: ${exchange.reason}` : exchange.reason;
 }
 
 /** These calls ask or cancel only, so that a repeat does no harm. */
-function unanswered(reason: string): Fault {
+function unusableAnswerFault(reason: string): Fault {
   const message = `The engine gave no usable answer: ${reason}. Look at the engine; asking again is safe.`;
   return refusedNotRun('backend-broken', message, { retryable: true });
 }
--- a/src/shell/engine/connections.ts
+++ b/src/shell/engine/connections.ts
@@ -34,11 +34,11 @@
     const pool = known ?? new PlatformConnections({ address, port, timeoutMs: this.#timeoutMs });
     this.#pools.delete(key);
     this.#pools.set(key, pool);
-    this.#closeLongestUnused();
+    this.#closeLeastRecentlyUsed();
     return pool;
   }
 
-  #closeLongestUnused(): void {
+  #closeLeastRecentlyUsed(): void {
     if (this.#pools.size <= MAX_POOLS) return;
     const oldest = this.#pools.entries().next();
     if (oldest.done === true) return;
--- a/src/shell/engine/reachability.ts
+++ b/src/shell/engine/reachability.ts
@@ -20,7 +20,7 @@
     if (before === outcome.kind) return null;
     if (outcome.kind === 'reported') this.#silent.delete(engine);
     else this.#silent.set(engine, outcome.kind);
-    return lineOf(engine, outcome);
+    return logLineOf(engine, outcome);
   }
 
   /** Forgets the engines that are not listed any more. */
@@ -31,7 +31,7 @@
   }
 }
 
-function lineOf(engine: BackendName, outcome: PollOutcome): LogEffect {
+function logLineOf(engine: BackendName, outcome: PollOutcome): LogEffect {
   switch (outcome.kind) {
     case 'reported':
       return log(ENGINE_EVENTS.reachable, { engine });
--- a/src/shell/metrics/fleet-gauges.ts
+++ b/src/shell/metrics/fleet-gauges.ts
@@ -45,7 +45,7 @@
 
 /** The gauges of a daemon's requests and of its view of the fleet. */
 export class FleetGauges {
-  readonly #numbers: readonly NumberGauge[];
+  readonly #numberGauges: readonly NumberGauge[];
   readonly #engines: Gauge<'role' | 'state'>;
   readonly #leases: Gauge<'resource'>;
   readonly #reportAge: Gauge<'quantile'>;
@@ -56,7 +56,7 @@
       key,
       gauge: new Gauge({ name: `threadfork_${name}`, help, registers }),
     });
-    this.#numbers = [
+    this.#numberGauges = [
       numberGauge('requestsInFlight', 'requests_in_flight', 'Requests that have not ended'),
       numberGauge('requestsWaiting', 'requests_waiting', 'Requests that wait for a backend'),
       numberGauge('heldBodyBytes', 'held_body_bytes', 'Bytes of request bodies in memory'),
@@ -92,14 +92,14 @@
 
   /** Shows a sample. */
   show(sample: FleetSample): void {
-    for (const { key, gauge } of this.#numbers) gauge.set(sample[key]);
-    this.#showEngines(sample);
-    this.#showReportAges(sample);
+    for (const { key, gauge } of this.#numberGauges) gauge.set(sample[key]);
+    this.#updateEngines(sample);
+    this.#updateReportAges(sample);
     this.#leases.reset();
     for (const { resource, epoch } of sample.leases) this.#leases.set({ resource }, epoch);
   }
 
-  #showEngines({ engines, now }: FleetSample): void {
+  #updateEngines({ engines, now }: FleetSample): void {
     this.#engines.reset();
     for (const engine of engines) {
       const role = engine.report?.role ?? 'unknown';
@@ -107,7 +107,7 @@
     }
   }
 
-  #showReportAges({ engines, now }: FleetSample): void {
+  #updateReportAges({ engines, now }: FleetSample): void {
     const agesMs = engines
       .filter((engine) => engine.report !== null)
       .map((engine) => now - engine.reportedAt)
--- a/src/shell/metrics/request-metrics.ts
+++ b/src/shell/metrics/request-metrics.ts
@@ -113,7 +113,7 @@
         this.#attempts.inc({ result: notice.result, reason: this.#reasons.of(notice.reason) });
         break;
       case 'request-ended':
-        this.#ended(notice, now);
+        this.#recordEnd(notice, now);
         break;
     }
   }
@@ -123,7 +123,7 @@
     this.#faults.inc({ code: fault.code, outcome: fault.outcome });
   }
 
-  #ended(ended: RequestEnded, now: MonotonicMs): void {
+  #recordEnd(ended: RequestEnded, now: MonotonicMs): void {
     const { id, arrivedAt, className } = ended.description;
     const labels = { class: this.#classes.of(className) };
     const firstByteAt = this.#firstByteAt.get(id);
@@ -132,18 +132,18 @@
     this.#requests.inc({ ...labels, result: ended.result });
     this.#retries.inc(labels, Math.max(0, ended.attempts - 1));
     if (firstByteAt !== undefined) {
-      this.#firstByte.observe(labels, seconds(firstByteAt - arrivedAt));
+      this.#firstByte.observe(labels, toSeconds(firstByteAt - arrivedAt));
     }
     if (ended.result !== 'answered') return;
-    this.#total.observe(labels, seconds(now - arrivedAt));
+    this.#total.observe(labels, toSeconds(now - arrivedAt));
     this.#promptTokens.inc(labels, ended.promptTokens);
     this.#outputTokens.inc(labels, ended.outputTokens);
     if (firstByteAt === undefined || !ended.description.streamed || ended.outputTokens < 2) return;
     const interval = (now - firstByteAt) / (ended.outputTokens - 1);
-    this.#tokenInterval.observe(labels, seconds(interval));
+    this.#tokenInterval.observe(labels, toSeconds(interval));
   }
 }
 
-function seconds(span: Milliseconds): number {
+function toSeconds(span: Milliseconds): number {
   return span / MILLISECONDS_PER_SECOND;
 }
--- a/src/shell/operator/answer.ts
+++ b/src/shell/operator/answer.ts
@@ -50,7 +50,7 @@
   return { status: faultStatus(fault), body: { error: fault }, headers: faultHeaders(fault) };
 }
 
-/** The answer to a change: the outcome itself, under a status that tells its kind. */
+/** The answer to a change: its outcome as the body, with a status that depends on its kind. */
 export function outcomeAnswer(outcome: ChangeOutcome): Answer {
   switch (outcome.kind) {
     case 'refused':
@@ -76,7 +76,7 @@
   return { 'retry-after': String(Math.ceil(fault.retryAfterMs / MS_PER_SECOND)) };
 }
 
-/** Writes an answer, unless the caller has gone. */
+/** Writes an answer, unless the connection is closed or an answer was already started. */
 export function writeAnswer(response: ServerResponse, answer: Answer): void {
   if (response.destroyed || response.headersSent) {
     return;
--- a/src/shell/operator/authorize.ts
+++ b/src/shell/operator/authorize.ts
@@ -1,6 +1,6 @@
 /**
- * Decides what an operator call may do: by its token, or without one on loopback where that is
- * allowed. Tokens are known by their SHA-256 digests only and compared in constant time.
+ * Authorizes operator calls by their token, or without a token on loopback if that is allowed. Only
+ * the SHA-256 digests of tokens are stored, and they are compared in constant time.
  */
 import { createHash, timingSafeEqual } from 'node:crypto';
 import type { IncomingMessage } from 'node:http';
@@ -13,30 +13,30 @@
 
 /** A token that is accepted. */
 interface OperatorToken {
-  /** Who holds it; shown in logs and changes. */
+  /** Name of the token's holder; shown in logs and changes. */
   readonly name: string;
   /** Lower-case hexadecimal SHA-256 digest of the token. */
   readonly digest: string;
   readonly access: Permission;
 }
 
-/** Who calls, and what the call may do. */
+/** An authorized caller and its permission. */
 export interface Caller {
   /** The name of the token's holder, or `unauthenticated`. */
   readonly name: string;
   readonly permission: Permission;
 }
 
-/** Who may call. */
+/** The rules that calls are authorized by. */
 export interface AccessRules {
   readonly tokens: readonly OperatorToken[];
-  /** Calls without a token from this machine itself may do anything. */
+  /** Calls without a token from a loopback address may do anything. */
   readonly allowUnauthenticatedLoopback: boolean;
-  /** Calls without a token from anywhere may do anything. False unless told so outright. */
+  /** Calls without a token from any address may do anything. False by default. */
   readonly allowUnauthenticatedEverywhere?: boolean;
 }
 
-/** Who calls, or why the call may do nothing. */
+/** The authorized caller, or the fault that refuses the call. */
 export function authorize(request: IncomingMessage, rules: AccessRules): Result<Caller, Fault> {
   const header = request.headers.authorization;
   if (header !== undefined) {
@@ -45,7 +45,7 @@
   return authorizeWithoutToken(request, rules);
 }
 
-/** The fault for a read-only token that asks for a change. */
+/** The fault for a change requested with a read-only token. */
 export function changeForbidden(): Fault {
   return refusedNotRun(
     'forbidden',
@@ -53,7 +53,7 @@
   );
 }
 
-/** The fault for a read-only token that asks for the whole configuration. */
+/** The fault for the complete configuration requested with a read-only token. */
 export function configurationForbidden(): Fault {
   return refusedNotRun(
     'forbidden',
@@ -75,7 +75,7 @@
   );
 }
 
-/** Compares with every digest, so that the time taken does not tell which one matched. */
+/** Compares with every digest, so that the duration does not reveal which one matched. */
 function findToken(digest: Buffer, tokens: readonly OperatorToken[]): OperatorToken | undefined {
   let found: OperatorToken | undefined;
   for (const token of tokens) {
@@ -100,7 +100,7 @@
       ),
     );
   }
-  if (cameFromBrowser(request)) {
+  if (mayComeFromBrowser(request)) {
     return err(
       refusedNotRun(
         'forbidden',
@@ -111,18 +111,19 @@
   return ok({ name: 'unauthenticated', permission: 'change' });
 }
 
-/** Whether an address is of this machine itself. */
+/** Whether an address is a loopback address, also as an IPv4-mapped IPv6 address. */
 export function isLoopback(address: string | undefined): boolean {
-  const plain = (address ?? '').replace(/^::ffff:/, '');
-  return plain === '::1' || (isIP(plain) === 4 && plain.startsWith('127.'));
+  const unmapped = (address ?? '').replace(/^::ffff:/, '');
+  return unmapped === '::1' || (isIP(unmapped) === 4 && unmapped.startsWith('127.'));
 }
 
 /**
- * A web page could make a browser on this machine call a loopback address, directly (then there is
- * an Origin) or under a host name of its own that it points here (then Host is not an IP number).
+ * Detects calls that a web page makes through a browser on this machine: a cross-origin request has an
+ * Origin header, and after DNS rebinding the Host header holds the page's host name instead of an IP
+ * number.
  */
-function cameFromBrowser(request: IncomingMessage): boolean {
+function mayComeFromBrowser(request: IncomingMessage): boolean {
   const host = (request.headers.host ?? '').replace(/:\d+$/, '').replace(/^\[(.*)\]$/, '$1');
-  const named = host !== '' && host !== 'localhost' && isIP(host) === 0;
-  return named || request.headers.origin !== undefined;
+  const hasHostName = host !== '' && host !== 'localhost' && isIP(host) === 0;
+  return hasHostName || request.headers.origin !== undefined;
 }
--- a/src/shell/operator/backend.ts
+++ b/src/shell/operator/backend.ts
@@ -1,5 +1,5 @@
 /**
- * What the operator server asks of the daemon behind it. The daemon's composition implements it.
+ * The interface between the operator server and the daemon, which implements it.
  */
 import type { Result } from 'neverthrow';
 import type { ChangeId, DaemonName, Incarnation, ZoneName } from '../../core/common/identifiers.js';
@@ -12,35 +12,35 @@
 import type { Fault } from '../../core/errors/fault.js';
 import type { Command, Query, Row, TableName } from '../../core/language/index.js';
 
-/** What a change makes of the configuration: commands on the one in force, or a whole new one. */
+/** A change: commands on the configuration in force, or a complete new configuration. */
 export type ChangeBody =
   | { readonly kind: 'commands'; readonly commands: readonly Command[] }
-  /** Checked whole by the server already. */
+  /** Already validated by the server. */
   | { readonly kind: 'document'; readonly document: ConfigurationDocument };
 
-/** A change that an operator asks for. */
+/** A change that an operator requests. */
 export interface ChangeRequest {
-  /** A repeat under the same id takes effect once and gets the first one's outcome. */
+  /** A repeat with the same id takes no effect again and gets the outcome of the first. */
   readonly id: ChangeId;
   readonly body: ChangeBody;
-  /** Refuse unless this version is in force; null does not ask. */
+  /** The change is refused unless this version is in force; null for no condition. */
   readonly ifVersion: number | null;
   readonly dryRun: boolean;
   /** The name of the operator's token, or `unauthenticated`. */
   readonly operator: string;
 }
 
-/** What `explain` explains. */
+/** The subjects that `explain` accepts. */
 export const EXPLAIN_SUBJECTS = ['request', 'engine', 'config'] as const;
 
-/** One of them. */
+/** A subject of `explain`. */
 export type ExplainSubject = (typeof EXPLAIN_SUBJECTS)[number];
 
-/** Why something is as it is. */
+/** An explanation of the state of a subject. */
 export interface Explanation {
   readonly subject: ExplainSubject;
   readonly id: string | null;
-  /** Sentences, the answer first and then what it rests on. */
+  /** The answer first, followed by its reasons. */
   readonly sentences: readonly string[];
   /** Tables that back the sentences, for example the candidates of a request with their scores. */
   readonly tables: readonly ExplanationTable[];
@@ -52,7 +52,7 @@
   readonly rows: readonly Row[];
 }
 
-/** How the daemon itself is doing. */
+/** The status of the daemon. */
 export interface OperatorStatus {
   readonly daemon: DaemonName;
   readonly incarnation: Incarnation;
@@ -61,7 +61,7 @@
   readonly uptimeMs: Milliseconds;
   readonly state: 'serving' | 'stopping';
   readonly configurationVersion: number;
-  /** Whether the daemon has lately confirmed that no later version is in force. */
+  /** Whether the configuration in force is the latest version that the daemon knows of. */
   readonly configurationCurrent: boolean;
   readonly store: 'reachable' | 'unreachable' | 'unknown';
   readonly daemonsAlive: number;
@@ -73,11 +73,11 @@
   readonly requestsQueued: number;
 }
 
-/** The daemon as the operator server sees it. No call throws; what fails is a fault or an outcome. */
+/** The calls of the daemon. None throws; a failure is a fault or a change outcome. */
 export interface OperatorBackend {
   /**
-   * The rows of a table. `query` is a hint: where it pins a field (see `pinnedText`), only those
-   * rows need be fetched. The server evaluates the query itself.
+   * The rows of a table. `query` is a hint: if it fixes the value of a field (see `pinnedText`),
+   * only matching rows need to be fetched. The server evaluates the query itself.
    */
   rows(table: TableName, query: Query): Promise<Result<readonly Row[], Fault>>;
   change(request: ChangeRequest): Promise<ChangeOutcome>;
--- a/src/shell/operator/calls.ts
+++ b/src/shell/operator/calls.ts
@@ -1,4 +1,4 @@
-/** The calls of the operator API, from a checked body to an answer. */
+/** The handlers of the operator API: each turns a validated body into an answer. */
 import { randomUUID } from 'node:crypto';
 import { err, ok, type Result } from 'neverthrow';
 import { z } from 'zod';
@@ -28,7 +28,7 @@
 /** The body of `POST /v1/query`. */
 export const queryBodySchema = z.strictObject({ text: z.string() });
 
-/** The body of `POST /v1/commands`: a statement, or a whole document to put in force. */
+/** The body of `POST /v1/commands`: a statement, or a complete document to put in force. */
 export const commandsBodySchema = z.union(
   [
     z.strictObject({ text: z.string(), ...changeOptions }),
@@ -88,7 +88,7 @@
   return { table: query.table, fields: [...fields], rows };
 }
 
-/** Carries out a change, or says why not. Every answer carries the change's id. */
+/** Carries out a change or refuses it. Every answer contains the change's id. */
 export async function answerCommands(
   backend: OperatorBackend,
   caller: Caller,
@@ -97,12 +97,12 @@
   const id = body.id ?? randomUUID();
   const request = readChange(id, caller, body).andThen((change) => checkPermission(change, caller));
   const outcome = request.isErr()
-    ? refused(id, request.error)
+    ? refusedOutcome(id, request.error)
     : await runChange(backend, request.value);
   return { answer: outcomeAnswer(outcome), outcome };
 }
 
-function refused(id: string, fault: Fault): ChangeOutcome {
+function refusedOutcome(id: string, fault: Fault): ChangeOutcome {
   return { kind: 'refused', id, fault, currentVersion: null };
 }
 
@@ -111,7 +111,7 @@
   return allowed ? ok(change) : err(changeForbidden());
 }
 
-/** A backend that throws has broken its promise; the change may have been recorded by then. */
+/** `change` should not throw. If it does, the change may already have been recorded: unknown. */
 async function runChange(backend: OperatorBackend, change: ChangeRequest): Promise<ChangeOutcome> {
   try {
     return await backend.change(change);
@@ -178,8 +178,8 @@
 }
 
 /**
- * Answers with the whole document, key digests included so that it can be applied again; that is
- * why a read-only token may not have it.
+ * Answers with the complete document, including key digests, so that it can be applied again. Because
+ * of the digests, a read-only token may not read it.
  */
 export function answerConfiguration(backend: OperatorBackend, caller: Caller): Answer {
   return caller.permission === 'change'
--- a/src/shell/operator/limits.ts
+++ b/src/shell/operator/limits.ts
@@ -1,4 +1,4 @@
-/** Bounds on what one operator call may cost. */
+/** Limits on the size and duration of operator calls and on their connections. */
 import type { Milliseconds } from '../../core/common/time.js';
 
 /** The operator server's limits. */
@@ -7,15 +7,15 @@
   readonly bodyBytes: number;
   /** Larger header blocks are refused with 431. */
   readonly headerBytes: number;
-  /** A request that has not arrived whole by then is refused with 408. */
+  /** A request that has not arrived completely within this time is refused with 408. */
   readonly requestTimeoutMs: Milliseconds;
-  /** A connection on which nothing moves for so long is closed. Longer than any change may take. */
+  /** A connection without traffic for this time is closed. Must exceed the duration of any change. */
   readonly idleTimeoutMs: Milliseconds;
-  /** Further connections are closed at once. */
+  /** Connections beyond this number are closed immediately. */
   readonly connections: number;
 }
 
-/** Limits that suit a fleet of the design size: a document of 7,300 tenants is under 2 MB. */
+/** Sized for the largest fleet planned for: a document of 7,300 tenants is under 2 MB. */
 export const DEFAULT_OPERATOR_LIMITS: OperatorLimits = {
   bodyBytes: 4 * 1024 * 1024,
   headerBytes: 16 * 1024,
--- a/src/shell/operator/server.ts
+++ b/src/shell/operator/server.ts
@@ -1,4 +1,4 @@
-/** The operator API: JSON over HTTP on an IP number of its own, with tokens and limits. */
+/** The server of the operator API: JSON over HTTP on its own address, with tokens and limits. */
 import { createServer, type IncomingMessage, type Server, type ServerResponse } from 'node:http';
 import { isIP, type Socket } from 'node:net';
 import { err, ok, type Result } from 'neverthrow';
@@ -22,25 +22,25 @@
 import { DEFAULT_OPERATOR_LIMITS, type OperatorLimits } from './limits.js';
 import { readJsonBody } from './read-body.js';
 
-/** How the operator server is set up. */
+/** Options of `createOperatorServer`. */
 export interface OperatorServerOptions extends AccessRules {
-  /** An IP number and port; port 0 takes a free one. */
+  /** An IP number and port; with port 0 the system chooses a free one. */
   readonly listen: Endpoint;
   readonly backend: OperatorBackend;
   readonly limits?: Partial<OperatorLimits>;
-  /** Takes the log lines of this server. */
+  /** Receives the log lines of this server. */
   readonly log?: (effect: LogEffect) => void;
 }
 
-/** The running (or not yet running) operator server. */
+/** An operator server; it listens once `start` has been called. */
 export interface OperatorServer {
-  /** Starts to listen and says where. */
+  /** Starts to listen; resolves to the endpoint, with the port assigned. */
   start(): Promise<Result<Endpoint, Fault>>;
-  /** Takes no more connections, lets running calls end, and closes idle connections. */
+  /** Accepts no more connections, waits for running calls and closes idle connections. */
   close(): Promise<void>;
 }
 
-/** Sets up the operator server. Refuses a setting that would leave it open or deaf. */
+/** Creates the operator server. Refuses a host name as address, and settings with which nobody could call it. */
 export function createOperatorServer(
   options: OperatorServerOptions,
 ): Result<OperatorServer, Fault> {
@@ -57,15 +57,15 @@
     return `The operator address "${listen.address}" is not an IP number. State one, for example 127.0.0.1.`;
   }
   const hasTokens = tokens.length > 0;
-  const open = options.allowUnauthenticatedEverywhere === true;
+  const openToAll = options.allowUnauthenticatedEverywhere === true;
   const openToLoopback = options.allowUnauthenticatedLoopback && isLoopback(listen.address);
-  if (!hasTokens && !open && !openToLoopback) {
+  if (!hasTokens && !openToAll && !openToLoopback) {
     return 'The operator API has no token, so that nobody could call it. State token digests, or allow calls without a token.';
   }
   return null;
 }
 
-/** The time between node's own checks of request timeouts. */
+/** Interval at which Node.js checks connections for request timeouts. */
 const TIMEOUT_CHECK_INTERVAL_MS = 500;
 
 class HttpOperatorServer implements OperatorServer {
@@ -166,7 +166,7 @@
       case 'GET /v1/configuration':
         return Promise.resolve(answerConfiguration(backend, caller));
       default:
-        return Promise.resolve(faultAnswer(noSuchCall(request.method ?? '', path)));
+        return Promise.resolve(faultAnswer(unknownCallFault(request.method ?? '', path)));
     }
   }
 
@@ -221,7 +221,7 @@
   );
 }
 
-const CALLS: Readonly<Record<string, string>> = {
+const METHOD_BY_PATH: Readonly<Record<string, string>> = {
   '/v1/query': 'POST',
   '/v1/commands': 'POST',
   '/v1/explain': 'POST',
@@ -229,14 +229,14 @@
   '/v1/configuration': 'GET',
 };
 
-function noSuchCall(method: string, path: string): Fault {
-  const allowed = Object.hasOwn(CALLS, path) ? CALLS[path] : undefined;
+function unknownCallFault(method: string, path: string): Fault {
+  const allowed = Object.hasOwn(METHOD_BY_PATH, path) ? METHOD_BY_PATH[path] : undefined;
   if (allowed !== undefined) {
     return refusedNotRun('method-not-allowed', `${path} does not take ${method}. Use ${allowed}.`);
   }
   return refusedNotRun(
     'unknown-route',
-    `The operator API has no such call. Use one of: ${Object.keys(CALLS).join(', ')}, /healthz.`,
+    `The operator API has no such call. Use one of: ${Object.keys(METHOD_BY_PATH).join(', ')}, /healthz.`,
   );
 }
 
@@ -250,7 +250,7 @@
   return refusedNotRun('invalid-request', 'This is not a valid HTTP request. Correct the client.');
 }
 
-/** An answer for a connection whose request could not be parsed, so that there is no response. */
+/** The bytes of an answer to a request that could not be parsed, for which Node.js has no response. */
 function rawAnswer({ status, body }: Answer): string {
   const text = `${JSON.stringify(body)}\n`;
   return [
--- a/src/shell/platform/client.ts
+++ b/src/shell/platform/client.ts
@@ -75,25 +75,25 @@
 
 /** Reads the machine list, and only its revision while it has not changed. */
 class MachineListReader {
-  #known: { readonly revision: string; readonly machines: readonly Machine[] } | null = null;
+  #cached: { readonly revision: string; readonly machines: readonly Machine[] } | null = null;
 
   constructor(private readonly connections: PlatformConnections) {}
 
   /** The list; the same array as before while it has not changed. */
   async read(): Promise<Result<MachineList, Fault>> {
-    const known = this.#known;
-    const path = known === null ? '/machines' : `/machines/unless/${known.revision}`;
+    const cached = this.#cached;
+    const path = cached === null ? '/machines' : `/machines/unless/${cached.revision}`;
     const exchange = await this.connections.exchange({ method: 'GET', path });
     return readAnswer(exchange, machinesAnswerSchema).andThen((answer) => {
       const { ageMs, revision } = answer;
       if (answer.machines === undefined) {
-        const unchanged = known !== null && known.revision === revision;
+        const unchanged = cached !== null && cached.revision === revision;
         return unchanged
-          ? ok({ ageMs, machines: known.machines })
-          : err(notUnderstood('no machines though the list has changed'));
+          ? ok({ ageMs, machines: cached.machines })
+          : err(invalidAnswerFault('no machines though the list has changed'));
       }
       const machines = answer.machines;
-      this.#known = revision === undefined ? null : { revision, machines };
+      this.#cached = revision === undefined ? null : { revision, machines };
       return ok({ ageMs, machines });
     });
   }
@@ -113,22 +113,24 @@
   return expectStatus(exchange, [200]).andThen((body) => {
     const parsed = schema.safeParse(parseJson(body));
     if (parsed.success) return ok(parsed.data);
-    return err(notUnderstood(parsed.error.issues[0]?.message ?? 'not understood'));
+    return err(invalidAnswerFault(parsed.error.issues[0]?.message ?? 'not understood'));
   });
 }
 
 function expectStatus(exchange: Exchange, statuses: readonly number[]): Result<Buffer, Fault> {
-  if (exchange.kind === 'not-sent') return err(notDone(exchange.reason, undefined));
-  if (exchange.kind === 'lost') return err(lost(exchange.reason));
+  if (exchange.kind === 'not-sent') return err(notPerformedFault(exchange.reason, undefined));
+  if (exchange.kind === 'lost') return err(lostFault(exchange.reason));
   if (statuses.includes(exchange.status)) return ok(exchange.body);
-  if (exchange.status === 412) return err(otherContent());
+  if (exchange.status === 412) return err(contentConflictFault());
   if (exchange.status === 429 || exchange.status === 503) {
-    return err(notDone(`the platform answered ${exchange.status}`, retryAfterMs(exchange)));
+    return err(
+      notPerformedFault(`the platform answered ${exchange.status}`, retryAfterMs(exchange)),
+    );
   }
-  return err(lost(`the platform answered ${exchange.status}`));
+  return err(lostFault(`the platform answered ${exchange.status}`));
 }
 
-function notDone(reason: string, afterMs: Milliseconds | undefined): Fault {
+function notPerformedFault(reason: string, afterMs: Milliseconds | undefined): Fault {
   return refusedNotRun(
     'store-unavailable',
     `The platform did not take the call: ${reason}. Try again later; if it goes on, look at the platform.`,
@@ -136,21 +138,21 @@
   );
 }
 
-function lost(reason: string): Fault {
+function lostFault(reason: string): Fault {
   return outcomeUnknown(
     'store-unavailable',
     `The platform's answer was lost: ${reason}. Read back to find out whether it took effect.`,
   );
 }
 
-function otherContent(): Fault {
+function contentConflictFault(): Fault {
   return refusedNotRun(
     'version-conflict',
     'An object of this name exists with other content. Write under another name.',
   );
 }
 
-function notUnderstood(detail: string): Fault {
+function invalidAnswerFault(detail: string): Fault {
   return outcomeUnknown(
     'store-unavailable',
     `The platform's answer was not understood: ${detail}. Check that its address and version are right.`,
--- a/src/shell/platform/exchange.ts
+++ b/src/shell/platform/exchange.ts
@@ -43,7 +43,7 @@
   private readonly pool: Pool;
 
   constructor(private readonly options: ExchangeOptions) {
-    this.pool = new Pool(origin(options), {
+    this.pool = new Pool(originOf(options), {
       connections: MAX_CONNECTIONS,
       pipelining: 1,
       connect: { timeout: options.timeoutMs },
@@ -126,7 +126,7 @@
   }
 
   onResponseError(_controller: Controller, error: Error): void {
-    this.fail(describe(error));
+    this.fail(describeError(error));
   }
 
   private fail(reason: string): void {
@@ -143,12 +143,12 @@
   }
 }
 
-function origin(options: ExchangeOptions): string {
+function originOf(options: ExchangeOptions): string {
   const host = options.address.includes(':') ? `[${options.address}]` : options.address;
   return `http://${host}:${options.port}`;
 }
 
-function describe(error: Error): string {
+function describeError(error: Error): string {
   const code = (error as NodeJS.ErrnoException).code;
   return code === undefined ? error.message : `${code}: ${error.message}`;
 }
--- a/src/shell/platform/table-calls.ts
+++ b/src/shell/platform/table-calls.ts
@@ -42,23 +42,23 @@
 
 function rowsResult(status: number, body: unknown): TableResult {
   const parsed = rowsAnswerSchema.safeParse(body);
-  if (status !== 200 || !parsed.success) return notUnderstood(status);
+  if (status !== 200 || !parsed.success) return invalidAnswer(status);
   return { kind: 'rows', rows: parsed.data.rows };
 }
 
 function transactResult(status: number, body: unknown): TableResult {
   const parsed = transactAnswerSchema.safeParse(body);
-  if (!parsed.success) return notUnderstood(status);
+  if (!parsed.success) return invalidAnswer(status);
   const { committed, rows } = parsed.data;
   if (status === 200 && committed) return { kind: 'committed', rows };
   if (status === 409 && !committed) return { kind: 'conflict', rows };
-  return notUnderstood(status);
+  return invalidAnswer(status);
 }
 
 function unavailable(reason: string, afterMs: number): TableResult {
   return { kind: 'unavailable', reason, retryAfterMs: afterMs };
 }
 
-function notUnderstood(status: number): TableResult {
+function invalidAnswer(status: number): TableResult {
   return { kind: 'lost', reason: `the table service's answer (${status}) was not understood` };
 }
--- a/src/shell/settings/flags.ts
+++ b/src/shell/settings/flags.ts
@@ -1,10 +1,10 @@
 /**
- * The flags of `threadforkd` that stand for keys of the settings file, and how they are laid over it.
+ * The flags of `threadforkd` that correspond to keys of the settings file and override them.
  */
 
-/** Flags as the command line gives them; a flag that is given wins over the file. */
+/** Flags as given on the command line; a flag overrides the file. */
 export interface SettingsFlags {
-  /** Path of the settings file; without it all settings come from flags. */
+  /** Path of the settings file; if absent, all settings come from flags. */
   readonly settings?: string | undefined;
   readonly name?: string | undefined;
   readonly zone?: string | undefined;
@@ -26,7 +26,7 @@
   readonly path: readonly string[];
 }
 
-/** Which flag stands for which key. */
+/** The settings key that each flag sets. */
 const FLAG_BINDINGS: readonly FlagBinding[] = [
   { property: 'name', flag: '--name', path: ['name'] },
   { property: 'zone', flag: '--zone', path: ['zone'] },
@@ -65,11 +65,11 @@
   return isNumber && /^\d+$/.test(given) ? Number(given) : given;
 }
 
-/** The file's content with the given flags laid over it. */
+/** The file's content with the values of the given flags in place of its own. */
 export function overlayFlags(content: unknown, flags: SettingsFlags): unknown {
   const given = FLAG_BINDINGS.filter((binding) => flags[binding.property] !== undefined);
   if (given.length > 0 && content !== undefined && !isMapping(content)) return content;
-  // A fleet key named by a flag takes the place of whatever the file says of it.
+  // A flag for the fleet key replaces the file's `fleetKey` mapping as a whole, as it has one source only.
   const givesFleetKey = given.some((binding) => binding.path[0] === 'fleetKey');
   const base = givesFleetKey && isMapping(content) ? { ...content, fleetKey: {} } : content;
   return given.reduce(
@@ -78,7 +78,7 @@
   );
 }
 
-/** The flag that gave the value at a path, or null when the file did. */
+/** The flag that set the value at a path; null if no flag did. */
 export function flagAt(path: readonly PropertyKey[], flags: SettingsFlags): string | null {
   const binding = FLAG_BINDINGS.find(
     (candidate) =>
--- a/src/shell/settings/index.ts
+++ b/src/shell/settings/index.ts
@@ -1,4 +1,4 @@
-/** A daemon's settings: read from a YAML file and flags, checked whole before anything starts. */
+/** A daemon's settings: read from a YAML file and flags, and fully validated before the daemon starts. */
 export { formatEndpoint, parseEndpoint } from './endpoint.js';
 export type { SettingsFlags } from './flags.js';
 export { type SettingsKey, settingsKeys } from './keys.js';
--- a/src/shell/settings/keys.ts
+++ b/src/shell/settings/keys.ts
@@ -1,5 +1,5 @@
 /**
- * The keys that a settings file may hold, read off the schema itself.
+ * The keys that a settings file may contain, derived from the schema.
  */
 import { z } from 'zod';
 import { settingsSchema } from './schema.js';
@@ -26,7 +26,7 @@
   return z.toJSONSchema(settingsSchema, { io: 'input' }) as SchemaNode;
 }
 
-/** All keys that hold a value, in the order of the schema. */
+/** All keys with a value of their own, in the order of the schema. */
 export function settingsKeys(): readonly SettingsKey[] {
   return keysUnder(schemaTree(), '');
 }
@@ -50,7 +50,7 @@
   return keysUnder(node, `${key}.`);
 }
 
-/** The names that may stand in the mapping at a path; empty where there is no mapping. */
+/** The keys allowed in the mapping at a path; empty if there is no mapping at the path. */
 export function namesAt(path: readonly PropertyKey[]): readonly string[] {
   const node = path.reduce<SchemaNode | undefined>(
     (parent, segment) =>
--- a/src/shell/settings/load.ts
+++ b/src/shell/settings/load.ts
@@ -1,5 +1,5 @@
 /**
- * Reads a daemon's settings from a file, from flags or from both, and checks them whole.
+ * Reads a daemon's settings from a file, from flags or from both, and validates them completely.
  */
 import { err, ok, type Result } from 'neverthrow';
 import type { z } from 'zod';
@@ -17,7 +17,7 @@
 import { parseSettingsDocument, type SettingsDocument } from './settings-document.js';
 import { closestName } from './spelling.js';
 
-/** Reads a whole text file; throws when it can't be read. */
+/** Reads a text file; throws when it can't be read. */
 export type ReadFile = (path: string) => string;
 
 /** Environment variables. */
@@ -26,21 +26,23 @@
 const FLAGS_ONLY_SOURCE = 'command line';
 const SECRET_KEYS: ReadonlySet<PropertyKey> = new Set(['fleetKey', 'digest']);
 
-/** Where the settings came from, for pointing at the place of a problem. */
+/** Where the settings came from, to report the location of a problem. */
 interface SettingsOrigin {
   readonly file: string;
   readonly document: SettingsDocument | null;
   readonly flags: SettingsFlags;
 }
 
-/** Loads and checks settings; on failure tells every problem found, each with its remedy. */
+/** Loads and validates settings; on failure returns every problem found, each with its remedy. */
 export function loadSettings(
   flags: SettingsFlags,
   readFile: ReadFile,
   environment: Environment = process.env,
 ): Result<DaemonSettings, SettingsProblem[]> {
   return readOrigin(flags, readFile).andThen((origin) =>
-    checkShape(origin).andThen((checked) => complete(checked, origin, readFile, environment)),
+    checkShape(origin).andThen((checked) =>
+      resolveSettings(checked, origin, readFile, environment),
+    ),
   );
 }
 
@@ -108,7 +110,7 @@
   return {
     source: origin.file,
     line: origin.document?.lineOfKey(path, key) ?? null,
-    key: dotted([...path, key]),
+    key: dottedKey([...path, key]),
     found: 'a key that does not exist',
     remedy: suggestion === null ? 'remove it' : `remove it or write ${suggestion}`,
   };
@@ -124,13 +126,13 @@
   return {
     source: flag ?? origin.file,
     line: flag === null ? (origin.document?.lineOf(path) ?? null) : null,
-    key: dotted(path),
+    key: dottedKey(path),
     found,
     remedy,
   };
 }
 
-function complete(
+function resolveSettings(
   checked: CheckedSettings,
   origin: SettingsOrigin,
   readFile: ReadFile,
@@ -153,7 +155,7 @@
       ),
     );
   }
-  problems.push(...sharedAddressProblems(checked, origin));
+  problems.push(...duplicateAddressProblems(checked, origin));
   if (key.isErr() || problems.length > 0) return err(problems);
   return ok({ ...checked, fleetKey: key.value });
 }
@@ -171,9 +173,9 @@
 ): Result<string, FleetKeyProblem> {
   if (source.file !== undefined) return readFleetKeyFile(source.file, readFile);
   if (source.env !== undefined) {
-    return longEnough('env', environment[source.env]?.trim() ?? '');
+    return checkKeyLength('env', environment[source.env]?.trim() ?? '');
   }
-  return longEnough('value', source.value ?? '');
+  return checkKeyLength('value', source.value ?? '');
 }
 
 function readFleetKeyFile(path: string, readFile: ReadFile): Result<string, FleetKeyProblem> {
@@ -183,10 +185,10 @@
       found: `no readable file (${reason})`,
       remedy: 'give the path of a file that holds the fleet key',
     }))
-    .andThen((text) => longEnough('file', text.trim()));
+    .andThen((text) => checkKeyLength('file', text.trim()));
 }
 
-function longEnough(
+function checkKeyLength(
   source: FleetKeyProblem['source'],
   key: string,
 ): Result<string, FleetKeyProblem> {
@@ -206,8 +208,8 @@
 
 const LISTENERS = ['callers', 'operators', 'peers'] as const;
 
-/** Listeners that would take an address that another one has already. */
-function sharedAddressProblems(
+/** Problems of listeners that have the same address and port as an earlier one. */
+function duplicateAddressProblems(
   { listen }: CheckedSettings,
   origin: SettingsOrigin,
 ): readonly SettingsProblem[] {
@@ -223,8 +225,8 @@
 }
 
 /**
- * Whether operators may go without a token: when told so outright, or on loopback as long as no
- * token has been set up.
+ * Whether operators may call without a token: if the settings allow it explicitly, or on loopback as
+ * long as no token is configured.
  */
 export function allowsUnauthenticatedOperators(settings: DaemonSettings): boolean {
   if (settings.allowUnauthenticatedOperators) return true;
@@ -239,6 +241,6 @@
   );
 }
 
-function dotted(path: readonly PropertyKey[]): string {
+function dottedKey(path: readonly PropertyKey[]): string {
   return path.map(String).join('.');
 }
--- a/src/shell/settings/schema.ts
+++ b/src/shell/settings/schema.ts
@@ -1,6 +1,6 @@
 /**
- * The keys of a daemon's settings file. Every key's description becomes a row of the table in
- * docs/OPERATING.md; the message of every check is the remedy that a wrong value is answered with.
+ * The schema of a daemon's settings file. Every key's description becomes a row of the table in
+ * docs/OPERATING.md; the message of every check is the remedy reported for an invalid value.
  */
 import { z } from 'zod';
 import { ADMISSION_DEFAULTS, type AdmissionLimits } from '../../core/admission/index.js';
@@ -15,10 +15,10 @@
 const MAX_BODY_BYTES = 1_073_741_824;
 const MAX_BUFFERED_BYTES = 68_719_476_736;
 const MAX_HEADER_BYTES = 1_048_576;
-/** Recorded outcomes lie in the table service, whose transactions hold 256 KiB. */
+/** Recorded outcomes are stored in the table service, whose transactions are limited to 256 KiB. */
 const MAX_REPLAY_BYTES = 131_072;
 
-function endpoint(): z.ZodType<Endpoint, string> {
+function endpointSchema(): z.ZodType<Endpoint, string> {
   return z.string(ENDPOINT_REMEDY).transform((text, context) => {
     const parsed = parseEndpoint(text);
     if (parsed.isOk()) return parsed.value;
@@ -27,101 +27,101 @@
   });
 }
 
-/** An address that something else must connect to: port 0 would name nothing. */
-function reachableEndpoint(): z.ZodType<Endpoint, string> {
-  return endpoint().refine(
+/** An address that this daemon connects to; port 0 and unspecified addresses are refused. */
+function remoteEndpointSchema(): z.ZodType<Endpoint, string> {
+  return endpointSchema().refine(
     (value) => value.port > 0 && !isUnspecified(value.address),
     'write the IP number and port that the other side listens on',
   );
 }
 
-function peerListenEndpoint(): z.ZodType<Endpoint, string> {
-  return endpoint().refine(
+function peerListenEndpointSchema(): z.ZodType<Endpoint, string> {
+  return endpointSchema().refine(
     (value) => !isUnspecified(value.address),
     "write the one IP number that peers reach this machine by; this key can't stand for all addresses",
   );
 }
 
-function count(defaultValue: number, maximum = MAX_COUNT): z.ZodDefault<z.ZodInt> {
+function countSchema(defaultValue: number, maximum = MAX_COUNT): z.ZodDefault<z.ZodInt> {
   const remedy = `write a whole number from 1 to ${maximum}`;
   return z.int(remedy).min(1, remedy).max(maximum, remedy).default(defaultValue);
 }
 
-function milliseconds(defaultValue: number): z.ZodDefault<z.ZodInt> {
+function millisecondsSchema(defaultValue: number): z.ZodDefault<z.ZodInt> {
   const remedy = `write milliseconds as a whole number from 1 to ${MAX_TIMEOUT_MS}`;
   return z.int(remedy).min(1, remedy).max(MAX_TIMEOUT_MS, remedy).default(defaultValue);
 }
 
-function label(what: string): z.ZodString {
-  const remedy = `write the ${what}: lower-case letters, digits, dots, hyphens; 63 at most`;
+function nameSchema(subject: string): z.ZodString {
+  const remedy = `write the ${subject}: lower-case letters, digits, dots, hyphens; 63 at most`;
   return z.string(remedy).regex(/^[a-z0-9][a-z0-9.-]{0,62}$/, remedy);
 }
 
 const httpLimitsSchema = z.strictObject({
-  maxConnections: count(DEFAULT_HTTP_LIMITS.maxConnections).describe(
+  maxConnections: countSchema(DEFAULT_HTTP_LIMITS.maxConnections).describe(
     'open caller connections; further ones are closed at once',
   ),
-  maxHeaderBytes: count(DEFAULT_HTTP_LIMITS.maxHeaderBytes, MAX_HEADER_BYTES).describe(
+  maxHeaderBytes: countSchema(DEFAULT_HTTP_LIMITS.maxHeaderBytes, MAX_HEADER_BYTES).describe(
     "bytes of a request's line and headers; more is answered 431",
   ),
-  headersTimeoutMs: milliseconds(DEFAULT_HTTP_LIMITS.headersTimeoutMs).describe(
+  headersTimeoutMs: millisecondsSchema(DEFAULT_HTTP_LIMITS.headersTimeoutMs).describe(
     'longest time for a whole request head to come; then 408',
   ),
-  requestTimeoutMs: milliseconds(DEFAULT_HTTP_LIMITS.requestTimeoutMs).describe(
+  requestTimeoutMs: millisecondsSchema(DEFAULT_HTTP_LIMITS.requestTimeoutMs).describe(
     'longest time for a whole request to come; then 408',
   ),
-  keepAliveTimeoutMs: milliseconds(DEFAULT_HTTP_LIMITS.keepAliveTimeoutMs).describe(
+  keepAliveTimeoutMs: millisecondsSchema(DEFAULT_HTTP_LIMITS.keepAliveTimeoutMs).describe(
     'how long an idle caller connection is kept',
   ),
-  maxBodyBytes: count(DEFAULT_HTTP_LIMITS.maxBodyBytes, MAX_BODY_BYTES).describe(
+  maxBodyBytes: countSchema(DEFAULT_HTTP_LIMITS.maxBodyBytes, MAX_BODY_BYTES).describe(
     "bytes of one request's body; more is answered 413",
   ),
-  maxBufferedBytes: count(DEFAULT_HTTP_LIMITS.maxBufferedBytes, MAX_BUFFERED_BYTES).describe(
+  maxBufferedBytes: countSchema(DEFAULT_HTTP_LIMITS.maxBufferedBytes, MAX_BUFFERED_BYTES).describe(
     'bytes of all request bodies held at once; beyond it new ones are answered 503',
   ),
-  maxOutputTokens: count(DEFAULT_HTTP_LIMITS.maxOutputTokens).describe(
+  maxOutputTokens: countSchema(DEFAULT_HTTP_LIMITS.maxOutputTokens).describe(
     'the largest `max_tokens` that a caller may ask for',
   ),
-  callerStallTimeoutMs: milliseconds(DEFAULT_HTTP_LIMITS.callerStallTimeoutMs).describe(
+  callerStallTimeoutMs: millisecondsSchema(DEFAULT_HTTP_LIMITS.callerStallTimeoutMs).describe(
     'how long a caller may leave its answer unread before its connection is ended',
   ),
-  stopIdleGraceMs: milliseconds(DEFAULT_HTTP_LIMITS.stopIdleGraceMs).describe(
+  stopIdleGraceMs: millisecondsSchema(DEFAULT_HTTP_LIMITS.stopIdleGraceMs).describe(
     'how long a planned stop still takes callers that have not seen it yet, and tells them',
   ),
-  connectTimeoutMs: milliseconds(DEFAULT_HTTP_LIMITS.connectTimeoutMs).describe(
+  connectTimeoutMs: millisecondsSchema(DEFAULT_HTTP_LIMITS.connectTimeoutMs).describe(
     'longest time to open a connection to a backend',
   ),
-  backendHeadersTimeoutMs: milliseconds(DEFAULT_HTTP_LIMITS.backendHeadersTimeoutMs).describe(
+  backendHeadersTimeoutMs: millisecondsSchema(DEFAULT_HTTP_LIMITS.backendHeadersTimeoutMs).describe(
     "longest time from a request's being sent to the head of the backend's answer",
   ),
-  backendStallTimeoutMs: milliseconds(DEFAULT_HTTP_LIMITS.backendStallTimeoutMs).describe(
+  backendStallTimeoutMs: millisecondsSchema(DEFAULT_HTTP_LIMITS.backendStallTimeoutMs).describe(
     "longest time between two pieces of a backend's answer",
   ),
-  backendKeepAliveMs: milliseconds(DEFAULT_HTTP_LIMITS.backendKeepAliveMs).describe(
+  backendKeepAliveMs: millisecondsSchema(DEFAULT_HTTP_LIMITS.backendKeepAliveMs).describe(
     "how long an idle backend connection is kept; below the backends' own limit",
   ),
-  maxConnectionsPerBackend: count(DEFAULT_HTTP_LIMITS.maxConnectionsPerBackend).describe(
+  maxConnectionsPerBackend: countSchema(DEFAULT_HTTP_LIMITS.maxConnectionsPerBackend).describe(
     'connections to one backend',
   ),
-  maxFrameBytes: count(DEFAULT_HTTP_LIMITS.maxFrameBytes, MAX_BODY_BYTES).describe(
+  maxFrameBytes: countSchema(DEFAULT_HTTP_LIMITS.maxFrameBytes, MAX_BODY_BYTES).describe(
     'bytes of one server-sent event from an engine',
   ),
-  maxHeldAnswerBytes: count(DEFAULT_HTTP_LIMITS.maxHeldAnswerBytes, MAX_BODY_BYTES).describe(
+  maxHeldAnswerBytes: countSchema(DEFAULT_HTTP_LIMITS.maxHeldAnswerBytes, MAX_BODY_BYTES).describe(
     'whole answers up to this size are forwarded only once they are complete',
   ),
-  maxReplayBytes: count(DEFAULT_HTTP_LIMITS.maxReplayBytes, MAX_REPLAY_BYTES).describe(
+  maxReplayBytes: countSchema(DEFAULT_HTTP_LIMITS.maxReplayBytes, MAX_REPLAY_BYTES).describe(
     'answers up to this size are kept for the replay of an idempotency key',
   ),
 } satisfies Record<keyof HttpLimits, z.ZodType<number>>);
 
 const queueLimitsSchema = z.strictObject({
-  maxWaitingPerClass: count(ADMISSION_DEFAULTS.maxWaitingPerClass).describe(
+  maxWaitingPerClass: countSchema(ADMISSION_DEFAULTS.maxWaitingPerClass).describe(
     'requests that may wait in one class for one model or service; more are refused',
   ),
 } satisfies Record<keyof AdmissionLimits, z.ZodType<number>>);
 
 const tokenSchema = z.strictObject({
-  name: label('token owner').describe('who holds the token; shown in logs and in changes'),
+  name: nameSchema('token owner').describe('who holds the token; shown in logs and in changes'),
   digest: z
     .string('write the SHA-256 digest of the token')
     .regex(
@@ -136,7 +136,7 @@
 
 const FLEET_KEY_REMEDY =
   'write exactly one of file: PATH, env: VARIABLE or value: KEY under fleetKey';
-/** Shorter fleet keys are refused as guessable. */
+/** Minimum number of characters; shorter fleet keys are refused as guessable. */
 export const MIN_FLEET_KEY_LENGTH = 16;
 
 const fleetKeySchema = z
@@ -157,24 +157,24 @@
     FLEET_KEY_REMEDY,
   );
 
-/** The whole settings file. */
+/** The schema of the complete settings file. */
 export const settingsSchema = z.strictObject(
   {
-    name: label('name of this daemon, unique in the fleet').describe(
+    name: nameSchema('name of this daemon, unique in the fleet').describe(
       'this daemon, unique in the fleet and the same after a restart',
     ),
-    zone: label('zone that this machine is in').describe(
+    zone: nameSchema('zone that this machine is in').describe(
       'the failure domain that this machine is in',
     ),
     listen: z.strictObject(
       {
-        callers: endpoint().describe('where callers connect; port 0 takes a free one'),
-        operators: endpoint().describe('where operators connect'),
-        peers: peerListenEndpoint().describe('where other daemons connect'),
+        callers: endpointSchema().describe('where callers connect; port 0 takes a free one'),
+        operators: endpointSchema().describe('where operators connect'),
+        peers: peerListenEndpointSchema().describe('where other daemons connect'),
       },
       'write callers, operators and peers under listen, each IP:PORT',
     ),
-    platform: reachableEndpoint().describe(
+    platform: remoteEndpointSchema().describe(
       'the platform: table service, object store, weight store and machine list',
     ),
     fleetKey: fleetKeySchema.describe('the secret that daemons know each other by'),
@@ -187,7 +187,7 @@
       .default(false)
       .describe('take commands without a token on an address other than loopback'),
     seeds: z
-      .array(reachableEndpoint(), 'write a list of IP:PORT')
+      .array(remoteEndpointSchema(), 'write a list of IP:PORT')
       .default([])
       .describe('peer addresses to try before the machine list is known'),
     limits: z
@@ -196,7 +196,7 @@
         queue: queueLimitsSchema.prefault({}),
       })
       .prefault({}),
-    stopGraceMs: milliseconds(120_000).describe(
+    stopGraceMs: millisecondsSchema(120_000).describe(
       'how long a planned stop waits for running requests before it cuts them',
     ),
     logLevel: z
@@ -207,14 +207,14 @@
   'write a mapping of settings; see examples/daemon-scanhuis.yaml',
 );
 
-/** The settings as checked, before the fleet key is read from where the file says it is. */
+/** Validated settings, before the fleet key is read from its source. */
 export type CheckedSettings = z.infer<typeof settingsSchema>;
 
-/** Where the fleet key comes from; exactly one key is present. */
+/** The source of the fleet key; exactly one key is present. */
 export type FleetKeySource = CheckedSettings['fleetKey'];
 
 /** A token that an operator may present. */
 export type OperatorToken = z.infer<typeof tokenSchema>;
 
-/** What a daemon runs with: every key present, the fleet key itself instead of its source. */
+/** The settings of a running daemon: every key present, with the fleet key instead of its source. */
 export type DaemonSettings = Omit<CheckedSettings, 'fleetKey'> & { readonly fleetKey: string };
--- a/src/shell/settings/settings-document.ts
+++ b/src/shell/settings/settings-document.ts
@@ -1,5 +1,5 @@
 /**
- * A YAML text with the line of each of its keys, so that a fault can point at its place.
+ * A YAML document with the line number of each key, so that a problem can be reported with its line.
  */
 import { err, ok, type Result } from 'neverthrow';
 import { type Document, isMap, isNode, isPair, isScalar, LineCounter, parseDocument } from 'yaml';
@@ -14,7 +14,7 @@
   lineOfKey(path: readonly PropertyKey[], key: string): number;
 }
 
-/** Parses YAML; each syntax fault (a key given twice among them) is a problem of its own. */
+/** Parses YAML; each syntax error, including a duplicate key, is a separate problem. */
 export function parseSettingsDocument(
   file: string,
   text: string,
--- a/src/shell/settings/spelling.ts
+++ b/src/shell/settings/spelling.ts
@@ -1,25 +1,25 @@
 /**
- * Finds the known name that a misspelt one probably stands for.
+ * Suggests a known name for a misspelt one.
  */
 
 const MAX_DISTANCE = 3;
 
-/** The closest known name, or null when none is close. Case and separators do not count. */
+/** The closest known name, or null if none is close. Case and separators are ignored. */
 export function closestName(name: string, known: readonly string[]): string | null {
   const ranked = known
-    .map((candidate) => ({ candidate, distance: distance(plain(name), plain(candidate)) }))
+    .map((candidate) => ({ candidate, distance: distance(normalize(name), normalize(candidate)) }))
     .sort((left, right) => left.distance - right.distance);
   const best = ranked[0];
   if (best === undefined) return null;
-  const limit = Math.min(MAX_DISTANCE, Math.floor(plain(best.candidate).length / 2));
+  const limit = Math.min(MAX_DISTANCE, Math.floor(normalize(best.candidate).length / 2));
   return best.distance <= limit ? best.candidate : null;
 }
 
-function plain(name: string): string {
+function normalize(name: string): string {
   return name.toLowerCase().replaceAll(/[-_ ]/g, '');
 }
 
-/** Levenshtein's edit distance, one row at a time. */
+/** Levenshtein distance, computed row by row. */
 function distance(left: string, right: string): number {
   let previous = Array.from({ length: right.length + 1 }, (_, index) => index);
   for (const [row, character] of [...left].entries()) {
--- a/src/shell/settings/version.ts
+++ b/src/shell/settings/version.ts
@@ -1,11 +1,11 @@
 /**
- * The version of this package, as package.json states it.
+ * The version of this package, from package.json.
  */
 import { readFileSync } from 'node:fs';
 import { z } from 'zod';
 
 const packageSchema = z.object({ version: z.string() });
-// Compiled modules lie under dist/, sources do not; this one is used compiled.
+// Relative to the compiled module under dist/, which is one folder deeper than the source.
 const PACKAGE_FILE = new URL('../../../../package.json', import.meta.url);
 
 /** Reads the version. */
--- a/test/cli/operator-commands.test.ts
+++ b/test/cli/operator-commands.test.ts
@@ -16,16 +16,16 @@
 
 const backend = new StubBackend();
 const { server, address } = await startStub(backend);
-const nobody = await closedAddress();
-const losing = await startRawServer((socket) => socket.destroy());
-const odd = await startRawServer((socket) =>
+const closedPort = await closedAddress();
+const droppingServer = await startRawServer((socket) => socket.destroy());
+const malformedServer = await startRawServer((socket) =>
   socket.end('HTTP/1.1 400 Bad\r\ncontent-length: 2\r\nconnection: close\r\n\r\n{}'),
 );
 const folder = mkdtempSync(join(tmpdir(), 'threadfork-cli-'));
 after(async () => {
   rmSync(folder, { recursive: true });
-  await losing.close();
-  await odd.close();
+  await droppingServer.close();
+  await malformedServer.close();
   await server.close();
 });
 
@@ -94,27 +94,27 @@
 });
 
 test('an unreachable daemon is passed over, and without any the exit code is 3', async () => {
-  const passed = await run(['status', '--daemon', nobody, '--daemon', address]);
+  const passed = await run(['status', '--daemon', closedPort, '--daemon', address]);
   assert.deepEqual([passed.code, /^daemon +d1$/m.test(passed.stdout)], [0, true]);
-  const unreachable = await run(['apply', 'drain e1', '--daemon', nobody, '--json']);
+  const unreachable = await run(['apply', 'drain e1', '--daemon', closedPort, '--json']);
   assert.equal(unreachable.code, 3);
   assert.equal(JSON.parse(unreachable.stdout).kind, 'unreachable');
   assert.match(unreachable.stderr, /^unreachable: no daemon answered/);
 });
 
 test('a lost answer is unknown with the id that settles it', async () => {
-  const lost = await run(['apply', 'drain e1', '--daemon', losing.address, '--json']);
+  const lost = await run(['apply', 'drain e1', '--daemon', droppingServer.address, '--json']);
   const outcome = JSON.parse(lost.stdout);
   assert.deepEqual([lost.code, outcome.kind], [3, 'unknown']);
   assert.ok(lost.stderr.includes(`changes where id = "${outcome.id}"`));
-  assert.ok(losing.received.at(-1)?.includes(`"id":"${outcome.id}"`));
+  assert.ok(droppingServer.received.at(-1)?.includes(`"id":"${outcome.id}"`));
 });
 
 test('after a lost answer the next daemon gets the same id, and its refusal proves nothing', async () => {
-  const daemons = ['--daemon', losing.address, '--daemon', address];
+  const daemons = ['--daemon', droppingServer.address, '--daemon', address];
   const applied = await run(['apply', 'drain e3', '--id', 'b1', ...daemons]);
   assert.equal(applied.code, 0);
-  assert.ok(losing.received.at(-1)?.includes('"id":"b1"'));
+  assert.ok(droppingServer.received.at(-1)?.includes('"id":"b1"'));
   backend.override = async ({ id }) => {
     const fault = refusedNotRun('store-unavailable', 'The store is down.');
     return { kind: 'refused', id, fault, currentVersion: null };
@@ -143,7 +143,7 @@
 
 test('an answer that is not understood is never taken for a refusal', async () => {
   for (const commandLine of [['status'], ['apply', 'drain e1']]) {
-    const result = await run([...commandLine, '--daemon', odd.address]);
+    const result = await run([...commandLine, '--daemon', malformedServer.address]);
     assert.deepEqual([result.code, /is not understood/.test(result.stderr)], [3, true]);
   }
 });
--- a/test/engine/control-client.test.ts
+++ b/test/engine/control-client.test.ts
@@ -28,7 +28,7 @@
 }
 
 /** A TCP server that does as told with each connection once its first bytes have come. */
-async function startBroken(context: TestContext, answer: (socket: Socket) => void) {
+async function startFaultyServer(context: TestContext, answer: (socket: Socket) => void) {
   const sockets: Socket[] = [];
   const server = createServer((socket) => {
     sockets.push(socket);
@@ -72,7 +72,7 @@
 
 test('an order of which bytes have left is lost, however the connection ends', async (context) => {
   const client = openClient(context, 100);
-  const ways: ((socket: Socket) => void)[] = [
+  const failures: ((socket: Socket) => void)[] = [
     (socket) => socket.destroy(),
     (socket) => socket.resetAndDestroy(),
     (socket) => socket.end('HTTP/1.1 200 OK\r\ncontent-length: 90\r\n\r\n{"kind":"accepted"'),
@@ -80,21 +80,21 @@
     (socket) => socket.end('HTTP/1.1 503 Busy\r\ncontent-length: 0\r\n\r\n'),
     () => undefined,
   ];
-  for (const way of ways) {
-    const broken = await startBroken(context, way);
-    const answer = await client.order(broken, orderOf('boot', 1, TO_DECODE));
-    assert.equal(answer.kind, 'lost', way.toString());
+  for (const failure of failures) {
+    const faultyServer = await startFaultyServer(context, failure);
+    const answer = await client.order(faultyServer, orderOf('boot', 1, TO_DECODE));
+    assert.equal(answer.kind, 'lost', failure.toString());
     assert.equal(answer.kind === 'lost' && answer.reason.startsWith('not sent'), false);
-    assert.equal(await client.orderState(broken, 'order-1'), 'lost');
+    assert.equal(await client.orderState(faultyServer, 'order-1'), 'lost');
   }
 });
 
 test('a report that is not one is a fault that may be asked again', async (context) => {
   const client = openClient(context);
-  const broken = await startBroken(context, (socket) =>
+  const faultyServer = await startFaultyServer(context, (socket) =>
     socket.end('HTTP/1.1 200 OK\r\ncontent-length: 18\r\n\r\n{"engine":"engine"'),
   );
-  const fault = (await client.report(broken))._unsafeUnwrapErr();
+  const fault = (await client.report(faultyServer))._unsafeUnwrapErr();
   assert.deepEqual([fault.code, fault.retryable], ['backend-broken', true]);
 });
 
--- a/test/engine/model.test.ts
+++ b/test/engine/model.test.ts
@@ -12,7 +12,7 @@
 import type { EngineModelOptions } from '../../src/lab/engine/options.js';
 import { LABELS, orderOf, TO_DECODE } from './fixtures.js';
 
-const LONG_AFTER = 1e9;
+const LONG_AFTER_MS = 1e9;
 const PROMPT = 'Rosa canina L., leg. J. Kops 1802, in dunis prope Leidam. '.repeat(40);
 
 function newModel(options: Partial<EngineModelOptions> = {}): EngineModel {
@@ -20,7 +20,7 @@
   return new EngineModel({ ...identity, models: [LABELS], accelerator: 'new', ...options }, 0);
 }
 
-interface Wanted {
+interface Submission {
   readonly priority?: number;
   readonly prompt?: string;
   readonly maxTokens?: number;
@@ -29,16 +29,16 @@
   readonly prefill?: boolean;
 }
 
-function submit(model: EngineModel, now: number, attempt: string, wanted: Wanted = {}) {
-  const { maxTokens = 8, resumeOffset = 0, kvHandle = null } = wanted;
+function submit(model: EngineModel, now: number, attempt: string, submission: Submission = {}) {
+  const { maxTokens = 8, resumeOffset = 0, kvHandle = null } = submission;
   const completion = { kind: 'completion', streamed: true, maxTokens, resumeOffset, kvHandle };
-  const work = (wanted.prefill === true ? { kind: 'prefill' } : completion) as EngineWork;
+  const work = (submission.prefill === true ? { kind: 'prefill' } : completion) as EngineWork;
   return model.submit(now, {
     attempt,
-    priority: wanted.priority ?? 5,
+    priority: submission.priority ?? 5,
     name: 'labels',
     version: null,
-    describe: (resolved) => describePrompt(resolved, wanted.prompt ?? `${attempt} ${PROMPT}`),
+    describe: (resolved) => describePrompt(resolved, submission.prompt ?? `${attempt} ${PROMPT}`),
     work,
   });
 }
@@ -67,7 +67,7 @@
 test('a batch of 8 ends well before 8 requests one after another', () => {
   const together = newModel();
   for (let index = 0; index < 8; index += 1) submit(together, 0, `r${index}`, { maxTokens: 100 });
-  const batchMs = Math.max(...finishedAt(together.advance(LONG_AFTER)).values());
+  const batchMs = Math.max(...finishedAt(together.advance(LONG_AFTER_MS)).values());
   const serial = newModel();
   let serialMs = 0;
   for (let index = 0; index < 8; index += 1) {
@@ -81,7 +81,7 @@
   const times = (['new', 'old'] as const).map((accelerator) => {
     const model = newModel({ accelerator });
     submit(model, 0, 'r1', { maxTokens: 20 });
-    return finishedAt(model.advance(LONG_AFTER)).get('r1') ?? 0;
+    return finishedAt(model.advance(LONG_AFTER_MS)).get('r1') ?? 0;
   });
   assert.ok((times[1] ?? 0) > 1.5 * (times[0] ?? 0), String(times));
 });
@@ -131,7 +131,7 @@
   const full = submit(model, 0, 'too-many', { priority: 0 });
   assert.equal(refusalCode(full), 'engine-full');
   assert.ok(full.kind === 'refused' && (full.retryAfterSeconds ?? 0) >= 1);
-  const order = [...finishedAt(model.advance(LONG_AFTER)).keys()];
+  const order = [...finishedAt(model.advance(LONG_AFTER_MS)).keys()];
   assert.deepEqual(order, ['running', 'high', 'late-low', 'low']);
 });
 
@@ -140,7 +140,7 @@
   for (const resumeOffset of [0, 1, 11, 12]) {
     const model = newModel();
     submit(model, 0, 'r1', { prompt: PROMPT, maxTokens: 12, resumeOffset });
-    const outputs = model.advance(LONG_AFTER);
+    const outputs = model.advance(LONG_AFTER_MS);
     assert.deepEqual(tokensOf(outputs, 'r1'), whole.slice(resumeOffset));
     const last = outputs.at(-1);
     assert.equal(last?.kind === 'finished' && last.completionTokens, 12);
@@ -181,7 +181,7 @@
     return model;
   };
   const model = newSmall();
-  const outputs = model.advance(LONG_AFTER);
+  const outputs = model.advance(LONG_AFTER_MS);
   const ends = finishedAt(outputs);
   assert.deepEqual([...ends.keys()], ['p0', 'p3', 'p9']);
   for (const priority of [9, 3, 0]) {
@@ -198,7 +198,7 @@
   assert.deepEqual([load.running, load.queued], [1, 2]);
   const again = 2 * promptTokens + low + tokensOf(early, 'p3').length;
   assert.equal(load.queuedPrefillTokens, again);
-  const tooLong = submit(model, LONG_AFTER, 'r9', { maxTokens: 1_500 });
+  const tooLong = submit(model, LONG_AFTER_MS, 'r9', { maxTokens: 1_500 });
   assert.equal(refusalCode(tooLong), 'invalid-request');
 });
 
@@ -231,9 +231,9 @@
   });
   const run = (actions: readonly (typeof action extends fc.Arbitrary<infer A> ? A : never)[]) => {
     const model = newModel({ maxBatch: 3, kvCapacityTokens: 900 });
-    const taken = new Map<string, Wanted>();
+    const acceptedSubmissions = new Map<string, Submission>();
     const outputs: EngineOutput[] = [];
-    const gone = new Set<string>();
+    const cancelledNames = new Set<string>();
     let now = 0;
     for (const [index, step] of actions.entries()) {
       now += step.waitMs;
@@ -241,23 +241,25 @@
       const attempt = `a${step.attempt}`;
       if (step.kind === 'submit') {
         const name = `${attempt}.${index}`;
-        if (submit(model, now, name, step).kind === 'accepted') taken.set(name, step);
+        if (submit(model, now, name, step).kind === 'accepted') acceptedSubmissions.set(name, step);
       } else {
-        const names = [...taken.keys()].filter((name) => name.startsWith(`${attempt}.`));
+        const names = [...acceptedSubmissions.keys()].filter((name) =>
+          name.startsWith(`${attempt}.`),
+        );
         for (const name of names) {
-          if (step.kind === 'cancel' && model.cancel(now, name)) gone.add(name);
+          if (step.kind === 'cancel' && model.cancel(now, name)) cancelledNames.add(name);
           model.setPaused(now, name, step.kind === 'pause');
         }
       }
     }
-    for (const name of taken.keys()) model.setPaused(now, name, false);
-    outputs.push(...model.advance(LONG_AFTER));
+    for (const name of acceptedSubmissions.keys()) model.setPaused(now, name, false);
+    outputs.push(...model.advance(LONG_AFTER_MS));
     assert.equal(model.activeRequests, 0);
-    for (const [name, wanted] of taken) {
-      const whole = expected(`${name} ${PROMPT}`, wanted.maxTokens ?? 0);
-      const tail = whole.slice(wanted.resumeOffset);
+    for (const [name, submission] of acceptedSubmissions) {
+      const whole = expected(`${name} ${PROMPT}`, submission.maxTokens ?? 0);
+      const tail = whole.slice(submission.resumeOffset);
       const written = tokensOf(outputs, name);
-      assert.deepEqual(written, gone.has(name) ? tail.slice(0, written.length) : tail);
+      assert.deepEqual(written, cancelledNames.has(name) ? tail.slice(0, written.length) : tail);
     }
     return outputs;
   };
--- a/test/engine/server.test.ts
+++ b/test/engine/server.test.ts
@@ -128,9 +128,9 @@
 });
 
 test('a full waiting queue is refused with the time to try again', async (context) => {
-  const mine = await startEngine({ maxQueue: 0 });
-  context.after(() => mine.close());
-  const answer = await request(`http://127.0.0.1:${mine.endpoint.port}/v1/completions`, {
+  const ownEngine = await startEngine({ maxQueue: 0 });
+  context.after(() => ownEngine.close());
+  const answer = await request(`http://127.0.0.1:${ownEngine.endpoint.port}/v1/completions`, {
     method: 'POST',
     body: JSON.stringify({ model: 'labels', prompt: PROMPT }),
   });
@@ -181,19 +181,19 @@
 }, async (context) => {
   const model = 'm'.repeat(FRAME_BYTES);
   const models = [{ ...LABELS, model }];
-  const mine = await startEngine({ models, speedFactor: 1_000 });
-  context.after(() => mine.close());
+  const ownEngine = await startEngine({ models, speedFactor: 1_000 });
+  context.after(() => ownEngine.close());
   const body = { model, prompt: PROMPT, max_tokens: LONG_ANSWER, stream: true };
-  const slow = connect(mine.endpoint.port, '127.0.0.1').pause();
+  const slow = connect(ownEngine.endpoint.port, '127.0.0.1').pause();
   slow.write(rawPost('/v1/completions', JSON.stringify(body)));
-  await until(() => mine.model.activeRequests === 1);
+  await until(() => ownEngine.model.activeRequests === 1);
   // Both take part in the same steps, so without a pause the first would end before the second.
-  const other = await request(`http://127.0.0.1:${mine.endpoint.port}/v1/completions`, {
+  const other = await request(`http://127.0.0.1:${ownEngine.endpoint.port}/v1/completions`, {
     method: 'POST',
     body: JSON.stringify({ ...body, stream: false }),
   });
   await other.body.dump();
-  assert.equal(mine.model.activeRequests, 1);
+  assert.equal(ownEngine.model.activeRequests, 1);
   let read = '';
   for await (const chunk of slow) read += String(chunk);
   assert.equal(read.match(/^id: /gm)?.length, LONG_ANSWER + 1);
@@ -201,14 +201,14 @@
 });
 
 test('a role change that does not wait cuts what runs', async (context) => {
-  const mine = await startEngine();
-  context.after(() => mine.close());
-  const answer = await request(`http://127.0.0.1:${mine.endpoint.port}/v1/completions`, {
+  const ownEngine = await startEngine();
+  context.after(() => ownEngine.close());
+  const answer = await request(`http://127.0.0.1:${ownEngine.endpoint.port}/v1/completions`, {
     method: 'POST',
     body: JSON.stringify({ model: 'labels', prompt: PROMPT, max_tokens: 100_000, stream: true }),
   });
-  const order = orderOf(mine.model.boot, 1, TO_DECODE);
-  const accepted = await request(`http://127.0.0.1:${mine.endpoint.port}/control/orders`, {
+  const order = orderOf(ownEngine.model.boot, 1, TO_DECODE);
+  const accepted = await request(`http://127.0.0.1:${ownEngine.endpoint.port}/control/orders`, {
     method: 'POST',
     body: JSON.stringify(order),
   });
--- a/test/operator/server.test.ts
+++ b/test/operator/server.test.ts
@@ -15,8 +15,8 @@
   log: (effect) => logged.push(effect),
 });
 // Only the slow senders meet a short limit, so that a busy machine delays no other test into it.
-const impatient = await startStub(backend, { limits: { requestTimeoutMs: 100 } });
-after(() => Promise.all([server.close(), impatient.server.close()]));
+const shortTimeout = await startStub(backend, { limits: { requestTimeoutMs: 100 } });
+after(() => Promise.all([server.close(), shortTimeout.server.close()]));
 
 interface CallOptions {
   readonly token?: string;
@@ -181,7 +181,7 @@
   ['body', `${HEAD}content-type: application/json\r\ncontent-length: 90\r\n\r\n{`],
 ] as const) {
   test(`closed with a typed error: a slow ${what}`, async () => {
-    const answer = await exchange(bytes, impatient.address);
+    const answer = await exchange(bytes, shortTimeout.address);
     assert.match(answer, /^HTTP\/1.1 408 .*"body-timeout"/s);
   });
 }
--- a/test/platform/client.test.ts
+++ b/test/platform/client.test.ts
@@ -31,7 +31,7 @@
   return opened;
 }
 
-async function standIn(options = DEFAULT_PLATFORM_OPTIONS): Promise<PlatformServer> {
+async function startEmulator(options = DEFAULT_PLATFORM_OPTIONS): Promise<PlatformServer> {
   const server = await createPlatformServer(LOOPBACK, options);
   cleanUps.push(() => server.close());
   return server;
@@ -57,7 +57,7 @@
 }
 
 test('a transaction commits once and a second one with the same check conflicts', async () => {
-  const { port } = await standIn();
+  const { port } = await startEmulator();
   const platform = client(port);
   const row = { key: 'a', version: 1, value: { n: 1 } };
   assert.deepEqual(await platform.table(PUT_A), { kind: 'committed', rows: [row] });
@@ -69,7 +69,7 @@
 });
 
 test('a lost answer is reported as lost and reading back shows that the write took effect', async () => {
-  const { port, model } = await standIn();
+  const { port, model } = await startEmulator();
   const platform = client(port);
   model.setFaults({ table: { loseAnswers: { kind: 'next', calls: 1 }, writesOnly: true } });
   assert.equal((await platform.table(PUT_A)).kind, 'lost');
@@ -78,7 +78,7 @@
 });
 
 test('a lost call is reported as lost and reading back shows that nothing was written', async () => {
-  const { port, model } = await standIn();
+  const { port, model } = await startEmulator();
   const platform = client(port);
   model.setFaults({ table: { loseCalls: { kind: 'next', calls: 1 } } });
   assert.equal((await platform.table(PUT_A)).kind, 'lost');
@@ -87,7 +87,7 @@
 });
 
 test('a write whose answer is slower than the timeout is lost, and took effect', async () => {
-  const { port, model } = await standIn();
+  const { port, model } = await startEmulator();
   const platform = client(port, 100);
   model.setFaults({ table: { slowAnswerMs: 60_000 } });
   assert.equal((await platform.table(PUT_A)).kind, 'lost');
@@ -96,7 +96,7 @@
 
 test('down, over the rate and refused connections are unavailable: nothing was done', async () => {
   const limits = { ...DEFAULT_PLATFORM_OPTIONS.limits, table: { perSecond: 0.5, burst: 1 } };
-  const { port, model } = await standIn({ limits, machineLagMs: 0 });
+  const { port, model } = await startEmulator({ limits, machineLagMs: 0 });
   const platform = client(port);
   model.setFaults({ table: { down: true } });
   const whileDown = await platform.table(PUT_A);
@@ -161,7 +161,7 @@
 });
 
 test('objects are written once; weights and machines are read', async () => {
-  const server = await standIn({ ...DEFAULT_PLATFORM_OPTIONS, machineLagMs: 0 });
+  const server = await startEmulator({ ...DEFAULT_PLATFORM_OPTIONS, machineLagMs: 0 });
   const platform = client(server.port);
   const content = Buffer.from('content');
   assert.ok((await platform.putObject('config/7', content)).isOk());
@@ -199,7 +199,7 @@
 });
 
 test('faults are set over HTTP while the platform runs', async () => {
-  const { port } = await standIn();
+  const { port } = await startEmulator();
   const platform = client(port);
   const set = (faults: unknown) =>
     fetch(`http://127.0.0.1:${port}/faults`, { method: 'POST', body: JSON.stringify(faults) });
--- a/test/settings/load.test.ts
+++ b/test/settings/load.test.ts
@@ -7,7 +7,7 @@
   type SettingsFlags,
 } from '../../src/shell/settings/index.js';
 
-const GOOD = `name: d1
+const VALID_SETTINGS = `name: d1
 zone: leiden-a
 listen:
   callers: 127.0.0.1:0
@@ -26,7 +26,7 @@
 }
 
 test('a good file gets every default', () => {
-  const settings = load(GOOD)._unsafeUnwrap();
+  const settings = load(VALID_SETTINGS)._unsafeUnwrap();
   assert.deepEqual(settings.listen.callers, { address: '127.0.0.1', port: 0 });
   assert.equal(settings.fleetKey, '0123456789abcdef');
   assert.equal(settings.limits.http.maxHeaderBytes, 16_384);
@@ -35,25 +35,26 @@
 });
 
 test('a misspelt key is told with its line and the likely name', () => {
-  assert.deepEqual(problems(GOOD.replace('  peers:', '  peer:')), [
+  assert.deepEqual(problems(VALID_SETTINGS.replace('  peers:', '  peer:')), [
     'd.yaml:4: listen.peers: found nothing; write an IP number and a port, such as 127.0.0.1:8080 or "[::1]:8080"; host names are not looked up',
     'd.yaml:6: listen.peer: found a key that does not exist; remove it or write peers',
   ]);
 });
 
 test('a host name is refused where an IP number belongs', () => {
-  const [line] = problems(GOOD.replace('127.0.0.1:7000', 'store.example:7000'));
+  const [line] = problems(VALID_SETTINGS.replace('127.0.0.1:7000', 'store.example:7000'));
   assert.match(line ?? '', /^d\.yaml:7: platform: found "store\.example:7000"; write an IP number/);
 });
 
 test('a missing zone is told', () => {
-  const [line, ...others] = problems(GOOD.replace('zone: leiden-a\n', ''));
+  const [line, ...others] = problems(VALID_SETTINGS.replace('zone: leiden-a\n', ''));
   assert.match(line ?? '', /^d\.yaml:1: zone: found nothing; write the zone/);
   assert.deepEqual(others, []);
 });
 
 test('every problem is told at once, secrets are not shown', () => {
-  const lines = problems(`${GOOD.replace('fleetKey: { value: 0123456789abcdef }', 'fleetKey: hush')}
+  const lines =
+    problems(`${VALID_SETTINGS.replace('fleetKey: { value: 0123456789abcdef }', 'fleetKey: hush')}
 operatorTokens: [{ name: ann, digest: plain-token, access: change }]
 limits: { http: { maxBodyBytes: -1 } }`);
   assert.equal(lines.length, 3);
@@ -63,10 +64,13 @@
 
 test('flags win over the file and are named in problems', () => {
   const flags = { listenCallers: '127.0.0.1:9000', stopGraceMs: '500' };
-  const settings = load(GOOD, flags)._unsafeUnwrap();
+  const settings = load(VALID_SETTINGS, flags)._unsafeUnwrap();
   assert.equal(settings.listen.callers.port, 9000);
   assert.equal(settings.stopGraceMs, 500);
-  assert.match(problems(GOOD, { zone: 'No Zone' })[0] ?? '', /^--zone: zone: found "No Zone"/);
+  assert.match(
+    problems(VALID_SETTINGS, { zone: 'No Zone' })[0] ?? '',
+    /^--zone: zone: found "No Zone"/,
+  );
 });
 
 test('flags alone are enough', () => {
@@ -80,10 +84,10 @@
     platform: '127.0.0.1:7000',
     fleetKeyEnv: 'KEY',
   };
-  const never = (): string => assert.fail('no file is read');
-  const loaded = loadSettings(flags, never, { KEY: 'abcdefghijklmnop' });
+  const failOnRead = (): string => assert.fail('no file is read');
+  const loaded = loadSettings(flags, failOnRead, { KEY: 'abcdefghijklmnop' });
   assert.equal(loaded._unsafeUnwrap().fleetKey, 'abcdefghijklmnop');
-  const absent = loadSettings(flags, never, {})._unsafeUnwrapErr();
+  const absent = loadSettings(flags, failOnRead, {})._unsafeUnwrapErr();
   assert.match(
     formatProblem(absent[0] ?? assert.fail()),
     /^--fleet-key-env: fleetKey\.env: found no fleet key/,
@@ -91,10 +95,10 @@
 });
 
 test('an open operator address needs a token or an outright word', () => {
-  const open = GOOD.replace('operators: 127.0.0.1:0', 'operators: 10.0.0.1:9001');
+  const open = VALID_SETTINGS.replace('operators: 127.0.0.1:0', 'operators: 10.0.0.1:9001');
   assert.match(problems(open)[0] ?? '', /^d\.yaml:5: listen\.operators: .*operatorTokens/);
-  const told = load(`${open}allowUnauthenticatedOperators: true\n`)._unsafeUnwrap();
-  assert.equal(allowsUnauthenticatedOperators(told), true);
+  const allowed = load(`${open}allowUnauthenticatedOperators: true\n`)._unsafeUnwrap();
+  assert.equal(allowsUnauthenticatedOperators(allowed), true);
 });
 
 test('unreadable files and broken YAML are problems, not exceptions', () => {
@@ -106,12 +110,12 @@
     /^x\.yaml: found no readable file \(ENOENT\)/,
   );
   assert.match(problems('name: [')[0] ?? '', /^d\.yaml:\d+: found YAML/);
-  assert.match(problems(`${GOOD}name: d2\n`)[0] ?? '', /^d\.yaml:9: found YAML.*unique/);
+  assert.match(problems(`${VALID_SETTINGS}name: d2\n`)[0] ?? '', /^d\.yaml:9: found YAML.*unique/);
   assert.match(problems('just text')[0] ?? '', /^d\.yaml:1: found "just text"/);
 });
 
 test('two listeners on one address are refused', () => {
-  const lines = problems(GOOD.replaceAll('127.0.0.1:0', '127.0.0.1:8080'));
+  const lines = problems(VALID_SETTINGS.replaceAll('127.0.0.1:0', '127.0.0.1:8080'));
   assert.deepEqual(lines, [
     'd.yaml:5: listen.operators: found 127.0.0.1:8080, which listen.callers has too; give each listener a port of its own',
     'd.yaml:6: listen.peers: found 127.0.0.1:8080, which listen.operators has too; give each listener a port of its own',
