--- a/src/cli/answers.ts
+++ b/src/cli/answers.ts
@@ -1,9 +1,9 @@
-/** The shapes of the operator API's answers, checked before they are believed. */
+/** Schemas of the operator API's answers. */
 import { z } from 'zod';
 import type { ChangeOutcome } from '../core/configuration/change-outcome.js';
 import type { Fault } from '../core/errors/fault.js';
 
-// The codes of a newer daemon may be unknown here, so that any text is taken.
+// Any text is accepted as a code, because a newer daemon may have codes that this version does not know.
 const faultSchema = z.object({
   code: z.string(),
   message: z.string(),
@@ -61,10 +61,10 @@
   tables: z.array(z.object({ title: z.string(), rows: z.array(rowSchema) })),
 });
 
-/** The answer to `status`; a newer daemon may say more. */
+/** The answer to `status`; a newer daemon may add fields. */
 export const statusSchema = z
   .object({ daemon: z.string(), zone: z.string(), state: z.string() })
   .catchall(z.union([z.string(), z.number(), z.boolean(), z.null()]));
 
-/** The answer to `config show`. The document is checked when it is printed as statements. */
+/** The answer to `config show`. The document is validated only when it is printed as commands. */
 export const configurationAnswerSchema = z.object({ version: z.number(), document: z.unknown() });
--- a/src/cli/base-command.ts
+++ b/src/cli/base-command.ts
@@ -1,4 +1,4 @@
-/** What the commands have in common: output, faults and exit codes. */
+/** Base class of all commands: output, faults and exit codes. */
 import { Command, Option } from 'clipanion';
 import type { Fault } from '../core/errors/fault.js';
 import { type CliContext, usesColors } from './context.js';
@@ -9,10 +9,10 @@
 export abstract class BaseCommand extends Command<CliContext> {
   json = Option.Boolean('--json', false, { description: 'print JSON' });
 
-  /** Does the work and says with which code to exit. */
+  /** Executes the command; resolves to the exit code. */
   abstract run(): Promise<number>;
 
-  /** A command that fails unforeseen must not look refused. */
+  /** Maps an unexpected exception to `EXIT_UNKNOWN`: it must not be taken for a refusal. */
   override async execute(): Promise<number> {
     try {
       return await this.run();
@@ -39,13 +39,13 @@
     this.context.stderr.write(`${text}\n`);
   }
 
-  /** Says what is wrong with the command line. */
+  /** Prints a problem with the command line; returns the exit code. */
   protected misused(problem: string): number {
     this.complain(`threadfork: ${problem}`);
     return EXIT_USAGE;
   }
 
-  /** Tells a fault and gives its exit code. */
+  /** Prints a fault; returns its exit code. */
   protected failWith(fault: Fault): number {
     if (this.json) {
       this.printJson({ error: fault });
--- a/src/cli/change-outcome.ts
+++ b/src/cli/change-outcome.ts
@@ -1,11 +1,11 @@
-/** Reads what became of a change from what came back, or did not, from the daemons. */
+/** Determines the outcome of a change from the daemons' answers, or from their absence. */
 import type { ChangeOutcome } from '../core/configuration/change-outcome.js';
 import { changeOutcomeSchema, errorAnswerSchema } from './answers.js';
 import type { CallOutcome, DaemonAnswer } from './operator-client.js';
 
 /**
- * The outcome of a change. Where an earlier daemon may have made it, a later one's refusal does not
- * say that nothing was changed, so that the outcome is unknown.
+ * The outcome of a change. If a daemon that was tried before may have made the change, the refusal of
+ * a later one does not prove that nothing was changed, and the outcome is unknown.
  */
 export function readChangeOutcome(id: string, call: CallOutcome): ChangeOutcome {
   if (call.kind === 'no-answer') {
--- a/src/cli/commands/apply.ts
+++ b/src/cli/commands/apply.ts
@@ -1,4 +1,4 @@
-/** `threadfork apply`: changes the configuration, or says why not. */
+/** `threadfork apply`: changes the configuration. */
 import { randomUUID } from 'node:crypto';
 import { Command, Option } from 'clipanion';
 import { err, ok, type Result } from 'neverthrow';
@@ -12,7 +12,7 @@
 
 type ChangeBody = { readonly text: string } | { readonly document: unknown };
 
-/** Sends a change under an id and tells its outcome. */
+/** Sends a change under an id and prints its outcome. */
 export class ApplyCommand extends OperatorCommand {
   static override paths = [['apply']];
   static override usage = Command.Usage({
--- a/src/cli/commands/complete.ts
+++ b/src/cli/commands/complete.ts
@@ -1,4 +1,4 @@
-/** `threadfork complete`: one completion request, as a caller sends it. */
+/** `threadfork complete`: sends one completion request, as a caller does. */
 import { Command, Option } from 'clipanion';
 import { err, ok, type Result } from 'neverthrow';
 import { parseDuration } from '../../core/language/index.js';
--- a/src/cli/commands/completion.ts
+++ b/src/cli/commands/completion.ts
@@ -1,10 +1,10 @@
-/** `threadfork completion`: prints a script for a shell. */
+/** `threadfork completion`: prints a completion script for a shell. */
 import { Command, Option } from 'clipanion';
 import { BaseCommand } from '../base-command.js';
 import { completionScript, SHELLS } from '../completion-script.js';
 import { EXIT_DONE } from '../exit-codes.js';
 
-/** Prints the completion script of a shell. */
+/** Prints the completion script for bash, zsh or fish. */
 export class CompletionCommand extends BaseCommand {
   static override paths = [['completion']];
   static override usage = Command.Usage({
--- a/src/cli/commands/config.ts
+++ b/src/cli/commands/config.ts
@@ -1,4 +1,4 @@
-/** `threadfork config`: checks a configuration file, shows the configuration in force. */
+/** `threadfork config`: checks a configuration file or shows the configuration in force. */
 import { Command, Option } from 'clipanion';
 import { parse as parseYaml, stringify as stringifyYaml } from 'yaml';
 import type { ConfigurationDocument } from '../../core/configuration/document.js';
@@ -11,7 +11,7 @@
 import { EXIT_DONE } from '../exit-codes.js';
 import { OperatorCommand } from '../operator-command.js';
 
-/** Checks a file without asking any daemon. */
+/** Validates a configuration file without contacting a daemon. */
 export class ConfigCheckCommand extends BaseCommand {
   static override paths = [['config', 'check']];
   static override usage = Command.Usage({
@@ -95,7 +95,7 @@
   }
 }
 
-/** The commands, with a word of warning where no daemon would take them in one statement. */
+/** The commands, with a warning if they exceed the size that a daemon accepts as one statement. */
 function commandsText(document: ConfigurationDocument): string {
   const text = formatDocumentAsCommands(document);
   const warning = `# over ${MAX_STATEMENT_CHARACTERS} characters: apply it as YAML instead\n`;
--- a/src/cli/commands/explain.ts
+++ b/src/cli/commands/explain.ts
@@ -1,4 +1,4 @@
-/** `threadfork explain`: why something is as it is. */
+/** `threadfork explain`: explains a request, an engine or the configuration. */
 import { Command, Option } from 'clipanion';
 import { EXPLAIN_SUBJECTS } from '../../shell/operator/index.js';
 import { explanationSchema } from '../answers.js';
@@ -6,7 +6,7 @@
 import { OperatorCommand } from '../operator-command.js';
 import { fieldsOf, formatTable, printable } from '../text.js';
 
-/** Asks a daemon to explain a request, an engine or the configuration. */
+/** Requests an explanation from a daemon and prints it. */
 export class ExplainCommand extends OperatorCommand {
   static override paths = [['explain']];
   static override usage = Command.Usage({
--- a/src/cli/commands/query.ts
+++ b/src/cli/commands/query.ts
@@ -1,4 +1,4 @@
-/** `threadfork query`: asks what is where. */
+/** `threadfork query`: queries the tables of the operator API. */
 import { Command, Option } from 'clipanion';
 import { queryAnswerSchema } from '../answers.js';
 import { EXIT_DONE } from '../exit-codes.js';
--- a/src/cli/commands/status.ts
+++ b/src/cli/commands/status.ts
@@ -1,11 +1,11 @@
-/** `threadfork status`: how a daemon is doing. */
+/** `threadfork status`: shows the status of a daemon. */
 import { Command } from 'clipanion';
 import { statusSchema } from '../answers.js';
 import { EXIT_DONE } from '../exit-codes.js';
 import { OperatorCommand } from '../operator-command.js';
 import { formatTable } from '../text.js';
 
-/** Asks the first daemon that answers how it is doing. */
+/** Prints the status of the first daemon that answers. */
 export class StatusCommand extends OperatorCommand {
   static override paths = [['status']];
   static override usage = Command.Usage({
--- a/src/cli/commands/trace.ts
+++ b/src/cli/commands/trace.ts
@@ -1,4 +1,4 @@
-/** `threadfork trace`: why a request ended as it did, from the logs alone. */
+/** `threadfork trace`: explains the outcome of a request from log files, without a daemon. */
 import { createReadStream } from 'node:fs';
 import { stat } from 'node:fs/promises';
 import type { Readable } from 'node:stream';
@@ -11,10 +11,10 @@
 
 const LINE_FIELDS = ['ms', 'daemon', 'event', 'message', 'server', 'detail'];
 const STANDARD_INPUT = '-';
-/** Fields that have a column of their own or say nothing of the cause. */
+/** Fields that have a column of their own or do not help to find the cause. */
 const OMITTED_FROM_DETAIL: ReadonlySet<string> = new Set(['level', 'request', 'server', 'msg']);
 
-/** Explains one request from the log lines of gateways. */
+/** Explains the outcome of one request from the log lines of gateways. */
 export class TraceCommand extends BaseCommand {
   static override paths = [['trace']];
   static override usage = Command.Usage({
--- a/src/cli/completion-client.ts
+++ b/src/cli/completion-client.ts
@@ -1,6 +1,6 @@
 /**
- * Sends one completion request to the callers' side of a daemon. It goes to another daemon only
- * where no byte of it can have left, so that nothing runs twice.
+ * Sends one completion request to the caller address of a daemon. The next daemon is tried only if no
+ * byte of the request can have been sent, so that the request never runs twice.
  */
 import { Agent, type Dispatcher, request } from 'undici';
 import { z } from 'zod';
@@ -18,18 +18,18 @@
   readonly timeoutMs: number;
 }
 
-/** What became of a completion request. */
+/** The outcome of a completion request. */
 export type CompletionOutcome =
   | { readonly kind: 'answered'; readonly answer: unknown }
   | { readonly kind: 'refused'; readonly message: string }
-  /** It may have run; what was printed of it is not the whole answer. */
+  /** The request may have run; the text printed so far is not the complete answer. */
   | { readonly kind: 'unknown'; readonly message: string }
   | { readonly kind: 'unreachable'; readonly reasons: readonly string[] };
 
 const CONNECT_TIMEOUT_MS = 2_000;
 const STATUS_OK = 200;
 
-/** Sends the request and hands the text on as it comes. */
+/** Sends the request and passes each part of the text to `onText` as it arrives. */
 export async function sendCompletion(
   completion: CompletionRequest,
   onText: (text: string) => void,
@@ -83,7 +83,7 @@
   error: z.object({ message: z.string(), code: z.string(), outcome: z.string().optional() }),
 });
 
-/** Only the daemon's own word that nothing was run makes a refusal. */
+/** The outcome is a refusal only if the daemon reports that nothing was run, and otherwise unknown. */
 function readError(status: number, text: string): CompletionOutcome {
   const parsed = errorSchema.safeParse(parseJson(text));
   if (!parsed.success) {
--- a/src/cli/completion-script.ts
+++ b/src/cli/completion-script.ts
@@ -1,14 +1,14 @@
-/** Writes shell completion scripts from the definitions of the commands themselves. */
+/** Generates shell completion scripts from the definitions of the commands. */
 import type { Definition } from 'clipanion';
 
-/** The shells that completion is written for. */
+/** The supported shells. */
 export const SHELLS = ['bash', 'zsh', 'fish'] as const;
 
-/** One of them. */
+/** A supported shell. */
 export type Shell = (typeof SHELLS)[number];
 
 interface CommandEntry {
-  /** Words after the program's name, for example `config show`. */
+  /** The words after the program name, for example `config show`. */
   readonly path: string;
   readonly description: string;
   readonly options: readonly OptionEntry[];
@@ -19,7 +19,7 @@
   readonly description: string;
 }
 
-/** The script for a shell; `definitions` are those of the command line. */
+/** The script for a shell; `definitions` are those of all commands. */
 export function completionScript(shell: Shell, definitions: readonly Definition[]): string {
   const commands = definitions.map(readDefinition).filter((command) => command.path !== '');
   switch (shell) {
@@ -103,7 +103,7 @@
   return [...new Set(commands.map(({ path }) => path.split(' ')[0] ?? ''))];
 }
 
-/** First words that are followed by a second one, as in `config show`. */
+/** The first words of commands that consist of two words, for example `config`. */
 function groupNames(commands: readonly CommandEntry[]): readonly string[] {
   const nested = commands.filter(({ path }) => path.includes(' '));
   return firstWords(nested);
--- a/src/cli/daemon-options.ts
+++ b/src/cli/daemon-options.ts
@@ -1,18 +1,18 @@
-/** Reads the addresses of daemons and the token from flags and the environment. */
+/** Reads the addresses of daemons and secrets from flags and the environment. */
 import { readFileSync } from 'node:fs';
 import { err, ok, type Result } from 'neverthrow';
 import type { Endpoint } from '../core/registry/backend.js';
 import { parseEndpoint } from '../shell/settings/index.js';
 
-/** Where a list of addresses comes from. */
+/** The sources of a list of addresses. */
 export interface AddressSource {
   readonly flags: readonly string[];
   readonly env: Readonly<Record<string, string | undefined>>;
-  /** The environment variable to read without a flag; addresses in it are parted by commas. */
+  /** The environment variable that is read if no flag is given; its addresses are separated by commas. */
   readonly variable: string;
 }
 
-/** The addresses to try, in order; the error is a sentence for the operator. */
+/** The addresses to try, in order. The error is a message for the operator. */
 export function readAddresses(source: AddressSource): Result<readonly Endpoint[], string> {
   const texts = source.flags.length > 0 ? source.flags : splitList(source.env[source.variable]);
   if (texts.length === 0) {
@@ -31,14 +31,14 @@
   return ok(endpoints);
 }
 
-/** Where a secret comes from, the first that is given. */
+/** The sources of a secret, in order of precedence. */
 export interface SecretSource {
   readonly value: string | undefined;
   readonly file: string | undefined;
   readonly variable: string | undefined;
 }
 
-/** The secret, or null when none is given. */
+/** The secret, or null if no source is given. */
 export function readSecret(source: SecretSource): Result<string | null, string> {
   if (source.value !== undefined) {
     return ok(source.value);
@@ -49,7 +49,7 @@
   return readTextFile(source.file).map((text) => text.trim());
 }
 
-/** A file's text; the error is a sentence for the operator. */
+/** The content of a text file. The error is a message for the operator. */
 export function readTextFile(path: string): Result<string, string> {
   try {
     return ok(readFileSync(path, 'utf8'));
--- a/src/cli/event-stream.ts
+++ b/src/cli/event-stream.ts
@@ -1,6 +1,6 @@
-/** Reads server-sent events from chunks of bytes. */
+/** Parses server-sent events from chunks of bytes. */
 
-/** The data of each event, in order. An event that the end cuts off is left out. */
+/** The data of each event, in order. An incomplete event at the end of the stream is dropped. */
 export async function* readEventData(chunks: AsyncIterable<Buffer>): AsyncGenerator<string> {
   const decoder = new TextDecoder();
   let pending = '';
--- a/src/cli/log-reader.ts
+++ b/src/cli/log-reader.ts
@@ -1,4 +1,4 @@
-/** Reads the log lines of gateways from a stream; what is no such line is passed over. */
+/** Reads the log lines of gateways from a stream and skips all other lines. */
 import { createInterface } from 'node:readline';
 import type { Readable } from 'node:stream';
 import * as z from 'zod/mini';
@@ -8,8 +8,9 @@
 const fieldSchema = z.union([z.string(), z.number(), z.boolean(), z.null()]);
 
 /**
- * @param name of the log; what stands before a line's JSON, as a collector writes it, goes before it
- * @param isWanted the others are not kept
+ * @param name source of lines that have no prefix; the last word that a log collector puts before the
+ *   JSON of a line takes precedence
+ * @param isWanted selects the lines to return
  */
 export async function readLog(
   stream: Readable,
--- a/src/cli/main.ts
+++ b/src/cli/main.ts
@@ -3,7 +3,7 @@
 import { Cli } from 'clipanion';
 import { runCli } from './run.js';
 
-// A reader such as `head` may close the pipe before all is written; that is no failure.
+// A reader such as `head` may close the pipe before all output is written; this is not an error.
 process.stdout.on('error', () => process.exit());
 
 process.exitCode = await runCli(process.argv.slice(2), {
--- a/src/cli/operator-client.ts
+++ b/src/cli/operator-client.ts
@@ -1,18 +1,18 @@
 /**
- * Calls the operator API of the first daemon that answers. A call may go to several daemons when
- * answers are lost; that is safe for reads, and for changes because each carries its id.
+ * Calls the operator API of the first daemon that answers. If an answer is lost, the same call goes to
+ * the next daemon. This is safe for reads, and for changes because each carries its id.
  */
 import { Agent, request } from 'undici';
 import type { Endpoint } from '../core/registry/backend.js';
 import { formatEndpoint } from '../shell/settings/index.js';
 import { errorMessage, isNotSent } from './send-failure.js';
 
-/** How to reach the operator API. */
+/** Options of `callOperator`. */
 export interface OperatorClientOptions {
   /** Tried in this order. */
   readonly daemons: readonly Endpoint[];
   readonly token: string | null;
-  /** How long one daemon may take to answer. */
+  /** Timeout for the answer of one daemon. */
   readonly timeoutMs: number;
 }
 
@@ -21,22 +21,22 @@
   readonly kind: 'answered';
   readonly daemon: string;
   readonly status: number;
-  /** Parsed JSON, not yet checked. */
+  /** Parsed JSON, not yet validated. */
   readonly body: unknown;
-  /** An earlier daemon may have got this same call; its answer never came. */
+  /** A daemon that was tried before may have received this call; its answer was lost. */
   readonly earlierAnswerLost: boolean;
 }
 
 /** No daemon answered. */
 export interface NoAnswer {
   readonly kind: 'no-answer';
-  /** Whether a daemon may have got the call and acted on it. */
+  /** Whether a daemon may have received the call and carried it out. */
   readonly maybeSent: boolean;
   /** One line for each daemon that was tried. */
   readonly reasons: readonly string[];
 }
 
-/** What became of a call. */
+/** The outcome of a call. */
 export type CallOutcome = DaemonAnswer | NoAnswer;
 
 /** One call of the operator API. */
@@ -48,7 +48,7 @@
 
 const CONNECT_TIMEOUT_MS = 2_000;
 
-/** Makes the call, on the next daemon whenever one can't be reached or its answer is lost. */
+/** Makes the call; tries the next daemon if one can't be reached or its answer is lost. */
 export async function callOperator(
   options: OperatorClientOptions,
   call: OperatorCall,
--- a/src/cli/operator-command.ts
+++ b/src/cli/operator-command.ts
@@ -1,4 +1,4 @@
-/** What the commands that call the operator API have in common. */
+/** Base class of the commands that call the operator API. */
 import { Option } from 'clipanion';
 import { err, ok, type Result } from 'neverthrow';
 import type { z } from 'zod';
@@ -31,13 +31,13 @@
     description: 'how long one daemon may take to answer, such as 10s',
   });
 
-  /** Makes a call; the error is what is wrong with the command line. */
+  /** Makes a call. The error describes a problem with the command line. */
   protected async call(call: OperatorCall): Promise<Result<CallOutcome, string>> {
     const options = this.clientOptions();
     return options.isErr() ? err(options.error) : ok(await callOperator(options.value, call));
   }
 
-  /** Makes a call that changes nothing, and hands its checked answer on. */
+  /** Makes a read-only call and passes its validated answer to `show`; resolves to the exit code. */
   protected async read<T>(
     call: OperatorCall,
     schema: z.ZodType<T>,
--- a/src/cli/run.ts
+++ b/src/cli/run.ts
@@ -1,4 +1,4 @@
-/** Runs one command line of `threadfork` with the streams and environment it is given. */
+/** Runs one command line of `threadfork` with the given streams and environment. */
 import { Builtins, Cli } from 'clipanion';
 import { packageVersion } from '../shell/settings/index.js';
 import { ApplyCommand } from './commands/apply.js';
@@ -28,7 +28,7 @@
   Builtins.VersionCommand,
 ];
 
-/** The exit code of a command line; its output goes to the context's streams. */
+/** Runs a command line with output to the context's streams; resolves to the exit code. */
 export async function runCli(commandLine: readonly string[], context: CliContext): Promise<number> {
   const cli = new Cli<CliContext>({
     binaryLabel: 'threadfork: the command line of operators and callers',
--- a/src/cli/send-failure.ts
+++ b/src/cli/send-failure.ts
@@ -1,6 +1,6 @@
-/** Tells from a failure whether any byte of a request may have left. */
+/** Determines from an error whether any byte of a request may have been sent. */
 
-/** Error codes that say that none has. */
+/** Error codes of failures before the first byte was sent. */
 const NOT_SENT_CODES: ReadonlySet<string> = new Set([
   'ECONNREFUSED',
   'EHOSTUNREACH',
@@ -9,12 +9,12 @@
   'UND_ERR_CONNECT_TIMEOUT',
 ]);
 
-/** Whether certainly nothing was sent. */
+/** Whether it is certain that nothing was sent. */
 export function isNotSent(error: unknown): boolean {
   return NOT_SENT_CODES.has(errorCode(error));
 }
 
-/** A failure in words, or at least by its code. */
+/** The message of an error, or its code if it has no message. */
 export function errorMessage(error: unknown): string {
   return error instanceof Error && error.message !== '' ? error.message : errorCode(error);
 }
--- a/src/cli/text.ts
+++ b/src/cli/text.ts
@@ -1,16 +1,16 @@
-/** Plain text output: tables, and text from elsewhere made safe for a terminal. */
+/** Plain text output: tables, and untrusted text made safe for a terminal. */
 import type { FieldValue, Row } from '../core/language/index.js';
 
 const COLUMN_GAP = '  ';
 const BOLD = '\u001b[1m';
 const RESET = '\u001b[0m';
 
-/** Replaces control characters, so that text from elsewhere can't steer the terminal. */
+/** Replaces control characters, so that untrusted text can't send escape sequences to the terminal. */
 export function printable(text: string): string {
   return text.replace(/\p{Cc}/gu, '?');
 }
 
-/** Lays rows out in columns under a heading; a table without rows has a heading only. */
+/** Formats rows in columns under a heading. A table without rows consists of the heading only. */
 export function formatTable(
   fields: readonly string[],
   rows: readonly Row[],
--- a/src/shell/engine/answers.ts
+++ b/src/shell/engine/answers.ts
@@ -1,4 +1,4 @@
-/** The answers of an engine's control interface, checked with zod. */
+/** Schemas of the answers of an engine's control interface. */
 import { z } from 'zod';
 import type { OrderAnswer } from '../../core/orders/index.js';
 import type { EngineReport } from '../../core/registry/backend.js';
@@ -41,7 +41,7 @@
   load,
 });
 
-/** `POST /control/orders`. `lost` is this side's word; no engine answers it. */
+/** `POST /control/orders`. `lost` is not in the schema: the client sets it, no engine sends it. */
 export const orderAnswerSchema: z.ZodType<Exclude<OrderAnswer, { kind: 'lost' }>> =
   z.discriminatedUnion('kind', [
     z.object({ kind: z.literal('accepted'), state: orderState }),
@@ -67,8 +67,8 @@
   last: count,
 });
 
-/** Published cache events of an engine, and the number to ask after next. */
+/** Published cache events of an engine, and the number to continue after. */
 export type CacheEventPage = z.infer<typeof cacheEventPageSchema>;
 
-/** A refusal that says that nothing was run. */
+/** A refusal that guarantees that nothing was run. */
 export const notRunSchema = z.object({ notRun: z.literal(true) });
--- a/src/shell/engine/client.ts
+++ b/src/shell/engine/client.ts
@@ -22,27 +22,27 @@
 
 /** Options of `createEngineControlClient`. */
 export interface EngineControlOptions {
-  /** For one whole exchange, connecting included. */
+  /** Timeout of one complete exchange, including the connection set-up. */
   readonly timeoutMs: Milliseconds;
 }
 
-/** Engines as the shell calls them. No call rejects; `timeoutMs` bounds each. */
+/** Calls to engines. No call rejects; `timeoutMs` limits the duration of each. */
 export interface EngineControlClient {
-  /** Asks an engine for its report. */
+  /** Requests an engine's report. */
   report(endpoint: Endpoint): Promise<Result<EngineReport, Fault>>;
-  /** Gives an order. `lost`: no answer came; ask for the order's state before anything else. */
+  /** Sends an order. On `lost`, no answer came: query the order's state before any other step. */
   order(endpoint: Endpoint, order: Order): Promise<OrderAnswer>;
-  /** Asks what became of an order; `lost` where the question or its answer was lost. */
+  /** Queries the state of an order; `lost` if the query or its answer was lost. */
   orderState(endpoint: Endpoint, id: OrderId): Promise<AskedOrderState>;
-  /** Ends an attempt; false when the engine did not know it as active. */
+  /** Cancels an attempt; false if it is not active on the engine. */
   cancel(endpoint: Endpoint, attempt: AttemptId): Promise<Result<boolean, Fault>>;
   /** Reads the published cache events after number `after`. */
   cacheEvents(endpoint: Endpoint, after: number): Promise<Result<CacheEventPage, Fault>>;
-  /** Breaks off what is in flight and closes the connections. */
+  /** Aborts the calls in flight and closes the connections. */
   close(): Promise<void>;
 }
 
-/** Opens a client. Nothing is connected before the first call. */
+/** Creates a client. Connects at the first call. */
 export function createEngineControlClient(options: EngineControlOptions): EngineControlClient {
   const connections = new EngineConnections(options.timeoutMs);
   return {
@@ -81,8 +81,8 @@
 }
 
 /**
- * An order that was not sent is `lost` as well: the remedy is the same, and an order of the same id
- * may have been sent before.
+ * An order that was not sent is `lost` as well: the state must be queried in any case, because an
+ * order with the same id may have been sent before.
  */
 function orderAnswer(order: Order, exchange: Exchange): OrderAnswer {
   if (exchange.kind !== 'answered') return { kind: 'lost', reason: describeFailure(exchange) };
@@ -108,8 +108,8 @@
   return exchange.kind === 'not-sent' ? `not sent: ${exchange.reason}` : exchange.reason;
 }
 
-/** These calls ask or cancel only, so that a repeat does no harm. */
+/** The fault of a query or a cancellation. Both are idempotent, so the fault is retryable. */
 function unusableAnswerFault(reason: string): Fault {
-  const message = `The engine gave no usable answer: ${reason}. Look at the engine; asking again is safe.`;
+  const message = `The engine gave no usable answer: ${reason}. Check the engine; the call may safely be repeated.`;
   return refusedNotRun('backend-broken', message, { retryable: true });
 }
--- a/src/shell/engine/connections.ts
+++ b/src/shell/engine/connections.ts
@@ -1,27 +1,27 @@
-/** Pooled keep-alive connections to many engines, at most so many engines at a time. */
+/** Pools of keep-alive connections to engines, for a limited number of engines. */
 import type { Milliseconds } from '../../core/common/time.js';
 import type { Endpoint } from '../../core/registry/backend.js';
 import { type Exchange, type ExchangeRequest, PlatformConnections } from '../platform/exchange.js';
 
-/** Engines whose connections are kept; the longest unused are closed first. */
+/** Maximum number of engines with open connections; the least recently used are closed first. */
 const MAX_POOLS = 1_024;
 
-/** One pool for each engine address. */
+/** One connection pool for each engine address. */
 export class EngineConnections {
   readonly #timeoutMs: Milliseconds;
-  /** By address and port, the longest unused first. */
+  /** By address and port, the least recently used first. */
   readonly #pools = new Map<string, PlatformConnections>();
 
   constructor(timeoutMs: Milliseconds) {
     this.#timeoutMs = timeoutMs;
   }
 
-  /** Sends one request and waits for its whole answer. Never rejects. */
+  /** Sends one request and waits for its complete answer. Never rejects. */
   exchange(endpoint: Endpoint, request: ExchangeRequest): Promise<Exchange> {
     return this.#poolOf(endpoint).exchange(request);
   }
 
-  /** Breaks off what is in flight and closes all connections. */
+  /** Aborts the requests in flight and closes all connections. */
   async close(): Promise<void> {
     const pools = [...this.#pools.values()];
     this.#pools.clear();
--- a/src/shell/engine/index.ts
+++ b/src/shell/engine/index.ts
@@ -1,4 +1,4 @@
-/** The daemon's side of the engines' control interface. */
+/** The client of the engines' control interface. */
 export {
   createEngineControlClient,
   type EngineControlClient,
--- a/src/shell/engine/reachability.ts
+++ b/src/shell/engine/reachability.ts
@@ -1,4 +1,4 @@
-/** Logs when an engine falls silent and when it reports again: one line a change, not one a poll. */
+/** Logs when an engine stops answering polls and when it reports again: one line for each change, not for each poll. */
 import type { BackendName } from '../../core/common/identifiers.js';
 import { ENGINE_EVENTS } from '../../core/logging/catalogue/engine.js';
 import { type LogEffect, log } from '../../core/logging/log-event.js';
@@ -7,14 +7,14 @@
 export type PollOutcome =
   | { readonly kind: 'reported' }
   | { readonly kind: 'silent'; readonly reason: string }
-  /** Another engine answered at the address. */
+  /** Another engine answered at the address of the polled one. */
   | { readonly kind: 'other-engine'; readonly answeredBy: BackendName };
 
-/** Remembers which engines are silent. */
+/** Tracks which engines do not report, and why. */
 export class EngineReachability {
   readonly #silent = new Map<BackendName, Exclude<PollOutcome['kind'], 'reported'>>();
 
-  /** Takes in a poll; the line to log, or null when nothing has changed. */
+  /** Records the outcome of a poll; returns the line to log, or null if the state has not changed. */
   observe(engine: BackendName, outcome: PollOutcome): LogEffect | null {
     const before = this.#silent.get(engine) ?? 'reported';
     if (before === outcome.kind) return null;
@@ -23,7 +23,7 @@
     return logLineOf(engine, outcome);
   }
 
-  /** Forgets the engines that are not listed any more. */
+  /** Removes the state of engines that are no longer listed. */
   retain(isListed: (engine: BackendName) => boolean): void {
     for (const engine of this.#silent.keys()) {
       if (!isListed(engine)) this.#silent.delete(engine);
--- a/src/shell/metrics/bounded-label.ts
+++ b/src/shell/metrics/bounded-label.ts
@@ -1,12 +1,12 @@
 /**
- * Bounds the values of a metric's label. Every value makes a time series, and names such as classes
- * come from the operators' configuration.
+ * Limits the number of values of a metric's label. Every value creates a time series, and names such as
+ * classes come from the operators' configuration.
  */
 
-/** What values beyond the bound are counted under. */
+/** The label of all values beyond the limit. */
 const OTHER_LABEL = 'other';
 
-/** Lets through the first values it sees, up to a bound; later ones become `other`. */
+/** Keeps the first `maxValues` values; later values become `other`. */
 export class BoundedLabel {
   readonly #values = new Set<string>();
 
--- a/src/shell/metrics/fleet-gauges.ts
+++ b/src/shell/metrics/fleet-gauges.ts
@@ -1,5 +1,5 @@
 /**
- * Gauges that are read off the daemon's state when the metrics are collected.
+ * Gauges that are set from the daemon's state when the metrics are collected.
  */
 import { Gauge, type Registry } from 'prom-client';
 import type { MonotonicMs } from '../../core/common/time.js';
@@ -12,23 +12,23 @@
   readonly epoch: number;
 }
 
-/** What the gauges show, taken at one moment. */
+/** The values of the gauges at one point in time. */
 export interface FleetSample {
   readonly now: MonotonicMs;
-  /** Requests whose caller or backend is not done. */
+  /** Requests whose caller or backend has not finished. */
   readonly requestsInFlight: number;
   readonly requestsWaiting: number;
   readonly heldBodyBytes: number;
-  /** Bytes of datagrams and frames to and from other daemons since the start. */
+  /** Bytes of datagrams and frames sent to and received from other daemons since the start. */
   readonly peerBytesSent: number;
   readonly peerBytesReceived: number;
-  /** 0 while none is in force. */
+  /** The version in force; 0 while none is. */
   readonly configurationVersion: number;
-  /** The highest version that this daemon has heard of. */
+  /** The highest version known to this daemon. */
   readonly highestConfigurationVersion: number;
   readonly engines: readonly EngineView[];
   readonly leases: readonly HeldLease[];
-  /** Daemons that are not known to be gone, this one included. */
+  /** Daemons that are not known to have departed, including this one. */
   readonly daemonsPresent: number;
 }
 
@@ -61,14 +61,14 @@
       numberGauge('requestsWaiting', 'requests_waiting', 'Requests that wait for a backend'),
       numberGauge('heldBodyBytes', 'held_body_bytes', 'Bytes of request bodies in memory'),
       numberGauge('peerBytesSent', 'peer_sent_bytes', 'Bytes sent to other daemons'),
-      numberGauge('peerBytesReceived', 'peer_received_bytes', 'Bytes had from other daemons'),
+      numberGauge('peerBytesReceived', 'peer_received_bytes', 'Bytes received from other daemons'),
       numberGauge('configurationVersion', 'configuration_version', 'The version in force here'),
       numberGauge(
         'highestConfigurationVersion',
         'configuration_highest_version',
-        'The highest version heard of; above the one in force while it is being fetched',
+        'The highest version known; above the one in force while it is being fetched',
       ),
-      numberGauge('daemonsPresent', 'daemons_present', 'Daemons not known to be gone'),
+      numberGauge('daemonsPresent', 'daemons_present', 'Daemons not known to have departed'),
     ];
     this.#engines = new Gauge({
       name: 'threadfork_engines',
@@ -90,7 +90,7 @@
     });
   }
 
-  /** Shows a sample. */
+  /** Sets the gauges from a sample. */
   show(sample: FleetSample): void {
     for (const { key, gauge } of this.#numberGauges) gauge.set(sample[key]);
     this.#updateEngines(sample);
--- a/src/shell/metrics/metrics.ts
+++ b/src/shell/metrics/metrics.ts
@@ -1,6 +1,6 @@
 /**
- * The metrics of one daemon in Prometheus' text format. No label names a tenant, a request, an engine
- * or a daemon: the number of time series does not grow with the traffic or the fleet.
+ * The metrics of one daemon in the Prometheus text format. No label identifies a tenant, a request, an
+ * engine or a daemon, so that the number of time series does not grow with the traffic or the fleet.
  */
 import { Counter, collectDefaultMetrics, Registry } from 'prom-client';
 import type { RequestId } from '../../core/common/identifiers.js';
@@ -12,23 +12,23 @@
 import { FleetGauges, type FleetSample } from './fleet-gauges.js';
 import { RequestMetrics } from './request-metrics.js';
 
-/** What a metrics registry is built from. */
+/** Options of `createMetrics`. */
 export interface MetricsOptions {
-  /** Read at each collection; null before the daemon has a state. */
+  /** Called at each collection; returns null before the daemon has a state. */
   sample(): FleetSample | null;
 }
 
-/** Records what happens and prints it. */
+/** Records events of a daemon and exports them as metrics. */
 export interface Metrics {
-  /** What the HTTP shell reports of an attempt. */
+  /** Records an event of an attempt, as reported by the HTTP server. */
   attemptEvent(request: RequestId, event: AttemptEvent, now: MonotonicMs): void;
-  /** What the request table tells. */
+  /** Records a notice of the request table. */
   requestNotice(notice: RequestNotice, now: MonotonicMs): void;
-  /** A fault that a caller was answered with. */
+  /** Records a fault that was answered to a caller. */
   fault(fault: Fault): void;
-  /** A call on the platform's table service. */
+  /** Records a call to the platform's table service. */
   tableCall(call: TableCall, result: TableResult): void;
-  /** An order that was sent to an engine. Role changes are those with `action="set-role"`. */
+  /** Records an order to an engine. Role changes have the label `action="set-role"`. */
   order(order: Order, answer: OrderAnswer): void;
   /** All metrics as text. */
   text(): Promise<string>;
--- a/src/shell/metrics/request-metrics.ts
+++ b/src/shell/metrics/request-metrics.ts
@@ -1,5 +1,5 @@
 /**
- * Counts and times of callers' requests.
+ * Counters and histograms of callers' requests.
  */
 import { Counter, Histogram, type Registry } from 'prom-client';
 import type { RequestId } from '../../core/common/identifiers.js';
@@ -11,10 +11,10 @@
 const MAX_CLASSES = 16;
 const MAX_REASONS = 48;
 const MILLISECONDS_PER_SECOND = 1_000;
-/** Around the goal of 0.81 s to the first token. */
+/** Finest around the goal of 0.81 s to the first token. */
 const FIRST_BYTE_BUCKETS_SECONDS = [0.02, 0.05, 0.1, 0.2, 0.4, 0.6, 0.81, 1.2, 2, 5, 15, 60];
 const TOTAL_BUCKETS_SECONDS = [0.05, 0.1, 0.25, 0.5, 1, 2.5, 5, 10, 30, 60, 300, 1_800];
-/** Around the goal of 41 ms between tokens. */
+/** Finest around the goal of 41 ms between tokens. */
 const TOKEN_INTERVAL_BUCKETS_SECONDS = [0.01, 0.02, 0.03, 0.041, 0.06, 0.1, 0.2, 0.5, 1];
 
 type RequestEnded = Extract<RequestNotice, { kind: 'request-ended' }>;
@@ -23,7 +23,7 @@
 export class RequestMetrics {
   readonly #classes = new BoundedLabel(MAX_CLASSES);
   readonly #reasons = new BoundedLabel(MAX_REASONS);
-  /** First bytes of requests in flight; bounded by their number. */
+  /** Time of the first byte of each request in flight. */
   readonly #firstByteAt = new Map<RequestId, MonotonicMs>();
   readonly #inFlight = new Set<RequestId>();
   readonly #requests: Counter<'class' | 'result'>;
@@ -83,7 +83,7 @@
     });
     this.#total = new Histogram({
       name: 'threadfork_answer_seconds',
-      help: "From a request's arrival to the end of its whole answer",
+      help: "From a request's arrival to the end of its complete answer",
       labelNames: ['class'],
       buckets: TOTAL_BUCKETS_SECONDS,
       registers,
@@ -97,13 +97,13 @@
     });
   }
 
-  /** Takes what the HTTP shell reports of an attempt; only first bytes count here. */
+  /** Records an event of an attempt, as reported by the HTTP server; only first bytes are used. */
   attemptEvent(request: RequestId, event: AttemptEvent, now: MonotonicMs): void {
     if (event.kind !== 'first-byte' || !this.#inFlight.has(request)) return;
     if (!this.#firstByteAt.has(request)) this.#firstByteAt.set(request, now);
   }
 
-  /** Takes what the request table tells. */
+  /** Records a notice of the request table. */
   notice(notice: RequestNotice, now: MonotonicMs): void {
     switch (notice.kind) {
       case 'attempt-started':
@@ -118,7 +118,7 @@
     }
   }
 
-  /** Counts a fault that a caller was answered with. */
+  /** Counts a fault that was answered to a caller. */
   fault(fault: Fault): void {
     this.#faults.inc({ code: fault.code, outcome: fault.outcome });
   }
--- a/src/shell/platform/answers.ts
+++ b/src/shell/platform/answers.ts
@@ -1,4 +1,4 @@
-/** The platform's wire forms, validated: its machines, rows and answers. See docs/PLATFORM-API.md. */
+/** Schemas of the platform's wire formats: machines, rows and answers. See docs/PLATFORM-API.md. */
 import { isIP } from 'node:net';
 import { z } from 'zod';
 import type { Machine } from '../../core/registry/backend.js';
@@ -26,9 +26,9 @@
 /** The answer to `GET /machines`. */
 export const machinesAnswerSchema = z.object({
   ageMs: z.number().min(0),
-  /** Names the content; absent where the platform has no revisions. */
+  /** Identifies the content; absent if the platform does not support revisions. */
   revision: z.string().max(128).optional(),
-  /** Absent when the revision that was asked about is still the current one. */
+  /** Absent if the revision in the request is still current. */
   machines: z.array(machineSchema).optional(),
 });
 
--- a/src/shell/platform/client.ts
+++ b/src/shell/platform/client.ts
@@ -11,7 +11,7 @@
 import { DEFAULT_RETRY_AFTER_MS, retryAfterMs } from './retry-after.js';
 import { tableRequest, tableResult } from './table-calls.js';
 
-/** Names a model's version, or an adapter's version over a model. */
+/** Identifies a version of a model, or of an adapter for a model. */
 export interface WeightReference {
   readonly model: string;
   readonly version: string;
@@ -19,29 +19,29 @@
   readonly adapter?: string | undefined;
 }
 
-/** The machine list with its age when the platform sent it. */
+/** The machine list, with its age at the time the platform sent it. */
 export interface MachineList {
   readonly ageMs: Milliseconds;
   readonly machines: readonly Machine[];
 }
 
-/** The platform as the shell calls it. No call rejects; `timeoutMs` bounds each. */
+/** Calls to the platform. No call rejects; `timeoutMs` limits the duration of each. */
 export interface PlatformClient {
-  /** Carries out one table call. `lost` is answered only when bytes of the call may have left. */
+  /** Carries out one table call. The result is `lost` only if bytes of the call may have been sent. */
   table(call: TableCall): Promise<TableResult>;
   /** Reads the machine list. */
   machines(): Promise<Result<MachineList, Fault>>;
-  /** Reads an object; null when there is none of the name. */
+  /** Reads an object; null if it does not exist. */
   getObject(name: string): Promise<Result<Uint8Array | null, Fault>>;
-  /** Writes an object under a new name. The same content again is no error. */
+  /** Writes an object under a new name. Writing the same content again is not an error. */
   putObject(name: string, content: Uint8Array): Promise<Result<void, Fault>>;
-  /** Whether the weight store has a version. */
+  /** Whether a version exists in the weight store. */
   weightExists(reference: WeightReference): Promise<Result<boolean, Fault>>;
-  /** Breaks off the calls in flight and closes the connections. */
+  /** Aborts the calls in flight and closes the connections. */
   close(): Promise<void>;
 }
 
-/** Opens a client. Nothing is connected before the first call. */
+/** Creates a client. Connects at the first call. */
 export function createPlatformClient(options: ExchangeOptions): PlatformClient {
   const connections = new PlatformConnections(options);
   const machines = new MachineListReader(connections);
@@ -73,13 +73,13 @@
   };
 }
 
-/** Reads the machine list, and only its revision while it has not changed. */
+/** Reads the machine list; transfers only its revision while the list has not changed. */
 class MachineListReader {
   #cached: { readonly revision: string; readonly machines: readonly Machine[] } | null = null;
 
   constructor(private readonly connections: PlatformConnections) {}
 
-  /** The list; the same array as before while it has not changed. */
+  /** The machine list; the same array as before while the list has not changed. */
   async read(): Promise<Result<MachineList, Fault>> {
     const cached = this.#cached;
     const path = cached === null ? '/machines' : `/machines/unless/${cached.revision}`;
@@ -133,7 +133,7 @@
 function notPerformedFault(reason: string, afterMs: Milliseconds | undefined): Fault {
   return refusedNotRun(
     'store-unavailable',
-    `The platform did not take the call: ${reason}. Try again later; if it goes on, look at the platform.`,
+    `The platform did not take the call: ${reason}. Retry later; if this persists, check the platform.`,
     { retryable: true, retryAfterMs: afterMs ?? DEFAULT_RETRY_AFTER_MS },
   );
 }
--- a/src/shell/platform/exchange.ts
+++ b/src/shell/platform/exchange.ts
@@ -1,15 +1,15 @@
 /**
- * One HTTP exchange with the platform. It keeps apart a request of which no byte has left from one
- * that may have taken effect, which decides whether a caller may say "not done".
+ * HTTP exchanges over a connection pool. A request of which no byte was sent is distinguished from one
+ * that may have taken effect: only the former may be reported as not carried out.
  */
 import { Pool } from 'undici';
 import type { Milliseconds } from '../../core/common/time.js';
 
-/** Calls in flight at most; more wait for a connection, within their time. */
+/** Maximum number of calls in flight. Further calls wait for a connection within their timeout. */
 export const MAX_CONNECTIONS = 8;
 const MAX_ANSWER_BYTES = 32 * 1024 * 1024;
 
-/** What to ask. */
+/** An HTTP request. */
 export interface ExchangeRequest {
   readonly method: 'GET' | 'PUT' | 'POST';
   readonly path: string;
@@ -25,20 +25,20 @@
       readonly headers: Readonly<Record<string, string | string[] | undefined>>;
       readonly body: Buffer;
     }
-  /** No byte of the request has left. */
+  /** No byte of the request was sent. */
   | { readonly kind: 'not-sent'; readonly reason: string }
-  /** Bytes may have left and no whole answer came. */
+  /** Bytes may have been sent and no complete answer arrived. */
   | { readonly kind: 'lost'; readonly reason: string };
 
-/** Where the platform listens and how long a call may take. */
+/** The server's address and the timeout of a call. */
 export interface ExchangeOptions {
   readonly address: string;
   readonly port: number;
-  /** For the whole exchange, connecting included. */
+  /** Timeout of the complete exchange, including the connection set-up. */
   readonly timeoutMs: Milliseconds;
 }
 
-/** Connections to one platform address. */
+/** A pool of connections to one address. */
 export class PlatformConnections {
   private readonly pool: Pool;
 
@@ -50,7 +50,7 @@
     });
   }
 
-  /** Sends one request and waits for its whole answer, at most `timeoutMs`. Never rejects. */
+  /** Sends one request and waits up to `timeoutMs` for its complete answer. Never rejects. */
   exchange(request: ExchangeRequest, timeoutMs = this.options.timeoutMs): Promise<Exchange> {
     return new Promise((resolve) => {
       const handler = new ExchangeHandler(timeoutMs, resolve);
@@ -69,7 +69,7 @@
     });
   }
 
-  /** Breaks off what is in flight and closes the connections. */
+  /** Aborts the exchanges in flight and closes the connections. */
   close(): Promise<void> {
     return this.pool.destroy();
   }
@@ -79,7 +79,7 @@
   abort(reason: Error): void;
 }
 
-/** Follows one request: whether it started, its answer, its time. */
+/** Handler of one request: records whether it was started, collects its answer, applies the timeout. */
 class ExchangeHandler {
   private controller: Controller | null = null;
   private ended = false;
@@ -96,7 +96,7 @@
     this.timer = setTimeout(() => this.fail(`no answer within ${timeoutMs} ms`), timeoutMs);
   }
 
-  /** Called before the first byte is written; an exchange that has ended must not start. */
+  /** Called before the first byte is written. Aborts the request if its exchange has timed out. */
   onRequestStart(controller: Controller): void {
     if (this.ended) {
       controller.abort(new Error(`not started within ${this.timeoutMs} ms`));
--- a/src/shell/platform/json.ts
+++ b/src/shell/platform/json.ts
@@ -1,6 +1,6 @@
-/** JSON from bytes that may be anything. */
+/** Parses JSON from untrusted bytes. */
 
-/** The parsed value, or undefined where the bytes are not JSON. */
+/** The parsed value, or undefined if the bytes are not JSON. */
 export function parseJson(body: Buffer): unknown {
   try {
     return JSON.parse(body.toString('utf8'));
--- a/src/shell/platform/retry-after.ts
+++ b/src/shell/platform/retry-after.ts
@@ -1,13 +1,13 @@
-/** Reads how long the platform wants its callers to wait. */
+/** Reads the delay before a retry from the platform's answer. */
 import type { Milliseconds } from '../../core/common/time.js';
 import type { Exchange } from './exchange.js';
 
-/** How long to wait where the platform does not say. */
+/** Delay before a retry if the platform's answer does not contain one. */
 export const DEFAULT_RETRY_AFTER_MS = 500;
 
 const MAX_RETRY_AFTER_MS = 60_000;
 
-/** The answer's `retry-after-ms`, at most a minute; undefined when absent or malformed. */
+/** The answer's `retry-after-ms`, at most a minute; undefined if absent or malformed. */
 export function retryAfterMs(exchange: Exchange & { kind: 'answered' }): Milliseconds | undefined {
   const header = exchange.headers['retry-after-ms'];
   const value = typeof header === 'string' && header !== '' ? Number(header) : Number.NaN;
--- a/src/shell/platform/table-calls.ts
+++ b/src/shell/platform/table-calls.ts
@@ -1,11 +1,11 @@
-/** Table calls on the wire: the request of each call and what its answer means. */
+/** Encodes table calls as HTTP requests and decodes their answers. */
 import type { TableCall, TableResult } from '../../core/platform/table.js';
 import { rowsAnswerSchema, transactAnswerSchema } from './answers.js';
 import type { Exchange, ExchangeRequest } from './exchange.js';
 import { parseJson } from './json.js';
 import { DEFAULT_RETRY_AFTER_MS, retryAfterMs } from './retry-after.js';
 
-/** How long to wait before a call that the platform will not take as it is. */
+/** Delay before repeating a call that the platform refuses as invalid. */
 const INVALID_CALL_RETRY_AFTER_MS = 30_000;
 
 /** The HTTP request of a call. */
@@ -14,7 +14,7 @@
   return { method: 'POST', path: `/table/${kind}`, body: JSON.stringify(body) };
 }
 
-/** What an exchange means for a call. Whatever leaves doubt is `lost`. */
+/** The result of a call, from its exchange. An uncertain outcome is `lost`. */
 export function tableResult(call: TableCall, exchange: Exchange): TableResult {
   switch (exchange.kind) {
     case 'not-sent':
--- a/test/cli/caller-commands.test.ts
+++ b/test/cli/caller-commands.test.ts
@@ -22,7 +22,7 @@
   return `id: a:0\ndata: ${JSON.stringify({ choices: [{ index: 0, text }] })}\n\n`;
 }
 
-test('a whole answer is printed, with the documented headers on its way', async () => {
+test('a complete answer is printed, and the request carries the documented headers', async () => {
   const body = JSON.stringify({ choices: [{ text: 'J. Smit\u001b[2J' }] });
   const more = [
     '--not-repeatable',
@@ -43,7 +43,7 @@
   assert.match(head, /idempotency-key: r17/);
 });
 
-test('a stream is printed as it comes, and is whole only with its end mark', async () => {
+test('a stream is printed as it arrives, and is complete only with its [DONE] event', async () => {
   const whole = `${frame('Det. ')}${frame('1904')}data: [DONE]\n\n`;
   const streamed = await complete(http(200, 'text/event-stream', whole), '--stream');
   assert.deepEqual([streamed.code, streamed.stdout], [0, 'Det. 1904\n']);
@@ -53,7 +53,7 @@
   assert.equal(cut.code, 3);
 });
 
-test('only the word of the daemon that nothing ran makes a refusal', async () => {
+test('an error is a refusal only if the daemon reports that nothing ran, and otherwise unknown', async () => {
   const error = {
     message: 'Over its share.',
     code: 'tenant-over-share',
@@ -68,7 +68,7 @@
   assert.deepEqual([lost.code, /it may have run/.test(lost.stderr)], [3, true]);
 });
 
-test('a request that may have left goes to no other daemon', async () => {
+test('a request that may have been sent is not repeated on another daemon', async () => {
   const first = await startRawServer((socket) => socket.destroy());
   const second = await startRawServer((socket) => socket.destroy());
   const daemons = ['--daemon', first.address, '--daemon', second.address];
@@ -77,7 +77,7 @@
   await Promise.all([first.close(), second.close()]);
 });
 
-test('help has examples on each command, and the version is told twice alike', async () => {
+test('help has examples for each command, and version and --version print the same version', async () => {
   const commands = [
     'query',
     'apply',
--- a/test/cli/documentation.test.ts
+++ b/test/cli/documentation.test.ts
@@ -1,4 +1,4 @@
-/** docs/CLI.md names every command, exit code and environment variable; the examples are valid. */
+/** Checks that docs/CLI.md names every command and exit code, and that the example configurations are valid. */
 import assert from 'node:assert/strict';
 import { readdirSync, readFileSync } from 'node:fs';
 import { test } from 'node:test';
--- a/test/cli/harness.ts
+++ b/test/cli/harness.ts
@@ -1,4 +1,4 @@
-/** Runs the command line in this process with captured output, and servers that misbehave. */
+/** Runs the command line in this process with captured output; starts servers that misbehave. */
 import { createServer, type Socket } from 'node:net';
 import { PassThrough } from 'node:stream';
 import { runCli } from '../../src/cli/run.js';
@@ -41,7 +41,7 @@
   close(): Promise<void>;
 }
 
-/** A TCP server that does as told with the first bytes of each connection. */
+/** A TCP server that records the first bytes of each connection and calls `onRequest`. */
 export function startRawServer(onRequest: (socket: Socket) => void): Promise<RawServer> {
   const received: string[] = [];
   const server = createServer((socket) => {
--- a/test/cli/operator-commands.test.ts
+++ b/test/cli/operator-commands.test.ts
@@ -1,4 +1,4 @@
-/** The operator's commands against an operator server, by output and exit code. */
+/** Output and exit codes of the operator commands against an operator server. */
 import assert from 'node:assert/strict';
 import { mkdtempSync, rmSync, writeFileSync } from 'node:fs';
 import { tmpdir } from 'node:os';
@@ -53,14 +53,14 @@
   assert.deepEqual(JSON.parse(json.stdout)[0], { name: 'e2', running: 0 });
 });
 
-test('a refused query says why and exits 1, in JSON too', async () => {
+test('a refused query prints the reason and exits 1, also with --json', async () => {
   const refused = await run(['query', 'engines where zoen = "a"', '--json']);
   assert.equal(refused.code, 1);
   assert.match(refused.stderr, /^refused: The table engines has no field "zoen"/);
   assert.equal(JSON.parse(refused.stdout).error.code, 'invalid-command');
 });
 
-test('apply: applied and dry run exit 0, refused 1, and one id takes effect once', async () => {
+test('apply exits 0 if applied or dry run and 1 if refused; a repeated id takes effect once', async () => {
   const applied = await run(['apply', 'drain e1', '--id', 'a1']);
   assert.equal(applied.code, 0);
   assert.match(applied.stdout, /^applied: change a1 is in force as version 1 on 4 daemon/);
@@ -79,7 +79,7 @@
   assert.equal(backend.current.version, 1);
 });
 
-test('apply takes a YAML document or a file of statements', async () => {
+test('apply accepts a YAML document or a file of statements', async () => {
   const document = fileOf('fleet.yaml', 'models: { labels: { version: "7" } }\n');
   assert.equal((await run(['apply', '--file', document])).code, 0);
   assert.equal(backend.current.document.models.labels?.version, '7');
@@ -93,7 +93,7 @@
   assert.equal((await run(['apply', '--file', fileOf('bad.yaml', 'a: [')])).code, 2);
 });
 
-test('an unreachable daemon is passed over, and without any the exit code is 3', async () => {
+test('an unreachable daemon is skipped; if no daemon is reachable the exit code is 3', async () => {
   const passed = await run(['status', '--daemon', closedPort, '--daemon', address]);
   assert.deepEqual([passed.code, /^daemon +d1$/m.test(passed.stdout)], [0, true]);
   const unreachable = await run(['apply', 'drain e1', '--daemon', closedPort, '--json']);
@@ -102,7 +102,7 @@
   assert.match(unreachable.stderr, /^unreachable: no daemon answered/);
 });
 
-test('a lost answer is unknown with the id that settles it', async () => {
+test('a lost answer ends as unknown, with a query for the outcome by id', async () => {
   const lost = await run(['apply', 'drain e1', '--daemon', droppingServer.address, '--json']);
   const outcome = JSON.parse(lost.stdout);
   assert.deepEqual([lost.code, outcome.kind], [3, 'unknown']);
@@ -110,7 +110,7 @@
   assert.ok(droppingServer.received.at(-1)?.includes(`"id":"${outcome.id}"`));
 });
 
-test('after a lost answer the next daemon gets the same id, and its refusal proves nothing', async () => {
+test('after a lost answer the next daemon gets the same id, and its refusal is reported as unknown', async () => {
   const daemons = ['--daemon', droppingServer.address, '--daemon', address];
   const applied = await run(['apply', 'drain e3', '--id', 'b1', ...daemons]);
   assert.equal(applied.code, 0);
@@ -127,7 +127,7 @@
   assert.deepEqual([wrongToken.code, /^unknown/.test(wrongToken.stderr)], [3, true]);
 });
 
-test('recorded but not confirmed everywhere is unknown and names who is waited for', async () => {
+test('a change recorded but not confirmed by all daemons is unknown and names the missing daemons', async () => {
   backend.override = async ({ id }) => ({
     kind: 'unknown',
     id,
@@ -141,7 +141,7 @@
   assert.match(unknown.stderr, /Recorded as version 9. Waiting for d3\?\[2J\./);
 });
 
-test('an answer that is not understood is never taken for a refusal', async () => {
+test('a malformed answer is never taken for a refusal', async () => {
   for (const commandLine of [['status'], ['apply', 'drain e1']]) {
     const result = await run([...commandLine, '--daemon', malformedServer.address]);
     assert.deepEqual([result.code, /is not understood/.test(result.stderr)], [3, true]);
@@ -158,7 +158,7 @@
   assert.equal((await run(['explain', 'config', '--json'])).code, 0);
 });
 
-test('config show prints what apply takes back, and config check checks it', async () => {
+test('the output of config show is accepted by apply and config check', async () => {
   const before = backend.current;
   const shown = await run(['config', 'show']);
   const path = fileOf('shown.yaml', shown.stdout);
@@ -194,7 +194,7 @@
   ['completion', 'tcsh'],
   ['complete', '--model', 'm', '--prompt', 'p'],
 ]) {
-  test(`misuse exits 2: ${commandLine.join(' ')}`, async () => {
+  test(`an invalid command line exits 2: ${commandLine.join(' ')}`, async () => {
     assert.equal((await run(commandLine)).code, 2);
   });
 }
--- a/test/engine/control-client.test.ts
+++ b/test/engine/control-client.test.ts
@@ -1,4 +1,4 @@
-/** The control client against real engines and broken ones, over TCP. */
+/** The control client over TCP, against emulated engines and faulty servers. */
 import assert from 'node:assert/strict';
 import { once } from 'node:events';
 import { createServer, type Socket } from 'node:net';
@@ -27,7 +27,7 @@
   return engine;
 }
 
-/** A TCP server that does as told with each connection once its first bytes have come. */
+/** A TCP server that calls `answer` for each connection once its first bytes have arrived. */
 async function startFaultyServer(context: TestContext, answer: (socket: Socket) => void) {
   const sockets: Socket[] = [];
   const server = createServer((socket) => {
@@ -47,7 +47,7 @@
   return endpoint;
 }
 
-test('an order is accepted, refused with the fence seen, or lost, and its state is told', async (context) => {
+test('an order is accepted, or refused with the fence of the engine, and its state can be queried', async (context) => {
   const engine = await openEngine(context);
   const client = openClient(context);
   const boot = engine.model.boot;
@@ -62,7 +62,7 @@
   assert.deepEqual([report.engine, report.intake, report.fence], ['engine-1', 'closed', fence]);
 });
 
-test('an order to a closed port is lost, and said not to have been sent', async (context) => {
+test('an order to a closed port is lost, with the reason that it was not sent', async (context) => {
   const engine = await openEngine(context);
   await engine.close();
   const client = openClient(context);
@@ -70,7 +70,7 @@
   assert.equal(answer.kind === 'lost' && answer.reason.startsWith('not sent: '), true);
 });
 
-test('an order of which bytes have left is lost, however the connection ends', async (context) => {
+test('an order of which bytes were sent is lost, however the connection ends', async (context) => {
   const client = openClient(context, 100);
   const failures: ((socket: Socket) => void)[] = [
     (socket) => socket.destroy(),
@@ -89,7 +89,7 @@
   }
 });
 
-test('a report that is not one is a fault that may be asked again', async (context) => {
+test('a malformed report is a retryable fault', async (context) => {
   const client = openClient(context);
   const faultyServer = await startFaultyServer(context, (socket) =>
     socket.end('HTTP/1.1 200 OK\r\ncontent-length: 18\r\n\r\n{"engine":"engine"'),
@@ -117,7 +117,7 @@
   assert.deepEqual([hashes, page.last], [prefixBlockHashes(prompt, 32), 2]);
 });
 
-test('a silence is logged once, a return once, and another engine at the address apart', () => {
+test('an engine that stops or resumes reporting is logged once; another engine at its address is logged separately', () => {
   const reachability = new EngineReachability();
   const polls: PollOutcome[] = [
     { kind: 'reported' },
--- a/test/engine/fixtures.ts
+++ b/test/engine/fixtures.ts
@@ -1,4 +1,4 @@
-/** Engines, orders and clients for the tests. */
+/** Engines and orders for the tests. */
 import type { Order, OrderAction } from '../../src/core/orders/index.js';
 import type { Endpoint } from '../../src/core/registry/backend.js';
 import {
--- a/test/engine/model.test.ts
+++ b/test/engine/model.test.ts
@@ -1,4 +1,4 @@
-/** The pure engine model in virtual time: batching, memory, resume, cancel, reports. */
+/** The emulated engine's model in virtual time: batching, memory, resumption, cancellation, reports. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import fc from 'fast-check';
@@ -64,7 +64,7 @@
   return expectedTokens({ model: 'labels', version: 'v1', adapter: null, prompt, count });
 }
 
-test('a batch of 8 ends well before 8 requests one after another', () => {
+test('a batch of 8 requests ends well before 8 requests that run one after another', () => {
   const together = newModel();
   for (let index = 0; index < 8; index += 1) submit(together, 0, `r${index}`, { maxTokens: 100 });
   const batchMs = Math.max(...finishedAt(together.advance(LONG_AFTER_MS)).values());
@@ -77,7 +77,7 @@
   assert.ok(batchMs * 4 < serialMs, `${batchMs} against ${serialMs} ms`);
 });
 
-test('the old accelerator reads and writes more slowly than the new one', () => {
+test('the old accelerator prefills and decodes more slowly than the new one', () => {
   const times = (['new', 'old'] as const).map((accelerator) => {
     const model = newModel({ accelerator });
     submit(model, 0, 'r1', { maxTokens: 20 });
@@ -86,7 +86,7 @@
   assert.ok((times[1] ?? 0) > 1.5 * (times[0] ?? 0), String(times));
 });
 
-test('a cached prefix is not read again, until an order restarts the workers', () => {
+test('a cached prefix is not prefilled again until an order restarts the workers', () => {
   const catalogue = 'x'.repeat(64_000);
   const firstTokenMs = (model: EngineModel, now: number, attempt: string): number => {
     submit(model, now, attempt, { prompt: `${catalogue}${attempt}`, maxTokens: 1 });
@@ -106,7 +106,7 @@
   assert.ok(bounded * 1.2 > cold, `${bounded} against ${cold} ms`);
 });
 
-test('cache events come late, in order and with gaps', () => {
+test('cache events are published with a delay, in order and with gaps', () => {
   const model = newModel({ cacheEventDelayMs: 1_000, cacheEventLoss: 0.2 });
   submit(model, 0, 'r1', { prompt: 'y'.repeat(25_600), maxTokens: 1 });
   const end = finishedAt(model.advance(1e5)).get('r1') ?? 0;
@@ -122,7 +122,7 @@
   assert.deepEqual(model.cacheEvents(1e6, 100), { events: [], last: 100 });
 });
 
-test('the waiting queue is by priority, then by arrival, and bounded', () => {
+test('the waiting queue is ordered by priority, then by arrival, and limited in length', () => {
   const model = newModel({ maxBatch: 1, maxQueue: 3 });
   submit(model, 0, 'running');
   submit(model, 0, 'late-low', { priority: 9 });
@@ -135,7 +135,7 @@
   assert.deepEqual(order, ['running', 'high', 'late-low', 'low']);
 });
 
-test('a resumed request gives exactly the tail of the whole answer, also when none is left', () => {
+test('a resumed request returns exactly the tail of the complete answer, also if the tail is empty', () => {
   const whole = expected(PROMPT, 12);
   for (const resumeOffset of [0, 1, 11, 12]) {
     const model = newModel();
@@ -148,7 +148,7 @@
   assert.equal(refusalCode(submit(newModel(), 0, 'r1', { resumeOffset: 9 })), 'invalid-request');
 });
 
-test('cancelling frees the batch for what waits', () => {
+test('cancelling a request frees its place in the batch for a waiting request', () => {
   const model = newModel({ maxBatch: 1 });
   submit(model, 0, 'long', { maxTokens: 10_000 });
   submit(model, 0, 'next', { maxTokens: 1 });
@@ -161,7 +161,7 @@
   assert.equal(model.activeRequests, 0);
 });
 
-test('load is reported as it was, the rest as it is', () => {
+test('a report contains the load with a lag and all other values as they are now', () => {
   const model = newModel({ reportLagMs: 300 });
   submit(model, 1_000, 'r1', { maxTokens: 100_000 });
   const early = model.report(1_200);
@@ -171,7 +171,7 @@
   assert.ok(model.report(5_000).load.decodeStepMs > 0);
 });
 
-test('with too little KV memory the lowest priority yields, and every answer is still whole', () => {
+test('with too little KV memory the lowest priority is preempted, and every answer is still complete', () => {
   const newSmall = (): EngineModel => {
     const model = newModel({ kvCapacityTokens: 1_500, reportLagMs: 0 });
     for (const priority of [9, 3, 0]) {
@@ -192,7 +192,7 @@
   const early = outputs.filter((output) => output.kind === 'token' && output.at < endOfFirst);
   const low = tokensOf(early, 'p9').length;
   assert.ok(low > 0 && low < 400, `${low} tokens before it yielded`);
-  // What has yielded holds no memory and must be read again, with what it had written.
+  // Preempted requests hold no memory and must prefill their prompt and the tokens written so far again.
   const { load } = newSmall().report(endOfFirst - 0.01);
   const promptTokens = Math.ceil((PROMPT.length + 1) / 4);
   assert.deepEqual([load.running, load.queued], [1, 2]);
@@ -202,7 +202,7 @@
   assert.equal(refusalCode(tooLong), 'invalid-request');
 });
 
-test('KV goes from a prefill engine to a decode engine, and a handle lapses', () => {
+test('KV is transferred from a prefill engine to a decode engine, and a handle expires', () => {
   const reader = newModel({ role: 'prefill' });
   const writer = newModel({ role: 'decode', boot: 'boot-2' });
   assert.equal(refusalCode(submit(reader, 0, 'r1')), 'wrong-role');
@@ -220,7 +220,7 @@
   assert.equal(reader.exportKv(31_500, prefilled?.kvHandle ?? ''), null);
 });
 
-test('one seed replays the same outputs, and whatever happens no token is lost or doubled', () => {
+test('the same seed gives the same outputs, and no token is lost or duplicated', () => {
   const action = fc.record({
     kind: fc.constantFrom('submit', 'submit', 'cancel', 'pause', 'resume'),
     attempt: fc.integer({ min: 0, max: 12 }),
--- a/test/engine/orders.test.ts
+++ b/test/engine/orders.test.ts
@@ -1,4 +1,4 @@
-/** Fenced orders on the engine model: docs/ENGINE-API.md, rule by rule. */
+/** The rules of docs/ENGINE-API.md for fenced orders, checked on the engine model. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import type { OrderAnswer } from '../../src/core/orders/index.js';
@@ -36,7 +36,7 @@
   });
 }
 
-test('a lower fence is stale, an equal one of another order too, also for a repeat', () => {
+test('an order with a lower fence, or with the fence of another order, is refused as stale, also if repeated', () => {
   const model = newModel();
   const first = orderOf('boot-1', 5, CLOSE_INTAKE);
   assert.deepEqual(model.order(0, first), DONE);
@@ -52,7 +52,7 @@
   assert.deepEqual([report.intake, report.fence], ['closed', { epoch: 2, sequence: 0 }]);
 });
 
-test('a repeat of an order never runs twice, tells its state, and raises the fence', () => {
+test('a repeated order never runs twice, returns the state of the first and raises the fence', () => {
   const model = newModel();
   const order = orderOf('boot-1', 1, TO_DECODE);
   assert.deepEqual(model.order(0, order), RUNNING);
@@ -68,7 +68,7 @@
   assert.equal(ended.length, 1);
 });
 
-test('while an order runs another is refused and so are requests, but a hold is done', () => {
+test('while an order runs, another order and new requests are refused, but a hold is carried out', () => {
   const model = newModel();
   model.order(0, orderOf('boot-1', 1, TO_DECODE));
   const load = { kind: 'load-model', model: 'labels', version: 'v2' } as const;
@@ -80,7 +80,7 @@
   assert.deepEqual(model.report(3).lastOrder, { id: 'order-1', state: 'running' });
 });
 
-test('onlyIfIdle refuses while requests run, though the fence rises; without it they are cut', () => {
+test('an order with onlyIfIdle is refused while requests run, but raises the fence; without it requests are aborted', () => {
   const model = newModel();
   submit(model, 0, 'r1');
   submit(model, 0, 'r2');
@@ -96,7 +96,7 @@
   assert.equal(model.activeRequests, 0);
 });
 
-test('an order that would change nothing is done at once and cuts nothing', () => {
+test('an order without effect is done immediately and aborts no request', () => {
   const model = newModel();
   submit(model, 0, 'r1');
   const same = orderOf('boot-1', 1, { kind: 'set-role', role: 'mixed' });
@@ -104,7 +104,7 @@
   assert.equal(model.activeRequests, 1);
 });
 
-test('an order for another boot or engine, or for what is not held, is refused', () => {
+test('an order for another boot or engine, or for a model that is not loaded, is refused', () => {
   const model = newModel();
   assert.equal(reasonOf(model.order(0, orderOf('boot-0', 1, TO_DECODE))), 'wrong-boot');
   assert.equal(model.report(0).fence, null);
@@ -152,7 +152,7 @@
   assert.equal(gone.kind === 'refused' && gone.code, 'model-not-loaded');
 });
 
-test('a new boot knows nothing of fence, intake and orders', () => {
+test('a new boot starts without fence and orders and with open intake', () => {
   const before = newModel();
   before.order(0, orderOf('boot-1', 7, CLOSE_INTAKE));
   const restarted = newModel('boot-2');
--- a/test/engine/server.test.ts
+++ b/test/engine/server.test.ts
@@ -1,4 +1,4 @@
-/** The emulated engine over real HTTP: answers, cancel, cuts, back-pressure and armed faults. */
+/** The emulated engine over HTTP: answers, cancellation, aborts, back-pressure and injected faults. */
 import assert from 'node:assert/strict';
 import { connect } from 'node:net';
 import { after, before, test } from 'node:test';
@@ -10,7 +10,7 @@
 import { LABELS, orderOf, startEngine, TO_DECODE } from './fixtures.js';
 
 const PROMPT = 'Herbarium sheet 17, collected near Leiden';
-/** Together 8 MB: more than the sockets between an engine and a reader that never reads hold. */
+/** `LONG_ANSWER` frames of this size are 8 MB, more than the socket buffers between an engine and a client that does not read. */
 const FRAME_BYTES = 16_384;
 const LONG_ANSWER = 500;
 let engine: EngineServer;
@@ -43,7 +43,7 @@
   assert.equal(answer.statusCode, 200, await answer.body.text());
 }
 
-/** The frames of a stream and whether its connection broke. */
+/** The frames of a stream, and whether its connection was aborted. */
 async function frames(answer: Dispatcher.ResponseData) {
   let text = '';
   let broken = false;
@@ -69,12 +69,12 @@
   return `POST ${path} HTTP/1.1\r\nhost: engine\r\nconnection: close\r\ncontent-length: ${length}\r\n\r\n${body}`;
 }
 
-/** Waits for the model to come to a state; the state, not a time, is the verdict. */
+/** Waits for a state of the model instead of a fixed time, so that a slow machine does not fail the test. */
 async function until(reached: () => boolean): Promise<void> {
   while (!reached()) await turn();
 }
 
-test('a whole answer holds exactly the expected text', async () => {
+test('a complete answer contains exactly the expected text', async () => {
   const answer = await complete('w1', 12, false);
   const body = (await answer.body.json()) as { choices: { text: string }[]; usage: unknown };
   assert.equal(answer.headers['x-threadfork-attempt'], 'w1');
@@ -82,7 +82,7 @@
   assert.deepEqual(body.usage, { prompt_tokens: 11, completion_tokens: 12, total_tokens: 23 });
 });
 
-test('a stream resumed at an offset gives exactly the tail, framed by attempt and offset', async () => {
+test('a stream resumed at an offset returns exactly the tail, in frames with attempt and offset', async () => {
   const answer = await post(
     '/v1/chat/completions',
     { model: 'labels', messages: [{ role: 'user', content: PROMPT }], max_tokens: 9, stream: true },
@@ -101,7 +101,7 @@
   assert.deepEqual(texts, expected(9).slice(4));
 });
 
-test('a refusal says that nothing was run', async () => {
+test('a refusal reports that nothing was run', async () => {
   const cases: [unknown, Record<string, string>, number, string][] = [
     [{ model: 'labels' }, {}, 400, 'invalid-request'],
     [{ model: 'labels', prompt: PROMPT, max_tokens: 1e9 }, {}, 400, 'invalid-request'],
@@ -127,7 +127,7 @@
   }
 });
 
-test('a full waiting queue is refused with the time to try again', async (context) => {
+test('a request to a full waiting queue is refused with a retry-after header', async (context) => {
   const ownEngine = await startEngine({ maxQueue: 0 });
   context.after(() => ownEngine.close());
   const answer = await request(`http://127.0.0.1:${ownEngine.endpoint.port}/v1/completions`, {
@@ -142,7 +142,7 @@
   assert.match(String(answer.headers['retry-after']), /^[1-9][0-9]*$/);
 });
 
-test('KV is prefilled on one engine, imported by another and written from there', async (context) => {
+test('KV is prefilled on one engine and imported by another, which generates the answer', async (context) => {
   const reader = await startEngine({ name: 'engine-2', role: 'prefill' });
   context.after(() => reader.close());
   const prefilled = await request(`http://127.0.0.1:${reader.endpoint.port}/v1/prefill`, {
@@ -162,7 +162,7 @@
   await lost.body.dump();
 });
 
-test('a closed connection and a call each cancel the request and free the engine', async () => {
+test('closing the connection and calling cancel each cancel the request and free the engine', async () => {
   const closed = await complete('gone', 100_000);
   closed.body.destroy();
   const called = await complete('called', 100_000);
@@ -176,7 +176,7 @@
   );
 });
 
-test('a reader that stops pauses only its own stream, and reads it whole later', {
+test('a client that stops reading pauses only its own stream and receives it completely later', {
   timeout: 20_000,
 }, async (context) => {
   const model = 'm'.repeat(FRAME_BYTES);
@@ -187,7 +187,7 @@
   const slow = connect(ownEngine.endpoint.port, '127.0.0.1').pause();
   slow.write(rawPost('/v1/completions', JSON.stringify(body)));
   await until(() => ownEngine.model.activeRequests === 1);
-  // Both take part in the same steps, so without a pause the first would end before the second.
+  // Both requests run in the same batch, so without the pause the first would end before the second.
   const other = await request(`http://127.0.0.1:${ownEngine.endpoint.port}/v1/completions`, {
     method: 'POST',
     body: JSON.stringify({ ...body, stream: false }),
@@ -200,7 +200,7 @@
   assert.ok(read.endsWith('data: [DONE]\n\n\r\n0\r\n\r\n'));
 });
 
-test('a role change that does not wait cuts what runs', async (context) => {
+test('a role change without onlyIfIdle aborts running requests', async (context) => {
   const ownEngine = await startEngine();
   context.after(() => ownEngine.close());
   const answer = await request(`http://127.0.0.1:${ownEngine.endpoint.port}/v1/completions`, {
@@ -216,7 +216,7 @@
   assert.equal((await frames(answer)).broken, true);
 });
 
-test('frames come late, twice or from elsewhere, and a stream stalls or ends early, as armed', async () => {
+test('injected faults delay, repeat or insert frames, stall a stream or end it early', async () => {
   const offsets = async (attempt: string): Promise<string[]> =>
     (await frames(await complete(attempt, 3))).frames.map(offsetOf);
   await arm({ kind: 'late-frame', afterTokens: 1 }, { kind: 'repeated-frame', afterTokens: 1 });
@@ -231,13 +231,13 @@
   assert.ok(performance.now() - startedAt >= 29);
 });
 
-test('a content-length that is wrong breaks the answer', async () => {
+test('an injected wrong content-length makes the answer unreadable', async () => {
   await arm({ kind: 'wrong-length', byBytes: 7 });
   const answer = await complete('short', 3, false);
   await assert.rejects(answer.body.text());
 });
 
-test('a crash drops connections; a new boot has the start-up role and knows no order', async () => {
+test('a crash drops connections; the new boot has the start-up role and no orders', async () => {
   const boot = engine.model.boot;
   await arm({ kind: 'crash-in-stream', afterTokens: 3, downMs: 10 });
   const back = engine.restarted();
@@ -260,12 +260,12 @@
 });
 
 /**
- * A fleet test waited 45 s for an engine to crash in a stream, once in four whole runs. A stream that two other engines had
- * broken off went on there with its last ten of 30 tokens and took the armed crash, which strikes at the eleventh: it ended
- * whole, and the crash was gone. The engine's own count said so: `crash-in-stream sent 10`, for the third attempt of one
- * request, three times of three when the streams were led that way; no stream was lost after it.
+ * Guards against a fleet test that timed out after 45 s waiting for an injected crash, in one of four runs.
+ * A stream that two other engines had aborted was resumed here with its last 10 of 30 tokens. It consumed
+ * the injected crash, which takes effect at the eleventh token, ended normally, and the crash never
+ * happened. A fault that an answer is too short for must stay for the next answer.
  */
-test('a fault for which an answer was too short strikes the next one', async () => {
+test('a fault that an answer is too short for applies to the next answer', async () => {
   await arm({ kind: 'early-close', afterTokens: 10 });
   const short = await frames(await complete('short', 10));
   assert.equal(short.frames.at(-1), 'data: [DONE]');
@@ -275,11 +275,12 @@
 });
 
 /**
- * A fleet test waited 45 s for the work of a killed daemon to be cancelled, once, in a whole run beside load of 18 on 8 cores.
- * The armed stall held back what the engine wrote, while the run went on: 250 ms after its tenth token the engine's ledger
- * said `finished` for all 50, so nothing was left to cancel where the test took longer than that to kill the daemon.
+ * Guards against a fleet test that timed out after 45 s waiting for the work of a killed daemon to be
+ * cancelled, once, on a machine with a load of 18 on 8 cores. The injected stall only held back the output
+ * while generation continued: 250 ms after the tenth token all 50 were `finished` in the engine's ledger.
+ * If the test took longer than that to kill the daemon, nothing was left to cancel.
  */
-test('the run of a stalled answer does not go on', async () => {
+test('generation does not continue while an answer is stalled', async () => {
   await arm({ kind: 'stall', afterTokens: 2, forMs: 600_000 });
   const stalled = await complete('stalled', 20);
   const read = frames(stalled);
--- a/test/engine/web-backend.test.ts
+++ b/test/engine/web-backend.test.ts
@@ -1,11 +1,11 @@
-/** The emulated web backend: tiles by path, orders counted by key, leaving. */
+/** The emulated web backend: tiles, runs counted by request key, shutdown. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import { request } from 'undici';
 import { createWebBackendServer, tileContent } from '../../src/lab/web/index.js';
 import { LOOPBACK } from './fixtures.js';
 
-test('tiles depend on their path alone, and each run of an order is counted by its key', async (context) => {
+test('tiles depend only on their path, each run is counted by its request key, and a leaving backend is unhealthy', async (context) => {
   const backend = await createWebBackendServer({ listen: LOOPBACK, name: 'web-1', tileBytes: 100 });
   context.after(() => backend.close());
   const base = `http://127.0.0.1:${backend.endpoint.port}`;
--- a/test/metrics/metrics.test.ts
+++ b/test/metrics/metrics.test.ts
@@ -80,7 +80,7 @@
   metrics.requestNotice(started(DESCRIPTION), 1_000);
   metrics.attemptEvent('r1', firstByte, 1_500);
   metrics.requestNotice(ended(DESCRIPTION, 3), 2_000);
-  // Late news of a forgotten request leaves nothing behind.
+  // A late event of a request that has ended is ignored.
   metrics.attemptEvent('r1', firstByte, 3_000);
   const found = await lines(metrics);
   for (const expected of [
@@ -95,7 +95,7 @@
   }
 });
 
-test('gauges show the sample of the moment they are read', async () => {
+test('gauges have the values of the sample taken when they are read', async () => {
   const sample: FleetSample = {
     now: 5_000,
     requestsInFlight: 3,
@@ -152,7 +152,7 @@
   }
 });
 
-test('a thousand classes make a bounded number of series and no tenant is named', async () => {
+test('a thousand classes create a limited number of time series, and no label names a tenant', async () => {
   const metrics = createMetrics({ sample: () => null });
   for (let index = 0; index < 1_000; index += 1) {
     const description = { ...DESCRIPTION, id: `r${index}`, className: `class-${index}` };
--- a/test/operator/server.test.ts
+++ b/test/operator/server.test.ts
@@ -1,4 +1,4 @@
-/** The operator API over real sockets: calls, tokens and hostile senders. */
+/** The operator API over TCP: calls, tokens and malformed or slow requests. */
 import assert from 'node:assert/strict';
 import { connect } from 'node:net';
 import { after, test } from 'node:test';
@@ -14,7 +14,7 @@
   limits,
   log: (effect) => logged.push(effect),
 });
-// Only the slow senders meet a short limit, so that a busy machine delays no other test into it.
+// Only the tests of slow requests use a short timeout, so that other tests do not time out on a busy machine.
 const shortTimeout = await startStub(backend, { limits: { requestTimeoutMs: 100 } });
 after(() => Promise.all([server.close(), shortTimeout.server.close()]));
 
@@ -40,7 +40,7 @@
   return { status: answer.statusCode, body: await answer.body.json() };
 }
 
-/** Sends bytes as they are and resolves with all that comes back before the close. */
+/** Sends raw bytes; resolves to everything received until the connection is closed. */
 function exchange(bytes: string, to = address): Promise<string> {
   const [host, port] = to.split(':');
   return new Promise((resolve) => {
@@ -54,7 +54,7 @@
   });
 }
 
-test('a query answers with its rows and their fields in order', async () => {
+test('a query is answered with its rows and the fields in their order', async () => {
   const text = 'engines where running > 0 select zone, name';
   const { status, body } = await call('/v1/query', { text }, { token: READ_TOKEN });
   assert.equal(status, 200);
@@ -67,7 +67,7 @@
   assert.match(wrong.body.error.message, /nothing was changed. Use threadfork apply/);
 });
 
-test('every outcome of a change keeps its own kind and status', async () => {
+test('every outcome of a change has its own kind and status', async () => {
   const token = CHANGE_TOKEN;
   const applied = await call('/v1/commands', { text: 'drain e1', id: 'c1' }, { token });
   assert.deepEqual(applied, {
@@ -88,7 +88,7 @@
   assert.deepEqual([unknown.status, unknown.body.kind, unknown.body.id], [202, 'unknown', 'c2']);
 });
 
-test('a document is checked whole before the backend sees it', async () => {
+test('a document is validated before it reaches the backend', async () => {
   const seen = backend.requests.length;
   const document = { tenants: { t: { class: 'nowhere' } } };
   const refused = await call('/v1/commands', { document }, { token: CHANGE_TOKEN });
@@ -98,7 +98,7 @@
   assert.equal((await call('/v1/commands', taken, { token: CHANGE_TOKEN })).body.kind, 'dry-run');
 });
 
-test('tokens: none and wrong ones are refused, a read-only one changes nothing', async () => {
+test('a missing or unknown token is refused, and a read-only token changes nothing', async () => {
   const text = { text: 'drain e9' };
   const seen = backend.requests.length;
   assert.equal((await call('/v1/status', undefined)).status, 401);
@@ -118,7 +118,7 @@
   assert.ok(logged.some((effect) => effect.event.number === 5002));
 });
 
-test('without a token on loopback only where allowed, and never for a web page', async () => {
+test('a call without a token is accepted on loopback only if allowed, and never from a web page', async () => {
   const open = await startStub(backend, { allowUnauthenticatedLoopback: true });
   const to = open.address;
   assert.equal((await call('/v1/status', undefined, { to })).status, 200);
@@ -130,7 +130,7 @@
   await open.server.close();
 });
 
-test('a setting that leaves the server open or deaf is refused', () => {
+test('a host name as address, or no token on an address other than loopback, is refused', () => {
   const settings = { tokens: [], allowUnauthenticatedLoopback: true, backend };
   const everywhere = { ...settings, listen: { address: '0.0.0.0', port: 0 } };
   assert.match(createOperatorServer(everywhere)._unsafeUnwrapErr().message, /no token/);
@@ -186,7 +186,7 @@
   });
 }
 
-test('a running call ends before the server has closed', async () => {
+test('closing the server waits for a running call', async () => {
   const own = await startStub(backend);
   let release: () => void = () => undefined;
   const running = new Promise<void>((resolve) => {
--- a/test/operator/stub-backend.ts
+++ b/test/operator/stub-backend.ts
@@ -1,4 +1,4 @@
-/** A daemon's stand-in behind the operator server: one document in memory, outcomes on demand. */
+/** A stub of the daemon behind the operator server: one document in memory, outcomes set by the test. */
 import { createHash } from 'node:crypto';
 import { err, ok, type Result } from 'neverthrow';
 import type { ChangeOutcome } from '../../src/core/configuration/change-outcome.js';
@@ -35,7 +35,7 @@
   readonly requests: ChangeRequest[] = [];
   readonly outcomes = new Map<string, ChangeOutcome>();
   current: VersionedConfiguration = EMPTY_CONFIGURATION;
-  /** Answers the next changes in place of the stub's own logic. */
+  /** If set, answers changes instead of the stub's own logic. */
   override: ((request: ChangeRequest) => Promise<ChangeOutcome>) | null = null;
 
   async rows(): Promise<Result<readonly Row[], Fault>> {
@@ -111,7 +111,7 @@
   }
 }
 
-/** A server on a free loopback port, with both tokens. */
+/** Starts an operator server on a free loopback port, with both tokens. */
 export async function startStub(
   backend: OperatorBackend,
   options: Partial<OperatorServerOptions> = {},
--- a/test/platform/client.test.ts
+++ b/test/platform/client.test.ts
@@ -1,4 +1,4 @@
-/** The platform client against the stand-in and against hostile servers, over real TCP. */
+/** The platform client over TCP, against the emulated platform and faulty servers. */
 import assert from 'node:assert/strict';
 import type { AddressInfo } from 'node:net';
 import { createServer, type Server, type Socket } from 'node:net';
@@ -68,7 +68,7 @@
   assert.deepEqual(rest, { kind: 'rows', rows: [] });
 });
 
-test('a lost answer is reported as lost and reading back shows that the write took effect', async () => {
+test('a call whose answer is dropped is lost, and reading back shows that the write took effect', async () => {
   const { port, model } = await startEmulator();
   const platform = client(port);
   model.setFaults({ table: { loseAnswers: { kind: 'next', calls: 1 }, writesOnly: true } });
@@ -77,7 +77,7 @@
   assert.deepEqual(read, { kind: 'rows', rows: [{ key: 'a', version: 1, value: { n: 1 } }] });
 });
 
-test('a lost call is reported as lost and reading back shows that nothing was written', async () => {
+test('a call that is dropped is lost, and reading back shows that nothing was written', async () => {
   const { port, model } = await startEmulator();
   const platform = client(port);
   model.setFaults({ table: { loseCalls: { kind: 'next', calls: 1 } } });
@@ -86,7 +86,7 @@
   assert.deepEqual(read, { kind: 'rows', rows: [{ key: 'a', version: 0, value: null }] });
 });
 
-test('a write whose answer is slower than the timeout is lost, and took effect', async () => {
+test('a write whose answer comes after the timeout is lost, and has taken effect', async () => {
   const { port, model } = await startEmulator();
   const platform = client(port, 100);
   model.setFaults({ table: { slowAnswerMs: 60_000 } });
@@ -94,7 +94,7 @@
   assert.equal(model.table.get(['a'])[0]?.version, 1);
 });
 
-test('down, over the rate and refused connections are unavailable: nothing was done', async () => {
+test('a call is unavailable, so not carried out, if the platform is down, limits the rate or refuses connections', async () => {
   const limits = { ...DEFAULT_PLATFORM_OPTIONS.limits, table: { perSecond: 0.5, burst: 1 } };
   const { port, model } = await startEmulator({ limits, machineLagMs: 0 });
   const platform = client(port);
@@ -110,7 +110,7 @@
   assert.equal((await client(closedServer.port).table(PUT_A)).kind, 'unavailable');
 });
 
-test('a call that waited in vain for a connection was not sent and is never sent later', async () => {
+test('a call that times out waiting for a connection is not sent, neither then nor later', async () => {
   const sockets: Socket[] = [];
   let received = '';
   const requestsReceived = (): number => received.split('GET /get').length - 1;
@@ -142,7 +142,7 @@
   assert.equal(received.includes('/late'), false);
 });
 
-test('answers that are cut, malformed or contradictory are lost', async () => {
+test('a call with a truncated, malformed or contradictory answer is lost', async () => {
   const answers = [
     '',
     'HTTP/1.1 200 OK\r\ncontent-length: 900\r\n\r\n{"committed":true',
--- a/test/platform/model.test.ts
+++ b/test/platform/model.test.ts
@@ -1,4 +1,4 @@
-/** The platform's model in virtual time. */
+/** The emulated platform's model in virtual time. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import type { Machine } from '../../src/core/registry/backend.js';
@@ -12,7 +12,7 @@
   return { kind: 'daemon', name, zone: 'z', state: 'live', address: '127.0.0.1', port: 1 };
 }
 
-test('versions go on growing over deletion and a deleted row is absent', () => {
+test('the version of a key keeps growing after a deletion, and a deleted row is absent', () => {
   const table = new VersionedTable();
   const put = (version: number, value: unknown) =>
     table.transact([{ key: 'k', version }], [{ key: 'k', value }]);
@@ -23,7 +23,7 @@
   assert.equal(put(1, 'late').committed, false);
 });
 
-test('one failed check leaves every write undone and names the failed row', () => {
+test('one failed check prevents every write of the transaction and returns the row of the check', () => {
   const table = new VersionedTable();
   table.transact([], [{ key: 'a', value: 1 }]);
   const outcome = table.transact(
@@ -40,7 +40,7 @@
   assert.deepEqual(table.scan('', 10), [{ key: 'a', version: 1, value: 1 }]);
 });
 
-test('scans are in key order, within the prefix, after a key, and limited', () => {
+test('a scan returns rows with the prefix in key order, after the given key and up to the limit', () => {
   const table = new VersionedTable();
   for (const key of ['p/2', 'p/1', 'q/1', 'p/3']) table.transact([], [{ key, value: key }]);
   const keys = (rows: readonly { key: string }[]) => rows.map((row) => row.key);
@@ -48,7 +48,7 @@
   assert.deepEqual(keys(table.scan('p/', 2, 'p/2')), ['p/3']);
 });
 
-test('the rate limit takes a burst, then the rate, and states a true wait', () => {
+test('the rate limit admits a burst, then the rate, and a refusal contains the exact delay', () => {
   const limits = { ...DEFAULT_PLATFORM_OPTIONS.limits, table: { perSecond: 10, burst: 2 } };
   const model = new PlatformModel({ limits, machineLagMs: 0 });
   const kinds = [0, 0, 0].map((now) => model.admit('table', false, now));
@@ -62,7 +62,7 @@
   assert.deepEqual(model.counts().table, { calls: 5, overRate: 2, whileDown: 0, lost: 0 });
 });
 
-test('losses by count and by seeded probability are the same in every run', () => {
+test('losses by count and by seeded probability are reproducible', () => {
   const draw = (faults: Parameters<PlatformModel['setFaults']>[0]) => {
     const model = new PlatformModel();
     model.setFaults(faults);
@@ -78,7 +78,7 @@
   assert.match(draw(random), /01.*10/);
 });
 
-test('the machine list lags, and a longer lag never takes back what was shown', () => {
+test('the machine list lags, and a longer lag never reverts changes already shown', () => {
   const model = new PlatformModel({ ...DEFAULT_PLATFORM_OPTIONS, machineLagMs: 100 });
   const names = (now: number) => model.machines.read(now).machines.map(({ name }) => name);
   model.machines.put(daemon('a'), 1_000);
--- a/test/settings/examples.test.ts
+++ b/test/settings/examples.test.ts
@@ -15,7 +15,7 @@
 }
 
 for (const name of ['daemon-scanhuis.yaml', 'daemon-roasting.yaml']) {
-  test(`examples/${name} holds good settings`, () => {
+  test(`examples/${name} contains valid settings`, () => {
     const environment = { THREADFORK_FLEET_KEY: FLEET_KEY };
     const loaded = loadSettings({ settings: EXAMPLES + name }, readFile, environment);
     assert.deepEqual(loaded.isErr() ? loaded.error.map(formatProblem) : [], []);
@@ -23,7 +23,7 @@
   });
 }
 
-test('the example configurations are valid as a whole', () => {
+test('the example configurations are valid', () => {
   const folder = `${EXAMPLES}configurations/`;
   const names = readdirSync(folder);
   assert.deepEqual(names.toSorted(), ['roasting.yaml', 'scanhuis.yaml']);
--- a/test/settings/load.test.ts
+++ b/test/settings/load.test.ts
@@ -25,7 +25,7 @@
   return load(text, flags)._unsafeUnwrapErr().map(formatProblem);
 }
 
-test('a good file gets every default', () => {
+test('a valid file gets all defaults', () => {
   const settings = load(VALID_SETTINGS)._unsafeUnwrap();
   assert.deepEqual(settings.listen.callers, { address: '127.0.0.1', port: 0 });
   assert.equal(settings.fleetKey, '0123456789abcdef');
@@ -34,25 +34,25 @@
   assert.equal(allowsUnauthenticatedOperators(settings), true);
 });
 
-test('a misspelt key is told with its line and the likely name', () => {
+test('a misspelt key is reported with its line and a suggested name', () => {
   assert.deepEqual(problems(VALID_SETTINGS.replace('  peers:', '  peer:')), [
     'd.yaml:4: listen.peers: found nothing; write an IP number and a port, such as 127.0.0.1:8080 or "[::1]:8080"; host names are not looked up',
     'd.yaml:6: listen.peer: found a key that does not exist; remove it or write peers',
   ]);
 });
 
-test('a host name is refused where an IP number belongs', () => {
+test('a host name instead of an IP number is refused', () => {
   const [line] = problems(VALID_SETTINGS.replace('127.0.0.1:7000', 'store.example:7000'));
   assert.match(line ?? '', /^d\.yaml:7: platform: found "store\.example:7000"; write an IP number/);
 });
 
-test('a missing zone is told', () => {
+test('a missing zone is reported', () => {
   const [line, ...others] = problems(VALID_SETTINGS.replace('zone: leiden-a\n', ''));
   assert.match(line ?? '', /^d\.yaml:1: zone: found nothing; write the zone/);
   assert.deepEqual(others, []);
 });
 
-test('every problem is told at once, secrets are not shown', () => {
+test('all problems are reported together, without secrets', () => {
   const lines =
     problems(`${VALID_SETTINGS.replace('fleetKey: { value: 0123456789abcdef }', 'fleetKey: hush')}
 operatorTokens: [{ name: ann, digest: plain-token, access: change }]
@@ -62,7 +62,7 @@
   assert.match(lines.join('\n'), /limits\.http\.maxBodyBytes: found -1; write a whole number/);
 });
 
-test('flags win over the file and are named in problems', () => {
+test('flags override the file and are named in problems', () => {
   const flags = { listenCallers: '127.0.0.1:9000', stopGraceMs: '500' };
   const settings = load(VALID_SETTINGS, flags)._unsafeUnwrap();
   assert.equal(settings.listen.callers.port, 9000);
@@ -73,7 +73,7 @@
   );
 });
 
-test('flags alone are enough', () => {
+test('settings can come from flags only', () => {
   const address = '127.0.0.1:0';
   const flags: SettingsFlags = {
     name: 'd1',
@@ -94,7 +94,7 @@
   );
 });
 
-test('an open operator address needs a token or an outright word', () => {
+test('an operator address other than loopback needs a token or allowUnauthenticatedOperators', () => {
   const open = VALID_SETTINGS.replace('operators: 127.0.0.1:0', 'operators: 10.0.0.1:9001');
   assert.match(problems(open)[0] ?? '', /^d\.yaml:5: listen\.operators: .*operatorTokens/);
   const allowed = load(`${open}allowUnauthenticatedOperators: true\n`)._unsafeUnwrap();
@@ -114,7 +114,7 @@
   assert.match(problems('just text')[0] ?? '', /^d\.yaml:1: found "just text"/);
 });
 
-test('two listeners on one address are refused', () => {
+test('two listeners with the same address and port are refused', () => {
   const lines = problems(VALID_SETTINGS.replaceAll('127.0.0.1:0', '127.0.0.1:8080'));
   assert.deepEqual(lines, [
     'd.yaml:5: listen.operators: found 127.0.0.1:8080, which listen.callers has too; give each listener a port of its own',
