--- a/src/cli/completion-script.ts
+++ b/src/cli/completion-script.ts
@@ -77,8 +77,11 @@
   const lines = ['# threadfork completion; load it with: threadfork completion fish | source'];
   for (const { path, description, options } of commands) {
     const words = path.split(' ');
-    const seen = words.slice(0, -1).map((word) => `__fish_seen_subcommand_from ${word}`);
-    const condition = seen.length === 0 ? '__fish_use_subcommand' : seen.join('; and ');
+    const parentConditions = words
+      .slice(0, -1)
+      .map((word) => `__fish_seen_subcommand_from ${word}`);
+    const condition =
+      parentConditions.length === 0 ? '__fish_use_subcommand' : parentConditions.join('; and ');
     lines.push(
       `complete -c threadfork -f -n '${condition}' -a ${words.at(-1)} -d ${quote(description)}`,
     );
--- a/src/cli/operator-client.ts
+++ b/src/cli/operator-client.ts
@@ -59,13 +59,13 @@
     bodyTimeout: options.timeoutMs,
   });
   try {
-    return await callInTurn(options, call, agent);
+    return await callFirstAvailable(options, call, agent);
   } finally {
     await agent.destroy();
   }
 }
 
-async function callInTurn(
+async function callFirstAvailable(
   options: OperatorClientOptions,
   call: OperatorCall,
   agent: Agent,
--- a/src/daemon/daemon.ts
+++ b/src/daemon/daemon.ts
@@ -207,7 +207,7 @@
       startedAt: this.#startedAt,
       submitChange: (request) => this.#events.emit({ kind: 'change', request }),
     });
-    const created = createOperatorServer({
+    const operatorServer = createOperatorServer({
       listen: this.#settings.listen.operators,
       tokens: this.#settings.operatorTokens,
       allowUnauthenticatedLoopback: allowsUnauthenticatedOperators(this.#settings),
@@ -215,19 +215,19 @@
       backend,
       log: (effect) => this.#shells.logger.write(effect.event, effect.fields),
     });
-    if (created.isErr()) {
-      throw new Error(created.error.message);
+    if (operatorServer.isErr()) {
+      throw new Error(operatorServer.error.message);
     }
-    this.#operators = created.value;
+    this.#operators = operatorServer.value;
     return backend;
   }
 
   async #startOperators(): Promise<Endpoint> {
-    const started = await this.#operators?.start();
-    if (started === undefined || started.isErr()) {
-      throw new Error(started?.error.message ?? 'the operator server was not set up');
+    const startResult = await this.#operators?.start();
+    if (startResult === undefined || startResult.isErr()) {
+      throw new Error(startResult?.error.message ?? 'the operator server was not created');
     }
-    return started.value;
+    return startResult.value;
   }
 
   #readiness(): Readiness {
--- a/src/daemon/operator-backend.ts
+++ b/src/daemon/operator-backend.ts
@@ -70,10 +70,10 @@
   }
 
   async rows(table: TableName, query: Query): Promise<Result<readonly Row[], Fault>> {
-    const stored = STORED_TABLES[table];
-    if (stored !== undefined) {
-      const key = pinnedText(query.where, stored.keyField);
-      const rows = await this.#storedRows(stored, key);
+    const storedTable = STORED_TABLES[table];
+    if (storedTable !== undefined) {
+      const key = pinnedText(query.where, storedTable.keyField);
+      const rows = await this.#storedRows(storedTable, key);
       return table === 'leases' ? rows.map((leases) => this.#withRemainingTime(leases)) : rows;
     }
     return ok(this.#localRows(table));
@@ -140,8 +140,10 @@
 
   /** The orders recorded in the table service; null if it does not answer. */
   async #storedOrders(): Promise<readonly Row[] | null> {
-    const stored = STORED_TABLES.orders;
-    return stored === undefined ? null : (await this.#storedRows(stored, null)).unwrapOr(null);
+    const storedTable = STORED_TABLES.orders;
+    return storedTable === undefined
+      ? null
+      : (await this.#storedRows(storedTable, null)).unwrapOr(null);
   }
 
   #localRows(table: TableName): readonly Row[] {
--- a/src/shell/engine/connections.ts
+++ b/src/shell/engine/connections.ts
@@ -30,8 +30,8 @@
 
   #poolOf({ address, port }: Endpoint): PlatformConnections {
     const key = `${address} ${port}`;
-    const known = this.#pools.get(key);
-    const pool = known ?? new PlatformConnections({ address, port, timeoutMs: this.#timeoutMs });
+    const existing = this.#pools.get(key);
+    const pool = existing ?? new PlatformConnections({ address, port, timeoutMs: this.#timeoutMs });
     this.#pools.delete(key);
     this.#pools.set(key, pool);
     this.#closeLeastRecentlyUsed();
@@ -40,9 +40,9 @@
 
   #closeLeastRecentlyUsed(): void {
     if (this.#pools.size <= MAX_POOLS) return;
-    const oldest = this.#pools.entries().next();
-    if (oldest.done === true) return;
-    const [key, pool] = oldest.value;
+    const leastRecentlyUsed = this.#pools.entries().next();
+    if (leastRecentlyUsed.done === true) return;
+    const [key, pool] = leastRecentlyUsed.value;
     this.#pools.delete(key);
     void pool.close();
   }
--- a/src/shell/engine/reachability.ts
+++ b/src/shell/engine/reachability.ts
@@ -16,8 +16,8 @@
 
   /** Records the outcome of a poll; returns the line to log, or null if the state has not changed. */
   observe(engine: BackendName, outcome: PollOutcome): LogEffect | null {
-    const before = this.#silent.get(engine) ?? 'reported';
-    if (before === outcome.kind) return null;
+    const previous = this.#silent.get(engine) ?? 'reported';
+    if (previous === outcome.kind) return null;
     if (outcome.kind === 'reported') this.#silent.delete(engine);
     else this.#silent.set(engine, outcome.kind);
     return logLineOf(engine, outcome);
--- a/src/shell/operator/backend.ts
+++ b/src/shell/operator/backend.ts
@@ -20,7 +20,7 @@
 
 /** A change that an operator requests. */
 export interface ChangeRequest {
-  /** A repeat with the same id takes no effect again and gets the outcome of the first. */
+  /** A repeat with the same id is not applied again and gets the outcome of the first. */
   readonly id: ChangeId;
   readonly body: ChangeBody;
   /** The change is refused unless this version is in force; null for no condition. */
@@ -61,7 +61,7 @@
   readonly uptimeMs: Milliseconds;
   readonly state: 'serving' | 'stopping';
   readonly configurationVersion: number;
-  /** Whether the configuration in force is the latest version that the daemon knows of. */
+  /** Whether the daemon has read the configuration and knows of no version later than the one in force. */
   readonly configurationCurrent: boolean;
   readonly store: 'reachable' | 'unreachable' | 'unknown';
   readonly daemonsAlive: number;
--- a/src/shell/settings/load.ts
+++ b/src/shell/settings/load.ts
@@ -213,13 +213,13 @@
   { listen }: CheckedSettings,
   origin: SettingsOrigin,
 ): readonly SettingsProblem[] {
-  const owners = new Map<string, string>();
+  const listenerByAddress = new Map<string, string>();
   return LISTENERS.flatMap((name) => {
     const address = formatEndpoint(listen[name]);
-    const owner = owners.get(address);
-    owners.set(address, name);
-    if (owner === undefined || listen[name].port === 0) return [];
-    const found = `${address}, which listen.${owner} has too`;
+    const earlierListener = listenerByAddress.get(address);
+    listenerByAddress.set(address, name);
+    if (earlierListener === undefined || listen[name].port === 0) return [];
+    const found = `${address}, which listen.${earlierListener} has too`;
     return [problemAt(['listen', name], origin, found, 'give each listener a port of its own')];
   });
 }
--- a/test/cli/caller-commands.test.ts
+++ b/test/cli/caller-commands.test.ts
@@ -44,13 +44,16 @@
 });
 
 test('a stream is printed as it arrives, and is complete only with its [DONE] event', async () => {
-  const whole = `${frame('Det. ')}${frame('1904')}data: [DONE]\n\n`;
-  const streamed = await complete(http(200, 'text/event-stream', whole), '--stream');
+  const completeStream = `${frame('Det. ')}${frame('1904')}data: [DONE]\n\n`;
+  const streamed = await complete(http(200, 'text/event-stream', completeStream), '--stream');
   assert.deepEqual([streamed.code, streamed.stdout], [0, 'Det. 1904\n']);
-  const ended = await complete(http(200, 'text/event-stream', frame('Det.')), '--stream');
-  assert.deepEqual([ended.code, /broke off before its end/.test(ended.stderr)], [3, true]);
-  const cut = await complete(http(200, 'text/event-stream', frame('Det.'), 900), '--stream');
-  assert.equal(cut.code, 3);
+  const withoutEndEvent = await complete(http(200, 'text/event-stream', frame('Det.')), '--stream');
+  assert.deepEqual(
+    [withoutEndEvent.code, /broke off before its end/.test(withoutEndEvent.stderr)],
+    [3, true],
+  );
+  const truncated = await complete(http(200, 'text/event-stream', frame('Det.'), 900), '--stream');
+  assert.equal(truncated.code, 3);
 });
 
 test('an error is a refusal only if the daemon reports that nothing ran, and otherwise unknown', async () => {
@@ -61,8 +64,11 @@
   };
   const refused = await complete(http(429, 'application/json', JSON.stringify({ error })));
   assert.deepEqual([refused.code, refused.stderr], [1, 'refused: Over its share.\n']);
-  const maybe = { error: { ...error, outcome: 'unknown' } };
-  assert.equal((await complete(http(502, 'application/json', JSON.stringify(maybe)))).code, 3);
+  const unknownError = { error: { ...error, outcome: 'unknown' } };
+  assert.equal(
+    (await complete(http(502, 'application/json', JSON.stringify(unknownError)))).code,
+    3,
+  );
   assert.equal((await complete(http(502, 'text/html', '<p>Bad gateway'))).code, 3);
   const lost = await complete('');
   assert.deepEqual([lost.code, /it may have run/.test(lost.stderr)], [3, true]);
--- a/test/cli/operator-commands.test.ts
+++ b/test/cli/operator-commands.test.ts
@@ -66,9 +66,9 @@
   assert.match(applied.stdout, /^applied: change a1 is in force as version 1 on 4 daemon/);
   const again = await run(['apply', 'drain e1', '--id', 'a1']);
   assert.deepEqual(again, applied);
-  const tried = await run(['apply', 'dry run return e1']);
+  const dryRun = await run(['apply', 'dry run return e1']);
   assert.deepEqual(
-    [tried.code, /nothing was changed:\n {2}backend e1 takes/.test(tried.stdout)],
+    [dryRun.code, /nothing was changed:\n {2}backend e1 takes/.test(dryRun.stdout)],
     [0, true],
   );
   const stale = await run(['apply', 'drain e2', '--if-version', '0']);
@@ -94,8 +94,8 @@
 });
 
 test('an unreachable daemon is skipped; if no daemon is reachable the exit code is 3', async () => {
-  const passed = await run(['status', '--daemon', closedPort, '--daemon', address]);
-  assert.deepEqual([passed.code, /^daemon +d1$/m.test(passed.stdout)], [0, true]);
+  const skipped = await run(['status', '--daemon', closedPort, '--daemon', address]);
+  assert.deepEqual([skipped.code, /^daemon +d1$/m.test(skipped.stdout)], [0, true]);
   const unreachable = await run(['apply', 'drain e1', '--daemon', closedPort, '--json']);
   assert.equal(unreachable.code, 3);
   assert.equal(JSON.parse(unreachable.stdout).kind, 'unreachable');
--- a/test/engine/control-client.test.ts
+++ b/test/engine/control-client.test.ts
@@ -51,8 +51,8 @@
   const engine = await openEngine(context);
   const client = openClient(context);
   const boot = engine.model.boot;
-  const held = await client.order(engine.endpoint, orderOf(boot, 2, CLOSE_INTAKE));
-  assert.deepEqual(held, { kind: 'accepted', state: 'done' });
+  const accepted = await client.order(engine.endpoint, orderOf(boot, 2, CLOSE_INTAKE));
+  assert.deepEqual(accepted, { kind: 'accepted', state: 'done' });
   const stale = await client.order(engine.endpoint, orderOf(boot, 1, TO_DECODE));
   const fence = { epoch: 1, sequence: 2 };
   assert.deepEqual(stale, { kind: 'refused', reason: 'stale-fence', fence, boot });
--- a/test/engine/fixtures.ts
+++ b/test/engine/fixtures.ts
@@ -30,7 +30,7 @@
   boot: string,
   sequence: number,
   action: OrderAction,
-  rest: Partial<Order> = {},
+  overrides: Partial<Order> = {},
 ): Order {
   return {
     id: `order-${sequence}`,
@@ -39,7 +39,7 @@
     fence: { epoch: 1, sequence },
     action,
     onlyIfIdle: false,
-    ...rest,
+    ...overrides,
   };
 }
 
--- a/test/engine/model.test.ts
+++ b/test/engine/model.test.ts
@@ -65,9 +65,9 @@
 }
 
 test('a batch of 8 requests ends well before 8 requests that run one after another', () => {
-  const together = newModel();
-  for (let index = 0; index < 8; index += 1) submit(together, 0, `r${index}`, { maxTokens: 100 });
-  const batchMs = Math.max(...finishedAt(together.advance(LONG_AFTER_MS)).values());
+  const batched = newModel();
+  for (let index = 0; index < 8; index += 1) submit(batched, 0, `r${index}`, { maxTokens: 100 });
+  const batchMs = Math.max(...finishedAt(batched.advance(LONG_AFTER_MS)).values());
   const serial = newModel();
   let serialMs = 0;
   for (let index = 0; index < 8; index += 1) {
@@ -100,9 +100,9 @@
   model.order(3e5, orderOf('boot-1', 2, { kind: 'set-role', role: 'mixed' }));
   const restarted = firstTokenMs(model, 4e5, 'restarted');
   assert.ok(restarted * 1.2 > cold, `${restarted} against ${cold} ms`);
-  const small = newModel({ prefixCacheBlocks: 4 });
-  firstTokenMs(small, 0, 'cold');
-  const bounded = firstTokenMs(small, 1e5, 'bounded');
+  const smallCache = newModel({ prefixCacheBlocks: 4 });
+  firstTokenMs(smallCache, 0, 'cold');
+  const bounded = firstTokenMs(smallCache, 1e5, 'bounded');
   assert.ok(bounded * 1.2 > cold, `${bounded} against ${cold} ms`);
 });
 
@@ -136,12 +136,12 @@
 });
 
 test('a resumed request returns exactly the tail of the complete answer, also if the tail is empty', () => {
-  const whole = expected(PROMPT, 12);
+  const completeTokens = expected(PROMPT, 12);
   for (const resumeOffset of [0, 1, 11, 12]) {
     const model = newModel();
     submit(model, 0, 'r1', { prompt: PROMPT, maxTokens: 12, resumeOffset });
     const outputs = model.advance(LONG_AFTER_MS);
-    assert.deepEqual(tokensOf(outputs, 'r1'), whole.slice(resumeOffset));
+    assert.deepEqual(tokensOf(outputs, 'r1'), completeTokens.slice(resumeOffset));
     const last = outputs.at(-1);
     assert.equal(last?.kind === 'finished' && last.completionTokens, 12);
   }
@@ -172,7 +172,7 @@
 });
 
 test('with too little KV memory the lowest priority is preempted, and every answer is still complete', () => {
-  const newSmall = (): EngineModel => {
+  const newModelWithLittleMemory = (): EngineModel => {
     const model = newModel({ kvCapacityTokens: 1_500, reportLagMs: 0 });
     for (const priority of [9, 3, 0]) {
       const prompt = `${priority}${PROMPT}`;
@@ -180,7 +180,7 @@
     }
     return model;
   };
-  const model = newSmall();
+  const model = newModelWithLittleMemory();
   const outputs = model.advance(LONG_AFTER_MS);
   const ends = finishedAt(outputs);
   assert.deepEqual([...ends.keys()], ['p0', 'p3', 'p9']);
@@ -190,34 +190,37 @@
   }
   const endOfFirst = ends.get('p0') ?? 0;
   const early = outputs.filter((output) => output.kind === 'token' && output.at < endOfFirst);
-  const low = tokensOf(early, 'p9').length;
-  assert.ok(low > 0 && low < 400, `${low} tokens before it yielded`);
+  const lowPriorityTokens = tokensOf(early, 'p9').length;
+  assert.ok(
+    lowPriorityTokens > 0 && lowPriorityTokens < 400,
+    `${lowPriorityTokens} tokens before it yielded`,
+  );
   // Preempted requests hold no memory and must prefill their prompt and the tokens written so far again.
-  const { load } = newSmall().report(endOfFirst - 0.01);
+  const { load } = newModelWithLittleMemory().report(endOfFirst - 0.01);
   const promptTokens = Math.ceil((PROMPT.length + 1) / 4);
   assert.deepEqual([load.running, load.queued], [1, 2]);
-  const again = 2 * promptTokens + low + tokensOf(early, 'p3').length;
-  assert.equal(load.queuedPrefillTokens, again);
+  const expectedPrefillTokens = 2 * promptTokens + lowPriorityTokens + tokensOf(early, 'p3').length;
+  assert.equal(load.queuedPrefillTokens, expectedPrefillTokens);
   const tooLong = submit(model, LONG_AFTER_MS, 'r9', { maxTokens: 1_500 });
   assert.equal(refusalCode(tooLong), 'invalid-request');
 });
 
 test('KV is transferred from a prefill engine to a decode engine, and a handle expires', () => {
-  const reader = newModel({ role: 'prefill' });
-  const writer = newModel({ role: 'decode', boot: 'boot-2' });
-  assert.equal(refusalCode(submit(reader, 0, 'r1')), 'wrong-role');
-  assert.equal(refusalCode(submit(writer, 0, 'r1', { prefill: true })), 'wrong-role');
-  submit(reader, 0, 'r1', { prefill: true, prompt: PROMPT });
-  const prefilled = reader.advance(1_000).find((output) => output.kind === 'prefilled');
-  const held = reader.exportKv(1_000, prefilled?.kvHandle ?? '');
-  assert.ok(held !== null && writer.kvTransferMs(held) > 0);
-  const kvHandle = writer.importKv(1_000, held) ?? '';
-  assert.ok(writer.report(10_000).load.kvUsed > 0);
-  submit(writer, 1_000, 'r1', { kvHandle, maxTokens: 5 });
-  assert.equal(writer.report(1_000).load.queuedPrefillTokens, 0);
-  assert.deepEqual(tokensOf(writer.advance(2_000), 'r1'), expected(PROMPT, 5));
-  assert.equal(refusalCode(submit(writer, 2_000, 'r2', { kvHandle })), 'kv-gone');
-  assert.equal(reader.exportKv(31_500, prefilled?.kvHandle ?? ''), null);
+  const prefillModel = newModel({ role: 'prefill' });
+  const decodeModel = newModel({ role: 'decode', boot: 'boot-2' });
+  assert.equal(refusalCode(submit(prefillModel, 0, 'r1')), 'wrong-role');
+  assert.equal(refusalCode(submit(decodeModel, 0, 'r1', { prefill: true })), 'wrong-role');
+  submit(prefillModel, 0, 'r1', { prefill: true, prompt: PROMPT });
+  const prefilled = prefillModel.advance(1_000).find((output) => output.kind === 'prefilled');
+  const exportedKv = prefillModel.exportKv(1_000, prefilled?.kvHandle ?? '');
+  assert.ok(exportedKv !== null && decodeModel.kvTransferMs(exportedKv) > 0);
+  const kvHandle = decodeModel.importKv(1_000, exportedKv) ?? '';
+  assert.ok(decodeModel.report(10_000).load.kvUsed > 0);
+  submit(decodeModel, 1_000, 'r1', { kvHandle, maxTokens: 5 });
+  assert.equal(decodeModel.report(1_000).load.queuedPrefillTokens, 0);
+  assert.deepEqual(tokensOf(decodeModel.advance(2_000), 'r1'), expected(PROMPT, 5));
+  assert.equal(refusalCode(submit(decodeModel, 2_000, 'r2', { kvHandle })), 'kv-gone');
+  assert.equal(prefillModel.exportKv(31_500, prefilled?.kvHandle ?? ''), null);
 });
 
 test('the same seed gives the same outputs, and no token is lost or duplicated', () => {
@@ -256,8 +259,8 @@
     outputs.push(...model.advance(LONG_AFTER_MS));
     assert.equal(model.activeRequests, 0);
     for (const [name, submission] of acceptedSubmissions) {
-      const whole = expected(`${name} ${PROMPT}`, submission.maxTokens ?? 0);
-      const tail = whole.slice(submission.resumeOffset);
+      const completeTokens = expected(`${name} ${PROMPT}`, submission.maxTokens ?? 0);
+      const tail = completeTokens.slice(submission.resumeOffset);
       const written = tokensOf(outputs, name);
       assert.deepEqual(written, cancelledNames.has(name) ? tail.slice(0, written.length) : tail);
     }
--- a/test/engine/orders.test.ts
+++ b/test/engine/orders.test.ts
@@ -57,13 +57,16 @@
   const order = orderOf('boot-1', 1, TO_DECODE);
   assert.deepEqual(model.order(0, order), RUNNING);
   assert.deepEqual(model.order(10, order), RUNNING);
-  const takenOver = { ...order, fence: { epoch: 2, sequence: 1 } };
-  assert.deepEqual(model.order(20, takenOver), RUNNING);
+  const withHigherEpoch = { ...order, fence: { epoch: 2, sequence: 1 } };
+  assert.deepEqual(model.order(20, withHigherEpoch), RUNNING);
   assert.equal(reasonOf(model.order(20, order)), 'stale-fence');
   assert.equal(model.orderState(ROLE_CHANGE_MS, order.id), 'done');
-  assert.deepEqual(model.order(ROLE_CHANGE_MS, takenOver), DONE);
+  assert.deepEqual(model.order(ROLE_CHANGE_MS, withHigherEpoch), DONE);
   const report = model.report(ROLE_CHANGE_MS);
-  assert.deepEqual([report.role, report.busy, report.fence], ['decode', false, takenOver.fence]);
+  assert.deepEqual(
+    [report.role, report.busy, report.fence],
+    ['decode', false, withHigherEpoch.fence],
+  );
   const ended = model.advance(ROLE_CHANGE_MS).filter((output) => output.kind === 'order-ended');
   assert.equal(ended.length, 1);
 });
@@ -84,10 +87,10 @@
   const model = newModel();
   submit(model, 0, 'r1');
   submit(model, 0, 'r2');
-  const careful = orderOf('boot-1', 1, TO_DECODE, { onlyIfIdle: true });
-  assert.equal(reasonOf(model.order(10, careful)), 'busy');
-  assert.deepEqual(model.report(10).fence, careful.fence);
-  assert.equal(model.orderState(10, careful.id), 'unknown');
+  const onlyIfIdleOrder = orderOf('boot-1', 1, TO_DECODE, { onlyIfIdle: true });
+  assert.equal(reasonOf(model.order(10, onlyIfIdleOrder)), 'busy');
+  assert.deepEqual(model.report(10).fence, onlyIfIdleOrder.fence);
+  assert.equal(model.orderState(10, onlyIfIdleOrder.id), 'unknown');
   assert.equal(model.activeRequests, 2);
   assert.deepEqual(model.order(11, orderOf('boot-1', 2, CLOSE_INTAKE, { onlyIfIdle: true })), DONE);
   assert.deepEqual(model.order(20, orderOf('boot-1', 3, TO_DECODE)), RUNNING);
@@ -108,8 +111,8 @@
   const model = newModel();
   assert.equal(reasonOf(model.order(0, orderOf('boot-0', 1, TO_DECODE))), 'wrong-boot');
   assert.equal(model.report(0).fence, null);
-  const elsewhere = orderOf('boot-1', 1, TO_DECODE, { engine: 'engine-2' });
-  assert.equal(reasonOf(model.order(0, elsewhere)), 'invalid');
+  const otherEngineOrder = orderOf('boot-1', 1, TO_DECODE, { engine: 'engine-2' });
+  assert.equal(reasonOf(model.order(0, otherEngineOrder)), 'invalid');
   const adapter = {
     kind: 'load-adapter',
     model: 'other',
@@ -134,8 +137,8 @@
     version: 'a1',
   } as const;
   assert.equal(run(1, adapter), 'done');
-  const taken = submit(model, now, 'r1', 'dutch');
-  assert.equal(taken.kind === 'accepted' && taken.version, 'v1+a1');
+  const accepted = submit(model, now, 'r1', 'dutch');
+  assert.equal(accepted.kind === 'accepted' && accepted.version, 'v1+a1');
   assert.equal(run(2, { kind: 'load-model', model: 'labels', version: 'v2' }), 'done');
   const newest = submit(model, now, 'r2');
   assert.equal(newest.kind === 'accepted' && newest.version, 'v2');
@@ -148,13 +151,13 @@
   assert.deepEqual(repeated, { kind: 'accepted', state: 'failed' });
   assert.equal(run(4, { kind: 'unload-model', model: 'labels', version: 'v1' }), 'done');
   assert.deepEqual(model.report(now).models, [{ model: 'labels', version: 'v2', adapters: [] }]);
-  const gone = submit(model, now, 'r3', 'dutch');
-  assert.equal(gone.kind === 'refused' && gone.code, 'model-not-loaded');
+  const afterUnload = submit(model, now, 'r3', 'dutch');
+  assert.equal(afterUnload.kind === 'refused' && afterUnload.code, 'model-not-loaded');
 });
 
 test('a new boot starts without fence and orders and with open intake', () => {
-  const before = newModel();
-  before.order(0, orderOf('boot-1', 7, CLOSE_INTAKE));
+  const firstBoot = newModel();
+  firstBoot.order(0, orderOf('boot-1', 7, CLOSE_INTAKE));
   const restarted = newModel('boot-2');
   assert.equal(reasonOf(restarted.order(0, orderOf('boot-1', 8, TO_DECODE))), 'wrong-boot');
   const { fence, intake, lastOrder } = restarted.report(0);
--- a/test/engine/server.test.ts
+++ b/test/engine/server.test.ts
@@ -143,21 +143,23 @@
 });
 
 test('KV is prefilled on one engine and imported by another, which generates the answer', async (context) => {
-  const reader = await startEngine({ name: 'engine-2', role: 'prefill' });
-  context.after(() => reader.close());
-  const prefilled = await request(`http://127.0.0.1:${reader.endpoint.port}/v1/prefill`, {
+  const prefillEngine = await startEngine({ name: 'engine-2', role: 'prefill' });
+  context.after(() => prefillEngine.close());
+  const prefilled = await request(`http://127.0.0.1:${prefillEngine.endpoint.port}/v1/prefill`, {
     method: 'POST',
     body: JSON.stringify({ model: 'labels', prompt: PROMPT }),
   });
   const { kvHandle } = (await prefilled.body.json()) as { kvHandle: string };
-  const imported = await post('/control/kv/import', { source: reader.endpoint, kvHandle });
-  const held = (await imported.body.json()) as { kvHandle: string };
-  await reader.close();
+  const imported = await post('/control/kv/import', { source: prefillEngine.endpoint, kvHandle });
+  const importedKv = (await imported.body.json()) as { kvHandle: string };
+  await prefillEngine.close();
   const body = { model: 'labels', prompt: PROMPT, max_tokens: 4 };
-  const answer = await post('/v1/completions', body, { 'x-threadfork-kv-handle': held.kvHandle });
-  const whole = (await answer.body.json()) as { choices: { text: string }[] };
-  assert.equal(whole.choices[0]?.text, expected(4).join(''));
-  const lost = await post('/control/kv/import', { source: reader.endpoint, kvHandle });
+  const answer = await post('/v1/completions', body, {
+    'x-threadfork-kv-handle': importedKv.kvHandle,
+  });
+  const completion = (await answer.body.json()) as { choices: { text: string }[] };
+  assert.equal(completion.choices[0]?.text, expected(4).join(''));
+  const lost = await post('/control/kv/import', { source: prefillEngine.endpoint, kvHandle });
   assert.equal(lost.statusCode, 404);
   await lost.body.dump();
 });
@@ -184,8 +186,8 @@
   const ownEngine = await startEngine({ models, speedFactor: 1_000 });
   context.after(() => ownEngine.close());
   const body = { model, prompt: PROMPT, max_tokens: LONG_ANSWER, stream: true };
-  const slow = connect(ownEngine.endpoint.port, '127.0.0.1').pause();
-  slow.write(rawPost('/v1/completions', JSON.stringify(body)));
+  const slowClient = connect(ownEngine.endpoint.port, '127.0.0.1').pause();
+  slowClient.write(rawPost('/v1/completions', JSON.stringify(body)));
   await until(() => ownEngine.model.activeRequests === 1);
   // Both requests run in the same batch, so without the pause the first would end before the second.
   const other = await request(`http://127.0.0.1:${ownEngine.endpoint.port}/v1/completions`, {
@@ -195,7 +197,7 @@
   await other.body.dump();
   assert.equal(ownEngine.model.activeRequests, 1);
   let read = '';
-  for await (const chunk of slow) read += String(chunk);
+  for await (const chunk of slowClient) read += String(chunk);
   assert.equal(read.match(/^id: /gm)?.length, LONG_ANSWER + 1);
   assert.ok(read.endsWith('data: [DONE]\n\n\r\n0\r\n\r\n'));
 });
@@ -240,11 +242,11 @@
 test('a crash drops connections; the new boot has the start-up role and no orders', async () => {
   const boot = engine.model.boot;
   await arm({ kind: 'crash-in-stream', afterTokens: 3, downMs: 10 });
-  const back = engine.restarted();
+  const restart = engine.restarted();
   const read = await frames(await complete('crashed', 100));
   assert.equal(read.broken, true);
   assert.ok(read.frames.length <= 3);
-  await back;
+  await restart;
   assert.notEqual(engine.model.boot, boot);
   assert.equal(await outcomeOf('crashed'), 'lost');
   await arm({ kind: 'crash-in-order', downMs: 10 });
@@ -284,8 +286,8 @@
   await arm({ kind: 'stall', afterTokens: 2, forMs: 600_000 });
   const stalled = await complete('stalled', 20);
   const read = frames(stalled);
-  const beside = await frames(await complete('beside', 40));
-  assert.equal(beside.frames.at(-1), 'data: [DONE]');
+  const otherAnswer = await frames(await complete('beside', 40));
+  assert.equal(otherAnswer.frames.at(-1), 'data: [DONE]');
   assert.equal(await outcomeOf('stalled'), 'active');
   await post('/control/cancel', { attempt: 'stalled' });
   assert.ok((await read).broken);
--- a/test/operator/server.test.ts
+++ b/test/operator/server.test.ts
@@ -24,7 +24,7 @@
   readonly to?: string;
 }
 
-// biome-ignore lint/suspicious/noExplicitAny: tests look into answers of every shape
+// biome-ignore lint/suspicious/noExplicitAny: the tests read answers of different shapes
 type AnyAnswer = { readonly status: number; readonly body: any };
 
 async function call(path: string, body: unknown, options: CallOptions = {}): Promise<AnyAnswer> {
@@ -77,9 +77,9 @@
   const conflict = await call('/v1/commands', { text: 'drain e2 if version 0' }, { token });
   assert.deepEqual([conflict.status, conflict.body.kind], [409, 'refused']);
   assert.equal(conflict.body.currentVersion, 1);
-  const twice = { text: 'drain e2 if version 0', ifVersion: 1 };
+  const conflictingVersions = { text: 'drain e2 if version 0', ifVersion: 1 };
   assert.match(
-    (await call('/v1/commands', twice, { token })).body.fault.message,
+    (await call('/v1/commands', conflictingVersions, { token })).body.fault.message,
     /State one of them/,
   );
   backend.override = () => Promise.reject(new Error('broken'));
@@ -89,30 +89,37 @@
 });
 
 test('a document is validated before it reaches the backend', async () => {
-  const seen = backend.requests.length;
+  const requestCount = backend.requests.length;
   const document = { tenants: { t: { class: 'nowhere' } } };
   const refused = await call('/v1/commands', { document }, { token: CHANGE_TOKEN });
   assert.equal(refused.body.kind, 'refused');
-  assert.equal(backend.requests.length, seen);
-  const taken = { document: {}, dryRun: true };
-  assert.equal((await call('/v1/commands', taken, { token: CHANGE_TOKEN })).body.kind, 'dry-run');
+  assert.equal(backend.requests.length, requestCount);
+  const dryRunBody = { document: {}, dryRun: true };
+  assert.equal(
+    (await call('/v1/commands', dryRunBody, { token: CHANGE_TOKEN })).body.kind,
+    'dry-run',
+  );
 });
 
 test('a missing or unknown token is refused, and a read-only token changes nothing', async () => {
   const text = { text: 'drain e9' };
-  const seen = backend.requests.length;
+  const requestCount = backend.requests.length;
   assert.equal((await call('/v1/status', undefined)).status, 401);
   assert.equal((await call('/v1/status', undefined, { token: 'wrong' })).status, 401);
   assert.equal((await call('/v1/status', undefined, { token: digestOf(READ_TOKEN) })).status, 401);
   const forbidden = await call('/v1/commands', text, { token: READ_TOKEN });
   assert.deepEqual([forbidden.status, forbidden.body.fault.code], [403, 'forbidden']);
-  assert.equal(backend.requests.length, seen);
-  const tried = await call('/v1/commands', { text: 'dry run drain e9' }, { token: READ_TOKEN });
-  assert.equal(tried.body.kind, 'dry-run');
+  assert.equal(backend.requests.length, requestCount);
+  const dryRunAnswer = await call(
+    '/v1/commands',
+    { text: 'dry run drain e9' },
+    { token: READ_TOKEN },
+  );
+  assert.equal(dryRunAnswer.body.kind, 'dry-run');
   assert.equal(backend.requests.at(-1)?.operator, 'curator');
-  const whole = '/v1/configuration';
-  assert.equal((await call(whole, undefined, { token: READ_TOKEN })).status, 403);
-  assert.equal((await call(whole, undefined, { token: CHANGE_TOKEN })).status, 200);
+  const configurationPath = '/v1/configuration';
+  assert.equal((await call(configurationPath, undefined, { token: READ_TOKEN })).status, 403);
+  assert.equal((await call(configurationPath, undefined, { token: CHANGE_TOKEN })).status, 200);
   assert.equal((await call('/healthz', undefined)).status, 200);
   assert.ok(!JSON.stringify(logged).includes(CHANGE_TOKEN));
   assert.ok(logged.some((effect) => effect.event.number === 5002));
@@ -123,10 +130,16 @@
   const to = open.address;
   assert.equal((await call('/v1/status', undefined, { to })).status, 200);
   assert.equal((await call('/v1/status', undefined, { to, token: 'wrong' })).status, 401);
-  const page = { origin: 'http://example.org' };
-  assert.equal((await call('/v1/status', undefined, { to, headers: page })).status, 403);
-  const rebound = { host: 'example.org:80' };
-  assert.equal((await call('/v1/status', undefined, { to, headers: rebound })).status, 403);
+  const crossOriginHeaders = { origin: 'http://example.org' };
+  assert.equal(
+    (await call('/v1/status', undefined, { to, headers: crossOriginHeaders })).status,
+    403,
+  );
+  const reboundHostHeaders = { host: 'example.org:80' };
+  assert.equal(
+    (await call('/v1/status', undefined, { to, headers: reboundHostHeaders })).status,
+    403,
+  );
   await open.server.close();
 });
 
@@ -187,7 +200,7 @@
 }
 
 test('closing the server waits for a running call', async () => {
-  const own = await startStub(backend);
+  const ownStub = await startStub(backend);
   let release: () => void = () => undefined;
   const running = new Promise<void>((resolve) => {
     backend.override = (change) => {
@@ -200,10 +213,10 @@
   const answer = call(
     '/v1/commands',
     { text: 'drain e5' },
-    { token: CHANGE_TOKEN, to: own.address },
+    { token: CHANGE_TOKEN, to: ownStub.address },
   );
   await running;
-  const closed = own.server.close();
+  const closed = ownStub.server.close();
   release();
   backend.override = null;
   assert.equal((await answer).body.version, 9);
--- a/test/platform/client.test.ts
+++ b/test/platform/client.test.ts
@@ -129,12 +129,12 @@
   const connections = new PlatformConnections(options);
   cleanUps.push(() => connections.close());
   const get = { method: 'GET', path: '/get' } as const;
-  const occupying = Array.from({ length: MAX_CONNECTIONS }, () => connections.exchange(get));
+  const occupyingCalls = Array.from({ length: MAX_CONNECTIONS }, () => connections.exchange(get));
   await occupied;
   const waiting = await connections.exchange({ method: 'POST', path: '/late', body: '{}' }, 50);
   assert.equal(waiting.kind, 'not-sent');
   for (const socket of sockets) socket.write(httpAnswer('200 OK', '{}'));
-  assert.ok((await Promise.all(occupying)).every(({ kind }) => kind === 'answered'));
+  assert.ok((await Promise.all(occupyingCalls)).every(({ kind }) => kind === 'answered'));
   const next = connections.exchange(get);
   for (const socket of sockets) socket.on('data', () => socket.write(httpAnswer('200 OK', '{}')));
   assert.equal((await next).kind, 'answered');
--- a/test/settings/load.test.ts
+++ b/test/settings/load.test.ts
@@ -95,9 +95,9 @@
 });
 
 test('an operator address other than loopback needs a token or allowUnauthenticatedOperators', () => {
-  const open = VALID_SETTINGS.replace('operators: 127.0.0.1:0', 'operators: 10.0.0.1:9001');
-  assert.match(problems(open)[0] ?? '', /^d\.yaml:5: listen\.operators: .*operatorTokens/);
-  const allowed = load(`${open}allowUnauthenticatedOperators: true\n`)._unsafeUnwrap();
+  const openSettings = VALID_SETTINGS.replace('operators: 127.0.0.1:0', 'operators: 10.0.0.1:9001');
+  assert.match(problems(openSettings)[0] ?? '', /^d\.yaml:5: listen\.operators: .*operatorTokens/);
+  const allowed = load(`${openSettings}allowUnauthenticatedOperators: true\n`)._unsafeUnwrap();
   assert.equal(allowsUnauthenticatedOperators(allowed), true);
 });
 
