--- a/src/core/gateway/configuration.ts
+++ b/src/core/gateway/configuration.ts
@@ -50,7 +50,7 @@
   /** Time for which an engine does no work while it changes its stage, once its running work is done. */
   readonly roleSwitchMs: number;
   /** Long polls for cache events that one engine accepts from all daemons together. */
-  readonly maxNewsCalls: number;
+  readonly maxCacheEventPolls: number;
 }
 
 /** Bounds on the number of servers of a service that is billed by the second, and their prices. */
--- a/src/core/gateway/fleet-size.ts
+++ b/src/core/gateway/fleet-size.ts
@@ -23,7 +23,7 @@
   }
 
   /** Records the length of a list that was read, or that was found to match the relay's list. */
-  take(daemons: number): void {
+  recordListed(daemons: number): void {
     if (this.#listed !== undefined && daemons <= this.#largest) this.#isConfirmed = true;
     this.#listed = daemons;
     this.#largest = Math.max(this.#largest, daemons);
--- a/src/core/gateway/limit-ledger.ts
+++ b/src/core/gateway/limit-ledger.ts
@@ -80,7 +80,7 @@
   }
 
   /** Records what a permit request reports, and grants what there is capacity for. */
-  ask(request: PermitRequest, nowMs: number): PermitGrant {
+  handleRequest(request: PermitRequest, nowMs: number): PermitGrant {
     const { daemon, wanted, unmetered } = request;
     this.#opensAtMs ??= request.knownForMs > TAKE_OVER_AFTER_MS ? nowMs + LEDGER_SPAN_MS : nowMs;
     this.lastRequestAtMs = nowMs;
--- a/src/core/gateway/named-limits.ts
+++ b/src/core/gateway/named-limits.ts
@@ -63,7 +63,7 @@
   /** When this daemon learnt of it. */
   readonly knownSinceMs: number;
   /** Whether an answer to this daemon named it, instead of advertisements of other daemons alone. */
-  readonly isHeard: boolean;
+  readonly isFirstHand: boolean;
 }
 
 /** The limits in force, by server. */
@@ -89,8 +89,8 @@
         return this.#end(id, known, times.sentAtMs);
       case 'named': {
         const { nowMs } = times;
-        const limit = { perSecond: report.perSecond, reportedAtMs: nowMs, isHeard: true };
-        return this.#keep(id, limit, known?.isHeard !== true, nowMs);
+        const limit = { perSecond: report.perSecond, reportedAtMs: nowMs, isFirstHand: true };
+        return this.#keep(id, limit, known?.isFirstHand !== true, nowMs);
       }
     }
   }
@@ -110,7 +110,7 @@
     if (perSecond === undefined) {
       return known === undefined ? undefined : this.#end(id, known, reportedAtMs);
     }
-    const limit = { perSecond, reportedAtMs, isHeard: known?.isHeard ?? false };
+    const limit = { perSecond, reportedAtMs, isFirstHand: known?.isFirstHand ?? false };
     return this.#keep(id, limit, known === undefined, nowMs);
   }
 
@@ -144,7 +144,7 @@
   /** @param isFirst whether it counts as new regardless of what was known before */
   #keep(
     id: string,
-    limit: Pick<NamedLimit, 'perSecond' | 'reportedAtMs' | 'isHeard'>,
+    limit: Pick<NamedLimit, 'perSecond' | 'reportedAtMs' | 'isFirstHand'>,
     isFirst: boolean,
     nowMs: number,
   ): LimitChange | undefined {
--- a/src/core/gateway/pace-samples.ts
+++ b/src/core/gateway/pace-samples.ts
@@ -1,5 +1,5 @@
 /** Samples of one engine's pace: a mean of logarithms whose evidence decays, and the pace that is estimated from it. */
-import { quantizedPace } from './home.js';
+import { quantizedPace } from './preferred-engine.js';
 
 /**
  * Factor that each newer sample applies to a sample's weight. Machines are shared, so the speed that they deliver
--- a/src/core/gateway/peer-load.ts
+++ b/src/core/gateway/peer-load.ts
@@ -4,8 +4,8 @@
  */
 
 import type { Urgency } from './engine-load.js';
-import type { ReadNotice } from './prefix-knowledge.js';
-import type { ReachabilityNotice } from './reach-notices.js';
+import type { ReadNotice } from './prefix-cache-index.js';
+import type { ReachabilityNotice } from './reachability-notices.js';
 import { addDemands, type ServiceDemand } from './stage-demand.js';
 
 /** A daemon that has sent nothing for this long counts as having no work. */
@@ -97,7 +97,7 @@
   #hasReceivedDemand = false;
 
   /** Applies a report unless a newer one of the same incarnation is known. */
-  take(report: LoadReport, nowMs: number): void {
+  applyReport(report: LoadReport, nowMs: number): void {
     const known = this.#byDaemon.get(report.daemon)?.report;
     const isSameRun = known?.incarnation === report.incarnation;
     if (known !== undefined && isSameRun && known.sequence >= report.sequence) return;
--- a/src/core/gateway/server-availability.ts
+++ b/src/core/gateway/server-availability.ts
@@ -101,7 +101,7 @@
    * Records an answer's report.
    * @returns what it reports that was not known
    */
-  take(
+  recordReport(
     server: ServerRecord,
     { isLeaving, backOffMs }: ReportedAvailability,
     { nowMs, unixMs, entropy }: ReportContext,
--- a/src/core/gateway/server-health.ts
+++ b/src/core/gateway/server-health.ts
@@ -3,7 +3,7 @@
  * is skipped for a time that doubles with each consecutive failure, then tried again.
  */
 
-import { MIN_UNREACHABLE_REPORTS, type ReachabilityNotice } from './reach-notices.js';
+import { MIN_UNREACHABLE_REPORTS, type ReachabilityNotice } from './reachability-notices.js';
 
 const FIRST_EJECTION_MS = 400;
 const MAX_EJECTION_MS = 4_000;
@@ -93,7 +93,7 @@
   }
 
   /** Records that an attempt to connect was not answered at all. */
-  recordSilent(nowMs: number): void {
+  recordConnectUnanswered(nowMs: number): void {
     this.recordBroken(nowMs);
     this.#isConnectUnanswered = true;
   }
--- a/src/core/gateway/stage-notices.ts
+++ b/src/core/gateway/stage-notices.ts
@@ -30,7 +30,7 @@
 export class StageNotices {
   readonly #active = new Map<string, ActiveNotice>();
 
-  take(notice: StageNotice, nowMs: number): void {
+  apply(notice: StageNotice, nowMs: number): void {
     const validMs = notice.phase === 'changing' ? CHANGING_VALID_MS : CHANGED_VALID_MS;
     this.#active.set(notice.engineId, { ...notice, untilMs: nowMs + validMs });
   }
--- a/src/shell/engine/client.ts
+++ b/src/shell/engine/client.ts
@@ -3,7 +3,7 @@
 import type { z } from 'zod';
 import type { AttemptId, OrderId } from '../../core/common/identifiers.js';
 import type { Milliseconds } from '../../core/common/time.js';
-import type { AskedOrderState } from '../../core/controller/index.js';
+import type { OrderQueryResult } from '../../core/controller/index.js';
 import { type Fault, refusedNotRun } from '../../core/errors/fault.js';
 import type { Order, OrderAnswer } from '../../core/orders/index.js';
 import type { Endpoint, EngineReport } from '../../core/registry/backend.js';
@@ -33,7 +33,7 @@
   /** Sends an order. On `lost`, no answer came: query the order's state before any other step. */
   order(endpoint: Endpoint, order: Order): Promise<OrderAnswer>;
   /** Queries the state of an order; `lost` if the query or its answer was lost. */
-  orderState(endpoint: Endpoint, id: OrderId): Promise<AskedOrderState>;
+  orderState(endpoint: Endpoint, id: OrderId): Promise<OrderQueryResult>;
   /** Cancels an attempt; false if it is not active on the engine. */
   cancel(endpoint: Endpoint, attempt: AttemptId): Promise<Result<boolean, Fault>>;
   /** Reads the published cache events after number `after`. */
--- a/src/shell/gateway/crash-guard.ts
+++ b/src/shell/gateway/crash-guard.ts
@@ -17,13 +17,13 @@
 import { CrashStoreDuty } from './crash-store-duty.js';
 import { CrashStoreRestore } from './crash-store-restore.js';
 import { CrashTable, type CrashTableContent } from './crash-table.js';
-import { UnresolvedBreaks } from './open-breaks.js';
 import type { PeerExchange } from './peer-exchange.js';
 import type { TableService } from './ports.js';
 import { type GuardedExchange, RequestFingerprints } from './request-fingerprint.js';
 import type { GatewayLog } from './request-log.js';
-import type { ServerExitCheck } from './server-end-check.js';
+import type { ServerExitCheck } from './server-exit-check.js';
 import { delay, type TimerService, type WallClock } from './timer-service.js';
+import { UnresolvedBreaks } from './unresolved-breaks.js';
 
 const READ_RETRY_MS = 500;
 
@@ -45,7 +45,7 @@
 /** Options of a `CrashGuard`. */
 export interface CrashGuardOptions {
   readonly table: TableService;
-  readonly endCheck: Pick<ServerExitCheck, 'hasEnded'>;
+  readonly exitCheck: Pick<ServerExitCheck, 'hasEnded'>;
   /** Whether a boot of a server accepted new work when it was last listed; one with a planned shutdown does not. */
   readonly isReady: (server: ServerRecord) => boolean;
   readonly roster: Pick<PeerRoster, 'allPeers' | 'positionFor' | 'hasList'>;
@@ -121,7 +121,7 @@
    * Whether requests may be sent: a daemon that has not read the table would send what all others refuse. One that
    * cannot read the store serves once its peers have had the contact time to advertise their records.
    */
-  get isPrepared(): boolean {
+  get isReadyToServe(): boolean {
     const { timers, contactMs } = this.#options;
     return this.#hasReadTable || timers.nowMs() - this.#startedMs >= contactMs;
   }
@@ -144,7 +144,7 @@
   }
 
   /** Refuses a quarantined request, or fails it if it has run already. @returns whether it is quarantined */
-  refuse(exchange: GuardedExchange): boolean {
+  refuseIfQuarantined(exchange: GuardedExchange): boolean {
     if (!this.isQuarantined(exchange)) return false;
     const fingerprint = this.#fingerprints.of(exchange) ?? '';
     const ageMs = this.#records.get(fingerprint, this.#options.timers.nowMs())?.ageMs ?? 0;
@@ -201,9 +201,9 @@
 
   async #check(exchange: GuardedExchange, broken: BrokenRun): Promise<void> {
     const { server, wasReady, ranMs } = broken;
-    const { endCheck, timers, log } = this.#options;
+    const { exitCheck, timers, log } = this.#options;
     const startedMs = timers.nowMs();
-    const hasEnded = await endCheck.hasEnded(server);
+    const hasEnded = await exitCheck.hasEnded(server);
     const fingerprint = this.#fingerprints.of(exchange) ?? '';
     const mayCount = wasReady && fingerprint !== '';
     const isCounted = hasEnded && mayCount;
--- a/src/shell/gateway/fleet-demand.ts
+++ b/src/shell/gateway/fleet-demand.ts
@@ -15,10 +15,10 @@
   type UnseenWork,
   unseenWork,
 } from '../../core/gateway/index.js';
-import { getOrCreate } from './entry-of.js';
+import { getOrCreate } from './get-or-create.js';
 
 /** Demand is measured over a sliding window of this length. */
-export const DEMAND_SPAN_MS = 6_000;
+export const DEMAND_WINDOW_MS = 6_000;
 const MILLISECONDS_PER_SECOND = 1_000;
 
 /** What the demand is computed from. */
@@ -44,7 +44,7 @@
 
   /** The demand from this daemon's own callers. */
   of(service: string): StageDemand {
-    return getOrCreate(this.#demands, service, () => new StageDemand(DEMAND_SPAN_MS));
+    return getOrCreate(this.#demands, service, () => new StageDemand(DEMAND_WINDOW_MS));
   }
 
   /** Work that other daemons have sent but not yet advertised; undefined in fleets where they advertise it at once. */
@@ -55,7 +55,7 @@
       knownAgeMs: this.#sources.peerLoads.sumsAgeMs(nowMs),
       own: this.of(service).sums(nowMs),
       all: this.#fleetDemandOf(service, nowMs),
-      spanMs: DEMAND_SPAN_MS,
+      spanMs: DEMAND_WINDOW_MS,
       busyForMs: this.#sources.peerLoads.busyForMs(nowMs),
     });
   }
@@ -77,15 +77,15 @@
       .filter(({ stage }) => stage === 'decode');
     const paces = engines.reduce((sum, { id }) => sum + paceOf(id), 0);
     const { shortRequests } = this.#fleetDemandOf(service, nowMs);
-    return shortRequests / DEMAND_SPAN_MS / Math.max(1, paces);
+    return shortRequests / DEMAND_WINDOW_MS / Math.max(1, paces);
   }
 
   /** The work of a service, as the number of engines of typical pace that it keeps busy. */
   needOf(service: string, nowMs: number): StageNeed {
     const { prefillMs, decodeMs, requests } = this.#fleetDemandOf(service, nowMs);
     return {
-      prefillEngines: prefillMs / DEMAND_SPAN_MS,
-      decodeEngines: decodeMs / DEMAND_SPAN_MS,
+      prefillEngines: prefillMs / DEMAND_WINDOW_MS,
+      decodeEngines: decodeMs / DEMAND_WINDOW_MS,
       requests,
     };
   }
@@ -109,7 +109,7 @@
     if (this.#sources.limits.count === 0) return () => 1;
     const { requests } = this.#fleetDemandOf(service, nowMs);
     const servers = this.#sources.readyOf(service, nowMs);
-    const perSecond = (requests * MILLISECONDS_PER_SECOND) / DEMAND_SPAN_MS;
+    const perSecond = (requests * MILLISECONDS_PER_SECOND) / DEMAND_WINDOW_MS;
     return (serverId) => {
       const limit = this.#sources.limits.of(serverId);
       if (limit === undefined || perSecond === 0) return 1;
--- a/src/shell/gateway/fleet-view.ts
+++ b/src/shell/gateway/fleet-view.ts
@@ -36,9 +36,9 @@
   type WebServerLoad,
   WebServerLoads,
 } from '../../core/gateway/index.js';
-import { getOrCreate } from './entry-of.js';
 import { FleetDemand } from './fleet-demand.js';
-import { type LoadDecisions, USUAL_LOAD_DECISIONS } from './gateway-settings.js';
+import { DEFAULT_LOAD_DECISIONS, type LoadDecisions } from './gateway-settings.js';
+import { getOrCreate } from './get-or-create.js';
 import type { EngineCacheEvents } from './peer-messages.js';
 
 /** Web servers per message, in addition to the engines; enough, as crowded services have few servers. */
@@ -90,7 +90,7 @@
   constructor(
     budgetOptions: RetryBudgetOptions,
     onBudgetCreated: (service: string, budget: RetryBudget) => void = () => undefined,
-    decisions: Pick<LoadDecisions, 'enginePaces' | 'waiting'> = USUAL_LOAD_DECISIONS,
+    decisions: Pick<LoadDecisions, 'enginePaces' | 'waiting'> = DEFAULT_LOAD_DECISIONS,
   ) {
     this.#countsOverdue = decisions.waiting;
     this.#budgetOptions = budgetOptions;
@@ -130,7 +130,7 @@
   }
 
   /** Forgets the state of removed servers and of earlier boots of restarted ones. */
-  forgetEnded({ removed, restarted }: Pick<DirectoryChange, 'removed' | 'restarted'>): void {
+  forgetEndedBoots({ removed, restarted }: Pick<DirectoryChange, 'removed' | 'restarted'>): void {
     for (const server of [...removed, ...restarted]) {
       this.#health.delete(server.id);
       this.#loads.delete(server.id);
@@ -177,7 +177,7 @@
   }
 
   /** Servers of a service that only their rate limit keeps from being sent work. */
-  atLimit(service: string, nowMs: number): ServerRecord[] {
+  serversAtLimit(service: string, nowMs: number): ServerRecord[] {
     return this.limits.count === 0 ? [] : this.#usableOf(service, nowMs, ['at-limit']);
   }
 
@@ -221,7 +221,7 @@
    * Time until there may be capacity for a request that no server accepted: until the first skipped server is eligible
    * again. Undefined if none is skipped.
    */
-  roomExpectedInMs(service: string, nowMs: number): number | undefined {
+  capacityExpectedInMs(service: string, nowMs: number): number | undefined {
     const waitsMs = this.readyOf(service, nowMs)
       .filter(({ stage }) => stage !== 'prefill')
       .map((server) => this.#skippedForMs(server, nowMs))
@@ -230,7 +230,7 @@
   }
 
   /** How many of all listed servers have reported that they are leaving, or are in a back-off period now. */
-  saidSo(kind: Unavailable['kind'], nowMs: number): number {
+  countReporting(kind: Unavailable['kind'], nowMs: number): number {
     return this.#countOf(kind, [...this.directory.all()], nowMs);
   }
 
@@ -277,7 +277,7 @@
   }
 
   /** Waiting work at the busiest prefill engine, relative to the mean of all prefill engines; 0 while nothing waits. */
-  busiestToMean(nowMs: number): number {
+  busiestToMeanWait(nowMs: number): number {
     const services = [...(this.#inForce?.configuration.services.keys() ?? [])];
     const engines = services.flatMap((service) => this.candidates(service, nowMs));
     const waitsMs = engines
@@ -380,7 +380,7 @@
   }
 
   /** How long the more urgent ranks of a service can still wait. */
-  slackOf(service: string): UrgentSlack {
+  urgentSlackOf(service: string): UrgentSlack {
     return getOrCreate(this.#slacks, service, () => new UrgentSlack());
   }
 
@@ -404,7 +404,7 @@
 
   /** Records the length of a list of daemons that was read, or that was found equal to the list of the zone's relay. */
   setDaemonCount(daemons: number): void {
-    this.#size.take(daemons);
+    this.#size.recordListed(daemons);
     const { sharers } = this.#size;
     if (sharers === undefined) return;
     for (const budget of this.#budgets.values()) budget.setDaemonCount(sharers);
--- a/src/shell/gateway/gateway-metrics.ts
+++ b/src/shell/gateway/gateway-metrics.ts
@@ -111,7 +111,7 @@
     this.#waits.observe({ rank }, waitedMs / MILLISECONDS_PER_SECOND);
   }
 
-  recordRoomRefusal(reason: string, rank: number): void {
+  recordCapacityRefusal(reason: string, rank: number): void {
     this.#capacityRefusals.inc({ reason, rank });
   }
 
@@ -120,7 +120,7 @@
   }
 
   /** Records what an answer reported about the availability of its server. */
-  recordToldAvailability(what: string): void {
+  recordReportedAvailability(what: string): void {
     this.#reportedAvailability.inc({ what });
   }
 
--- a/src/shell/gateway/limit-coordinator.ts
+++ b/src/shell/gateway/limit-coordinator.ts
@@ -14,9 +14,9 @@
 import type { Exchange } from './exchange.js';
 import type { FleetView } from './fleet-view.js';
 import type { GatewayMetrics } from './gateway-metrics.js';
-import { PermitRequester } from './limit-asks.js';
-import { PermitGranter } from './limit-grants.js';
 import type { LimitMessage } from './limit-message-fields.js';
+import { PermitGranter } from './permit-granter.js';
+import { PermitRequester } from './permit-requester.js';
 import { PermitWaiters } from './permit-waiters.js';
 import type { GatewayLog } from './request-log.js';
 import type { CallPurpose } from './server-calls.js';
@@ -66,7 +66,7 @@
   /** Uniformly distributed from 0 to 1, drawn at each call; spreads the permit requests of daemons over time. */
   readonly random: () => number;
   readonly log: Pick<GatewayLog, 'write'>;
-  readonly metrics: Pick<GatewayMetrics, 'recordPermits' | 'recordToldAvailability'>;
+  readonly metrics: Pick<GatewayMetrics, 'recordPermits' | 'recordReportedAvailability'>;
 }
 
 interface Arrivals {
@@ -141,12 +141,12 @@
   recordReportedLimit(server: ServerRecord, change: LimitChange, purpose: CallPurpose): void {
     const { id, service } = server;
     this.#requester.advertiseLimit(id, change);
-    this.#options.metrics.recordToldAvailability(`limit-${change.kind}`);
+    this.#options.metrics.recordReportedAvailability(`limit-${change.kind}`);
     this.#handleChange(id, change, { service, purpose });
   }
 
   /** Handles another daemon's message; `reply` sends an answer to it. */
-  take(message: LimitMessage, reply: (answer: LimitMessage) => void): void {
+  handleMessage(message: LimitMessage, reply: (answer: LimitMessage) => void): void {
     const { fleet, timers } = this.#options;
     switch (message.kind) {
       case 'limit-ask':
@@ -172,7 +172,7 @@
     const { fleet, timers, log } = this.#options;
     const { service, rank, arrivedAtMs, attemptId, maxWaitMs, signal } = request;
     const nowMs = timers.nowMs();
-    const limited = fleet.atLimit(service, nowMs).filter(({ stage }) => stage !== 'prefill');
+    const limited = fleet.serversAtLimit(service, nowMs).filter(({ stage }) => stage !== 'prefill');
     const expectedMs = limited.map(({ id }) => fleet.permits.expectedInMs(id, nowMs));
     if (limited.length === 0 || maxWaitMs <= 0 || Math.min(...expectedMs) > maxWaitMs) return false;
     const wait = { service, rank, arrivedAtMs, mostMs: maxWaitMs, signal };
@@ -265,7 +265,7 @@
   }
 
   #recordAdvertisedLimit(serverId: string, change: LimitChange, by: string): void {
-    this.#options.metrics.recordToldAvailability(`limit-${change.kind}-told`);
+    this.#options.metrics.recordReportedAvailability(`limit-${change.kind}-told`);
     this.#handleChange(serverId, change, { by });
   }
 
--- a/src/shell/gateway/model-exchange.ts
+++ b/src/shell/gateway/model-exchange.ts
@@ -20,8 +20,8 @@
 import type { Exchange } from './exchange.js';
 import { type PermitReservation, permitWaitRequestOf } from './limit-coordinator.js';
 import { ModelPlanner, type PlanLimits } from './model-planner.js';
-import type { MemorySource } from './ports.js';
-import { freeKvMemory, type PrefillPlan, runPrefill } from './prompt-reading.js';
+import type { HandoverSource } from './ports.js';
+import { freeKvMemory, type PrefillPlan, runPrefill } from './prefill.js';
 import { StreamRelay } from './stream-relay.js';
 
 const MAX_ERROR_BYTES = 1_048_576;
@@ -179,7 +179,7 @@
   /** Sends the request to a decode engine and relays its stream. */
   async #run(
     server: ServerRecord,
-    memorySource: MemorySource | undefined,
+    handoverSource: HandoverSource | undefined,
     fetchFrom: string | undefined,
     plan: EnginePlan,
     hasPermit = false,
@@ -193,7 +193,7 @@
       ...defaultAttemptOptions(server, exchange.signal),
       mayKeepConnection: this.#isRepeatable,
       priority: this.#planner.runPriorityOf(plan),
-      memorySource,
+      handoverSource,
       fetchFrom,
       resumeAfterEventId: this.#relay.lastEventId,
       expectedMs: plan.kind === 'direct' ? plan.expectedMs : 0,
@@ -202,8 +202,8 @@
     const startedAtMs = this.#nowMs();
     const result = await sendAttempt(exchange, this.#context, options);
     if (result.kind === 'answered') {
-      const way = memorySource === undefined ? plan.kind : 'hand-over';
-      this.#planner.noteHead(way, plan, this.#nowMs() - startedAtMs);
+      const way = handoverSource === undefined ? plan.kind : 'hand-over';
+      this.#planner.recordResponseHead(way, plan, this.#nowMs() - startedAtMs);
     }
     if (read !== undefined) load.abandon(read);
     exchange.endRun(hasNotRun(result));
@@ -211,7 +211,7 @@
     if (result.kind === 'answered') {
       const headAtMs = this.#nowMs();
       const next = await this.#relayAnswer(result.attempt);
-      this.#planner.noteRun(this.#nowMs() - headAtMs);
+      this.#planner.recordRunEnd(this.#nowMs() - headAtMs);
       load.running -= 1;
       this.#context.admission.wake();
       return next;
@@ -219,15 +219,15 @@
     load.running -= 1;
     // The request was not sent to this engine, so it may be once the engine takes more.
     if (result.kind === 'held-back') exchange.triedServerIds.delete(server.id);
-    const fallback = this.#fallbackEngine(result, memorySource, plan);
-    if (fallback !== undefined) return this.#run(fallback, memorySource, undefined, plan);
-    this.#freeUnused(memorySource, plan);
+    const fallback = this.#fallbackEngine(result, handoverSource, plan);
+    if (fallback !== undefined) return this.#run(fallback, handoverSource, undefined, plan);
+    this.#freeUnused(handoverSource, plan);
     this.#lastReason = 'reason' in result ? result.reason : `status ${result.status}`;
     if (result.kind === 'no-budget') return this.#giveUp();
     if (result.kind === 'broken' || result.kind === 'held-back') return 'again';
     this.#rejections += 1;
     // Fetching the KV memory may be what failed, so the next engine runs the prefill itself.
-    if (memorySource !== undefined) {
+    if (handoverSource !== undefined) {
       this.#prefillFailed = true;
       exchange.triedServerIds.delete(server.id);
     }
@@ -237,7 +237,7 @@
   /** Another decode engine for the same KV memory, when the request did not reach the chosen one; undefined otherwise. */
   #fallbackEngine(
     result: AttemptResult,
-    memory: MemorySource | undefined,
+    memory: HandoverSource | undefined,
     plan: EnginePlan,
   ): ServerRecord | undefined {
     const wasSent = result.kind !== 'not-sent' && result.kind !== 'held-back';
@@ -248,7 +248,7 @@
   }
 
   /** Frees the KV memory of a prefill that no engine decodes from. */
-  #freeUnused(memory: MemorySource | undefined, plan: EnginePlan): void {
+  #freeUnused(memory: HandoverSource | undefined, plan: EnginePlan): void {
     if (memory === undefined || plan.kind !== 'prefill') return;
     freeKvMemory(this.#exchange, this.#context, memory, plan.prefill.server);
   }
@@ -322,7 +322,7 @@
     const exchange = this.#exchange;
     if (exchange.signal.aborted) return this.#endInterrupted();
     if (exchange.isAnswered) exchange.abortResponse(this.#lastReason);
-    else if (!this.#context.crashes.refuse(exchange)) {
+    else if (!this.#context.crashes.refuseIfQuarantined(exchange)) {
       refuseUnavailable(exchange, this.#context, this.#lastReason);
     }
     return 'done';
--- a/src/shell/gateway/model-planner.ts
+++ b/src/shell/gateway/model-planner.ts
@@ -19,8 +19,8 @@
 import { GATEWAY_EVENTS } from '../../core/logging/catalogue/gateway.js';
 import { type AttemptContext, engineTraits } from './attempt.js';
 import type { Exchange } from './exchange.js';
-import { ModelAdmissionCheck } from './model-room-ask.js';
-import { hadShortQueue } from './prompt-reading.js';
+import { ModelAdmissionCheck } from './model-admission-check.js';
+import { hadShortQueue } from './prefill.js';
 
 /** A request counts as in time if its answer is expected within this share of the target latency. */
 const IN_TIME_SHARE = 0.9;
@@ -89,7 +89,7 @@
   limitedChoice(limits: PlanLimits): readonly ServerRecord[] {
     const { fleet } = this.#context;
     const nowMs = this.#nowMs();
-    const atLimit = fleet.atLimit(this.#service, nowMs);
+    const atLimit = fleet.serversAtLimit(this.#service, nowMs);
     if (atLimit.length === 0) return [];
     const candidates = fleet.candidatesWithLimited(this.#service, nowMs);
     const plan = this.#planAmong(candidates, limits);
@@ -106,7 +106,7 @@
   limitedRunChoice(source: ServerRecord, where: 'any' | 'no-other'): readonly ServerRecord[] {
     const { fleet } = this.#context;
     const nowMs = this.#nowMs();
-    const atLimit = fleet.atLimit(this.#service, nowMs);
+    const atLimit = fleet.serversAtLimit(this.#service, nowMs);
     if (atLimit.length === 0) return [];
     if (where === 'no-other' && this.decodeEngineAfter(source) !== undefined) return [];
     const candidates = fleet.candidatesWithLimited(this.#service, nowMs);
@@ -155,7 +155,7 @@
   }
 
   /** Learns from the time until the head of an answer, which comes with the first token. */
-  noteHead(way: RunWay, plan: EnginePlan, elapsedMs: number): void {
+  recordResponseHead(way: RunWay, plan: EnginePlan, elapsedMs: number): void {
     if (way === 'hand-over') this.#speed.learnHandOver(elapsedMs);
     else if (plan.kind === 'direct') {
       const { server, missingTokens, read } = plan;
@@ -165,7 +165,7 @@
   }
 
   /** Learns from the time between the head of an answer and the end of its run. */
-  noteRun(elapsedMs: number): void {
+  recordRunEnd(elapsedMs: number): void {
     const { description } = this.#exchange.options;
     if (this.#exchange.signal.aborted) return;
     this.#speed.learnRun(description.maxOutputTokens, elapsedMs);
--- a/src/shell/gateway/ports.ts
+++ b/src/shell/gateway/ports.ts
@@ -20,7 +20,7 @@
 export type RawHeaders = readonly string[];
 
 /** Where the KV cache of a prefilled prompt is kept for handover. */
-export interface MemorySource {
+export interface HandoverSource {
   /** IP:PORT of the engine that ran the prefill. */
   readonly address: string;
   readonly handle: string;
@@ -38,7 +38,7 @@
   readonly priority: number | undefined;
   /** Run only the prefill and keep the KV cache. */
   readonly prefillOnly: boolean;
-  readonly memorySource: MemorySource | undefined;
+  readonly handoverSource: HandoverSource | undefined;
   /** IP:PORT of an engine from which to fetch uncached parts of the prompt. */
   readonly fetchFrom: string | undefined;
   /** Resume the stream after this event; undefined keeps the caller's own header. */
@@ -46,23 +46,23 @@
 }
 
 /** What the status and headers of a backend's answer say about the answer and its server. */
-export interface AnswerMarks {
+export interface AnswerMetadata {
   readonly attemptId: string | undefined;
   readonly isStamped: boolean;
   /** The server reports that it has not run the request. */
   readonly isNotExecuted: boolean;
   /** The load that the server reports; undefined if it reports none. */
-  readonly load?: ToldLoad | undefined;
+  readonly load?: ReportedLoad | undefined;
 }
 
 /** The load that a server reports. */
-export type ToldLoad =
+export type ReportedLoad =
   | { readonly kind: 'figures'; readonly figures: LoadFigures }
   /** Malformed, and otherwise ignored. */
   | { readonly kind: 'unreadable'; readonly text: string };
 
 /** Whether a server accepts work, as read from one of its answers. */
-export interface SaidAvailability extends ReportedAvailability {
+export interface AvailabilityReading extends ReportedAvailability {
   /** The malformed headers of the answer on this, for the log; empty if there are none. */
   readonly unreadable: string;
 }
@@ -81,7 +81,7 @@
 }
 
 /** An engine's cache events since an event number. */
-export interface CacheNews {
+export interface CacheEventBatch {
   readonly epoch: string;
   readonly nextNumber: number;
   /** Whether events between the requested number and the first of these are lost. */
@@ -127,16 +127,16 @@
    * @param callerHeaders the end-to-end headers, without hop-by-hop ones
    */
   backendHeaders(callerHeaders: RawHeaders, instructions: SendInstructions): string[];
-  readMarks(status: number, headers: IncomingHttpHeaders): AnswerMarks;
+  readAnswerMetadata(status: number, headers: IncomingHttpHeaders): AnswerMetadata;
   /** Whether the server accepts work, from any of its answers; undefined if the answer does not say. */
-  readAvailability(status: number, headers: IncomingHttpHeaders): SaidAvailability | undefined;
+  readAvailability(status: number, headers: IncomingHttpHeaders): AvailabilityReading | undefined;
   /** The server's limit of requests per second, from all daemons together, as read from any of its answers. */
   readLimit(status: number, headers: IncomingHttpHeaders): LimitReading;
   /** Parses the answer to a prefill-only request; undefined if it is malformed. */
   readPrefillAnswer(body: Buffer): PrefillAnswer | undefined;
   freeHandle(handle: string, serverId: string): EngineCall;
-  cacheNews(since: number, waitMs: number): EngineCall;
-  readCacheNews(body: Buffer): CacheNews | undefined;
+  cacheEvents(since: number, waitMs: number): EngineCall;
+  readCacheEvents(body: Buffer): CacheEventBatch | undefined;
   orderStage(order: StageOrder, serverId: string): EngineCall;
   report(serverId: string): EngineCall;
   readReport(body: Buffer): EngineReport | undefined;
--- a/src/shell/gateway/relay-digest.ts
+++ b/src/shell/gateway/relay-digest.ts
@@ -34,7 +34,7 @@
   }
 
   /** Merges a digest. A delayed one does not shorten the freshness of a newer one; one of an earlier era is ignored. */
-  take(digest: TableDigest): void {
+  apply(digest: TableDigest): void {
     const known = this.#digest;
     if (known !== undefined && isOfEarlierEra(digest, known)) return;
     const freshUntilMs = this.#timers.nowMs() + this.#maxAgeMs - digest.ageMs;
--- a/src/shell/gateway/retry-budget-reporter.ts
+++ b/src/shell/gateway/retry-budget-reporter.ts
@@ -55,7 +55,7 @@
   }
 
   /** Called when a service's first request creates its budget. */
-  noteBegun(service: string, budget: RetryBudget): void {
+  recordBudgetCreated(service: string, budget: RetryBudget): void {
     const { fleet, log } = this.#options;
     log.write(GATEWAY_EVENTS.retryBudgetBegun, {
       service,
--- a/src/shell/gateway/server-calls.ts
+++ b/src/shell/gateway/server-calls.ts
@@ -60,7 +60,7 @@
   readonly wallClock: WallClock;
   readonly metrics: Pick<
     GatewayMetrics,
-    'recordToldAvailability' | 'recordHeldBack' | 'recordCallToLimited'
+    'recordReportedAvailability' | 'recordHeldBack' | 'recordCallToLimited'
   >;
   readonly log: Pick<GatewayLog, 'write'>;
 }
@@ -135,9 +135,9 @@
     if (reported === undefined) return;
     if (reported.unreadable !== '') this.#logUnreadable(server.id, reported.unreadable);
     const reportedAt = { nowMs: timers.nowMs(), unixMs: wallClock(), entropy: Math.random() };
-    for (const update of fleet.availability.take(server, reported, reportedAt)) {
+    for (const update of fleet.availability.recordReport(server, reported, reportedAt)) {
       const fields = { server: server.id, service: server.service, purpose, status };
-      metrics.recordToldAvailability(update.kind);
+      metrics.recordReportedAvailability(update.kind);
       switch (update.kind) {
         case 'leaving':
           log.write(GATEWAY_EVENTS.serverSaidLeaving, { ...fields, listed: server.state });
@@ -166,7 +166,7 @@
   #logUnreadable(server: string, told: string): void {
     const { timers, log, metrics } = this.#options;
     this.#unreadable += 1;
-    metrics.recordToldAvailability('unreadable');
+    metrics.recordReportedAvailability('unreadable');
     const nowMs = timers.nowMs();
     if (nowMs - this.#unreadableLoggedMs < LOG_INTERVAL_MS) return;
     this.#unreadableLoggedMs = nowMs;
--- a/src/shell/gateway/stage-controller.ts
+++ b/src/shell/gateway/stage-controller.ts
@@ -21,7 +21,7 @@
 } from '../../core/lease/index.js';
 import { GATEWAY_EVENTS } from '../../core/logging/catalogue/gateway.js';
 import type { TableEffect } from '../../core/platform/table.js';
-import { DEMAND_SPAN_MS } from './fleet-demand.js';
+import { DEMAND_WINDOW_MS } from './fleet-demand.js';
 import type { TableService } from './ports.js';
 import { StageOrders, type StageOrdersOptions } from './stage-orders.js';
 import { callTable } from './table-call.js';
@@ -41,7 +41,7 @@
 /** A reversal waits this many times the duration of a stage change, until the last change has paid for its downtime. */
 const MIN_REVERSAL_SWITCHES = 4;
 /** Minimum time before a reversal: the split must not follow a mix of work that varies faster than it is measured. */
-const MIN_REVERSAL_MS = 2 * DEMAND_SPAN_MS;
+const MIN_REVERSAL_MS = 2 * DEMAND_WINDOW_MS;
 /** Recovery starts after no decode engine was reachable for this long: longer than a lost packet, and two ticks. */
 const RECOVERY_DELAY_MS = 400;
 /** Minimum time between two recoveries, after which one whose engines were lost as well is repeated. */
@@ -54,7 +54,7 @@
 
 /** Dependencies and settings of a stage controller. */
 export interface StageControllerOptions
-  extends Omit<StageOrdersOptions, 'currentEpoch' | 'noteSent'> {
+  extends Omit<StageOrdersOptions, 'currentEpoch' | 'onOrderSent'> {
   /** Drawn anew with each start of the process. */
   readonly incarnation: number;
   readonly leaseMs: number;
@@ -89,7 +89,7 @@
     this.#orders = new StageOrders({
       ...options,
       currentEpoch: () => this.#authority(),
-      noteSent: (stage) => {
+      onOrderSent: (stage) => {
         this.#lastStage = stage;
       },
     });
--- a/src/shell/gateway/tenant-usage.ts
+++ b/src/shell/gateway/tenant-usage.ts
@@ -102,7 +102,7 @@
   }
 
   /** Handles another daemon's message on usage. */
-  take(message: UsageMessage, reply: Reply): void {
+  handleMessage(message: UsageMessage, reply: Reply): void {
     switch (message.kind) {
       case 'usage-asked':
         for (const part of this.#ownParts(message.window)) reply({ kind: 'usage-counted', part });
--- a/src/shell/gateway/retry-turns.ts
+++ b/src/shell/gateway/watch-retry-queue.ts
@@ -27,7 +27,7 @@
   }
 
   /** Waits for a turn to retry after a failed call; aborting the signal ends the wait at once. */
-  next({ waitMs, callMs }: Omit<WaitingWatch, 'go'>, signal: AbortSignal): Promise<void> {
+  waitForTurn({ waitMs, callMs }: Omit<WaitingWatch, 'go'>, signal: AbortSignal): Promise<void> {
     this.#endTurn();
     return new Promise((resolve) => {
       const go = () => {
--- a/src/shell/gateway/web-room-ask.ts
+++ b/src/shell/gateway/web-admission-check.ts
@@ -1,8 +1,8 @@
 /** The admission check of a request to a web service. */
 import { placeWebRequest } from '../../core/gateway/index.js';
+import { type AdmissionCheck, roundedOrNull } from './admission-check.js';
 import type { AttemptContext } from './attempt.js';
 import type { Exchange } from './exchange.js';
-import { type AdmissionCheck, roundedOrNull } from './room-ask.js';
 
 /** All web requests count the same, as the time that one takes is not known in advance. */
 const WEB_COST_MS = 1;
--- a/src/shell/gateway/whole-exchange.ts
+++ b/src/shell/gateway/web-exchange.ts
@@ -22,7 +22,7 @@
 } from './attempt.js';
 import type { CompleteAnswer, Exchange } from './exchange.js';
 import { permitWaitRequestOf } from './limit-coordinator.js';
-import { webAdmissionCheck } from './web-room-ask.js';
+import { webAdmissionCheck } from './web-admission-check.js';
 
 const MAX_ANSWER_BYTES = 16_777_216;
 /** A request is refused after more servers than this have rejected it or could not be reached. */
@@ -121,7 +121,7 @@
     const exchange = this.#exchange;
     if (exchange.signal.aborted) exchange.endInterrupted();
     else if (this.#lastFailure !== undefined) exchange.answer(this.#lastFailure);
-    else if (!this.#context.crashes.refuse(exchange)) {
+    else if (!this.#context.crashes.refuseIfQuarantined(exchange)) {
       refuseUnavailable(exchange, this.#context, this.#lastReason);
     }
   }
@@ -144,7 +144,7 @@
   async #requestPermitIfNeeded(): Promise<void> {
     const { fleet, limits } = this.#context;
     const { service, timers } = this.#exchange.options;
-    const atLimit = fleet.atLimit(service, timers.nowMs());
+    const atLimit = fleet.serversAtLimit(service, timers.nowMs());
     if (atLimit.length === 0) return;
     const chosen = this.#choose(fleet.candidatesWithLimited(service, timers.nowMs()));
     await limits.requestPermits(atLimit.filter(({ id }) => id === chosen?.id));
--- a/src/shell/gateway/web-work.ts
+++ b/src/shell/gateway/web-work.ts
@@ -12,7 +12,7 @@
 import { GATEWAY_EVENTS } from '../../core/logging/catalogue/gateway.js';
 import type { FleetView } from './fleet-view.js';
 import type { PeerExchange } from './peer-exchange.js';
-import type { ToldLoad } from './ports.js';
+import type { ReportedLoad } from './ports.js';
 import type { GatewayLog } from './request-log.js';
 import type { TimerService } from './timer-service.js';
 
@@ -46,7 +46,7 @@
   }
 
   /** The calls of this daemon that it reports to the others; empty where it reports none. */
-  own(): LoadReport['work'] {
+  ownLoad(): LoadReport['work'] {
     return this.#isReported ? this.#options.fleet.ownWebWork() : NO_WORK;
   }
 
@@ -63,7 +63,7 @@
   }
 
   /** Applies the load that a server reported with an answer. */
-  applyReportedLoad(server: ServerRecord, load: ToldLoad): void {
+  applyReportedLoad(server: ServerRecord, load: ReportedLoad): void {
     const { isEnabled, fleet, timers } = this.#options;
     if (!isEnabled) return;
     switch (load.kind) {
--- a/src/shell/operator/backend.ts
+++ b/src/shell/operator/backend.ts
@@ -76,7 +76,7 @@
 /** The calls of the daemon. None throws; a failure is a fault or a change outcome. */
 export interface OperatorBackend {
   /**
-   * The rows of a table. `query` is a hint: if it fixes the value of a field (see `pinnedText`),
+   * The rows of a table. `query` is a hint: if it fixes the value of a field (see `requiredTextValue`),
    * only matching rows need to be fetched. The server evaluates the query itself.
    */
   rows(table: TableName, query: Query): Promise<Result<readonly Row[], Fault>>;
--- a/test/gateway/engine-paces.test.ts
+++ b/test/gateway/engine-paces.test.ts
@@ -4,7 +4,6 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import fc from 'fast-check';
-import { quantizedPace } from '../../src/core/gateway/home.js';
 import {
   EngineLoad,
   EnginePaces,
@@ -19,9 +18,10 @@
   type ServerRecord,
   type ServicePaceSums,
 } from '../../src/core/gateway/index.js';
+import { quantizedPace } from '../../src/core/gateway/preferred-engine.js';
 import { rankByRendezvous } from '../../src/core/gateway/rendezvous.js';
 import { FleetView } from '../../src/shell/gateway/fleet-view.js';
-import { type PlannedRead, seededRandom, simulateEngines } from './support/unlike-engines.js';
+import { type PlannedRead, seededRandom, simulateEngines } from './support/engine-simulation.js';
 
 const SPEEDS = Array.from({ length: 12 }, (_, place) => [0.7, 0.7, 1.7][place % 3] ?? 1);
 const WARM_UP_READS = 400;
@@ -430,7 +430,7 @@
     assert.equal(fleet.paceOf('e1') > 1.7, enginePaces === 'always');
     assert.equal(fleet.paceOf('not listed'), 1);
     const change = fleet.directory.replaceAll([]);
-    fleet.forgetEnded(change);
+    fleet.forgetEndedBoots(change);
     fleet.directory.replaceAll(servers);
     assert.equal(
       fleet.paceOf('e1'),
--- a/test/gateway/fleet-demand.test.ts
+++ b/test/gateway/fleet-demand.test.ts
@@ -10,7 +10,7 @@
   type ServiceDemand,
   StageDemand,
 } from '../../src/core/gateway/index.js';
-import { DEMAND_SPAN_MS } from '../../src/shell/gateway/fleet-demand.js';
+import { DEMAND_WINDOW_MS } from '../../src/shell/gateway/fleet-demand.js';
 import { FleetView } from '../../src/shell/gateway/fleet-view.js';
 
 function demand(requests: number, prefillMs = 100 * requests): ServiceDemand {
@@ -31,8 +31,8 @@
 
 test('a relay sums the demand of its zone for other zones, and of all zones for its own', () => {
   const loads = new PeerLoads();
-  loads.take(report('a', 3), 0);
-  loads.take(report('b', 4), 0);
+  loads.applyReport(report('a', 3), 0);
+  loads.applyReport(report('b', 4), 0);
   loads.applyZoneSums('south', sums('r', 10), 0);
   assert.equal(requestsOf(loads.zoneDemand([demand(1)], 0)), 8);
   assert.equal(requestsOf(loads.totalDemand([demand(1)], 0)), 18);
@@ -57,11 +57,11 @@
     6,
     'only measured requests are counted, not those estimated for other daemons',
   );
-  assert.equal(alone.prefillEngines, (8 * 600) / DEMAND_SPAN_MS);
-  fleet.peerLoads.take(report('a', 40), 0);
+  assert.equal(alone.prefillEngines, (8 * 600) / DEMAND_WINDOW_MS);
+  fleet.peerLoads.applyReport(report('a', 40), 0);
   const together = fleet.demand.needOf('m', 0);
   assert.equal(together.requests, 46);
-  assert.equal(together.prefillEngines, 4_600 / DEMAND_SPAN_MS);
+  assert.equal(together.prefillEngines, 4_600 / DEMAND_WINDOW_MS);
 });
 
 test('sums of demand do not depend on the order of the entries, and are separate for each service', () => {
@@ -88,14 +88,14 @@
   const gapsMs = fc.array(fc.record({ gapMs: fc.nat(3_000), workMs: fc.nat(100) }));
   fc.assert(
     fc.property(gapsMs, (steps) => {
-      const stageDemand = new StageDemand(DEMAND_SPAN_MS);
+      const stageDemand = new StageDemand(DEMAND_WINDOW_MS);
       const recorded: { readonly atMs: number; readonly workMs: number }[] = [];
       let nowMs = 0;
       for (const { gapMs, workMs } of steps) {
         nowMs += gapMs;
         recorded.push({ atMs: nowMs, workMs });
         stageDemand.recordRequest('short-prompt', { prefillMs: workMs, decodeMs: 0 }, nowMs);
-        const inSpan = recorded.filter(({ atMs }) => atMs > nowMs - DEMAND_SPAN_MS);
+        const inSpan = recorded.filter(({ atMs }) => atMs > nowMs - DEMAND_WINDOW_MS);
         const expected = inSpan.reduce((sum, entry) => sum + entry.workMs, 0);
         const { prefillMs, requests, shortRequests } = stageDemand.sums(nowMs);
         assert.equal(prefillMs, expected);
@@ -115,7 +115,7 @@
     return { ...engine, id, stage, address: `10.0.0.${place}:80` };
   });
   fleet.directory.replaceAll(engines);
-  fleet.peerLoads.take(report('a', 180), 0);
+  fleet.peerLoads.applyReport(report('a', 180), 0);
   assert.equal(fleet.demand.limitSharesOf('m', 0)('e2'), 1);
   // 180 requests in 6 s are 10 per second for each of the three decode engines.
   fleet.limits.applyAdvertised('e2', { perSecond: 2, reportedAgoMs: 0 }, 0);
--- a/test/gateway/limit-fleets.test.ts
+++ b/test/gateway/limit-fleets.test.ts
@@ -6,7 +6,7 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import type { PermitReservation } from '../../src/shell/gateway/limit-coordinator.js';
-import { LimitFleet } from './support/fleet-of-limits.js';
+import { LimitFleet } from './support/limit-fleet.js';
 import { allowedInSpan, SETTLE_MS } from './support/limited-server.js';
 
 const BEFORE_MS = 5_000;
@@ -177,7 +177,7 @@
     await fleet.play(5, () => 0);
     place = requester.limits.reservePermit(server.service, () => server);
   }
-  requester.fleet.forgetEnded({ removed: [server], restarted: [] });
+  requester.fleet.forgetEndedBoots({ removed: [server], restarted: [] });
   requester.limits.returnPermits(place);
   await fleet.play(1_000, () => 0);
   assert.equal(granter.fleet.limits.of(server.id)?.perSecond, 5);
@@ -194,7 +194,7 @@
   // As long as a prefill.
   fleet.answerMs = 500;
   await fleet.play(12_000, evenly(fleet, 40));
-  for (const { fleet: view } of fleet.daemons) view.forgetEnded(view.directory.replaceAll([]));
+  for (const { fleet: view } of fleet.daemons) view.forgetEndedBoots(view.directory.replaceAll([]));
   await fleet.play(800, evenly(fleet, 40));
   for (const { fleet: view } of fleet.daemons) view.directory.replaceAll(fleet.servers);
   await fleet.play(8_000, evenly(fleet, 40));
--- a/test/gateway/limit-ledger.test.ts
+++ b/test/gateway/limit-ledger.test.ts
@@ -17,7 +17,7 @@
 function grantedBetween(ledger: LimitLedger, fromMs: number, toMs: number): number {
   let granted = 0;
   for (let nowMs = fromMs; nowMs < toMs; nowMs += 10) {
-    granted += ledger.ask(permitRequest({ wanted: 64 }), nowMs).granted;
+    granted += ledger.handleRequest(permitRequest({ wanted: 64 }), nowMs).granted;
   }
   return granted;
 }
@@ -35,35 +35,38 @@
 test('requests sent before the limit was known count until they leave the span', () => {
   const ledger = ledgerAt(1);
   const unmetered = [{ atMs: 1_000, count: 4 }];
-  assert.equal(ledger.ask(permitRequest({ unmetered }), 2_000).granted, 0);
-  const { granted, roomInMs } = ledger.ask(permitRequest({ unmetered }), 3_000);
+  assert.equal(ledger.handleRequest(permitRequest({ unmetered }), 2_000).granted, 0);
+  const { granted, roomInMs } = ledger.handleRequest(permitRequest({ unmetered }), 3_000);
   assert.equal(granted, 0);
   assert.equal(roomInMs, 1_000 + LEDGER_SPAN_MS - 3_000);
-  assert.equal(ledger.ask(permitRequest(), 1_000 + LEDGER_SPAN_MS).granted, 1);
+  assert.equal(ledger.handleRequest(permitRequest(), 1_000 + LEDGER_SPAN_MS).granted, 1);
 });
 
 test('returned permits are granted again, but only once', () => {
   const ledger = ledgerAt(1);
-  assert.equal(ledger.ask(permitRequest(), 0).granted, 1);
-  assert.equal(ledger.ask(permitRequest({ daemon: 'b' }), 10).granted, 0);
-  ledger.ask(permitRequest({ wanted: 0, returned: 1 }), 20);
-  ledger.ask(permitRequest({ wanted: 0, returned: 5 }), 30);
-  assert.equal(ledger.ask(permitRequest({ daemon: 'b', wanted: 2 }), 40).granted, 1);
-  assert.equal(ledger.ask(permitRequest({ daemon: 'b' }), 50).granted, 0);
+  assert.equal(ledger.handleRequest(permitRequest(), 0).granted, 1);
+  assert.equal(ledger.handleRequest(permitRequest({ daemon: 'b' }), 10).granted, 0);
+  ledger.handleRequest(permitRequest({ wanted: 0, returned: 1 }), 20);
+  ledger.handleRequest(permitRequest({ wanted: 0, returned: 5 }), 30);
+  assert.equal(ledger.handleRequest(permitRequest({ daemon: 'b', wanted: 2 }), 40).granted, 1);
+  assert.equal(ledger.handleRequest(permitRequest({ daemon: 'b' }), 50).granted, 0);
 });
 
 test('a daemon that takes over from another grants nothing for one span', () => {
   const ledger = ledgerAt(2);
-  const { granted, roomInMs } = ledger.ask(permitRequest({ knownForMs: 5_000 }), 100);
+  const { granted, roomInMs } = ledger.handleRequest(permitRequest({ knownForMs: 5_000 }), 100);
   assert.deepEqual([granted, roomInMs], [0, LEDGER_SPAN_MS]);
-  assert.equal(ledger.ask(permitRequest({ knownForMs: 9_000 }), 100 + LEDGER_SPAN_MS).granted, 1);
+  assert.equal(
+    ledger.handleRequest(permitRequest({ knownForMs: 9_000 }), 100 + LEDGER_SPAN_MS).granted,
+    1,
+  );
 });
 
 test('daemons that request permits share the capacity', () => {
   const ledger = ledgerAt(20);
-  const first = ledger.ask(permitRequest({ daemon: 'a', wanted: 64 }), 0).granted;
+  const first = ledger.handleRequest(permitRequest({ daemon: 'a', wanted: 64 }), 0).granted;
   assert.equal(first, 20);
   const shared = ledgerAt(20);
-  shared.ask(permitRequest({ daemon: 'b', wanted: 1 }), 0);
-  assert.equal(shared.ask(permitRequest({ daemon: 'a', wanted: 64 }), 1).granted, 10);
+  shared.handleRequest(permitRequest({ daemon: 'b', wanted: 1 }), 0);
+  assert.equal(shared.handleRequest(permitRequest({ daemon: 'a', wanted: 64 }), 1).granted, 10);
 });
--- a/test/gateway/named-limits.test.ts
+++ b/test/gateway/named-limits.test.ts
@@ -86,7 +86,7 @@
     limits.applyAdvertised('i-1', { perSecond: 5, reportedAgoMs: 50 }, 1_010),
     undefined,
   );
-  assert.equal(limits.of('i-1')?.isHeard, false);
+  assert.equal(limits.of('i-1')?.isFirstHand, false);
   assert.equal(
     limits.recordReport(SERVER, named(2), { sentAtMs: 1_000, nowMs: 1_020 })?.kind,
     'named',
--- a/test/gateway/pace-teller.test.ts
+++ b/test/gateway/pace-gossip.test.ts
@@ -3,8 +3,12 @@
 import { test } from 'node:test';
 import { pack } from 'msgpackr';
 import { decodePeerMessage, encodePeerMessage } from '../../src/shell/gateway/peer-messages.js';
-import { type GossipDaemon, observePrefills, PaceGossipFleet } from './support/fleet-of-tellers.js';
-import { seededRandom } from './support/unlike-engines.js';
+import { seededRandom } from './support/engine-simulation.js';
+import {
+  type GossipDaemon,
+  observePrefills,
+  PaceGossipFleet,
+} from './support/pace-gossip-fleet.js';
 
 const ZONES = ['a', 'b', 'c'];
 const SPEEDS = [0.7, 0.7, 1.7];
@@ -167,7 +171,7 @@
   for (let time = 0; time < 3; time += 1) {
     const message = decodePeerMessage(bytes);
     assert.equal(message?.kind, 'paces');
-    if (message?.kind === 'paces') gossip.take(message.message, () => undefined);
+    if (message?.kind === 'paces') gossip.handleMessage(message.message, () => undefined);
   }
   assert.deepEqual(ignored, [5], 'values ignored soon afterwards are counted for the next line');
   assert.equal(paces.paceOf('e1'), 1);
--- a/test/gateway/retry-budget-list.test.ts
+++ b/test/gateway/retry-budget-incomplete-list.test.ts
@@ -9,7 +9,7 @@
  */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
-import { FleetOfBudgets, worstWindow } from './support/repeats-of-fleet.js';
+import { RetryBudgetFleet, worstWindow } from './support/retry-budget-fleet.js';
 
 const OPTIONS = { ratio: 0.2, slack: 158 };
 const DAEMONS = 59;
@@ -19,28 +19,28 @@
 const EVERY_DAEMON = Array.from({ length: DAEMONS }, (_, daemon) => daemon);
 
 /** Sends requests that the first server accepts, so that repeats are saved up, then ones that servers refuse. */
-function playFrom(fleet: FleetOfBudgets): void {
+function playFrom(fleet: RetryBudgetFleet): void {
   for (let request = 0; request * REQUEST_GAP_MS < RUN_MS; request += 1) {
     const nowMs = request * REQUEST_GAP_MS;
     fleet.request(request, nowMs < HEALTHY_MS ? 0 : 4, nowMs);
   }
 }
 
-function assertWithinBound(fleet: FleetOfBudgets, scenario: string): void {
-  const { repeats, allowed } = worstWindow(fleet.seen, OPTIONS);
+function assertWithinBound(fleet: RetryBudgetFleet, scenario: string): void {
+  const { repeats, allowed } = worstWindow(fleet.observed, OPTIONS);
   assert.ok(repeats <= allowed, `${scenario}: ${repeats} repeats of ${allowed}`);
 }
 
 test('daemons with an incomplete list of daemons stay within the bound on repeats', () => {
   for (const listed of [30, 15, 1]) {
-    const shrinking = new FleetOfBudgets(OPTIONS, DAEMONS);
+    const shrinking = new RetryBudgetFleet(OPTIONS, DAEMONS);
     for (const daemon of EVERY_DAEMON) {
       for (const length of [DAEMONS, DAEMONS, listed]) shrinking.readList(daemon, length);
     }
     playFrom(shrinking);
     assertWithinBound(shrinking, `a list that shrank to ${listed}`);
 
-    const starting = new FleetOfBudgets(OPTIONS, DAEMONS);
+    const starting = new RetryBudgetFleet(OPTIONS, DAEMONS);
     for (const daemon of EVERY_DAEMON) starting.readList(daemon, listed);
     playFrom(starting);
     assertWithinBound(starting, `only a first list of ${listed}`);
--- a/test/gateway/server-availability.test.ts
+++ b/test/gateway/server-availability.test.ts
@@ -78,7 +78,7 @@
     assert.deepEqual([reported?.isLeaving, reported?.backOffMs], [false, undefined]);
     assert.notEqual(reported?.unreadable, '');
     const serverAvailability = new ServerAvailability();
-    if (reported !== undefined) serverAvailability.take(SERVER, reported, at(0));
+    if (reported !== undefined) serverAvailability.recordReport(SERVER, reported, at(0));
     assert.equal(kindAt(serverAvailability, 1), 'open');
   });
 }
@@ -91,15 +91,15 @@
 
 test('a back-off is not shortened by a shorter one that is requested meanwhile', () => {
   const serverAvailability = new ServerAvailability();
-  serverAvailability.take(SERVER, BACK_OFF, at(0));
-  serverAvailability.take(SERVER, { ...BACK_OFF, backOffMs: 1_000 }, at(100));
+  serverAvailability.recordReport(SERVER, BACK_OFF, at(0));
+  serverAvailability.recordReport(SERVER, { ...BACK_OFF, backOffMs: 1_000 }, at(100));
   assert.equal(kindAt(serverAvailability, 2_999), 'resting');
   assert.equal(kindAt(serverAvailability, 3_000), 'open');
 });
 
 test('a back-off holds for every boot and server id at its address', () => {
   const serverAvailability = new ServerAvailability();
-  serverAvailability.take(SERVER, BACK_OFF, at(0));
+  serverAvailability.recordReport(SERVER, BACK_OFF, at(0));
   assert.equal(kindAt(serverAvailability, 1, serverOf({ id: 'i-0', bornMs: 0 })), 'resting');
   assert.equal(kindAt(serverAvailability, 1, serverOf({ bornMs: 2 })), 'resting');
   assert.equal(kindAt(serverAvailability, 1, serverOf({ address: '10.0.0.2:80' })), 'open');
@@ -108,7 +108,7 @@
 test('daemons that were refused together end their back-offs at different times', () => {
   const ends = [0, 0.5, 0.999].map((entropy) => {
     const serverAvailability = new ServerAvailability();
-    serverAvailability.take(SERVER, BACK_OFF, at(0, entropy));
+    serverAvailability.recordReport(SERVER, BACK_OFF, at(0, entropy));
     const backOff = serverAvailability.of(SERVER, 0);
     return backOff.kind === 'resting' ? backOff.forMs : 0;
   });
@@ -118,33 +118,33 @@
 
 test('a server that requests a very long back-off is tried again after 66 s at most', () => {
   const serverAvailability = new ServerAvailability();
-  serverAvailability.take(SERVER, { ...BACK_OFF, backOffMs: 9_999_999_999_000 }, at(0, 1));
+  serverAvailability.recordReport(SERVER, { ...BACK_OFF, backOffMs: 9_999_999_999_000 }, at(0, 1));
   assert.equal(kindAt(serverAvailability, 59_000), 'resting');
   assert.equal(kindAt(serverAvailability, 66_000), 'open');
 });
 
 test('after a back-off others wait for the trial request, until it is answered or 250 ms have passed', () => {
   const serverAvailability = new ServerAvailability();
-  serverAvailability.take(SERVER, BACK_OFF, at(0));
+  serverAvailability.recordReport(SERVER, BACK_OFF, at(0));
   serverAvailability.recordSent(SERVER, 3_010);
   assert.equal(kindAt(serverAvailability, 3_020), 'resting');
   assert.equal(kindAt(serverAvailability, 3_260), 'open');
   serverAvailability.recordAccepted(SERVER, 3_010);
   assert.equal(kindAt(serverAvailability, 3_021), 'open');
-  serverAvailability.take(SERVER, BACK_OFF, at(4_000));
+  serverAvailability.recordReport(SERVER, BACK_OFF, at(4_000));
   assert.equal(kindAt(serverAvailability, 6_999), 'resting');
 });
 
 test('the answer to a request sent before the back-off ended does not end it', () => {
   const serverAvailability = new ServerAvailability();
-  serverAvailability.take(SERVER, BACK_OFF, at(0));
+  serverAvailability.recordReport(SERVER, BACK_OFF, at(0));
   serverAvailability.recordAccepted(SERVER, -50);
   assert.equal(kindAt(serverAvailability, 1_000), 'resting');
 });
 
 test('a daemon that was paused for longer than a back-off still sends a trial request first', () => {
   const serverAvailability = new ServerAvailability();
-  serverAvailability.take(SERVER, BACK_OFF, at(0));
+  serverAvailability.recordReport(SERVER, BACK_OFF, at(0));
   assert.equal(kindAt(serverAvailability, 60_000), 'open');
   serverAvailability.recordSent(SERVER, 60_000);
   assert.equal(kindAt(serverAvailability, 60_001), 'resting');
@@ -152,19 +152,19 @@
 
 test('a leave holds until another boot, and expires 120 s after its last report', () => {
   const serverAvailability = new ServerAvailability();
-  serverAvailability.take(SERVER, LEAVING, at(0));
+  serverAvailability.recordReport(SERVER, LEAVING, at(0));
   assert.equal(kindAt(serverAvailability, 60_000), 'leaving');
   assert.equal(kindAt(serverAvailability, 1, serverOf({ bornMs: 2 })), 'open');
   assert.equal(kindAt(serverAvailability, 1, serverOf({ address: '10.0.0.2:80' })), 'open');
   assert.equal(kindAt(serverAvailability, 1, serverOf({ service: 'other' })), 'open');
-  serverAvailability.take(SERVER, LEAVING, at(60_000));
+  serverAvailability.recordReport(SERVER, LEAVING, at(60_000));
   assert.equal(kindAt(serverAvailability, 179_000), 'leaving');
   assert.equal(kindAt(serverAvailability, 180_000), 'open');
 });
 
 test('a leave and a back-off of one server hold independently', () => {
   const serverAvailability = new ServerAvailability();
-  serverAvailability.take(SERVER, { ...BACK_OFF, isLeaving: true }, at(0));
+  serverAvailability.recordReport(SERVER, { ...BACK_OFF, isLeaving: true }, at(0));
   assert.equal(kindAt(serverAvailability, 1_000), 'leaving');
   assert.equal(serverAvailability.backOffOf(SERVER, 1_000)?.forMs, 2_000);
   assert.equal(serverAvailability.backOffOf(SERVER, 3_000), undefined);
@@ -173,7 +173,7 @@
 test('a repeated leave is not returned as new, but every back-off is', () => {
   const serverAvailability = new ServerAvailability();
   const kinds = (report: typeof LEAVING | typeof BACK_OFF) =>
-    serverAvailability.take(SERVER, report, at(0)).map(({ kind }) => kind);
+    serverAvailability.recordReport(SERVER, report, at(0)).map(({ kind }) => kind);
   assert.deepEqual([kinds(LEAVING), kinds(LEAVING)], [['leaving'], []]);
   assert.deepEqual([kinds(BACK_OFF), kinds(BACK_OFF)], [['resting'], ['resting']]);
 });
@@ -181,7 +181,7 @@
 test('a leave holds through late rows, lapsed and restored rows and complete reads of the list', () => {
   const fleet = new FleetView({ ratio: 1, slack: 1 });
   const list = (servers: readonly ServerRecord[]) =>
-    fleet.forgetEnded(fleet.directory.replaceAll(servers));
+    fleet.forgetEndedBoots(fleet.directory.replaceAll(servers));
   const candidates = () =>
     fleet
       .candidates('s', 1_000)
@@ -189,7 +189,7 @@
       .sort();
   const other = serverOf({ id: 'i-2', address: '10.0.0.2:80' });
   list([SERVER, other]);
-  fleet.availability.take(SERVER, LEAVING, at(0));
+  fleet.availability.recordReport(SERVER, LEAVING, at(0));
   assert.deepEqual(candidates(), ['i-2']);
   fleet.directory.apply([SERVER], []);
   assert.deepEqual(candidates(), ['i-2']);
@@ -208,9 +208,9 @@
   const fleet = new FleetView({ ratio: 1, slack: 1 });
   const other = serverOf({ id: 'i-2', address: '10.0.0.2:80' });
   fleet.directory.replaceAll([SERVER, other]);
-  fleet.availability.take(SERVER, BACK_OFF, at(0));
-  fleet.availability.take(other, { ...BACK_OFF, backOffMs: 800 }, at(0));
+  fleet.availability.recordReport(SERVER, BACK_OFF, at(0));
+  fleet.availability.recordReport(other, { ...BACK_OFF, backOffMs: 800 }, at(0));
   assert.deepEqual(fleet.candidates('s', 100), []);
-  assert.equal(fleet.roomExpectedInMs('s', 100), 700);
+  assert.equal(fleet.capacityExpectedInMs('s', 100), 700);
   assert.deepEqual(fleet.unavailableOf('s', 100), { leaving: 0, resting: 2 });
 });
--- a/test/gateway/stage-controller.test.ts
+++ b/test/gateway/stage-controller.test.ts
@@ -65,7 +65,7 @@
     kvTokenBytes: 1,
     linkMbps: 1,
     roleSwitchMs: 3_000,
-    maxNewsCalls: 1,
+    maxCacheEventPolls: 1,
   };
   const limits = {
     maxHeaderBytes: 1,
@@ -247,13 +247,14 @@
     setup.fleet.directory.apply([{ ...record, stage }], []);
     setup.engines.setStage(record.address, stage);
   }
-  for (const id of LOST_IDS) setup.fleet.healthOf(id).recordSilent(setup.timers.nowMs());
+  for (const id of LOST_IDS) setup.fleet.healthOf(id).recordConnectUnanswered(setup.timers.nowMs());
 }
 
 /** Advances the time while every attempt to reach the lost engines fails. */
 async function advanceTimeWhileLost(setup: Setup, spanMs: number): Promise<void> {
   for (let passedMs = 0; passedMs < spanMs; passedMs += 200) {
-    for (const id of LOST_IDS) setup.fleet.healthOf(id).recordSilent(setup.timers.nowMs());
+    for (const id of LOST_IDS)
+      setup.fleet.healthOf(id).recordConnectUnanswered(setup.timers.nowMs());
     await advanceTime(setup, 200);
   }
 }
@@ -370,7 +371,7 @@
   const { directory } = setup.fleet;
   const engine = directory.get(setup.notices[0]?.engineId ?? '');
   assert.ok(engine);
-  setup.fleet.forgetEnded(directory.apply([{ ...engine, bornMs: BORN_MS + 1 }], []));
+  setup.fleet.forgetEndedBoots(directory.apply([{ ...engine, bornMs: BORN_MS + 1 }], []));
   await advanceTime(setup, 400);
   assert.deepEqual(
     setup.engines.orders.filter(({ address }) => address === engine.address),
--- a/test/gateway/support/followed-zone.ts
+++ b/test/gateway/support/followed-zone.ts
@@ -276,7 +276,7 @@
     this.follower = new FleetFollower({
       adapter: adapter as unknown as PlatformAdapter,
       fleet: this.fleet,
-      cacheNews: {
+      cacheEventWatchers: {
         add: () => undefined,
         remove: () => undefined,
         restart: () => undefined,
@@ -423,7 +423,7 @@
       this.timers.after(DATAGRAM_MS, () => {
         for (const { digest: relayDigest, follower } of followers) {
           follower.recordPeerVersion(digest.configurationVersion, 'relay');
-          relayDigest.take(digest);
+          relayDigest.apply(digest);
         }
       });
     }
--- a/test/gateway/support/fleet-of-limits.ts
+++ b/test/gateway/support/limit-fleet.ts
@@ -15,8 +15,8 @@
 import type { LimitMessage } from '../../../src/shell/gateway/limit-message-fields.js';
 import { decodePeerMessage, encodePeerMessage } from '../../../src/shell/gateway/peer-messages.js';
 import { type ServerCall, ServerCalls } from '../../../src/shell/gateway/server-calls.js';
+import { seededRandom } from './engine-simulation.js';
 import { ManualTimers } from './manual-timers.js';
-import { seededRandom } from './unlike-engines.js';
 
 const SERVICE = 's';
 const STEP_MS = 5;
@@ -149,7 +149,7 @@
       const isOfLimits =
         read?.kind === 'limit-ask' || read?.kind === 'limit-grant' || read?.kind === 'limit-told';
       if (!isOfLimits) throw new Error('a message on limits cannot be decoded');
-      this.daemons[to]?.limits.take(read, (answer) => this.deliver(to, from, answer));
+      this.daemons[to]?.limits.handleMessage(read, (answer) => this.deliver(to, from, answer));
     });
   }
 
@@ -203,7 +203,7 @@
     limits.recordArrival(SERVICE);
     const arrivedAtMs = this.timers.nowMs();
     const wanted = this.#pickRandom(fleet.candidatesWithLimited(SERVICE, arrivedAtMs));
-    const atLimit = fleet.atLimit(SERVICE, arrivedAtMs);
+    const atLimit = fleet.serversAtLimit(SERVICE, arrivedAtMs);
     await limits.requestPermits(atLimit.filter(({ id }) => id === wanted?.id));
     for (;;) {
       const server = this.#pickRandom(fleet.candidates(SERVICE, this.timers.nowMs()));
--- a/test/gateway/support/spread-replay.ts
+++ b/test/gateway/support/spread-replay.ts
@@ -64,7 +64,7 @@
 }
 
 /** Prompts or runs at the busiest engine of a stage, relative to the mean over the stage. */
-export function busiestToMean(
+export function busiestToMeanWait(
   arrivals: readonly Arrival[],
   stage: Arrival['stage'],
   engines: number,
@@ -346,7 +346,7 @@
       demand: fleet.demand.own(nowMs),
     };
     this.#clock.at(nowMs + LINK_MS, () => {
-      relay.daemon.fleet.peerLoads.take(report, this.#clock.now);
+      relay.daemon.fleet.peerLoads.applyReport(report, this.#clock.now);
       relay.zoneReads.push(...reads);
       this.#applyReads(relay.daemon, reads);
     });
--- a/test/gateway/table-watcher.test.ts
+++ b/test/gateway/table-watcher.test.ts
@@ -3,8 +3,8 @@
 import { test } from 'node:test';
 import type { WatchAnswer, WatchedRow, WatchedTable } from '../../src/shell/gateway/ports.js';
 import { RelayDigest } from '../../src/shell/gateway/relay-digest.js';
-import { WatchRetryQueue } from '../../src/shell/gateway/retry-turns.js';
 import { type TableConsumer, TableWatcher } from '../../src/shell/gateway/table-watcher.js';
+import { WatchRetryQueue } from '../../src/shell/gateway/watch-retry-queue.js';
 import { ManualTimers } from './support/manual-timers.js';
 
 const BATCH_MS = 400;
@@ -50,7 +50,7 @@
     consumer: collectorOf(applied),
     timing: () => ({ ...TIMING, holdMs: 1_000 }),
     random: Math.random,
-    retryTurns: new WatchRetryQueue(timers),
+    retryQueue: new WatchRetryQueue(timers),
     batchMs,
     handleEra: () => undefined,
     recheckSpans: { cutMs: 6_000, historyLostMs: 12_000 },
@@ -124,7 +124,7 @@
     consumer: collectorOf(applied),
     timing: () => ({ ...TIMING, holdMs: 3_000 }),
     random: Math.random,
-    retryTurns: new WatchRetryQueue(timers),
+    retryQueue: new WatchRetryQueue(timers),
     digest: { table: 'servers', from: digest },
     batchMs: BATCH_MS,
     handleEra: () => undefined,
@@ -148,17 +148,17 @@
   const table = new ManualTable();
   const applied: number[] = [];
   const { digest, watcher } = followerOf(table, timers, applied);
-  digest.take(digestAt(10));
+  digest.apply(digestAt(10));
   const running = watcher.run();
   for (let beat = 0; beat < 10; beat += 1) {
     await settled();
     timers.advance(400);
-    digest.take(digestAt(10));
+    digest.apply(digestAt(10));
   }
   await settled();
   assert.equal(table.calls, 1);
   table.revision = 12;
-  digest.take(digestAt(12));
+  digest.apply(digestAt(12));
   await settled();
   assert.equal(table.calls, 2);
   assert.equal(applied.at(-1), 12);
@@ -172,12 +172,12 @@
     const timers = new ManualTimers();
     const table = new ManualTable();
     const { digest, watcher } = followerOf(table, timers, []);
-    digest.take(digestAt(10));
+    digest.apply(digestAt(10));
     const running = watcher.run();
     await settled();
     assert.equal(table.calls, 1);
     timers.advance(DIGEST_AGE_MS - 1);
-    if (isOld) digest.take(digestAt(10, DIGEST_AGE_MS));
+    if (isOld) digest.apply(digestAt(10, DIGEST_AGE_MS));
     await settled();
     assert.equal(table.calls, 1);
     timers.advance(2);
@@ -274,7 +274,7 @@
   const { digest, watcher } = followerOf(table, timers, seen);
   const pass = async (spanMs: number) => {
     for (let passedMs = 0; passedMs < spanMs; passedMs += 50) {
-      digest.take({ ...digestAt(0), servers: relay.progress });
+      digest.apply({ ...digestAt(0), servers: relay.progress });
       await settled();
       timers.advance(50);
       await settled();
@@ -325,13 +325,13 @@
   const timers = new ManualTimers();
   const table = new ManualTable();
   const { digest, watcher } = followerOf(table, timers, []);
-  digest.take(digestAt(10));
+  digest.apply(digestAt(10));
   const running = watcher.run();
   await settled();
   assert.equal(table.wholeReads, 1);
   table.revision = 14;
   for (let beat = 0; beat < 4; beat += 1) {
-    digest.take(digestAt(10, 0, 14, 14));
+    digest.apply(digestAt(10, 0, 14, 14));
     await settled();
     timers.advance(400);
   }
@@ -346,10 +346,10 @@
   const timers = new ManualTimers();
   const table = new ManualTable();
   const { digest, watcher } = followerOf(table, timers, []);
-  digest.take(digestAt(10));
+  digest.apply(digestAt(10));
   const running = watcher.run();
   await settled();
-  digest.take(digestAt(10, 0, 90));
+  digest.apply(digestAt(10, 0, 90));
   await settled();
   assert.equal(watcher.progress.seen, 90);
   watcher.stop();
@@ -368,11 +368,11 @@
   timers.advance(BATCH_MS);
   await settled();
   const calls = table.calls;
-  digest.take(digestAt(10));
+  digest.apply(digestAt(10));
   for (let beat = 0; beat < 6; beat += 1) {
     await settled();
     timers.advance(400);
-    digest.take(digestAt(10));
+    digest.apply(digestAt(10));
   }
   assert.equal(table.calls, calls);
   watcher.stop();
@@ -382,8 +382,8 @@
 
 test('a digest with lower revisions than an earlier one does not undo the earlier one', () => {
   const digest = new RelayDigest(new ManualTimers(), DIGEST_AGE_MS);
-  digest.take(digestAt(12));
-  digest.take(digestAt(11));
+  digest.apply(digestAt(12));
+  digest.apply(digestAt(11));
   assert.equal(digest.hasChanged('servers', { era: 0, revision: 11 }), true);
 });
 
@@ -398,7 +398,7 @@
     revision,
     rows: [{ kind: 'value', key: 'row', value: revision }] as const,
   });
-  digest.take(digestAt(10));
+  digest.apply(digestAt(10));
   watcher.offer(changes(0, 99));
   const running = watcher.run();
   await settled();
@@ -410,11 +410,11 @@
     [10, 12],
     'not those before the first read, old ones or ones after a gap',
   );
-  digest.take(digestAt(12));
+  digest.apply(digestAt(12));
   await settled();
   assert.equal(table.calls, 1);
   table.revision = 14;
-  digest.take(digestAt(14));
+  digest.apply(digestAt(14));
   await settled();
   assert.equal(table.calls, 2);
   assert.equal(applied.at(-1), 14);
@@ -431,11 +431,11 @@
     const { configurations, servers, ...rest } = digestAt(10);
     return { ...rest, configurations: { ...configurations, era }, servers: { ...servers, era } };
   };
-  digest.take(inEra(1));
+  digest.apply(inEra(1));
   timers.advance(1_000);
-  digest.take(inEra(0));
+  digest.apply(inEra(0));
   timers.advance(1_000);
   assert.equal(digest.isFresh, false);
-  digest.take(inEra(1));
+  digest.apply(inEra(1));
   assert.equal(digest.isFresh, true);
 });
--- a/test/gateway/urgency.test.ts
+++ b/test/gateway/urgency.test.ts
@@ -51,7 +51,7 @@
 test('the late prompts of other daemons count as read after their prompts in time', () => {
   const loads = new PeerLoads();
   const work = [{ engineId: 'e', pendingMs: 100, lateMs: 50, running: 0 }];
-  loads.take(
+  loads.applyReport(
     { daemon: 'd', incarnation: 1, sequence: 1, work, reads: [], reach: [], demand: [] },
     0,
   );
--- a/test/gateway/retry-turns.test.ts
+++ b/test/gateway/watch-retry-queue.test.ts
@@ -1,7 +1,7 @@
 /** The order in which a daemon's watches retry while the store answers none of them. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
-import { WatchRetryQueue } from '../../src/shell/gateway/retry-turns.js';
+import { WatchRetryQueue } from '../../src/shell/gateway/watch-retry-queue.js';
 import { ManualTimers } from './support/manual-timers.js';
 
 const TURN = { waitMs: 100, callMs: 1_000 };
@@ -12,7 +12,7 @@
   const gone: string[] = [];
   const stopped = new AbortController();
   const wait = (name: string, signal = stopped.signal) =>
-    queue.next(TURN, signal).then(() => gone.push(name));
+    queue.waitForTurn(TURN, signal).then(() => gone.push(name));
   const advanceAndSettle = async (spanMs: number) => {
     timers.advance(spanMs);
     await new Promise((resolve) => setImmediate(resolve));
--- a/test/gateway/web-server-load.test.ts
+++ b/test/gateway/web-server-load.test.ts
@@ -18,7 +18,11 @@
 import { FleetView } from '../../src/shell/gateway/fleet-view.js';
 import { WebWork, type WebWorkOptions } from '../../src/shell/gateway/web-work.js';
 import { ManualTimers } from './support/manual-timers.js';
-import { runWebFleet, type WebFleetOptions, type WebFleetOutcome } from './support/web-fleet.js';
+import {
+  runWebFleet,
+  type WebFleetOptions,
+  type WebFleetOutcome,
+} from './support/web-fleet-simulation.js';
 
 const ZONES = ['a', 'b', 'c'];
 
@@ -190,12 +194,12 @@
 
 test('a well-formed load header is parsed, and any other is unreadable', () => {
   const readLoad = (text: string) =>
-    REQUEST_CODEC.readMarks(200, { 'x-attempt-id': '1', 'x-server-load': text }).load;
+    REQUEST_CODEC.readAnswerMetadata(200, { 'x-attempt-id': '1', 'x-server-load': text }).load;
   for (const [text, expected] of READ_LOADS) {
     assert.deepEqual(readLoad(text), { kind: 'figures', figures: expected }, text);
   }
   for (const text of UNREADABLE_LOADS) assert.equal(readLoad(text)?.kind, 'unreadable', text);
-  assert.equal(REQUEST_CODEC.readMarks(200, {}).load, undefined);
+  assert.equal(REQUEST_CODEC.readAnswerMetadata(200, {}).load, undefined);
 });
 
 /** The web work of one daemon of a large fleet, unless overridden. */
@@ -231,7 +235,7 @@
     const work = webWorkOf({ isEnabled, fleet, roster: { isLarge }, peers });
     work.recordCall('s');
     assert.equal(advertisements, isAdvertised ? 1 : 0);
-    assert.equal(work.own().length, isAdvertised ? 1 : 0);
+    assert.equal(work.ownLoad().length, isAdvertised ? 1 : 0);
     assert.equal(work.loadsOf('s') !== undefined, isEnabled);
   }
 });
