--- a/src/cli/commands/trace.ts
+++ b/src/cli/commands/trace.ts
@@ -1,4 +1,4 @@
-/** `threadfork trace`: why a request ended as it did, from the logs alone. */
+/** `threadfork trace`: explains the outcome of a request from log files, without a daemon. */
 import { createReadStream } from 'node:fs';
 import { stat } from 'node:fs/promises';
 import type { Readable } from 'node:stream';
@@ -9,12 +9,12 @@
 import { readLog } from '../log-reader.js';
 import { formatTable, printable } from '../text.js';
 
-const OWN_FIELDS = ['ms', 'daemon', 'event', 'message', 'server', 'detail'];
+const LINE_FIELDS = ['ms', 'daemon', 'event', 'message', 'server', 'detail'];
 const STANDARD_INPUT = '-';
-/** Fields that have a column of their own or say nothing of the cause. */
-const SHOWN_APART: ReadonlySet<string> = new Set(['level', 'request', 'server', 'msg']);
+/** Fields that have a column of their own or do not help to find the cause. */
+const OMITTED_FROM_DETAIL: ReadonlySet<string> = new Set(['level', 'request', 'server', 'msg']);
 
-/** Explains one request from the log lines of gateways. */
+/** Explains the outcome of one request from the log lines of gateways. */
 export class TraceCommand extends BaseCommand {
   static override paths = [['trace']];
   static override usage = Command.Usage({
@@ -69,13 +69,13 @@
       server: String(line.fields.server ?? ''),
       detail: detailOf(line),
     }));
-    this.print(`\n${title}\n${formatTable(OWN_FIELDS, rows, this.colored)}`);
+    this.print(`\n${title}\n${formatTable(LINE_FIELDS, rows, this.colored)}`);
   }
 }
 
 function detailOf({ fields }: LogLine): string {
   const shown = Object.entries(fields).filter(
-    ([key, value]) => !SHOWN_APART.has(key) && value !== '' && value !== null,
+    ([key, value]) => !OMITTED_FROM_DETAIL.has(key) && value !== '' && value !== null,
   );
   return shown.map(([key, value]) => `${key}=${value}`).join(' ');
 }
--- a/src/cli/completion-client.ts
+++ b/src/cli/completion-client.ts
@@ -1,6 +1,6 @@
 /**
- * Sends one completion request to the callers' side of a daemon. It goes to another daemon only
- * where no byte of it can have left, so that nothing runs twice.
+ * Sends one completion request to the caller address of a daemon. The next daemon is tried only if no
+ * byte of the request can have been sent, so that the request never runs twice.
  */
 import { Agent, type Dispatcher, request } from 'undici';
 import { z } from 'zod';
@@ -18,18 +18,18 @@
   readonly timeoutMs: number;
 }
 
-/** What became of a completion request. */
+/** The outcome of a completion request. */
 export type CompletionOutcome =
   | { readonly kind: 'answered'; readonly answer: unknown }
   | { readonly kind: 'refused'; readonly message: string }
-  /** It may have run; what was printed of it is not the whole answer. */
+  /** The request may have run; the text printed so far is not the complete answer. */
   | { readonly kind: 'unknown'; readonly message: string }
   | { readonly kind: 'unreachable'; readonly reasons: readonly string[] };
 
 const CONNECT_TIMEOUT_MS = 2_000;
 const STATUS_OK = 200;
 
-/** Sends the request and hands the text on as it comes. */
+/** Sends the request and passes each part of the text to `onText` as it arrives. */
 export async function sendCompletion(
   completion: CompletionRequest,
   onText: (text: string) => void,
@@ -76,14 +76,14 @@
   }
   return completion.streamed
     ? readStream(answer.body, onText)
-    : readWhole(await answer.body.json(), onText);
+    : readComplete(await answer.body.json(), onText);
 }
 
 const errorSchema = z.object({
   error: z.object({ message: z.string(), code: z.string(), outcome: z.string().optional() }),
 });
 
-/** Only the daemon's own word that nothing was run makes a refusal. */
+/** The outcome is a refusal only if the daemon reports that nothing was run, and otherwise unknown. */
 function readError(status: number, text: string): CompletionOutcome {
   const parsed = errorSchema.safeParse(parseJson(text));
   if (!parsed.success) {
@@ -102,7 +102,7 @@
   choices: z.array(z.object({ text: z.string().default('') })),
 });
 
-function readWhole(body: unknown, onText: (text: string) => void): CompletionOutcome {
+function readComplete(body: unknown, onText: (text: string) => void): CompletionOutcome {
   const answer = answerSchema.safeParse(body);
   if (!answer.success) {
     return { kind: 'unknown', message: 'The answer is not a completion. Check the address.' };
@@ -117,10 +117,10 @@
   chunks: AsyncIterable<Buffer>,
   onText: (text: string) => void,
 ): Promise<CompletionOutcome> {
-  let whole = '';
+  let fullText = '';
   for await (const data of readEventData(chunks)) {
     if (data === END_OF_STREAM) {
-      return { kind: 'answered', answer: { text: whole } };
+      return { kind: 'answered', answer: { text: fullText } };
     }
     const event = parseJson(data);
     const error = errorSchema.safeParse(event);
@@ -129,7 +129,7 @@
     }
     const frame = answerSchema.safeParse(event);
     const text = frame.success ? textOf(frame.data) : '';
-    whole += text;
+    fullText += text;
     onText(text);
   }
   return { kind: 'unknown', message: 'The answer broke off before its end; it may have run.' };
--- a/src/shell/metrics/fleet-gauges.ts
+++ b/src/shell/metrics/fleet-gauges.ts
@@ -1,5 +1,5 @@
 /**
- * Gauges that are read off the daemon's state when the metrics are collected.
+ * Gauges that are set from the daemon's state when the metrics are collected.
  */
 import { Gauge, type Registry } from 'prom-client';
 import type { MonotonicMs } from '../../core/common/time.js';
@@ -12,23 +12,23 @@
   readonly epoch: number;
 }
 
-/** What the gauges show, taken at one moment. */
+/** The values of the gauges at one point in time. */
 export interface FleetSample {
   readonly now: MonotonicMs;
-  /** Requests whose caller or backend is not done. */
+  /** Requests whose caller or backend has not finished. */
   readonly requestsInFlight: number;
   readonly requestsWaiting: number;
   readonly heldBodyBytes: number;
-  /** Bytes of datagrams and frames to and from other daemons since the start. */
+  /** Bytes of datagrams and frames sent to and received from other daemons since the start. */
   readonly peerBytesSent: number;
   readonly peerBytesReceived: number;
-  /** 0 while none is in force. */
+  /** The version in force; 0 while none is. */
   readonly configurationVersion: number;
-  /** The highest version that this daemon has heard of. */
+  /** The highest version known to this daemon. */
   readonly highestConfigurationVersion: number;
   readonly engines: readonly EngineView[];
   readonly leases: readonly HeldLease[];
-  /** Daemons that are not known to be gone, this one included. */
+  /** Daemons that are not known to have departed, including this one. */
   readonly daemonsPresent: number;
 }
 
@@ -45,7 +45,7 @@
 
 /** The gauges of a daemon's requests and of its view of the fleet. */
 export class FleetGauges {
-  readonly #numbers: readonly NumberGauge[];
+  readonly #numberGauges: readonly NumberGauge[];
   readonly #engines: Gauge<'role' | 'state'>;
   readonly #leases: Gauge<'resource'>;
   readonly #reportAge: Gauge<'quantile'>;
@@ -56,19 +56,19 @@
       key,
       gauge: new Gauge({ name: `threadfork_${name}`, help, registers }),
     });
-    this.#numbers = [
+    this.#numberGauges = [
       numberGauge('requestsInFlight', 'requests_in_flight', 'Requests that have not ended'),
       numberGauge('requestsWaiting', 'requests_waiting', 'Requests that wait for a backend'),
       numberGauge('heldBodyBytes', 'held_body_bytes', 'Bytes of request bodies in memory'),
       numberGauge('peerBytesSent', 'peer_sent_bytes', 'Bytes sent to other daemons'),
-      numberGauge('peerBytesReceived', 'peer_received_bytes', 'Bytes had from other daemons'),
+      numberGauge('peerBytesReceived', 'peer_received_bytes', 'Bytes received from other daemons'),
       numberGauge('configurationVersion', 'configuration_version', 'The version in force here'),
       numberGauge(
         'highestConfigurationVersion',
         'configuration_highest_version',
-        'The highest version heard of; above the one in force while it is being fetched',
+        'The highest version known; above the one in force while it is being fetched',
       ),
-      numberGauge('daemonsPresent', 'daemons_present', 'Daemons not known to be gone'),
+      numberGauge('daemonsPresent', 'daemons_present', 'Daemons not known to have departed'),
     ];
     this.#engines = new Gauge({
       name: 'threadfork_engines',
@@ -90,16 +90,16 @@
     });
   }
 
-  /** Shows a sample. */
+  /** Sets the gauges from a sample. */
   show(sample: FleetSample): void {
-    for (const { key, gauge } of this.#numbers) gauge.set(sample[key]);
-    this.#showEngines(sample);
-    this.#showReportAges(sample);
+    for (const { key, gauge } of this.#numberGauges) gauge.set(sample[key]);
+    this.#updateEngines(sample);
+    this.#updateReportAges(sample);
     this.#leases.reset();
     for (const { resource, epoch } of sample.leases) this.#leases.set({ resource }, epoch);
   }
 
-  #showEngines({ engines, now }: FleetSample): void {
+  #updateEngines({ engines, now }: FleetSample): void {
     this.#engines.reset();
     for (const engine of engines) {
       const role = engine.report?.role ?? 'unknown';
@@ -107,7 +107,7 @@
     }
   }
 
-  #showReportAges({ engines, now }: FleetSample): void {
+  #updateReportAges({ engines, now }: FleetSample): void {
     const agesMs = engines
       .filter((engine) => engine.report !== null)
       .map((engine) => now - engine.reportedAt)
--- a/src/shell/platform/client.ts
+++ b/src/shell/platform/client.ts
@@ -11,7 +11,7 @@
 import { DEFAULT_RETRY_AFTER_MS, retryAfterMs } from './retry-after.js';
 import { tableRequest, tableResult } from './table-calls.js';
 
-/** Names a model's version, or an adapter's version over a model. */
+/** Identifies a version of a model, or of an adapter for a model. */
 export interface WeightReference {
   readonly model: string;
   readonly version: string;
@@ -19,29 +19,29 @@
   readonly adapter?: string | undefined;
 }
 
-/** The machine list with its age when the platform sent it. */
+/** The machine list, with its age at the time the platform sent it. */
 export interface MachineList {
   readonly ageMs: Milliseconds;
   readonly machines: readonly Machine[];
 }
 
-/** The platform as the shell calls it. No call rejects; `timeoutMs` bounds each. */
+/** Calls to the platform. No call rejects; `timeoutMs` limits the duration of each. */
 export interface PlatformClient {
-  /** Carries out one table call. `lost` is answered only when bytes of the call may have left. */
+  /** Carries out one table call. The result is `lost` only if bytes of the call may have been sent. */
   table(call: TableCall): Promise<TableResult>;
   /** Reads the machine list. */
   machines(): Promise<Result<MachineList, Fault>>;
-  /** Reads an object; null when there is none of the name. */
+  /** Reads an object; null if it does not exist. */
   getObject(name: string): Promise<Result<Uint8Array | null, Fault>>;
-  /** Writes an object under a new name. The same content again is no error. */
+  /** Writes an object under a new name. Writing the same content again is not an error. */
   putObject(name: string, content: Uint8Array): Promise<Result<void, Fault>>;
-  /** Whether the weight store has a version. */
+  /** Whether a version exists in the weight store. */
   weightExists(reference: WeightReference): Promise<Result<boolean, Fault>>;
-  /** Breaks off the calls in flight and closes the connections. */
+  /** Aborts the calls in flight and closes the connections. */
   close(): Promise<void>;
 }
 
-/** Opens a client. Nothing is connected before the first call. */
+/** Creates a client. Connects at the first call. */
 export function createPlatformClient(options: ExchangeOptions): PlatformClient {
   const connections = new PlatformConnections(options);
   const machines = new MachineListReader(connections);
@@ -73,27 +73,27 @@
   };
 }
 
-/** Reads the machine list, and only its revision while it has not changed. */
+/** Reads the machine list; transfers only its revision while the list has not changed. */
 class MachineListReader {
-  #known: { readonly revision: string; readonly machines: readonly Machine[] } | null = null;
+  #cached: { readonly revision: string; readonly machines: readonly Machine[] } | null = null;
 
   constructor(private readonly connections: PlatformConnections) {}
 
-  /** The list; the same array as before while it has not changed. */
+  /** The machine list; the same array as before while the list has not changed. */
   async read(): Promise<Result<MachineList, Fault>> {
-    const known = this.#known;
-    const path = known === null ? '/machines' : `/machines/unless/${known.revision}`;
+    const cached = this.#cached;
+    const path = cached === null ? '/machines' : `/machines/unless/${cached.revision}`;
     const exchange = await this.connections.exchange({ method: 'GET', path });
     return readAnswer(exchange, machinesAnswerSchema).andThen((answer) => {
       const { ageMs, revision } = answer;
       if (answer.machines === undefined) {
-        const unchanged = known !== null && known.revision === revision;
+        const unchanged = cached !== null && cached.revision === revision;
         return unchanged
-          ? ok({ ageMs, machines: known.machines })
-          : err(notUnderstood('no machines though the list has changed'));
+          ? ok({ ageMs, machines: cached.machines })
+          : err(invalidAnswerFault('no machines though the list has changed'));
       }
       const machines = answer.machines;
-      this.#known = revision === undefined ? null : { revision, machines };
+      this.#cached = revision === undefined ? null : { revision, machines };
       return ok({ ageMs, machines });
     });
   }
@@ -113,44 +113,46 @@
   return expectStatus(exchange, [200]).andThen((body) => {
     const parsed = schema.safeParse(parseJson(body));
     if (parsed.success) return ok(parsed.data);
-    return err(notUnderstood(parsed.error.issues[0]?.message ?? 'not understood'));
+    return err(invalidAnswerFault(parsed.error.issues[0]?.message ?? 'not understood'));
   });
 }
 
 function expectStatus(exchange: Exchange, statuses: readonly number[]): Result<Buffer, Fault> {
-  if (exchange.kind === 'not-sent') return err(notDone(exchange.reason, undefined));
-  if (exchange.kind === 'lost') return err(lost(exchange.reason));
+  if (exchange.kind === 'not-sent') return err(notPerformedFault(exchange.reason, undefined));
+  if (exchange.kind === 'lost') return err(lostFault(exchange.reason));
   if (statuses.includes(exchange.status)) return ok(exchange.body);
-  if (exchange.status === 412) return err(otherContent());
+  if (exchange.status === 412) return err(contentConflictFault());
   if (exchange.status === 429 || exchange.status === 503) {
-    return err(notDone(`the platform answered ${exchange.status}`, retryAfterMs(exchange)));
+    return err(
+      notPerformedFault(`the platform answered ${exchange.status}`, retryAfterMs(exchange)),
+    );
   }
-  return err(lost(`the platform answered ${exchange.status}`));
+  return err(lostFault(`the platform answered ${exchange.status}`));
 }
 
-function notDone(reason: string, afterMs: Milliseconds | undefined): Fault {
+function notPerformedFault(reason: string, afterMs: Milliseconds | undefined): Fault {
   return refusedNotRun(
     'store-unavailable',
-    `The platform did not take the call: ${reason}. Try again later; if it goes on, look at the platform.`,
+    `The platform did not take the call: ${reason}. Retry later; if this persists, check the platform.`,
     { retryable: true, retryAfterMs: afterMs ?? DEFAULT_RETRY_AFTER_MS },
   );
 }
 
-function lost(reason: string): Fault {
+function lostFault(reason: string): Fault {
   return outcomeUnknown(
     'store-unavailable',
     `The platform's answer was lost: ${reason}. Read back to find out whether it took effect.`,
   );
 }
 
-function otherContent(): Fault {
+function contentConflictFault(): Fault {
   return refusedNotRun(
     'version-conflict',
     'An object of this name exists with other content. Write under another name.',
   );
 }
 
-function notUnderstood(detail: string): Fault {
+function invalidAnswerFault(detail: string): Fault {
   return outcomeUnknown(
     'store-unavailable',
     `The platform's answer was not understood: ${detail}. Check that its address and version are right.`,
--- a/src/shell/platform/table-calls.ts
+++ b/src/shell/platform/table-calls.ts
@@ -1,11 +1,11 @@
-/** Table calls on the wire: the request of each call and what its answer means. */
+/** Encodes table calls as HTTP requests and decodes their answers. */
 import type { TableCall, TableResult } from '../../core/platform/table.js';
 import { rowsAnswerSchema, transactAnswerSchema } from './answers.js';
 import type { Exchange, ExchangeRequest } from './exchange.js';
 import { parseJson } from './json.js';
 import { DEFAULT_RETRY_AFTER_MS, retryAfterMs } from './retry-after.js';
 
-/** How long to wait before a call that the platform will not take as it is. */
+/** Delay before repeating a call that the platform refuses as invalid. */
 const INVALID_CALL_RETRY_AFTER_MS = 30_000;
 
 /** The HTTP request of a call. */
@@ -14,7 +14,7 @@
   return { method: 'POST', path: `/table/${kind}`, body: JSON.stringify(body) };
 }
 
-/** What an exchange means for a call. Whatever leaves doubt is `lost`. */
+/** The result of a call, from its exchange. An uncertain outcome is `lost`. */
 export function tableResult(call: TableCall, exchange: Exchange): TableResult {
   switch (exchange.kind) {
     case 'not-sent':
@@ -33,7 +33,7 @@
     return unavailable(`the table service answered ${status}`, afterMs);
   }
   if (status === 400 || status === 413) {
-    const reason = `the table service will not take this call (${status}): it breaks a limit of docs/PLATFORM-API.md`;
+    const reason = `the table service refused the call (${status}): it violates a limit of docs/PLATFORM-API.md`;
     return unavailable(reason, INVALID_CALL_RETRY_AFTER_MS);
   }
   const body = parseJson(exchange.body);
@@ -42,23 +42,23 @@
 
 function rowsResult(status: number, body: unknown): TableResult {
   const parsed = rowsAnswerSchema.safeParse(body);
-  if (status !== 200 || !parsed.success) return notUnderstood(status);
+  if (status !== 200 || !parsed.success) return invalidAnswer(status);
   return { kind: 'rows', rows: parsed.data.rows };
 }
 
 function transactResult(status: number, body: unknown): TableResult {
   const parsed = transactAnswerSchema.safeParse(body);
-  if (!parsed.success) return notUnderstood(status);
+  if (!parsed.success) return invalidAnswer(status);
   const { committed, rows } = parsed.data;
   if (status === 200 && committed) return { kind: 'committed', rows };
   if (status === 409 && !committed) return { kind: 'conflict', rows };
-  return notUnderstood(status);
+  return invalidAnswer(status);
 }
 
 function unavailable(reason: string, afterMs: number): TableResult {
   return { kind: 'unavailable', reason, retryAfterMs: afterMs };
 }
 
-function notUnderstood(status: number): TableResult {
+function invalidAnswer(status: number): TableResult {
   return { kind: 'lost', reason: `the table service's answer (${status}) was not understood` };
 }
--- a/test/engine/control-client.test.ts
+++ b/test/engine/control-client.test.ts
@@ -1,4 +1,4 @@
-/** The control client against real engines and broken ones, over TCP. */
+/** The control client over TCP, against emulated engines and faulty servers. */
 import assert from 'node:assert/strict';
 import { once } from 'node:events';
 import { createServer, type Socket } from 'node:net';
@@ -27,8 +27,8 @@
   return engine;
 }
 
-/** A TCP server that does as told with each connection once its first bytes have come. */
-async function startBroken(context: TestContext, answer: (socket: Socket) => void) {
+/** A TCP server that calls `answer` for each connection once its first bytes have arrived. */
+async function startFaultyServer(context: TestContext, answer: (socket: Socket) => void) {
   const sockets: Socket[] = [];
   const server = createServer((socket) => {
     sockets.push(socket);
@@ -47,12 +47,12 @@
   return endpoint;
 }
 
-test('an order is accepted, refused with the fence seen, or lost, and its state is told', async (context) => {
+test('an order is accepted, or refused with the fence of the engine, and its state can be queried', async (context) => {
   const engine = await openEngine(context);
   const client = openClient(context);
   const boot = engine.model.boot;
-  const held = await client.order(engine.endpoint, orderOf(boot, 2, CLOSE_INTAKE));
-  assert.deepEqual(held, { kind: 'accepted', state: 'done' });
+  const accepted = await client.order(engine.endpoint, orderOf(boot, 2, CLOSE_INTAKE));
+  assert.deepEqual(accepted, { kind: 'accepted', state: 'done' });
   const stale = await client.order(engine.endpoint, orderOf(boot, 1, TO_DECODE));
   const fence = { epoch: 1, sequence: 2 };
   assert.deepEqual(stale, { kind: 'refused', reason: 'stale-fence', fence, boot });
@@ -62,7 +62,7 @@
   assert.deepEqual([report.engine, report.intake, report.fence], ['engine-1', 'closed', fence]);
 });
 
-test('an order to a closed port is lost, and said not to have been sent', async (context) => {
+test('an order to a closed port is lost, with the reason that it was not sent', async (context) => {
   const engine = await openEngine(context);
   await engine.close();
   const client = openClient(context);
@@ -70,9 +70,9 @@
   assert.equal(answer.kind === 'lost' && answer.reason.startsWith('not sent: '), true);
 });
 
-test('an order of which bytes have left is lost, however the connection ends', async (context) => {
+test('an order of which bytes were sent is lost, however the connection ends', async (context) => {
   const client = openClient(context, 100);
-  const ways: ((socket: Socket) => void)[] = [
+  const failures: ((socket: Socket) => void)[] = [
     (socket) => socket.destroy(),
     (socket) => socket.resetAndDestroy(),
     (socket) => socket.end('HTTP/1.1 200 OK\r\ncontent-length: 90\r\n\r\n{"kind":"accepted"'),
@@ -80,21 +80,21 @@
     (socket) => socket.end('HTTP/1.1 503 Busy\r\ncontent-length: 0\r\n\r\n'),
     () => undefined,
   ];
-  for (const way of ways) {
-    const broken = await startBroken(context, way);
-    const answer = await client.order(broken, orderOf('boot', 1, TO_DECODE));
-    assert.equal(answer.kind, 'lost', way.toString());
+  for (const failure of failures) {
+    const faultyServer = await startFaultyServer(context, failure);
+    const answer = await client.order(faultyServer, orderOf('boot', 1, TO_DECODE));
+    assert.equal(answer.kind, 'lost', failure.toString());
     assert.equal(answer.kind === 'lost' && answer.reason.startsWith('not sent'), false);
-    assert.equal(await client.orderState(broken, 'order-1'), 'lost');
+    assert.equal(await client.orderState(faultyServer, 'order-1'), 'lost');
   }
 });
 
-test('a report that is not one is a fault that may be asked again', async (context) => {
+test('a malformed report is a retryable fault', async (context) => {
   const client = openClient(context);
-  const broken = await startBroken(context, (socket) =>
+  const faultyServer = await startFaultyServer(context, (socket) =>
     socket.end('HTTP/1.1 200 OK\r\ncontent-length: 18\r\n\r\n{"engine":"engine"'),
   );
-  const fault = (await client.report(broken))._unsafeUnwrapErr();
+  const fault = (await client.report(faultyServer))._unsafeUnwrapErr();
   assert.deepEqual([fault.code, fault.retryable], ['backend-broken', true]);
 });
 
@@ -117,7 +117,7 @@
   assert.deepEqual([hashes, page.last], [prefixBlockHashes(prompt, 32), 2]);
 });
 
-test('a silence is logged once, a return once, and another engine at the address apart', () => {
+test('an engine that stops or resumes reporting is logged once; another engine at its address is logged separately', () => {
   const reachability = new EngineReachability();
   const polls: PollOutcome[] = [
     { kind: 'reported' },
--- a/test/engine/fixtures.ts
+++ b/test/engine/fixtures.ts
@@ -1,4 +1,4 @@
-/** Engines, orders and clients for the tests. */
+/** Engines and orders for the tests. */
 import type { Order, OrderAction } from '../../src/core/orders/index.js';
 import type { Endpoint } from '../../src/core/registry/backend.js';
 import {
@@ -30,7 +30,7 @@
   boot: string,
   sequence: number,
   action: OrderAction,
-  rest: Partial<Order> = {},
+  overrides: Partial<Order> = {},
 ): Order {
   return {
     id: `order-${sequence}`,
@@ -39,7 +39,7 @@
     fence: { epoch: 1, sequence },
     action,
     onlyIfIdle: false,
-    ...rest,
+    ...overrides,
   };
 }
 
--- a/test/engine/model.test.ts
+++ b/test/engine/model.test.ts
@@ -1,4 +1,4 @@
-/** The pure engine model in virtual time: batching, memory, resume, cancel, reports. */
+/** The emulated engine's model in virtual time: batching, memory, resumption, cancellation, reports. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import fc from 'fast-check';
@@ -12,7 +12,7 @@
 import type { EngineModelOptions } from '../../src/lab/engine/options.js';
 import { LABELS, orderOf, TO_DECODE } from './fixtures.js';
 
-const LONG_AFTER = 1e9;
+const LONG_AFTER_MS = 1e9;
 const PROMPT = 'Rosa canina L., leg. J. Kops 1802, in dunis prope Leidam. '.repeat(40);
 
 function newModel(options: Partial<EngineModelOptions> = {}): EngineModel {
@@ -20,7 +20,7 @@
   return new EngineModel({ ...identity, models: [LABELS], accelerator: 'new', ...options }, 0);
 }
 
-interface Wanted {
+interface Submission {
   readonly priority?: number;
   readonly prompt?: string;
   readonly maxTokens?: number;
@@ -29,16 +29,16 @@
   readonly prefill?: boolean;
 }
 
-function submit(model: EngineModel, now: number, attempt: string, wanted: Wanted = {}) {
-  const { maxTokens = 8, resumeOffset = 0, kvHandle = null } = wanted;
+function submit(model: EngineModel, now: number, attempt: string, submission: Submission = {}) {
+  const { maxTokens = 8, resumeOffset = 0, kvHandle = null } = submission;
   const completion = { kind: 'completion', streamed: true, maxTokens, resumeOffset, kvHandle };
-  const work = (wanted.prefill === true ? { kind: 'prefill' } : completion) as EngineWork;
+  const work = (submission.prefill === true ? { kind: 'prefill' } : completion) as EngineWork;
   return model.submit(now, {
     attempt,
-    priority: wanted.priority ?? 5,
+    priority: submission.priority ?? 5,
     name: 'labels',
     version: null,
-    describe: (resolved) => describePrompt(resolved, wanted.prompt ?? `${attempt} ${PROMPT}`),
+    describe: (resolved) => describePrompt(resolved, submission.prompt ?? `${attempt} ${PROMPT}`),
     work,
   });
 }
@@ -64,10 +64,10 @@
   return expectedTokens({ model: 'labels', version: 'v1', adapter: null, prompt, count });
 }
 
-test('a batch of 8 ends well before 8 requests one after another', () => {
-  const together = newModel();
-  for (let index = 0; index < 8; index += 1) submit(together, 0, `r${index}`, { maxTokens: 100 });
-  const batchMs = Math.max(...finishedAt(together.advance(LONG_AFTER)).values());
+test('a batch of 8 requests ends well before 8 requests that run one after another', () => {
+  const batched = newModel();
+  for (let index = 0; index < 8; index += 1) submit(batched, 0, `r${index}`, { maxTokens: 100 });
+  const batchMs = Math.max(...finishedAt(batched.advance(LONG_AFTER_MS)).values());
   const serial = newModel();
   let serialMs = 0;
   for (let index = 0; index < 8; index += 1) {
@@ -77,16 +77,16 @@
   assert.ok(batchMs * 4 < serialMs, `${batchMs} against ${serialMs} ms`);
 });
 
-test('the old accelerator reads and writes more slowly than the new one', () => {
+test('the old accelerator prefills and decodes more slowly than the new one', () => {
   const times = (['new', 'old'] as const).map((accelerator) => {
     const model = newModel({ accelerator });
     submit(model, 0, 'r1', { maxTokens: 20 });
-    return finishedAt(model.advance(LONG_AFTER)).get('r1') ?? 0;
+    return finishedAt(model.advance(LONG_AFTER_MS)).get('r1') ?? 0;
   });
   assert.ok((times[1] ?? 0) > 1.5 * (times[0] ?? 0), String(times));
 });
 
-test('a cached prefix is not read again, until an order restarts the workers', () => {
+test('a cached prefix is not prefilled again until an order restarts the workers', () => {
   const catalogue = 'x'.repeat(64_000);
   const firstTokenMs = (model: EngineModel, now: number, attempt: string): number => {
     submit(model, now, attempt, { prompt: `${catalogue}${attempt}`, maxTokens: 1 });
@@ -100,13 +100,13 @@
   model.order(3e5, orderOf('boot-1', 2, { kind: 'set-role', role: 'mixed' }));
   const restarted = firstTokenMs(model, 4e5, 'restarted');
   assert.ok(restarted * 1.2 > cold, `${restarted} against ${cold} ms`);
-  const small = newModel({ prefixCacheBlocks: 4 });
-  firstTokenMs(small, 0, 'cold');
-  const bounded = firstTokenMs(small, 1e5, 'bounded');
+  const smallCache = newModel({ prefixCacheBlocks: 4 });
+  firstTokenMs(smallCache, 0, 'cold');
+  const bounded = firstTokenMs(smallCache, 1e5, 'bounded');
   assert.ok(bounded * 1.2 > cold, `${bounded} against ${cold} ms`);
 });
 
-test('cache events come late, in order and with gaps', () => {
+test('cache events are published with a delay, in order and with gaps', () => {
   const model = newModel({ cacheEventDelayMs: 1_000, cacheEventLoss: 0.2 });
   submit(model, 0, 'r1', { prompt: 'y'.repeat(25_600), maxTokens: 1 });
   const end = finishedAt(model.advance(1e5)).get('r1') ?? 0;
@@ -122,7 +122,7 @@
   assert.deepEqual(model.cacheEvents(1e6, 100), { events: [], last: 100 });
 });
 
-test('the waiting queue is by priority, then by arrival, and bounded', () => {
+test('the waiting queue is ordered by priority, then by arrival, and limited in length', () => {
   const model = newModel({ maxBatch: 1, maxQueue: 3 });
   submit(model, 0, 'running');
   submit(model, 0, 'late-low', { priority: 9 });
@@ -131,24 +131,24 @@
   const full = submit(model, 0, 'too-many', { priority: 0 });
   assert.equal(refusalCode(full), 'engine-full');
   assert.ok(full.kind === 'refused' && (full.retryAfterSeconds ?? 0) >= 1);
-  const order = [...finishedAt(model.advance(LONG_AFTER)).keys()];
+  const order = [...finishedAt(model.advance(LONG_AFTER_MS)).keys()];
   assert.deepEqual(order, ['running', 'high', 'late-low', 'low']);
 });
 
-test('a resumed request gives exactly the tail of the whole answer, also when none is left', () => {
-  const whole = expected(PROMPT, 12);
+test('a resumed request returns exactly the tail of the complete answer, also if the tail is empty', () => {
+  const completeTokens = expected(PROMPT, 12);
   for (const resumeOffset of [0, 1, 11, 12]) {
     const model = newModel();
     submit(model, 0, 'r1', { prompt: PROMPT, maxTokens: 12, resumeOffset });
-    const outputs = model.advance(LONG_AFTER);
-    assert.deepEqual(tokensOf(outputs, 'r1'), whole.slice(resumeOffset));
+    const outputs = model.advance(LONG_AFTER_MS);
+    assert.deepEqual(tokensOf(outputs, 'r1'), completeTokens.slice(resumeOffset));
     const last = outputs.at(-1);
     assert.equal(last?.kind === 'finished' && last.completionTokens, 12);
   }
   assert.equal(refusalCode(submit(newModel(), 0, 'r1', { resumeOffset: 9 })), 'invalid-request');
 });
 
-test('cancelling frees the batch for what waits', () => {
+test('cancelling a request frees its place in the batch for a waiting request', () => {
   const model = newModel({ maxBatch: 1 });
   submit(model, 0, 'long', { maxTokens: 10_000 });
   submit(model, 0, 'next', { maxTokens: 1 });
@@ -161,7 +161,7 @@
   assert.equal(model.activeRequests, 0);
 });
 
-test('load is reported as it was, the rest as it is', () => {
+test('a report contains the load with a lag and all other values as they are now', () => {
   const model = newModel({ reportLagMs: 300 });
   submit(model, 1_000, 'r1', { maxTokens: 100_000 });
   const early = model.report(1_200);
@@ -171,8 +171,8 @@
   assert.ok(model.report(5_000).load.decodeStepMs > 0);
 });
 
-test('with too little KV memory the lowest priority yields, and every answer is still whole', () => {
-  const newSmall = (): EngineModel => {
+test('with too little KV memory the lowest priority is preempted, and every answer is still complete', () => {
+  const newModelWithLittleMemory = (): EngineModel => {
     const model = newModel({ kvCapacityTokens: 1_500, reportLagMs: 0 });
     for (const priority of [9, 3, 0]) {
       const prompt = `${priority}${PROMPT}`;
@@ -180,8 +180,8 @@
     }
     return model;
   };
-  const model = newSmall();
-  const outputs = model.advance(LONG_AFTER);
+  const model = newModelWithLittleMemory();
+  const outputs = model.advance(LONG_AFTER_MS);
   const ends = finishedAt(outputs);
   assert.deepEqual([...ends.keys()], ['p0', 'p3', 'p9']);
   for (const priority of [9, 3, 0]) {
@@ -190,37 +190,40 @@
   }
   const endOfFirst = ends.get('p0') ?? 0;
   const early = outputs.filter((output) => output.kind === 'token' && output.at < endOfFirst);
-  const low = tokensOf(early, 'p9').length;
-  assert.ok(low > 0 && low < 400, `${low} tokens before it yielded`);
-  // What has yielded holds no memory and must be read again, with what it had written.
-  const { load } = newSmall().report(endOfFirst - 0.01);
+  const lowPriorityTokens = tokensOf(early, 'p9').length;
+  assert.ok(
+    lowPriorityTokens > 0 && lowPriorityTokens < 400,
+    `${lowPriorityTokens} tokens before it yielded`,
+  );
+  // Preempted requests hold no memory and must prefill their prompt and the tokens written so far again.
+  const { load } = newModelWithLittleMemory().report(endOfFirst - 0.01);
   const promptTokens = Math.ceil((PROMPT.length + 1) / 4);
   assert.deepEqual([load.running, load.queued], [1, 2]);
-  const again = 2 * promptTokens + low + tokensOf(early, 'p3').length;
-  assert.equal(load.queuedPrefillTokens, again);
-  const tooLong = submit(model, LONG_AFTER, 'r9', { maxTokens: 1_500 });
+  const expectedPrefillTokens = 2 * promptTokens + lowPriorityTokens + tokensOf(early, 'p3').length;
+  assert.equal(load.queuedPrefillTokens, expectedPrefillTokens);
+  const tooLong = submit(model, LONG_AFTER_MS, 'r9', { maxTokens: 1_500 });
   assert.equal(refusalCode(tooLong), 'invalid-request');
 });
 
-test('KV goes from a prefill engine to a decode engine, and a handle lapses', () => {
-  const reader = newModel({ role: 'prefill' });
-  const writer = newModel({ role: 'decode', boot: 'boot-2' });
-  assert.equal(refusalCode(submit(reader, 0, 'r1')), 'wrong-role');
-  assert.equal(refusalCode(submit(writer, 0, 'r1', { prefill: true })), 'wrong-role');
-  submit(reader, 0, 'r1', { prefill: true, prompt: PROMPT });
-  const prefilled = reader.advance(1_000).find((output) => output.kind === 'prefilled');
-  const held = reader.exportKv(1_000, prefilled?.kvHandle ?? '');
-  assert.ok(held !== null && writer.kvTransferMs(held) > 0);
-  const kvHandle = writer.importKv(1_000, held) ?? '';
-  assert.ok(writer.report(10_000).load.kvUsed > 0);
-  submit(writer, 1_000, 'r1', { kvHandle, maxTokens: 5 });
-  assert.equal(writer.report(1_000).load.queuedPrefillTokens, 0);
-  assert.deepEqual(tokensOf(writer.advance(2_000), 'r1'), expected(PROMPT, 5));
-  assert.equal(refusalCode(submit(writer, 2_000, 'r2', { kvHandle })), 'kv-gone');
-  assert.equal(reader.exportKv(31_500, prefilled?.kvHandle ?? ''), null);
+test('KV is transferred from a prefill engine to a decode engine, and a handle expires', () => {
+  const prefillModel = newModel({ role: 'prefill' });
+  const decodeModel = newModel({ role: 'decode', boot: 'boot-2' });
+  assert.equal(refusalCode(submit(prefillModel, 0, 'r1')), 'wrong-role');
+  assert.equal(refusalCode(submit(decodeModel, 0, 'r1', { prefill: true })), 'wrong-role');
+  submit(prefillModel, 0, 'r1', { prefill: true, prompt: PROMPT });
+  const prefilled = prefillModel.advance(1_000).find((output) => output.kind === 'prefilled');
+  const exportedKv = prefillModel.exportKv(1_000, prefilled?.kvHandle ?? '');
+  assert.ok(exportedKv !== null && decodeModel.kvTransferMs(exportedKv) > 0);
+  const kvHandle = decodeModel.importKv(1_000, exportedKv) ?? '';
+  assert.ok(decodeModel.report(10_000).load.kvUsed > 0);
+  submit(decodeModel, 1_000, 'r1', { kvHandle, maxTokens: 5 });
+  assert.equal(decodeModel.report(1_000).load.queuedPrefillTokens, 0);
+  assert.deepEqual(tokensOf(decodeModel.advance(2_000), 'r1'), expected(PROMPT, 5));
+  assert.equal(refusalCode(submit(decodeModel, 2_000, 'r2', { kvHandle })), 'kv-gone');
+  assert.equal(prefillModel.exportKv(31_500, prefilled?.kvHandle ?? ''), null);
 });
 
-test('one seed replays the same outputs, and whatever happens no token is lost or doubled', () => {
+test('the same seed gives the same outputs, and no token is lost or duplicated', () => {
   const action = fc.record({
     kind: fc.constantFrom('submit', 'submit', 'cancel', 'pause', 'resume'),
     attempt: fc.integer({ min: 0, max: 12 }),
@@ -231,9 +234,9 @@
   });
   const run = (actions: readonly (typeof action extends fc.Arbitrary<infer A> ? A : never)[]) => {
     const model = newModel({ maxBatch: 3, kvCapacityTokens: 900 });
-    const taken = new Map<string, Wanted>();
+    const acceptedSubmissions = new Map<string, Submission>();
     const outputs: EngineOutput[] = [];
-    const gone = new Set<string>();
+    const cancelledNames = new Set<string>();
     let now = 0;
     for (const [index, step] of actions.entries()) {
       now += step.waitMs;
@@ -241,23 +244,25 @@
       const attempt = `a${step.attempt}`;
       if (step.kind === 'submit') {
         const name = `${attempt}.${index}`;
-        if (submit(model, now, name, step).kind === 'accepted') taken.set(name, step);
+        if (submit(model, now, name, step).kind === 'accepted') acceptedSubmissions.set(name, step);
       } else {
-        const names = [...taken.keys()].filter((name) => name.startsWith(`${attempt}.`));
+        const names = [...acceptedSubmissions.keys()].filter((name) =>
+          name.startsWith(`${attempt}.`),
+        );
         for (const name of names) {
-          if (step.kind === 'cancel' && model.cancel(now, name)) gone.add(name);
+          if (step.kind === 'cancel' && model.cancel(now, name)) cancelledNames.add(name);
           model.setPaused(now, name, step.kind === 'pause');
         }
       }
     }
-    for (const name of taken.keys()) model.setPaused(now, name, false);
-    outputs.push(...model.advance(LONG_AFTER));
+    for (const name of acceptedSubmissions.keys()) model.setPaused(now, name, false);
+    outputs.push(...model.advance(LONG_AFTER_MS));
     assert.equal(model.activeRequests, 0);
-    for (const [name, wanted] of taken) {
-      const whole = expected(`${name} ${PROMPT}`, wanted.maxTokens ?? 0);
-      const tail = whole.slice(wanted.resumeOffset);
+    for (const [name, submission] of acceptedSubmissions) {
+      const completeTokens = expected(`${name} ${PROMPT}`, submission.maxTokens ?? 0);
+      const tail = completeTokens.slice(submission.resumeOffset);
       const written = tokensOf(outputs, name);
-      assert.deepEqual(written, gone.has(name) ? tail.slice(0, written.length) : tail);
+      assert.deepEqual(written, cancelledNames.has(name) ? tail.slice(0, written.length) : tail);
     }
     return outputs;
   };
--- a/test/operator/server.test.ts
+++ b/test/operator/server.test.ts
@@ -1,4 +1,4 @@
-/** The operator API over real sockets: calls, tokens and hostile senders. */
+/** The operator API over TCP: calls, tokens and malformed or slow requests. */
 import assert from 'node:assert/strict';
 import { connect } from 'node:net';
 import { after, test } from 'node:test';
@@ -14,9 +14,9 @@
   limits,
   log: (effect) => logged.push(effect),
 });
-// Only the slow senders meet a short limit, so that a busy machine delays no other test into it.
-const impatient = await startStub(backend, { limits: { requestTimeoutMs: 100 } });
-after(() => Promise.all([server.close(), impatient.server.close()]));
+// Only the tests of slow requests use a short timeout, so that other tests do not time out on a busy machine.
+const shortTimeout = await startStub(backend, { limits: { requestTimeoutMs: 100 } });
+after(() => Promise.all([server.close(), shortTimeout.server.close()]));
 
 interface CallOptions {
   readonly token?: string;
@@ -24,7 +24,7 @@
   readonly to?: string;
 }
 
-// biome-ignore lint/suspicious/noExplicitAny: tests look into answers of every shape
+// biome-ignore lint/suspicious/noExplicitAny: the tests read answers of different shapes
 type AnyAnswer = { readonly status: number; readonly body: any };
 
 async function call(path: string, body: unknown, options: CallOptions = {}): Promise<AnyAnswer> {
@@ -40,7 +40,7 @@
   return { status: answer.statusCode, body: await answer.body.json() };
 }
 
-/** Sends bytes as they are and resolves with all that comes back before the close. */
+/** Sends raw bytes; resolves to everything received until the connection is closed. */
 function exchange(bytes: string, to = address): Promise<string> {
   const [host, port] = to.split(':');
   return new Promise((resolve) => {
@@ -54,7 +54,7 @@
   });
 }
 
-test('a query answers with its rows and their fields in order', async () => {
+test('a query is answered with its rows and the fields in their order', async () => {
   const text = 'engines where running > 0 select zone, name';
   const { status, body } = await call('/v1/query', { text }, { token: READ_TOKEN });
   assert.equal(status, 200);
@@ -67,7 +67,7 @@
   assert.match(wrong.body.error.message, /nothing was changed. Use threadfork apply/);
 });
 
-test('every outcome of a change keeps its own kind and status', async () => {
+test('every outcome of a change has its own kind and status', async () => {
   const token = CHANGE_TOKEN;
   const applied = await call('/v1/commands', { text: 'drain e1', id: 'c1' }, { token });
   assert.deepEqual(applied, {
@@ -77,9 +77,9 @@
   const conflict = await call('/v1/commands', { text: 'drain e2 if version 0' }, { token });
   assert.deepEqual([conflict.status, conflict.body.kind], [409, 'refused']);
   assert.equal(conflict.body.currentVersion, 1);
-  const twice = { text: 'drain e2 if version 0', ifVersion: 1 };
+  const conflictingVersions = { text: 'drain e2 if version 0', ifVersion: 1 };
   assert.match(
-    (await call('/v1/commands', twice, { token })).body.fault.message,
+    (await call('/v1/commands', conflictingVersions, { token })).body.fault.message,
     /State one of them/,
   );
   backend.override = () => Promise.reject(new Error('broken'));
@@ -88,49 +88,62 @@
   assert.deepEqual([unknown.status, unknown.body.kind, unknown.body.id], [202, 'unknown', 'c2']);
 });
 
-test('a document is checked whole before the backend sees it', async () => {
-  const seen = backend.requests.length;
+test('a document is validated before it reaches the backend', async () => {
+  const requestCount = backend.requests.length;
   const document = { tenants: { t: { class: 'nowhere' } } };
   const refused = await call('/v1/commands', { document }, { token: CHANGE_TOKEN });
   assert.equal(refused.body.kind, 'refused');
-  assert.equal(backend.requests.length, seen);
-  const taken = { document: {}, dryRun: true };
-  assert.equal((await call('/v1/commands', taken, { token: CHANGE_TOKEN })).body.kind, 'dry-run');
+  assert.equal(backend.requests.length, requestCount);
+  const dryRunBody = { document: {}, dryRun: true };
+  assert.equal(
+    (await call('/v1/commands', dryRunBody, { token: CHANGE_TOKEN })).body.kind,
+    'dry-run',
+  );
 });
 
-test('tokens: none and wrong ones are refused, a read-only one changes nothing', async () => {
+test('a missing or unknown token is refused, and a read-only token changes nothing', async () => {
   const text = { text: 'drain e9' };
-  const seen = backend.requests.length;
+  const requestCount = backend.requests.length;
   assert.equal((await call('/v1/status', undefined)).status, 401);
   assert.equal((await call('/v1/status', undefined, { token: 'wrong' })).status, 401);
   assert.equal((await call('/v1/status', undefined, { token: digestOf(READ_TOKEN) })).status, 401);
   const forbidden = await call('/v1/commands', text, { token: READ_TOKEN });
   assert.deepEqual([forbidden.status, forbidden.body.fault.code], [403, 'forbidden']);
-  assert.equal(backend.requests.length, seen);
-  const tried = await call('/v1/commands', { text: 'dry run drain e9' }, { token: READ_TOKEN });
-  assert.equal(tried.body.kind, 'dry-run');
+  assert.equal(backend.requests.length, requestCount);
+  const dryRunAnswer = await call(
+    '/v1/commands',
+    { text: 'dry run drain e9' },
+    { token: READ_TOKEN },
+  );
+  assert.equal(dryRunAnswer.body.kind, 'dry-run');
   assert.equal(backend.requests.at(-1)?.operator, 'curator');
-  const whole = '/v1/configuration';
-  assert.equal((await call(whole, undefined, { token: READ_TOKEN })).status, 403);
-  assert.equal((await call(whole, undefined, { token: CHANGE_TOKEN })).status, 200);
+  const configurationPath = '/v1/configuration';
+  assert.equal((await call(configurationPath, undefined, { token: READ_TOKEN })).status, 403);
+  assert.equal((await call(configurationPath, undefined, { token: CHANGE_TOKEN })).status, 200);
   assert.equal((await call('/healthz', undefined)).status, 200);
   assert.ok(!JSON.stringify(logged).includes(CHANGE_TOKEN));
   assert.ok(logged.some((effect) => effect.event.number === 5002));
 });
 
-test('without a token on loopback only where allowed, and never for a web page', async () => {
+test('a call without a token is accepted on loopback only if allowed, and never from a web page', async () => {
   const open = await startStub(backend, { allowUnauthenticatedLoopback: true });
   const to = open.address;
   assert.equal((await call('/v1/status', undefined, { to })).status, 200);
   assert.equal((await call('/v1/status', undefined, { to, token: 'wrong' })).status, 401);
-  const page = { origin: 'http://example.org' };
-  assert.equal((await call('/v1/status', undefined, { to, headers: page })).status, 403);
-  const rebound = { host: 'example.org:80' };
-  assert.equal((await call('/v1/status', undefined, { to, headers: rebound })).status, 403);
+  const crossOriginHeaders = { origin: 'http://example.org' };
+  assert.equal(
+    (await call('/v1/status', undefined, { to, headers: crossOriginHeaders })).status,
+    403,
+  );
+  const reboundHostHeaders = { host: 'example.org:80' };
+  assert.equal(
+    (await call('/v1/status', undefined, { to, headers: reboundHostHeaders })).status,
+    403,
+  );
   await open.server.close();
 });
 
-test('a setting that leaves the server open or deaf is refused', () => {
+test('a host name as address, or no token on an address other than loopback, is refused', () => {
   const settings = { tokens: [], allowUnauthenticatedLoopback: true, backend };
   const everywhere = { ...settings, listen: { address: '0.0.0.0', port: 0 } };
   assert.match(createOperatorServer(everywhere)._unsafeUnwrapErr().message, /no token/);
@@ -181,13 +194,13 @@
   ['body', `${HEAD}content-type: application/json\r\ncontent-length: 90\r\n\r\n{`],
 ] as const) {
   test(`closed with a typed error: a slow ${what}`, async () => {
-    const answer = await exchange(bytes, impatient.address);
+    const answer = await exchange(bytes, shortTimeout.address);
     assert.match(answer, /^HTTP\/1.1 408 .*"body-timeout"/s);
   });
 }
 
-test('a running call ends before the server has closed', async () => {
-  const own = await startStub(backend);
+test('closing the server waits for a running call', async () => {
+  const ownStub = await startStub(backend);
   let release: () => void = () => undefined;
   const running = new Promise<void>((resolve) => {
     backend.override = (change) => {
@@ -200,10 +213,10 @@
   const answer = call(
     '/v1/commands',
     { text: 'drain e5' },
-    { token: CHANGE_TOKEN, to: own.address },
+    { token: CHANGE_TOKEN, to: ownStub.address },
   );
   await running;
-  const closed = own.server.close();
+  const closed = ownStub.server.close();
   release();
   backend.override = null;
   assert.equal((await answer).body.version, 9);
--- a/test/platform/client.test.ts
+++ b/test/platform/client.test.ts
@@ -1,4 +1,4 @@
-/** The platform client against the stand-in and against hostile servers, over real TCP. */
+/** The platform client over TCP, against the emulated platform and faulty servers. */
 import assert from 'node:assert/strict';
 import type { AddressInfo } from 'node:net';
 import { createServer, type Server, type Socket } from 'node:net';
@@ -31,7 +31,7 @@
   return opened;
 }
 
-async function standIn(options = DEFAULT_PLATFORM_OPTIONS): Promise<PlatformServer> {
+async function startEmulator(options = DEFAULT_PLATFORM_OPTIONS): Promise<PlatformServer> {
   const server = await createPlatformServer(LOOPBACK, options);
   cleanUps.push(() => server.close());
   return server;
@@ -57,7 +57,7 @@
 }
 
 test('a transaction commits once and a second one with the same check conflicts', async () => {
-  const { port } = await standIn();
+  const { port } = await startEmulator();
   const platform = client(port);
   const row = { key: 'a', version: 1, value: { n: 1 } };
   assert.deepEqual(await platform.table(PUT_A), { kind: 'committed', rows: [row] });
@@ -68,8 +68,8 @@
   assert.deepEqual(rest, { kind: 'rows', rows: [] });
 });
 
-test('a lost answer is reported as lost and reading back shows that the write took effect', async () => {
-  const { port, model } = await standIn();
+test('a call whose answer is dropped is lost, and reading back shows that the write took effect', async () => {
+  const { port, model } = await startEmulator();
   const platform = client(port);
   model.setFaults({ table: { loseAnswers: { kind: 'next', calls: 1 }, writesOnly: true } });
   assert.equal((await platform.table(PUT_A)).kind, 'lost');
@@ -77,8 +77,8 @@
   assert.deepEqual(read, { kind: 'rows', rows: [{ key: 'a', version: 1, value: { n: 1 } }] });
 });
 
-test('a lost call is reported as lost and reading back shows that nothing was written', async () => {
-  const { port, model } = await standIn();
+test('a call that is dropped is lost, and reading back shows that nothing was written', async () => {
+  const { port, model } = await startEmulator();
   const platform = client(port);
   model.setFaults({ table: { loseCalls: { kind: 'next', calls: 1 } } });
   assert.equal((await platform.table(PUT_A)).kind, 'lost');
@@ -86,17 +86,17 @@
   assert.deepEqual(read, { kind: 'rows', rows: [{ key: 'a', version: 0, value: null }] });
 });
 
-test('a write whose answer is slower than the timeout is lost, and took effect', async () => {
-  const { port, model } = await standIn();
+test('a write whose answer comes after the timeout is lost, and has taken effect', async () => {
+  const { port, model } = await startEmulator();
   const platform = client(port, 100);
   model.setFaults({ table: { slowAnswerMs: 60_000 } });
   assert.equal((await platform.table(PUT_A)).kind, 'lost');
   assert.equal(model.table.get(['a'])[0]?.version, 1);
 });
 
-test('down, over the rate and refused connections are unavailable: nothing was done', async () => {
+test('a call is unavailable, so not carried out, if the platform is down, limits the rate or refuses connections', async () => {
   const limits = { ...DEFAULT_PLATFORM_OPTIONS.limits, table: { perSecond: 0.5, burst: 1 } };
-  const { port, model } = await standIn({ limits, machineLagMs: 0 });
+  const { port, model } = await startEmulator({ limits, machineLagMs: 0 });
   const platform = client(port);
   model.setFaults({ table: { down: true } });
   const whileDown = await platform.table(PUT_A);
@@ -110,7 +110,7 @@
   assert.equal((await client(closedServer.port).table(PUT_A)).kind, 'unavailable');
 });
 
-test('a call that waited in vain for a connection was not sent and is never sent later', async () => {
+test('a call that times out waiting for a connection is not sent, neither then nor later', async () => {
   const sockets: Socket[] = [];
   let received = '';
   const requestsReceived = (): number => received.split('GET /get').length - 1;
@@ -129,12 +129,12 @@
   const connections = new PlatformConnections(options);
   cleanUps.push(() => connections.close());
   const get = { method: 'GET', path: '/get' } as const;
-  const occupying = Array.from({ length: MAX_CONNECTIONS }, () => connections.exchange(get));
+  const occupyingCalls = Array.from({ length: MAX_CONNECTIONS }, () => connections.exchange(get));
   await occupied;
   const waiting = await connections.exchange({ method: 'POST', path: '/late', body: '{}' }, 50);
   assert.equal(waiting.kind, 'not-sent');
   for (const socket of sockets) socket.write(httpAnswer('200 OK', '{}'));
-  assert.ok((await Promise.all(occupying)).every(({ kind }) => kind === 'answered'));
+  assert.ok((await Promise.all(occupyingCalls)).every(({ kind }) => kind === 'answered'));
   const next = connections.exchange(get);
   for (const socket of sockets) socket.on('data', () => socket.write(httpAnswer('200 OK', '{}')));
   assert.equal((await next).kind, 'answered');
@@ -142,7 +142,7 @@
   assert.equal(received.includes('/late'), false);
 });
 
-test('answers that are cut, malformed or contradictory are lost', async () => {
+test('a call with a truncated, malformed or contradictory answer is lost', async () => {
   const answers = [
     '',
     'HTTP/1.1 200 OK\r\ncontent-length: 900\r\n\r\n{"committed":true',
@@ -161,7 +161,7 @@
 });
 
 test('objects are written once; weights and machines are read', async () => {
-  const server = await standIn({ ...DEFAULT_PLATFORM_OPTIONS, machineLagMs: 0 });
+  const server = await startEmulator({ ...DEFAULT_PLATFORM_OPTIONS, machineLagMs: 0 });
   const platform = client(server.port);
   const content = Buffer.from('content');
   assert.ok((await platform.putObject('config/7', content)).isOk());
@@ -199,7 +199,7 @@
 });
 
 test('faults are set over HTTP while the platform runs', async () => {
-  const { port } = await standIn();
+  const { port } = await startEmulator();
   const platform = client(port);
   const set = (faults: unknown) =>
     fetch(`http://127.0.0.1:${port}/faults`, { method: 'POST', body: JSON.stringify(faults) });
