--- a/src/core/daemon/decision-log.ts
+++ b/src/core/daemon/decision-log.ts
@@ -1,14 +1,14 @@
-/** The latest routing decisions of a daemon, for `explain request`. Bounded, updated in place. */
+/** The latest routing decisions of a daemon, for `explain request`. Bounded; updated in place. */
 import type { RequestId } from '../common/identifiers.js';
 import type { RequestDescription, RequestNotice } from '../requests/index.js';
 import type { RoutingDecision, WebDecision } from '../routing/index.js';
 
-/** Requests remembered at most; the oldest is forgotten first. */
+/** Requests kept in the log; the oldest is evicted first. */
 const MAX_REQUESTS = 1_024;
-/** Decisions remembered for one request. */
+/** Latest decisions kept for one request. */
 const MAX_DECISIONS = 8;
 
-/** One decision in words. */
+/** One routing decision, as shown to operators. */
 export interface LoggedDecision {
   readonly outcome: 'chosen' | 'full' | 'none';
   readonly backend: string | null;
@@ -18,18 +18,16 @@
   readonly reason: string;
 }
 
-/** A request and the decisions taken for it, oldest first. */
+/** A request and its routing decisions, oldest first. */
 export interface LoggedRequest {
   readonly description: RequestDescription;
   readonly decisions: readonly LoggedDecision[];
   readonly end: Extract<RequestNotice, { kind: 'request-ended' }> | null;
 }
 
-/** The log. */
 export class DecisionLog {
   readonly #requests = new Map<RequestId, LoggedRequest>();
 
-  /** Remembers a decision. */
   record(description: RequestDescription, decision: RoutingDecision | WebDecision): void {
     const known = this.#requests.get(description.id);
     const decisions = [...(known?.decisions ?? []), describe(decision)].slice(-MAX_DECISIONS);
@@ -37,7 +35,6 @@
     this.#forgetOldest();
   }
 
-  /** Remembers how a request ended. */
   ended(notice: Extract<RequestNotice, { kind: 'request-ended' }>): void {
     const { description } = notice;
     const decisions = this.#requests.get(description.id)?.decisions ?? [];
@@ -45,12 +42,11 @@
     this.#forgetOldest();
   }
 
-  /** A request by id. */
   get(id: RequestId): LoggedRequest | undefined {
     return this.#requests.get(id);
   }
 
-  /** The latest request. */
+  /** The request that was added to the log last. */
   latest(): LoggedRequest | undefined {
     return [...this.#requests.values()].at(-1);
   }
--- a/src/core/daemon/demand-meter.ts
+++ b/src/core/daemon/demand-meter.ts
@@ -1,18 +1,19 @@
-/** Counts the work that this daemon has had done, by pool, between two reports. Updated in place. */
+/**
+ * Counts, by pool, the answered requests of this daemon and their tokens since the last report.
+ * Updated in place.
+ */
 import type { BackendName, PoolName, RequestId } from '../common/identifiers.js';
 import type { RequestNotice } from '../requests/index.js';
 
-/** Work that was done. */
+/** Answered requests with their prompt and output tokens. */
 export interface DemandCount {
   readonly requests: number;
   readonly promptTokens: number;
   readonly outputTokens: number;
 }
 
-/** Nothing done. */
 export const NO_DEMAND: DemandCount = { requests: 0, promptTokens: 0, outputTokens: 0 };
 
-/** The sum of two counts. */
 export function addDemand(one: DemandCount, other: DemandCount): DemandCount {
   return {
     requests: one.requests + other.requests,
@@ -21,12 +22,14 @@
   };
 }
 
-/** The meter. */
 export class DemandMeter {
   readonly #lastBackends = new Map<RequestId, BackendName>();
   #counts = new Map<PoolName, DemandCount>();
 
-  /** Takes a notice of the request table. `poolOf` is null for what is not an engine. */
+  /**
+   * Records a notice of the request table. An answered request counts for the pool of the engine
+   * that its last attempt used. `poolOf` returns null for a backend that is not an engine.
+   */
   note(notice: RequestNotice, poolOf: (backend: BackendName) => PoolName | null): void {
     const { id } = notice.description;
     if (notice.kind === 'attempt-started') {
@@ -46,7 +49,7 @@
     }
   }
 
-  /** The counts since the last call. */
+  /** Returns the counts since the last call and resets them. */
   take(): ReadonlyMap<PoolName, DemandCount> {
     const counts = this.#counts;
     this.#counts = new Map();
--- a/src/core/daemon/desired-engines.ts
+++ b/src/core/daemon/desired-engines.ts
@@ -1,21 +1,22 @@
 /**
- * What each engine of a pool should hold and be, from the configuration and the planned roles.
+ * The models and role that each engine of a pool should have, from the configuration and the planned
+ * roles.
  */
 import type { BackendName, ModelName } from '../common/identifiers.js';
 import type { ConfigurationDocument, ModelConfiguration } from '../configuration/document.js';
 import type { DesiredEngine } from '../controller/index.js';
 import type { EngineRole, EngineView, LoadedModel } from '../registry/backend.js';
 
-/** A role that the planner wants, with its reason. */
+/** The role that the planner chose for an engine, with its reason. */
 export interface PlannedRole {
   readonly role: EngineRole;
   readonly reason: string;
 }
 
 /**
- * The desired state of a pool's engines. An engine keeps the configured models that it holds, at
- * their stated versions with all their adapters; one that holds none of them takes the model that
- * the fewest engines hold. An operator's role goes before the planner's.
+ * The desired state of a pool's engines. An engine keeps the configured models that it has loaded, at
+ * their configured versions with all their adapters. An engine without any of them loads the model
+ * that the fewest engines have loaded. A role set by an operator overrides the planner's.
  */
 export function desiredEngines(
   document: ConfigurationDocument,
@@ -25,13 +26,14 @@
   const placement = placeModels(document, views);
   return views.map((view) => {
     const { name } = view.machine;
-    const asked = document.backends[name]?.role;
+    const operatorRole = document.backends[name]?.role;
     const plan = planned.get(name);
     return {
       engine: name,
-      role: asked ?? plan?.role ?? null,
+      role: operatorRole ?? plan?.role ?? null,
       models: placement.get(name) ?? null,
-      reason: asked === undefined ? (plan?.reason ?? 'configuration') : 'asked for by an operator',
+      reason:
+        operatorRole === undefined ? (plan?.reason ?? 'configuration') : 'asked for by an operator',
     };
   });
 }
@@ -59,23 +61,23 @@
     }
   }
   for (const engine of unplaced.sort()) {
-    const fewest = fewestHeld(holders);
-    if (fewest !== null) {
-      holders.set(fewest, (holders.get(fewest) ?? 0) + 1);
-      placement.set(engine, wantedModels(document, [fewest]));
+    const leastReplicated = leastReplicatedModel(holders);
+    if (leastReplicated !== null) {
+      holders.set(leastReplicated, (holders.get(leastReplicated) ?? 0) + 1);
+      placement.set(engine, wantedModels(document, [leastReplicated]));
     }
   }
   return placement;
 }
 
-function fewestHeld(holders: ReadonlyMap<ModelName, number>): ModelName | null {
-  let fewest: ModelName | null = null;
+function leastReplicatedModel(holders: ReadonlyMap<ModelName, number>): ModelName | null {
+  let leastReplicated: ModelName | null = null;
   for (const [name, count] of holders) {
-    if (fewest === null || count < (holders.get(fewest) ?? 0)) {
-      fewest = name;
+    if (leastReplicated === null || count < (holders.get(leastReplicated) ?? 0)) {
+      leastReplicated = name;
     }
   }
-  return fewest;
+  return leastReplicated;
 }
 
 function wantedModels(
--- a/src/core/daemon/duties.ts
+++ b/src/core/daemon/duties.ts
@@ -1,4 +1,4 @@
-/** Which pools a daemon stands ready to control, and what their controllers are told. */
+/** The pools that a daemon is a candidate to control, and the input of their controllers. */
 import type { DaemonName, PoolName } from '../common/identifiers.js';
 import type { MonotonicMs } from '../common/time.js';
 import { EMPTY_CONFIGURATION } from '../configuration/document.js';
@@ -11,10 +11,10 @@
 import { type HeldPool, plannedRoles } from './role-planning.js';
 import type { DaemonState } from './state.js';
 
-/** Daemons that stand ready to hold a pool's lease. More would only read the table. */
+/** Daemons that compete for a pool's lease. More of them would only add reads of the lease row. */
 const CANDIDATES_PER_POOL = 3;
 
-/** The pools of the machine list that this daemon is one of the few to stand ready for. */
+/** The pools of the machine list for which this daemon is a candidate. */
 export function poolsToServe(state: DaemonState): ReadonlySet<PoolName> {
   const pools = new Set<PoolName>();
   for (const machine of state.machines) {
@@ -27,7 +27,7 @@
   return new Set([...pools].filter((pool) => isCandidate(name, pool, daemons)));
 }
 
-/** What the duty of a pool is told now. */
+/** The current input of a pool's duty. */
 export function poolInputs(state: DaemonState, pool: PoolName): PoolDutyInputs {
   if (state.stopping || !state.candidatePools.has(pool)) {
     return NOT_A_CANDIDATE;
@@ -44,28 +44,28 @@
   };
 }
 
-/** The views of a pool's engines, in the order of their names. */
+/** The views of a pool's engines, sorted by name. */
 function engineViewsOf(state: DaemonState, pool: PoolName): readonly EngineView[] {
   return [...state.digest.views.values()]
     .filter((view) => poolOf(view.machine) === pool)
     .sort((one, other) => (one.machine.name < other.machine.name ? -1 : 1));
 }
 
-/** The few daemons that stand ready for a pool. */
+/** The alive daemons that are candidates for a pool's lease. */
 export function candidatesOf(state: DaemonState, pool: PoolName): readonly Member[] {
   const members = aliveMembers(state.membership);
   const names = members.map((member) => member.name);
   return members.filter((member) => isCandidate(member.name, pool, names));
 }
 
-/** The pools whose lease this daemon holds now, with their engines. */
+/** The pools whose lease this daemon holds at `now`, with their engines. */
 export function heldPools(state: DaemonState, now: MonotonicMs): readonly HeldPool[] {
   return [...state.duties.values()]
     .filter((duty) => holdsAuthority(duty.lease, now))
     .map(({ pool }) => ({ pool, engines: engineViewsOf(state, pool) }));
 }
 
-/** Whether a daemon is among the few that would hold a pool's lease (rendezvous hashing). */
+/** Whether a daemon is among the `CANDIDATES_PER_POOL` highest rendezvous hashes of a pool. */
 function isCandidate(daemon: DaemonName, pool: PoolName, daemons: readonly DaemonName[]): boolean {
   const own = hash32(`${pool} ${daemon}`);
   let ahead = 0;
--- a/src/core/daemon/effect.ts
+++ b/src/core/daemon/effect.ts
@@ -1,4 +1,4 @@
-/** Everything that a daemon's fold asks of its shells. */
+/** All effects that the daemon's reducer requests from its shells. */
 
 import type { BackendName } from '../common/identifiers.js';
 import type { VersionedConfiguration } from '../configuration/document.js';
@@ -11,14 +11,13 @@
 import type { Endpoint, WebMachine } from '../registry/backend.js';
 import type { RequestEffect, RequestNotice } from '../requests/index.js';
 
-/** Asks for an engine's report: `engine-report` or `engine-silent` comes back. */
+/** Requests an engine's report. The shell answers with `engine-report` or `engine-silent`. */
 export interface AskReportEffect {
   readonly kind: 'ask-report';
   readonly engine: BackendName;
   readonly endpoint: Endpoint;
 }
 
-/** An effect of the daemon's fold. */
 export type DaemonEffect =
   | RequestEffect
   | RequestNotice
@@ -29,11 +28,14 @@
   | ObjectEffect
   | ChangeAnswerEffect
   | LogEffect
-  /** Read the machine list: `machines-listed` or `machines-unavailable` comes back. */
+  /** Read the machine list. The shell answers with `machines-listed` or `machines-unavailable`. */
   | { readonly kind: 'list-machines' }
-  /** Ask a web backend how it is: `web-health` comes back. */
+  /** Check a web backend's health. The shell answers with `web-health`. */
   | { readonly kind: 'check-health'; readonly machine: WebMachine }
   /** A configuration came into force. */
   | { readonly kind: 'configuration-in-force'; readonly configuration: VersionedConfiguration }
-  /** Nothing is left to finish or give up: a stopping daemon may exit unless a request arrives. */
+  /**
+   * A stopping daemon has finished its requests and released its duties. It may exit unless another
+   * request arrives.
+   */
   | { readonly kind: 'stop-ready' };
--- a/src/core/daemon/event.ts
+++ b/src/core/daemon/event.ts
@@ -1,4 +1,4 @@
-/** Everything that a daemon's fold reacts to. */
+/** All events that the daemon's reducer handles. */
 import type { BackendName } from '../common/identifiers.js';
 import type { MonotonicMs } from '../common/time.js';
 import type { ChangeRequest } from '../configuration/index.js';
@@ -9,18 +9,18 @@
 import type { EngineReport, Machine } from '../registry/backend.js';
 import type { AttemptEvent, RequestDescription } from '../requests/index.js';
 
-/** What callers do and what becomes of their attempts; reported by the HTTP shell. */
+/** Requests of callers and the progress of their attempts, reported by the HTTP shell. */
 export type CallerActivity =
   | { readonly kind: 'request-arrived'; readonly description: RequestDescription }
   | { readonly kind: 'attempt'; readonly request: string; readonly event: AttemptEvent }
   | { readonly kind: 'caller-gone'; readonly request: string };
 
-/** What engines and the machine list say. */
+/** Reports of engines and reads of the machine list. */
 export type FleetEvent =
   | {
       readonly kind: 'engine-report';
       readonly engine: BackendName;
-      /** This daemon's clock before the report was asked for. */
+      /** Time of this daemon's clock just before the report was requested. */
       readonly askedAt: MonotonicMs;
       readonly report: EngineReport;
     }
@@ -32,7 +32,6 @@
 /** Answers of engines to orders. */
 export type OrderEvent = Extract<ControllerEvent, { kind: 'order-answer' | 'order-state' }>;
 
-/** An event of the daemon's fold. */
 export type DaemonEvent =
   | { readonly kind: 'tick' }
   | CallerActivity
@@ -42,5 +41,5 @@
   | TableResultEvent
   | ObjectResultEvent
   | { readonly kind: 'change'; readonly request: ChangeRequest }
-  /** A planned stop has been asked for. */
+  /** A graceful stop was requested. */
   | { readonly kind: 'stop' };
--- a/src/core/daemon/explain/explain-configuration.ts
+++ b/src/core/daemon/explain/explain-configuration.ts
@@ -5,7 +5,7 @@
 import { daemonRows } from '../tables/daemon-rows.js';
 import type { ExplainInput, ExplanationText } from './types.js';
 
-/** Says which version is in force here and on which daemons it is not. */
+/** Explains which version is in force on this daemon and which daemons have not confirmed it. */
 export function explainConfiguration({ state }: ExplainInput): Result<ExplanationText, Fault> {
   const { inForce, highestVersion } = state.configuration;
   const version = inForce?.version ?? 0;
@@ -13,11 +13,11 @@
   const waiting = confirmation.waitingFor.map((daemon) => daemon.name);
   const sentences = [
     inForce === null
-      ? 'No configuration is in force on this daemon: it has neither reached the table service nor another daemon that has one.'
+      ? 'No configuration is in force on this daemon: it has reached neither the table service nor another daemon that has one.'
       : `Version ${version} is in force on this daemon.`,
-    `The highest version it has heard of is ${highestVersion}.`,
+    `The highest version known to it is ${highestVersion}.`,
     waiting.length === 0
-      ? `Every daemon that the fleet counts (${confirmation.inForce}) has it in force.`
+      ? `All known daemons (${confirmation.inForce}) have it in force.`
       : `${confirmation.inForce} daemons have it in force; not confirmed by ${waiting.join(', ')}.`,
   ];
   const tables = [{ title: 'daemons', rows: daemonRows(state) }];
--- a/src/core/daemon/explain/explain-request.ts
+++ b/src/core/daemon/explain/explain-request.ts
@@ -1,4 +1,4 @@
-/** Explains a request: which backends were chosen for it, and how the candidates score now. */
+/** Explains a request: the backends chosen for it and the current scores of its candidates. */
 import { err, ok, type Result } from 'neverthrow';
 import { type Fault, refusedNotRun } from '../../errors/fault.js';
 import type { Row } from '../../language/index.js';
@@ -6,7 +6,7 @@
 import type { LoggedDecision, LoggedRequest } from '../decision-log.js';
 import type { ExplainInput, ExplanationText } from './types.js';
 
-/** Explains one request, or the latest. */
+/** Explains the request with the given id, or the latest one when no id is given. */
 export function explainRequest(input: ExplainInput): Result<ExplanationText, Fault> {
   const { decisions } = input.state.traffic;
   const logged = input.id === null ? decisions.latest() : decisions.get(input.id);
@@ -14,7 +14,7 @@
     return err(
       refusedNotRun(
         'invalid-request',
-        'This daemon does not remember that request. Ask the daemon that took it (its name begins the request id), soon after.',
+        'This daemon has no record of that request. Ask the daemon that received it (its name begins the request id); only the latest requests are kept.',
       ),
     );
   }
@@ -35,11 +35,11 @@
     return `Request ${id} of class ${className} went to the web service ${target.service}.`;
   }
   const adapter = target.adapter === null ? '' : ` with adapter ${target.adapter}`;
-  return `Request ${id} of class ${className} asked for model ${target.model}${adapter}: about ${target.promptTokens} prompt tokens and at most ${target.maxOutputTokens} output tokens.`;
+  return `Request ${id} of class ${className} targeted model ${target.model}${adapter}: about ${target.promptTokens} prompt tokens and at most ${target.maxOutputTokens} output tokens.`;
 }
 
 function endSentence({ end }: LoggedRequest): string {
-  if (end === null) return 'It has not ended.';
+  if (end === null) return 'It has not ended yet.';
   return `It ended as ${end.result} after ${end.attempts} attempts, with ${end.promptTokens} prompt tokens and ${end.outputTokens} output tokens.`;
 }
 
--- a/src/core/daemon/explain/index.ts
+++ b/src/core/daemon/explain/index.ts
@@ -1,4 +1,4 @@
-/** Why something is as it is: a request's engine, an engine's role and models, the configuration. */
+/** Explanations for operators: a request's routing, an engine's state, the configuration. */
 import { err, type Result } from 'neverthrow';
 import { type Fault, refusedNotRun } from '../../errors/fault.js';
 import { explainConfiguration } from './explain-configuration.js';
@@ -6,7 +6,6 @@
 import { explainRequest } from './explain-request.js';
 import type { ExplainInput, ExplanationText } from './types.js';
 
-/** Explains. */
 export function explain(input: ExplainInput): Result<ExplanationText, Fault> {
   switch (input.subject) {
     case 'request':
@@ -20,5 +19,5 @@
 
 const ENGINE_NAME_NEEDED = refusedNotRun(
   'invalid-request',
-  "An engine's name is needed. List the engines with the query `engines`.",
+  'The name of an engine is required. List the engines with the query `engines`.',
 );
--- a/src/core/daemon/explain/types.ts
+++ b/src/core/daemon/explain/types.ts
@@ -1,12 +1,11 @@
-/** What an explanation is made from and what it says. */
+/** Input and result of an explanation. */
 import type { MonotonicMs } from '../../common/time.js';
 import type { Row } from '../../language/index.js';
 import type { DaemonState } from '../state.js';
 
-/** What may be explained. */
 export type ExplainedSubject = 'request' | 'engine' | 'config';
 
-/** An explanation: sentences, the answer first, and the tables that back them. */
+/** An explanation: sentences, the answer first, and the tables that support them. */
 export interface ExplanationText {
   readonly subject: ExplainedSubject;
   readonly id: string | null;
@@ -14,13 +13,12 @@
   readonly tables: readonly { readonly title: string; readonly rows: readonly Row[] }[];
 }
 
-/** What an explanation is made from. */
 export interface ExplainInput {
   readonly state: DaemonState;
   readonly subject: ExplainedSubject;
-  /** A request's or an engine's name; the latest request when null. */
+  /** A request id or an engine's name; null means the latest request. */
   readonly id: string | null;
   readonly now: MonotonicMs;
-  /** The durable orders; null while the table service does not answer. */
+  /** The stored orders; null when the table service did not answer. */
   readonly orders: readonly Row[] | null;
 }
--- a/src/core/daemon/index.ts
+++ b/src/core/daemon/index.ts
@@ -1,4 +1,4 @@
-/** The daemon's core: one reducer over the parts that route, control and spread. */
+/** The daemon's core: one reducer over routing, pool control, membership and configuration. */
 export type { DaemonEffect } from './effect.js';
 export type { DaemonEvent } from './event.js';
 export { type DaemonReadiness, readinessOf } from './readiness.js';
--- a/src/core/daemon/pool-duty.ts
+++ b/src/core/daemon/pool-duty.ts
@@ -1,6 +1,6 @@
 /**
- * A daemon's part in controlling one pool: the pool's lease, and the controller that acts while the
- * lease gives authority.
+ * A daemon's duty for one pool: competing for the pool's lease, and running the pool's controller
+ * while the lease gives authority.
  */
 import type { DaemonName, Incarnation, PoolName } from '../common/identifiers.js';
 import type { StepContext, Transition } from '../common/transition.js';
@@ -35,23 +35,21 @@
   readonly controller: ControllerState;
 }
 
-/** What a duty asks for. */
 export type PoolDutyOutput = LeaseOutput | ControllerOutput;
 
-/** What a duty is told at each tick. */
+/** The input of a duty at each tick. */
 export interface PoolDutyInputs {
   readonly candidate: boolean;
   readonly engines: readonly EngineView[];
   readonly desired: readonly DesiredEngine[];
 }
 
-/** Events that concern pools. */
+/** An event of a pool's duty. */
 export type PoolDutyEvent =
   | Exclude<ControllerEvent, { kind: 'tick' }>
   | { readonly kind: 'stop' }
   | ({ readonly kind: 'tick' } & PoolDutyInputs);
 
-/** A duty that has not begun. */
 export function initialPoolDuty(
   pool: PoolName,
   daemon: DaemonName,
@@ -99,7 +97,7 @@
   }
 }
 
-/** Whether a stopping daemon has given up the duty. */
+/** Whether the duty's lease has been released. */
 export function isGivenUp(duty: PoolDuty): boolean {
   return isReleased(duty.lease);
 }
--- a/src/core/daemon/role-planning.ts
+++ b/src/core/daemon/role-planning.ts
@@ -1,6 +1,7 @@
 /**
- * Role planning on one daemon: every daemon tells a pool's candidates what work it had done; the one
- * that holds the pool's lease feeds the sum to the pool's planner and keeps its plan.
+ * Role planning on one daemon. Every daemon reports the demand of its answered requests to a pool's
+ * candidates; the candidate that holds the pool's lease passes the sum to the pool's planner and
+ * keeps the plan.
  */
 import type { BackendName, PoolName } from '../common/identifiers.js';
 import type { Milliseconds, MonotonicMs } from '../common/time.js';
@@ -18,19 +19,17 @@
 import { addDemand, type DemandCount, NO_DEMAND } from './demand-meter.js';
 import type { PlannedRole } from './desired-engines.js';
 
-/** How often work is told and plans are thought over. */
+/** How often demand is reported and plans are re-evaluated. */
 const PLANNING_INTERVAL_MS: Milliseconds = 10_000;
 
-/** What role planning remembers. */
 export interface RolePlanning {
-  /** Work told since the last evaluation, by pool; of pools that this daemon is a candidate for. */
+  /** Demand reported since the last evaluation, by pool; only of this daemon's candidate pools. */
   readonly heard: ReadonlyMap<PoolName, DemandCount>;
   /** Planners of the pools whose lease this daemon holds. */
   readonly planners: ReadonlyMap<PoolName, RolePlannerState>;
   readonly nextAt: MonotonicMs;
 }
 
-/** Nothing heard, nothing planned. */
 export const INITIAL_ROLE_PLANNING: RolePlanning = {
   heard: new Map(),
   planners: new Map(),
@@ -43,7 +42,7 @@
   readonly engines: readonly EngineView[];
 }
 
-/** Takes in what a daemon had done. */
+/** Adds the demand that a daemon reported. */
 export function hearDemand(
   planning: RolePlanning,
   pool: PoolName,
@@ -53,7 +52,7 @@
   return { ...planning, heard: new Map(planning.heard).set(pool, addDemand(known, count)) };
 }
 
-/** Thinks over the plans of the held pools. Planners of other pools are forgotten. */
+/** Re-evaluates the plans of the held pools. Planners of other pools are dropped. */
 export function evaluatePlans(
   planning: RolePlanning,
   held: readonly HeldPool[],
@@ -67,7 +66,7 @@
     const count = planning.heard.get(pool) ?? NO_DEMAND;
     const window = { kind: 'demand', windowMs: PLANNING_INTERVAL_MS, ...count } as const;
     const observed = stepRolePlanner(before, window, context);
-    const asked = askedRoles(document, engines);
+    const asked = operatorRoles(document, engines);
     const objective = objectiveOf(document, engines);
     const evaluation = { kind: 'evaluate', engines, asked, objective } as const;
     const evaluated = stepRolePlanner(observed.state, evaluation, context);
@@ -78,7 +77,7 @@
   return { planning: { heard: new Map(), planners, nextAt }, effects };
 }
 
-/** The planned roles of a pool's engines. A plan for an earlier life of an engine is void. */
+/** The planned roles of a pool's engines. Plans for an earlier boot of an engine are ignored. */
 export function plannedRoles(
   planning: RolePlanning,
   pool: PoolName,
@@ -94,7 +93,7 @@
   return planned;
 }
 
-function askedRoles(
+function operatorRoles(
   document: ConfigurationDocument,
   engines: readonly EngineView[],
 ): readonly AskedRole[] {
@@ -108,7 +107,7 @@
   return asked;
 }
 
-/** The objective of the pool's models; the more cautious one where they differ. */
+/** The objective of the pool's loaded models; `fewest-changes` if any of them has it. */
 function objectiveOf(
   document: ConfigurationDocument,
   engines: readonly EngineView[],
--- a/src/core/daemon/state.ts
+++ b/src/core/daemon/state.ts
@@ -1,4 +1,4 @@
-/** The state of a daemon's fold. */
+/** The state of a daemon's reducer. */
 import type { DaemonName, Incarnation, PoolName, ZoneName } from '../common/identifiers.js';
 import type { MonotonicMs } from '../common/time.js';
 import { type ConfigurationState, createConfiguration } from '../configuration/index.js';
@@ -9,11 +9,11 @@
 import { INITIAL_ROLE_PLANNING, type RolePlanning } from './role-planning.js';
 import { Traffic } from './traffic.js';
 
-/** Who this daemon is and how it was set up. */
+/** The daemon's identity and start-up settings. */
 export interface DaemonIdentity {
   readonly name: DaemonName;
   readonly zone: ZoneName;
-  /** Grows with each start. */
+  /** Increases with each start. */
   readonly incarnation: Incarnation;
   /** Where its peer transport listens. */
   readonly peerEndpoint: Endpoint;
@@ -21,34 +21,33 @@
   readonly maxWaitingPerClass: number;
 }
 
-/** Whether the platform answers. */
+/** Whether the platform's services answer. */
 export type StoreHealth = 'reachable' | 'unreachable' | 'unknown';
 
-/** Everything that a daemon remembers. */
 export interface DaemonState {
   readonly identity: DaemonIdentity;
   readonly membership: MembershipState;
   readonly digest: DigestState;
   readonly configuration: ConfigurationState;
   readonly duties: ReadonlyMap<PoolName, PoolDuty>;
-  /** The pools that this daemon stands ready to control, settled anew now and then. */
+  /** The pools for which this daemon is a candidate; recomputed periodically. */
   readonly candidatePools: ReadonlySet<PoolName>;
   readonly nextCandidacyAt: MonotonicMs;
   readonly rolePlanning: RolePlanning;
-  /** Updated in place by the fold. */
+  /** Mutable: the reducer updates it in place. */
   readonly traffic: Traffic;
   readonly machines: readonly Machine[];
-  /** Whether the machine list has been read since the start. */
+  /** Whether the machine list has been read at least once since the start. */
   readonly machinesListed: boolean;
   readonly nextMachinesAt: MonotonicMs;
   readonly nextHealthCheckAt: MonotonicMs;
   readonly store: StoreHealth;
   readonly stopping: boolean;
-  /** True from `stop-ready` on until another request arrives. */
+  /** True after `stop-ready` until another request arrives. */
   readonly stopReady: boolean;
 }
 
-/** The state at a daemon's start. */
+/** The initial state of a daemon. */
 export function createDaemonState(identity: DaemonIdentity): DaemonState {
   const { name, zone, incarnation, peerEndpoint } = identity;
   const self = { name, zone, incarnation, endpoint: peerEndpoint };
--- a/src/core/daemon/step.ts
+++ b/src/core/daemon/step.ts
@@ -1,5 +1,5 @@
 /**
- * The daemon's reducer: hands each event to the parts that it concerns and merges their effects.
+ * The daemon's reducer: passes each event to the components that handle it and merges their effects.
  * The same function runs in production, in the simulation and under the fuzzer.
  */
 import type { PoolName } from '../common/identifiers.js';
@@ -33,28 +33,26 @@
 import { evaluatePlans, hearDemand } from './role-planning.js';
 import type { DaemonState } from './state.js';
 
-/** How often a daemon reads the machine list in a small fleet. */
+/** Shortest interval at which a daemon reads the machine list. */
 const MACHINES_INTERVAL_MS = 1_000;
-/** Reads of the machine list by the whole fleet: more daemons read less often each. */
-const MACHINES_READS_PER_SECOND = 100;
-/** How often web backends are asked how they are. */
+/** Limit for the whole fleet: daemons of a larger fleet read the machine list less often each. */
+const FLEET_MACHINES_READS_PER_SECOND = 100;
 const HEALTH_CHECK_INTERVAL_MS = 1_000;
-/** How often it is settled for which pools this daemon stands ready. */
+/** Interval at which the pools that this daemon is a candidate for are recomputed. */
 const CANDIDACY_INTERVAL_MS = 500;
 const REQUEST_TOKEN_PREFIX = 'request:';
 
-/** One step of a daemon. */
 export function stepDaemon(
   state: DaemonState,
   event: DaemonEvent,
   context: StepContext,
 ): Transition<DaemonState, DaemonEffect> {
   const step = new DaemonStep(state, context);
-  step.take(event);
+  step.handle(event);
   return { state: step.state, effects: step.effects };
 }
 
-/** One step's working copy. */
+/** The working copy of one step. */
 class DaemonStep {
   state: DaemonState;
   readonly effects: DaemonEffect[] = [];
@@ -65,7 +63,7 @@
     this.#context = context;
   }
 
-  take(event: DaemonEvent): void {
+  handle(event: DaemonEvent): void {
     switch (event.kind) {
       case 'request-arrived':
         if (this.state.stopReady) this.#change({ stopReady: false });
@@ -82,7 +80,7 @@
         this.#stepMembership(event);
         this.#stepConfiguration(event);
         this.#stepDigest(event);
-        this.#hearDemand(event.message);
+        this.#recordDemand(event.message);
         break;
       case 'table-result':
         this.#receiveTableResult(event);
@@ -114,7 +112,7 @@
         this.#stop();
         break;
     }
-    this.#concludeStop();
+    this.#checkStopReady();
   }
 
   #change(fields: Partial<DaemonState>): void {
@@ -136,7 +134,8 @@
     if (this.#context.now < this.state.nextMachinesAt) {
       return;
     }
-    const fleetInterval = (this.state.membership.members.size * 1_000) / MACHINES_READS_PER_SECOND;
+    const fleetInterval =
+      (this.state.membership.members.size * 1_000) / FLEET_MACHINES_READS_PER_SECOND;
     const interval = Math.max(MACHINES_INTERVAL_MS, fleetInterval);
     this.#change({ nextMachinesAt: this.#context.now + interval });
     this.effects.push({ kind: 'list-machines' });
@@ -180,8 +179,8 @@
 
   #stepTraffic(event: RequestTableEvent): void {
     this.effects.push(...this.state.traffic.step(event, this.#context));
-    for (const life of this.state.traffic.takeUnknownLives()) {
-      this.#stepMembership({ kind: 'life-named', ...life });
+    for (const unknown of this.state.traffic.takeUnknownLives()) {
+      this.#stepMembership({ kind: 'life-named', ...unknown });
     }
   }
 
@@ -220,12 +219,12 @@
     );
     this.#change({ digest: state });
     for (const effect of effects) {
-      this.#performDigest(effect);
+      this.#applyDigestEffect(effect);
     }
-    this.#passOnViews(before);
+    this.#applyChangedViews(before);
   }
 
-  #performDigest(effect: DigestEffect): void {
+  #applyDigestEffect(effect: DigestEffect): void {
     if (effect.kind !== 'poll-engine') {
       this.effects.push(effect);
       return;
@@ -237,7 +236,7 @@
     }
   }
 
-  #passOnViews(before: DaemonState['digest']['views']): void {
+  #applyChangedViews(before: DaemonState['digest']['views']): void {
     const { views } = this.state.digest;
     if (views === before) {
       return;
@@ -252,25 +251,25 @@
 
   #tickDuties(): void {
     if (this.#context.now >= this.state.nextCandidacyAt) {
-      this.#settleCandidacy();
+      this.#updateCandidacy();
     }
     this.#stepDuties((pool) => ({ kind: 'tick', ...poolInputs(this.state, pool) }));
   }
 
-  #hearDemand(message: PeerMessage): void {
+  #recordDemand(message: PeerMessage): void {
     if (message.kind === 'demand' && this.state.candidatePools.has(message.pool)) {
       const rolePlanning = hearDemand(this.state.rolePlanning, message.pool, message);
       this.#change({ rolePlanning });
     }
   }
 
-  /** Tells the candidates of each pool what work was done, and thinks over the own pools' plans. */
+  /** Reports demand to the candidates of each pool and re-evaluates the plans of the held pools. */
   #planRoles(): void {
     if (this.#context.now < this.state.rolePlanning.nextAt) {
       return;
     }
     for (const [pool, count] of this.state.traffic.demand.take()) {
-      this.#tellDemand({ kind: 'demand', pool, ...count });
+      this.#sendDemand({ kind: 'demand', pool, ...count });
     }
     const { document } = this.state.configuration.inForce ?? EMPTY_CONFIGURATION;
     const held = heldPools(this.state, this.#context.now);
@@ -280,18 +279,18 @@
     this.effects.push(...effects);
   }
 
-  #tellDemand(message: DemandMessage): void {
+  #sendDemand(message: DemandMessage): void {
     for (const candidate of candidatesOf(this.state, message.pool)) {
       if (candidate.name === this.state.identity.name) {
-        this.#hearDemand(message);
+        this.#recordDemand(message);
       } else {
         this.effects.push(datagram(candidate.endpoint, message));
       }
     }
   }
 
-  /** Takes up new duties; ends those that are not this daemon's any more and given up. */
-  #settleCandidacy(): void {
+  /** Starts the duties of new candidate pools; drops released duties of pools no longer served. */
+  #updateCandidacy(): void {
     const candidatePools = poolsToServe(this.state);
     const duties = new Map(this.state.duties);
     for (const [pool, duty] of duties) {
@@ -328,14 +327,14 @@
     this.#stepMembership({ kind: 'leave' });
   }
 
-  #concludeStop(): void {
+  #checkStopReady(): void {
     if (!this.state.stopping || this.state.stopReady) {
       return;
     }
     const { requests } = this.state.traffic;
-    const finished = requests.activeCount === 0 && requests.settlingCount === 0;
-    const givenUp = [...this.state.duties.values()].every(isGivenUp);
-    if (finished && givenUp) {
+    const requestsFinished = requests.activeCount === 0 && requests.settlingCount === 0;
+    const dutiesReleased = [...this.state.duties.values()].every(isGivenUp);
+    if (requestsFinished && dutiesReleased) {
       this.#change({ stopReady: true });
       this.effects.push({ kind: 'stop-ready' });
     }
--- a/src/core/daemon/tables/configuration-rows.ts
+++ b/src/core/daemon/tables/configuration-rows.ts
@@ -1,8 +1,8 @@
-/** Rows of the table `config`: the document in force, one row for each stated value. */
+/** Rows of the table `config`: the document in force, one row for each configured value. */
 import type { VersionedConfiguration } from '../../configuration/document.js';
 import type { FieldValue, Row } from '../../language/index.js';
 
-/** One row for each value. Key digests are left out: they are nobody's to look up. */
+/** One row for each value. Key digests are confidential: only their number is shown. */
 export function configurationRows(configuration: VersionedConfiguration): readonly Row[] {
   const { document, version } = configuration;
   const rows: Row[] = [row('configuration', '', 'version', version)];
--- a/src/core/daemon/tables/daemon-rows.ts
+++ b/src/core/daemon/tables/daemon-rows.ts
@@ -2,7 +2,7 @@
 import type { Row } from '../../language/index.js';
 import type { DaemonState } from '../state.js';
 
-/** One row for each daemon that membership knows, this one included. */
+/** One row for each daemon in the membership table, including this one. */
 export function daemonRows(state: DaemonState): readonly Row[] {
   return [...state.membership.members.values()].map((member) => ({
     name: member.name,
--- a/src/core/daemon/tables/engine-rows.ts
+++ b/src/core/daemon/tables/engine-rows.ts
@@ -5,14 +5,14 @@
 import type { EngineView } from '../../registry/backend.js';
 import type { DaemonState } from '../state.js';
 
-/** One row for each engine that this daemon knows. */
+/** One row for each engine that this daemon has a view of. */
 export function engineRows(state: DaemonState, now: MonotonicMs): readonly Row[] {
   return [...state.digest.views.values()].map((view) => engineRow(state, view, now));
 }
 
 function engineRow(state: DaemonState, view: EngineView, now: MonotonicMs): Row {
   const { machine, report, watcher } = view;
-  const asked = documentOf(state).backends[machine.name];
+  const backendSettings = documentOf(state).backends[machine.name];
   const models = report?.models ?? [];
   return {
     name: machine.name,
@@ -20,10 +20,10 @@
     state: machine.state,
     accelerator: machine.accelerator,
     role: report?.role ?? null,
-    askedRole: asked?.role ?? null,
+    askedRole: backendSettings?.role ?? null,
     intake: report?.intake ?? null,
     busy: report?.busy ?? null,
-    drained: asked?.drained ?? false,
+    drained: backendSettings?.drained ?? false,
     models: models.map(({ model, version }) => `${model}:${version}`),
     adapters: models.flatMap(({ adapters }) =>
       adapters.map(({ adapter, version }) => `${adapter}:${version}`),
--- a/src/core/daemon/tables/index.ts
+++ b/src/core/daemon/tables/index.ts
@@ -1,4 +1,4 @@
-/** The rows that operators query. */
+/** Rows of the tables that operators query. */
 export { configurationRows } from './configuration-rows.js';
 export { daemonRows } from './daemon-rows.js';
 export { engineRows, modelRows } from './engine-rows.js';
--- a/src/core/daemon/tables/store-rows.ts
+++ b/src/core/daemon/tables/store-rows.ts
@@ -1,4 +1,4 @@
-/** Rows of the tables that are kept in the table service: `leases`, `orders`, `changes`. */
+/** Rows of the tables that are stored in the table service: `leases`, `orders`, `changes`. */
 
 import type { MonotonicMs } from '../../common/time.js';
 import { changeKey, parseChangeRow } from '../../configuration/index.js';
@@ -11,7 +11,7 @@
 /** A query table that is read from the table service. */
 export interface StoredTable {
   readonly prefix: string;
-  /** The field that, with the prefix, makes up a row's key. */
+  /** The field that follows the prefix in a row's key. */
   readonly keyField: string;
   rowOf(row: TableRow): Row | null;
 }
@@ -35,8 +35,8 @@
 }
 
 /**
- * The rows of `leases` with the remaining time of those that this daemon holds. A lease row holds no
- * time: only its holder knows how long it lasts.
+ * The rows of `leases` with the remaining time of the leases that this daemon holds. A stored lease
+ * row has no expiry time, so only the holder knows how long its lease lasts.
  */
 export function withOwnRemainingTime(
   rows: readonly Row[],
--- a/src/core/daemon/traffic.ts
+++ b/src/core/daemon/traffic.ts
@@ -1,6 +1,6 @@
 /**
- * A daemon's request path: the requests in flight, admission and routing over what is known of the
- * fleet. One hot container that the fold updates in place; it reads no clock.
+ * A daemon's request path: the requests in flight, admission and routing over the current view of
+ * the fleet. It is on the hot path, so the reducer updates it in place. It reads no clock.
  */
 import { AdmissionQueue } from '../admission/index.js';
 import type {
@@ -42,7 +42,7 @@
 import { DecisionLog } from './decision-log.js';
 import { DemandMeter } from './demand-meter.js';
 
-/** Who routes, and what it asks about others. */
+/** Identity of the routing daemon and its initial view of the other daemons. */
 export interface TrafficOptions {
   readonly daemon: DaemonName;
   readonly incarnation: Incarnation;
@@ -51,25 +51,24 @@
   readonly membership: MembershipState;
 }
 
-/** One life of a daemon. */
-interface DaemonLife {
+interface DaemonIncarnation {
   readonly daemon: DaemonName;
   readonly incarnation: Incarnation;
 }
 
-/** The retry advice before anything is known of the speed of a queue. */
+/** The `retry-after` value while the speed of a queue is not known yet. */
 const DEFAULT_RETRY_AFTER_MS: Milliseconds = 1_000;
-/** The engine priority of a class that the configuration does not state. */
+/** The engine priority of a class that is not in the configuration. */
 const LOWEST_PRIORITY = 9;
 
-/** What narrows a request's choice of backends. */
-interface ChoiceLimits {
+/** Restrictions on the backends that a request may use. */
+interface ChoiceConstraints {
   readonly excluded: readonly BackendName[];
-  /** The version that wrote what the caller has had, or null. */
+  /** The model version that produced the output already sent to the caller, or null. */
   readonly version: VersionName | null;
 }
 
-const NO_LIMITS: ChoiceLimits = { excluded: [], version: null };
+const NO_CONSTRAINTS: ChoiceConstraints = { excluded: [], version: null };
 
 /** The request path of one daemon. */
 export class Traffic {
@@ -84,7 +83,7 @@
   readonly #prefixes = new PrefixIndex();
   readonly #policy: RoutingPolicy = expectedFinish();
   readonly #unhealthyWeb = new Set<BackendName>();
-  #unknownLives: DaemonLife[] = [];
+  #unknownIncarnations: DaemonIncarnation[] = [];
   #membership: MembershipState;
 
   constructor(options: TrafficOptions) {
@@ -93,26 +92,27 @@
     this.admission = new AdmissionQueue({ maxWaitingPerClass: options.maxWaitingPerClass });
   }
 
-  /** Takes one event of the request path; gives the effects to carry out in order. */
+  /** Applies one event of the request path; returns the effects in the order to carry them out. */
   step(event: RequestTableEvent, context: StepContext): RequestTableEffect[] {
-    const effects = this.#feed(event, context);
-    const freed = event.kind !== 'request-arrived';
-    return freed ? [...effects, ...this.admitWaiting(context)] : effects;
+    const effects = this.#stepRequests(event, context);
+    const mayFreeCapacity = event.kind !== 'request-arrived';
+    return mayFreeCapacity ? [...effects, ...this.admitWaiting(context)] : effects;
   }
 
-  /** Lets waiting requests go while backends can take them. Call when capacity may have come free. */
+  /** Admits waiting requests while backends have capacity. Call when capacity may have become free. */
   admitWaiting(context: StepContext): RequestTableEffect[] {
     const effects: RequestTableEffect[] = [];
     for (;;) {
-      const next = this.admission.next(context.now, (request) => this.#hasRoom(request, context));
+      const next = this.admission.next(context.now, (request) =>
+        this.#hasCapacity(request, context),
+      );
       if (next === null) {
         return effects;
       }
-      effects.push(...this.#feed({ kind: 'admitted', request: next.id }, context));
+      effects.push(...this.#stepRequests({ kind: 'admitted', request: next.id }, context));
     }
   }
 
-  /** Takes over a machine list. */
   setMachines(machines: readonly Machine[]): void {
     this.index.setMachines(machines);
     const names = new Set(machines.map((machine) => machine.name));
@@ -120,7 +120,7 @@
     this.#outliers.retain((backend) => names.has(backend));
   }
 
-  /** Takes over what is known of an engine. */
+  /** Replaces the view of an engine. The prefix index of an engine that has rebooted is dropped. */
   setView(view: EngineView): void {
     const before = this.index.engine(view.machine.name)?.report?.boot;
     if (before !== undefined && before !== view.report?.boot) {
@@ -129,27 +129,24 @@
     this.index.setView(view);
   }
 
-  /** Takes over which daemons there are. */
   setMembership(membership: MembershipState): void {
     this.#membership = membership;
   }
 
-  /** The lives that claims have named and membership did not know, since the last call. */
-  takeUnknownLives(): readonly DaemonLife[] {
-    const lives = this.#unknownLives;
-    if (lives.length > 0) {
-      this.#unknownLives = [];
+  /** Incarnations named by claims since the last call that membership did not know. */
+  takeUnknownLives(): readonly DaemonIncarnation[] {
+    const incarnations = this.#unknownIncarnations;
+    if (incarnations.length > 0) {
+      this.#unknownIncarnations = [];
     }
-    return lives;
+    return incarnations;
   }
 
-  /** Takes over a configuration. */
   configure(configuration: VersionedConfiguration): void {
     this.index.setConfiguration(configuration);
     this.admission.configure(configuration.document);
   }
 
-  /** Takes over the outcome of a web backend's health check. */
   setWebHealth(backend: BackendName, healthy: boolean): void {
     if (healthy) {
       this.#unhealthyWeb.delete(backend);
@@ -158,15 +155,15 @@
     }
   }
 
-  /** Decides as for a request to a model, with every candidate's score, and sends nothing. */
+  /** Routes like a request to a model and returns every candidate's score, but sends nothing. */
   explainTarget(target: ModelTarget, context: StepContext): RoutingDecision {
-    return this.#chooseEngine(target, NO_LIMITS, context, true);
+    return this.#chooseEngine(target, NO_CONSTRAINTS, context, true);
   }
 
-  #feed(event: RequestTableEvent, context: StepContext): RequestTableEffect[] {
+  #stepRequests(event: RequestTableEvent, context: StepContext): RequestTableEffect[] {
     const effects = this.requests.step(event, this.#contextOf(context));
     for (const effect of effects) {
-      this.#note(effect, context.now);
+      this.#recordEffect(effect, context.now);
     }
     return [...effects];
   }
@@ -183,23 +180,23 @@
         this.index.configuration.classes[className]?.priority ?? LOWEST_PRIORITY,
       retryAfterMs: (description) =>
         this.admission.expectedWaitMs(description) ?? DEFAULT_RETRY_AFTER_MS,
-      isGone: (daemon, incarnation) => this.#isGone(daemon, incarnation),
+      isGone: (daemon, incarnation) => this.#isIncarnationEnded(daemon, incarnation),
     };
   }
 
-  #isGone(daemon: DaemonName, incarnation: Incarnation): boolean {
+  #isIncarnationEnded(daemon: DaemonName, incarnation: Incarnation): boolean {
     if (!knowsLife(this.#membership, daemon, incarnation)) {
-      this.#unknownLives.push({ daemon, incarnation });
+      this.#unknownIncarnations.push({ daemon, incarnation });
     }
     return isGone(this.#membership, daemon, incarnation);
   }
 
   #choose(
     description: RequestDescription,
-    limits: ChoiceLimits,
+    constraints: ChoiceConstraints,
     context: StepContext,
   ): RouteChoice {
-    const decision = this.#decide(description, limits, context);
+    const decision = this.#decide(description, constraints, context);
     this.decisions.record(description, decision);
     if (decision.kind === 'none') {
       return { kind: 'refuse', fault: decision.fault };
@@ -217,30 +214,30 @@
       return { kind: 'dispatch', backend: decision.backend, address, port };
     }
     const backend = decision.engine;
-    // What is no longer known is no longer granted.
+    // An engine that is no longer known has no grant.
     const sendBefore = this.index.engine(backend)?.grantedUntil ?? Number.NEGATIVE_INFINITY;
     return { kind: 'dispatch', backend, address, port, sendBefore };
   }
 
-  #hasRoom(description: RequestDescription, context: StepContext): boolean {
-    const limits = this.requests.get(description.id) ?? NO_LIMITS;
-    // A request for which no backend is left goes too: its turn gives it its final answer.
-    return this.#decide(description, limits, context).kind !== 'full';
+  #hasCapacity(description: RequestDescription, context: StepContext): boolean {
+    const constraints = this.requests.get(description.id) ?? NO_CONSTRAINTS;
+    // A request without any backend left is admitted too: it then gets its final answer.
+    return this.#decide(description, constraints, context).kind !== 'full';
   }
 
   #decide(
     description: RequestDescription,
-    limits: ChoiceLimits,
+    constraints: ChoiceConstraints,
     context: StepContext,
   ): RoutingDecision | WebDecision {
     const { target } = description;
     if (target.kind === 'model') {
-      return this.#chooseEngine(target, limits, context, false);
+      return this.#chooseEngine(target, constraints, context, false);
     }
     return chooseWebBackend({
       index: this.index,
       service: target.service,
-      excluded: new Set(limits.excluded),
+      excluded: new Set(constraints.excluded),
       unhealthy: this.#unhealthyWeb,
       zone: this.#options.zone,
       outstanding: this.outstanding,
@@ -251,39 +248,39 @@
 
   #chooseEngine(
     target: ModelTarget,
-    limits: ChoiceLimits,
+    constraints: ChoiceConstraints,
     context: StepContext,
     explain: boolean,
   ): RoutingDecision {
     return chooseEngine({
       index: this.index,
       target,
-      excluded: new Set(limits.excluded),
+      excluded: new Set(constraints.excluded),
       zone: this.#options.zone,
       outstanding: this.outstanding,
       outliers: this.#outliers,
       prefixes: this.#prefixes,
       context,
       policy: this.#policy,
-      version: limits.version,
+      version: constraints.version,
       explain,
     });
   }
 
-  /** Keeps routing's and admission's books from what the request table has decided or seen. */
-  #note(effect: RequestTableEffect, now: MonotonicMs): void {
+  /** Updates the state of routing, admission and demand from an effect of the request table. */
+  #recordEffect(effect: RequestTableEffect, now: MonotonicMs): void {
     if (isNotice(effect)) {
       this.demand.note(effect, (backend) => this.#poolOf(backend));
     }
     switch (effect.kind) {
       case 'attempt-started':
-        this.#noteStart(effect, now);
+        this.#recordAttemptStart(effect, now);
         break;
       case 'attempt-ended':
-        this.#noteEnd(effect, now);
+        this.#recordAttemptEnd(effect, now);
         break;
       case 'request-ended':
-        this.#noteRequestEnd(effect, now);
+        this.#recordRequestEnd(effect, now);
         break;
       default:
         break;
@@ -295,7 +292,10 @@
     return machine === undefined ? null : poolOf(machine);
   }
 
-  #noteStart(notice: Extract<RequestNotice, { kind: 'attempt-started' }>, now: MonotonicMs): void {
+  #recordAttemptStart(
+    notice: Extract<RequestNotice, { kind: 'attempt-started' }>,
+    now: MonotonicMs,
+  ): void {
     const { target } = notice.description;
     const promptTokens = target.kind === 'model' ? target.promptTokens : 0;
     const { attempt, backend } = notice;
@@ -305,19 +305,22 @@
     }
   }
 
-  #noteEnd(notice: Extract<RequestNotice, { kind: 'attempt-ended' }>, now: MonotonicMs): void {
+  #recordAttemptEnd(
+    notice: Extract<RequestNotice, { kind: 'attempt-ended' }>,
+    now: MonotonicMs,
+  ): void {
     this.outstanding.ended(notice.attempt, now);
     if (notice.result === 'completed') {
       this.#outliers.succeeded(notice.backend);
     }
-    // A lapsed grant says nothing against the engine: this daemon was slow, or busy.
+    // An expired grant is no failure of the engine: this daemon was too slow to send in time.
     const isFailure = notice.result === 'not-sent' && notice.reason !== GRANT_LAPSED;
     if (notice.result === 'broken' || isFailure) {
       this.#outliers.failed(notice.backend, now);
     }
   }
 
-  #noteRequestEnd(
+  #recordRequestEnd(
     notice: Extract<RequestNotice, { kind: 'request-ended' }>,
     now: MonotonicMs,
   ): void {
--- a/src/core/digest/condense.ts
+++ b/src/core/digest/condense.ts
@@ -23,7 +23,7 @@
 export function condense(
   { report, revision }: OwnReport,
   ageMs: Milliseconds,
-  theirRevision: number | null,
+  receiverRevision: number | null,
 ): EngineDigest {
   const { engine, intake, busy, leaving, activeRequests, load } = report;
   return {
@@ -34,7 +34,7 @@
     activeRequests,
     load: roundLoad(load),
     revision,
-    inventory: theirRevision === revision ? null : inventoryOf(report),
+    inventory: receiverRevision === revision ? null : inventoryOf(report),
     // Rounded up: an older report gives a shorter grant.
     ageMs: Math.ceil(ageMs),
   };
--- a/src/core/digest/exchange.ts
+++ b/src/core/digest/exchange.ts
@@ -66,11 +66,11 @@
 /** Sends one daemon what is known of the named engines. */
 function sendDigestsTo(step: DigestStep, daemon: DaemonName, engines: Interest['engines']): void {
   const endpoint = endpointOf(step.membership, daemon);
-  const heard = step.state.heard.get(daemon);
-  if (endpoint === null || heard === undefined) {
+  const last = step.state.heard.get(daemon);
+  if (endpoint === null || last === undefined) {
     return;
   }
-  const { incarnation, sentAt, receivedAt } = heard;
+  const { incarnation, sentAt, receivedAt } = last;
   const echo = { incarnation, sentAt, ageMs: Math.floor(step.now - receivedAt) };
   const digests = [...engines]
     .map(([engine, revision]) => digestOf(step, engine, revision))
@@ -85,7 +85,7 @@
 function digestOf(
   step: DigestStep,
   engine: BackendName,
-  theirRevision: number | null,
+  receiverRevision: number | null,
 ): EngineDigest | null {
   const own = step.state.own.get(engine);
   const isWatched = step.state.views.get(engine)?.watcher === step.state.self;
@@ -93,20 +93,20 @@
     return null;
   }
   const ageMs = step.now - own.askedAt;
-  return ageMs > MAX_TOLD_AGE_MS ? null : condense(own, ageMs, theirRevision);
+  return ageMs > MAX_TOLD_AGE_MS ? null : condense(own, ageMs, receiverRevision);
 }
 
 /** Takes in a message of another daemon. */
 export function receiveFromPeer(step: DigestStep, event: PeerReceivedEvent): void {
   const { header, message } = event;
   if (message.kind === 'engine-interest' || step.state.interests.has(header.sender)) {
-    hear(step, event);
+    recordLastMessage(step, event);
   }
   if (message.kind === 'engine-interest') {
     receiveInterest(step, header.sender, message.engines);
   }
-  const ownLife = step.membership.self.incarnation;
-  if (message.kind === 'engine-digest' && message.echo.incarnation === ownLife) {
+  const ownIncarnation = step.membership.self.incarnation;
+  if (message.kind === 'engine-digest' && message.echo.incarnation === ownIncarnation) {
     for (const digest of message.engines) {
       receiveDigest(step, message.echo, digest);
     }
@@ -123,7 +123,7 @@
   const engines = new Map(wanted.map(({ engine, revision }) => [engine, revision]));
   const interests = new Map(step.state.interests).set(daemon, { engines, until });
   step.change({ interests });
-  noteWanted(step, [...engines.keys()], until);
+  recordWanted(step, [...engines.keys()], until);
   if (isNew) {
     sendDigestsTo(step, daemon, engines);
   }
@@ -145,7 +145,7 @@
   }
 }
 
-function noteWanted(step: DigestStep, engines: readonly BackendName[], until: MonotonicMs): void {
+function recordWanted(step: DigestStep, engines: readonly BackendName[], until: MonotonicMs): void {
   const wantedUntil = new Map(step.state.wantedUntil);
   for (const engine of engines) {
     if (step.state.engines.has(engine)) {
@@ -156,11 +156,11 @@
 }
 
 /** The echo is the latest message by its sender's clock, so that delayed ones don't replace it. */
-function hear(step: DigestStep, { header }: PeerReceivedEvent): void {
+function recordLastMessage(step: DigestStep, { header }: PeerReceivedEvent): void {
   const known = step.state.heard.get(header.sender);
-  const isOldLife = known !== undefined && known.incarnation > header.incarnation;
-  const isSameLife = known !== undefined && known.incarnation === header.incarnation;
-  if (isOldLife || (isSameLife && known.sentAt >= header.sentAt)) {
+  const isOlderIncarnation = known !== undefined && known.incarnation > header.incarnation;
+  const isSameIncarnation = known !== undefined && known.incarnation === header.incarnation;
+  if (isOlderIncarnation || (isSameIncarnation && known.sentAt >= header.sentAt)) {
     return;
   }
   const { incarnation, sentAt } = header;
--- a/src/core/digest/polling.ts
+++ b/src/core/digest/polling.ts
@@ -14,16 +14,16 @@
 /** Starts the polls that are due. */
 export function pollEngines(step: DigestStep): void {
   const staleMs = isOneGroup(step.membership) ? STALE_MS : LARGE_FLEET_STALE_MS;
-  let direct = countDirectPolls(step);
+  let directPolls = countDirectPolls(step);
   for (const view of step.state.views.values()) {
     const { name } = view.machine;
     if (view.watcher === step.state.self) {
       if (isWanted(step, name) && isDue(step, name, POLL_INTERVAL_MS)) {
         poll(step, name);
       }
-    } else if (step.now - view.reportedAt > staleMs && direct < MAX_DIRECT_POLLS) {
+    } else if (step.now - view.reportedAt > staleMs && directPolls < MAX_DIRECT_POLLS) {
       if (isDue(step, name, DIRECT_POLL_INTERVAL_MS)) {
-        direct += 1;
+        directPolls += 1;
         poll(step, name);
       }
     }
@@ -46,8 +46,8 @@
 
 function isDue(step: DigestStep, engine: BackendName, intervalMs: number): boolean {
   const askedAt = step.state.askedAt.get(engine) ?? Number.NEGATIVE_INFINITY;
-  const pause = step.state.waiting.has(engine) ? POLL_TIMEOUT_MS : intervalMs;
-  return step.now - askedAt >= pause;
+  const minIntervalMs = step.state.waiting.has(engine) ? POLL_TIMEOUT_MS : intervalMs;
+  return step.now - askedAt >= minIntervalMs;
 }
 
 function poll(step: DigestStep, engine: BackendName): void {
--- a/src/core/digest/step.ts
+++ b/src/core/digest/step.ts
@@ -47,7 +47,7 @@
       receiveFromPeer(step, event);
       break;
     case 'engines-listed':
-      listEngines(step, event.engines);
+      applyEngineList(step, event.engines);
       break;
     case 'pools-controlled':
       step.change({ controlled: [...event.pools].sort() });
@@ -63,7 +63,7 @@
 }
 
 /** Keeps what is unchanged, so that a list that is read each second costs nothing further. */
-function listEngines(step: DigestStep, listed: readonly EngineMachine[]): void {
+function applyEngineList(step: DigestStep, listed: readonly EngineMachine[]): void {
   const known = step.state.engines;
   const isChanged = (engine: EngineMachine): boolean => {
     const old = known.get(engine.name);
@@ -118,8 +118,8 @@
   const known = step.state.own.get(report.engine);
   if (known === undefined || known.askedAt < askedAt) {
     const revision = revisionOf(report);
-    const own = { report, revision, askedAt };
-    step.change({ own: new Map(step.state.own).set(report.engine, own) });
+    const direct = { report, revision, askedAt };
+    step.change({ own: new Map(step.state.own).set(report.engine, direct) });
   }
   takeReport(step, report, askedAt);
 }
--- a/src/core/digest/subset.ts
+++ b/src/core/digest/subset.ts
@@ -16,18 +16,18 @@
   zoneEngines: readonly EngineMachine[],
 ): ReadonlySet<BackendName> {
   const ring = byHash(zoneDaemons);
-  const place = Math.max(0, ring.indexOf(daemon)) / Math.max(1, ring.length);
+  const position = Math.max(0, ring.indexOf(daemon)) / Math.max(1, ring.length);
   const used = new Set<BackendName>();
   for (const engines of byPool(zoneEngines).values()) {
-    for (const engine of windowAt(byHash(engines), place)) {
+    for (const engine of windowAt(byHash(engines), position)) {
       used.add(engine);
     }
   }
   return used;
 }
 
-function windowAt(ring: readonly BackendName[], place: number): readonly BackendName[] {
-  const start = Math.floor(place * ring.length);
+function windowAt(ring: readonly BackendName[], position: number): readonly BackendName[] {
+  const start = Math.floor(position * ring.length);
   const doubled = [...ring, ...ring];
   return doubled.slice(start, start + Math.min(SUBSET_SIZE, ring.length));
 }
--- a/src/core/digest/views.ts
+++ b/src/core/digest/views.ts
@@ -20,31 +20,31 @@
 
 /** Settles anew which engines this daemon uses and who watches each, when that may have changed. */
 export function assignEngines(step: DigestStep): void {
-  const basis = assignmentBasis(step);
-  if (basis === step.state.assignedFor) {
+  const key = assignmentKeyOf(step);
+  if (key === step.state.assignedFor) {
     return;
   }
   const members = dutyCandidates(step.membership);
   const used = enginesInUse(step, members);
   const views = new Map<BackendName, EngineView>();
-  for (const machine of enginesToConsider(step, members)) {
+  for (const machine of candidateEngines(step, members)) {
     const watcher = watcherOf(machine.name, machine.zone, members);
     if (used.has(machine.name) || watcher === step.state.self) {
       views.set(machine.name, viewOf(step, machine, watcher));
     }
   }
-  step.change({ views, used, assignedFor: basis });
+  step.change({ views, used, assignedFor: key });
 }
 
 /** Equal texts mean an equal assignment. */
-function assignmentBasis(step: DigestStep): string {
+function assignmentKeyOf(step: DigestStep): string {
   const names = dutyCandidates(step.membership).map((member) => member.name);
   const { listing, controlled } = step.state;
   return `${listing} ${controlled.join(' ')} ${names.sort().join(' ')}`;
 }
 
 /** The engines of other zones are watched there, unless nobody is left there. */
-function enginesToConsider(
+function candidateEngines(
   step: DigestStep,
   members: readonly WatcherCandidate[],
 ): readonly EngineMachine[] {
--- a/src/core/membership/gossip.ts
+++ b/src/core/membership/gossip.ts
@@ -67,8 +67,8 @@
 }
 
 function updateBytes(update: MemberUpdate): number {
-  const texts = update.name.length + update.zone.length + update.endpoint.address.length;
-  return UPDATE_OVERHEAD_BYTES + texts + (update.suspectedBy?.length ?? 0);
+  const textBytes = update.name.length + update.zone.length + update.endpoint.address.length;
+  return UPDATE_OVERHEAD_BYTES + textBytes + (update.suspectedBy?.length ?? 0);
 }
 
 /** The heartbeats of all zones, for a fleet that is split by zone. */
--- a/src/core/membership/member.ts
+++ b/src/core/membership/member.ts
@@ -22,17 +22,17 @@
  * Whether news supersedes what is known: a later life; within a life its own leave, which is final;
  * then a later refutation; then a worse status. A total order, so that tables converge.
  */
-export function supersedes(news: MemberUpdate, known: MemberUpdate): boolean {
-  if (news.incarnation !== known.incarnation) {
-    return news.incarnation > known.incarnation;
+export function supersedes(update: MemberUpdate, known: MemberUpdate): boolean {
+  if (update.incarnation !== known.incarnation) {
+    return update.incarnation > known.incarnation;
   }
-  if ((news.status === 'left') !== (known.status === 'left')) {
-    return news.status === 'left';
+  if ((update.status === 'left') !== (known.status === 'left')) {
+    return update.status === 'left';
   }
-  if (news.refutation !== known.refutation) {
-    return news.refutation > known.refutation;
+  if (update.refutation !== known.refutation) {
+    return update.refutation > known.refutation;
   }
-  return STATUS_RANK[news.status] > STATUS_RANK[known.status];
+  return STATUS_RANK[update.status] > STATUS_RANK[known.status];
 }
 
 /** Whether the member takes part: alive, or suspected but not given up. */
--- a/src/core/membership/merge.ts
+++ b/src/core/membership/merge.ts
@@ -8,27 +8,27 @@
 import { type MembershipStep, withEntry, withoutEntry } from './state.js';
 
 /** Whether news is passed on to others. Whole tables of known fleets are not. */
-export type Spreading = 'pass-on' | 'keep';
+export type Propagation = 'pass-on' | 'keep';
 
 /** Takes in several updates. */
 export function mergeUpdates(
   step: MembershipStep,
   updates: readonly MemberUpdate[],
-  spreading: Spreading = 'pass-on',
+  propagation: Propagation = 'pass-on',
 ): void {
   for (const update of updates) {
-    mergeUpdate(step, update, spreading);
+    mergeUpdate(step, update, propagation);
   }
 }
 
-function mergeUpdate(step: MembershipStep, update: MemberUpdate, spreading: Spreading): void {
+function mergeUpdate(step: MembershipStep, update: MemberUpdate, propagation: Propagation): void {
   if (update.name === step.state.self.name) {
-    mergeNewsOfSelf(step, update);
+    mergeUpdateOfSelf(step, update);
     return;
   }
   const known = step.state.members.get(update.name);
   if (known === undefined || supersedes(update, known)) {
-    adopt(step, known, update, spreading);
+    applyUpdate(step, known, update, propagation);
   } else if (update.status === 'suspect' && isSameSuspicion(update, known)) {
     confirmSuspicion(step, update);
   }
@@ -40,23 +40,23 @@
   );
 }
 
-function adopt(
+function applyUpdate(
   step: MembershipStep,
   known: Member | undefined,
   update: MemberUpdate,
-  spreading: Spreading,
+  propagation: Propagation,
 ): void {
-  const sameLifeAsKnown = known !== undefined && sameLife(update, known);
+  const isKnownIncarnation = known !== undefined && sameLife(update, known);
   step.putMember({
     ...update,
     statusSince: step.now,
-    configurationVersion: sameLifeAsKnown ? known.configurationVersion : null,
+    configurationVersion: isKnownIncarnation ? known.configurationVersion : null,
   });
   trackSuspicion(step, update);
-  if (spreading === 'pass-on') {
+  if (propagation === 'pass-on') {
     step.passOn(update.name);
   }
-  logNews(step, known, update);
+  logUpdate(step, known, update);
 }
 
 function trackSuspicion(step: MembershipStep, update: MemberUpdate): void {
@@ -64,11 +64,11 @@
     step.change({ suspicions: withoutEntry(step.state.suspicions, update.name) });
     return;
   }
-  const suspicion = { startedAt: step.now, suspectedBy: suspecters(update) };
+  const suspicion = { startedAt: step.now, suspectedBy: suspectorsOf(update) };
   step.change({ suspicions: withEntry(step.state.suspicions, update.name, suspicion) });
 }
 
-function suspecters(update: MemberUpdate): readonly string[] {
+function suspectorsOf(update: MemberUpdate): readonly string[] {
   return update.suspectedBy === null ? [] : [update.suspectedBy];
 }
 
@@ -92,7 +92,7 @@
 }
 
 /** A suspicion or death of this very life is contradicted with a higher refutation. */
-function mergeNewsOfSelf(step: MembershipStep, update: MemberUpdate): void {
+function mergeUpdateOfSelf(step: MembershipStep, update: MemberUpdate): void {
   const self = step.self;
   if (update.incarnation > self.incarnation) {
     const fields = { name: self.name, own: self.incarnation, seen: update.incarnation };
@@ -110,10 +110,10 @@
   step.effects.push(log(MEMBERSHIP_EVENTS.refuted, { status: update.status, by }));
 }
 
-function logNews(step: MembershipStep, known: Member | undefined, update: MemberUpdate): void {
+function logUpdate(step: MembershipStep, known: Member | undefined, update: MemberUpdate): void {
   const fields = { member: update.name, memberZone: update.zone, incarnation: update.incarnation };
-  const isNewLife = known === undefined || !sameLife(update, known);
-  if (isNewLife && isPresent(update)) {
+  const isNewIncarnation = known === undefined || !sameLife(update, known);
+  if (isNewIncarnation && isPresent(update)) {
     step.effects.push(log(MEMBERSHIP_EVENTS.joined, fields));
   }
   if (update.status === 'suspect') {
@@ -127,7 +127,7 @@
   if (update.status === 'left' && known !== undefined) {
     step.effects.push(log(MEMBERSHIP_EVENTS.left, fields));
   }
-  if (!isNewLife && update.status === 'alive') {
+  if (!isNewIncarnation && update.status === 'alive') {
     step.effects.push(log(MEMBERSHIP_EVENTS.recovered, fields));
   }
 }
--- a/src/core/membership/probing.ts
+++ b/src/core/membership/probing.ts
@@ -39,7 +39,7 @@
 export function continueProbing(step: MembershipStep): void {
   const probe = step.state.probe;
   if (probe !== null && !probe.indirectSent && step.now >= probe.indirectAt) {
-    askOthersToProbe(step, probe);
+    sendIndirectProbes(step, probe);
   }
   if (step.now < step.state.nextProbeAt) {
     return;
@@ -51,9 +51,9 @@
 }
 
 function startProbe(step: MembershipStep): void {
-  const stretch = 1 + step.state.localHealth;
-  step.change({ probe: null, nextProbeAt: step.now + PROBE_INTERVAL_MS * stretch });
-  const target = takeNextTarget(step);
+  const healthFactor = 1 + step.state.localHealth;
+  step.change({ probe: null, nextProbeAt: step.now + PROBE_INTERVAL_MS * healthFactor });
+  const target = nextProbeTarget(step);
   if (target === null) {
     return;
   }
@@ -62,7 +62,7 @@
     target: target.name,
     incarnation: target.incarnation,
     sequence,
-    indirectAt: step.now + PROBE_TIMEOUT_MS * stretch,
+    indirectAt: step.now + PROBE_TIMEOUT_MS * healthFactor,
     endsAt: step.state.nextProbeAt,
     indirectSent: false,
   };
@@ -70,18 +70,18 @@
 }
 
 /** Goes round the group in an order drawn anew for each round, so that each is probed in turn. */
-function takeNextTarget(step: MembershipStep): Member | null {
+function nextProbeTarget(step: MembershipStep): Member | null {
   const group = new Map(probeGroup(step.state).map((member) => [member.name, member]));
   let order = step.state.probeOrder.filter((name) => group.has(name));
   if (order.length === 0) {
     order = step.random.shuffled([...group.keys()]);
   }
-  const [next, ...rest] = order;
-  step.change({ probeOrder: rest });
+  const [next, ...remaining] = order;
+  step.change({ probeOrder: remaining });
   return next === undefined ? null : (group.get(next) ?? null);
 }
 
-function askOthersToProbe(step: MembershipStep, probe: Probe): void {
+function sendIndirectProbes(step: MembershipStep, probe: Probe): void {
   step.change({ probe: { ...probe, indirectSent: true } });
   const target = step.state.members.get(probe.target);
   if (target === undefined) {
@@ -102,7 +102,7 @@
 }
 
 function failProbe(step: MembershipStep, probe: Probe): void {
-  worsenHealth(step);
+  worsenLocalHealth(step);
   const target = step.state.members.get(probe.target);
   if (target === undefined || target.incarnation !== probe.incarnation || !isPresent(target)) {
     return;
@@ -120,7 +120,7 @@
 }
 
 /** A daemon whose own probes fail may itself be slow: it gives others more time (Lifeguard). */
-function worsenHealth(step: MembershipStep): void {
+function worsenLocalHealth(step: MembershipStep): void {
   step.change({ localHealth: Math.min(MAX_LOCAL_HEALTH, step.state.localHealth + 1) });
 }
 
@@ -142,14 +142,14 @@
 
 /** How long a suspicion lasts: the more daemons share it, the shorter. */
 function suspicionMs(suspicion: Suspicion, groupSize: number): number {
-  const shortest = SUSPICION_MULTIPLIER * Math.max(1, Math.log10(groupSize)) * PROBE_INTERVAL_MS;
-  const wanted = Math.min(SUSPICION_CONFIRMATIONS, Math.max(0, groupSize - 3));
-  if (wanted === 0) {
-    return shortest;
-  }
-  const confirmations = Math.min(wanted, Math.max(0, suspicion.suspectedBy.length - 1));
-  const shortening = Math.log(confirmations + 1) / Math.log(wanted + 1);
-  return shortest * (LONE_SUSPICION_FACTOR - (LONE_SUSPICION_FACTOR - 1) * shortening);
+  const minMs = SUSPICION_MULTIPLIER * Math.max(1, Math.log10(groupSize)) * PROBE_INTERVAL_MS;
+  const maxConfirmations = Math.min(SUSPICION_CONFIRMATIONS, Math.max(0, groupSize - 3));
+  if (maxConfirmations === 0) {
+    return minMs;
+  }
+  const confirmations = Math.min(maxConfirmations, Math.max(0, suspicion.suspectedBy.length - 1));
+  const reduction = Math.log(confirmations + 1) / Math.log(maxConfirmations + 1);
+  return minMs * (LONE_SUSPICION_FACTOR - (LONE_SUSPICION_FACTOR - 1) * reduction);
 }
 
 /** After a pause of this process every silence may be its own: all timers start afresh. */
--- a/src/core/membership/step.ts
+++ b/src/core/membership/step.ts
@@ -61,13 +61,13 @@
       receive(step, event);
       break;
     case 'daemons-listed':
-      takeList(step, event.daemons);
+      applyMachineList(step, event.daemons);
       break;
     case 'leave':
       leave(step);
       break;
     case 'life-named':
-      suspectUnknownLife(step, event.daemon, event.incarnation);
+      suspectUnknownIncarnation(step, event.daemon, event.incarnation);
       break;
     case 'version-in-force':
       step.putMember({ ...step.self, configurationVersion: event.version });
@@ -76,7 +76,7 @@
   return step.finish();
 }
 
-function takeList(step: MembershipStep, daemons: readonly DaemonMachine[]): void {
+function applyMachineList(step: MembershipStep, daemons: readonly DaemonMachine[]): void {
   const { self, ownListingAt } = step.state;
   const listed = daemons.filter((daemon) => daemon.name !== self.name);
   const namesSelf = listed.length < daemons.length;
@@ -84,7 +84,7 @@
 }
 
 /** A life that has not been heard from is suspected: it contradicts, or is given up in time. */
-function suspectUnknownLife(
+function suspectUnknownIncarnation(
   step: MembershipStep,
   daemon: DaemonName,
   incarnation: Incarnation,
@@ -93,9 +93,9 @@
   if (daemon === self.name || knowsLife(step.state, daemon, incarnation)) {
     return;
   }
-  const place = listed.find((machine) => machine.name === daemon);
-  const zone = place?.zone ?? members.get(daemon)?.zone;
-  const endpoint = place ?? members.get(daemon)?.endpoint;
+  const listing = listed.find((machine) => machine.name === daemon);
+  const zone = listing?.zone ?? members.get(daemon)?.zone;
+  const endpoint = listing ?? members.get(daemon)?.endpoint;
   if (zone === undefined || endpoint === undefined) {
     return;
   }
@@ -131,13 +131,13 @@
   if (event.header.sender === step.state.self.name) {
     return;
   }
-  const wasStranger = !step.state.members.has(event.header.sender);
+  const wasUnknown = !step.state.members.has(event.header.sender);
   if (isMembershipMessage(event.message)) {
     receiveMessage(step, event, event.message);
   }
-  noteVersion(step, event);
+  recordVersion(step, event);
   const sender = step.state.members.get(event.header.sender);
-  if (wasStranger && sender !== undefined) {
+  if (wasUnknown && sender !== undefined) {
     sendSummary(step, sender.endpoint);
   }
 }
@@ -191,7 +191,7 @@
 }
 
 /** Remembers which configuration version the sender has in force. */
-function noteVersion(step: MembershipStep, event: PeerReceivedEvent): void {
+function recordVersion(step: MembershipStep, event: PeerReceivedEvent): void {
   const { sender, incarnation, inForce } = event.header;
   const member = step.state.members.get(sender);
   if (member === undefined || member.incarnation !== incarnation || inForce === null) {
--- a/src/core/membership/table.ts
+++ b/src/core/membership/table.ts
@@ -28,24 +28,24 @@
   readonly zones: ReadonlyMap<ZoneName, ZoneMembers>;
 }
 
-const remembered = new WeakMap<MemberTable, TableFacts>();
+const indexCache = new WeakMap<MemberTable, TableFacts>();
 
 /** What follows from the table. */
 export function factsOf(table: MemberTable): TableFacts {
-  let facts = remembered.get(table);
-  if (facts === undefined) {
-    facts = workOut(table);
-    remembered.set(table, facts);
+  let index = indexCache.get(table);
+  if (index === undefined) {
+    index = buildTableIndex(table);
+    indexCache.set(table, index);
   }
-  return facts;
+  return index;
 }
 
 /** Must be called after a table that is not shared yet was changed in place. */
 export function forgetFacts(table: MemberTable): void {
-  remembered.delete(table);
+  indexCache.delete(table);
 }
 
-function workOut(table: MemberTable): TableFacts {
+function buildTableIndex(table: MemberTable): TableFacts {
   const present = [...table.values()].filter(isPresent);
   const byZone = new Map<ZoneName, Member[]>();
   for (const member of present) {
--- a/src/core/membership/zones.ts
+++ b/src/core/membership/zones.ts
@@ -25,12 +25,12 @@
 export function exchangeSummaries(step: MembershipStep): void {
   if (step.now >= step.state.nextRelayAt) {
     step.change({ nextRelayAt: step.now + RELAY_INTERVAL_MS });
-    actAsRelay(step);
+    sendRelaySummaries(step);
   }
   if (step.now >= step.state.nextSummaryAt) {
     const jitter = step.random.below(RELAY_INTERVAL_MS);
     step.change({ nextSummaryAt: step.now + SUMMARY_INTERVAL_MS - RELAY_INTERVAL_MS / 2 + jitter });
-    forgetGoneMembers(step);
+    removeDepartedMembers(step);
     const other = step.random.pick(probeGroup(step.state));
     if (other !== undefined) {
       sendSummary(step, other.endpoint);
@@ -38,17 +38,17 @@
   }
 }
 
-function actAsRelay(step: MembershipStep): void {
+function sendRelaySummaries(step: MembershipStep): void {
   const { state } = step;
   const isRelay = relaysOf(state, state.self.zone).some((relay) => relay.name === state.self.name);
   if (isOneGroup(state) || !isRelay) {
     return;
   }
-  hearZone(step, state.self.zone, (state.zones.get(state.self.zone)?.heartbeat ?? 0) + 1);
+  recordHeartbeat(step, state.self.zone, (state.zones.get(state.self.zone)?.heartbeat ?? 0) + 1);
   const zones = new Set([...state.members.values()].map((member) => member.zone));
   zones.delete(state.self.zone);
   for (const zone of zones) {
-    const receiver = step.random.pick(receiversIn(step.state, zone));
+    const receiver = step.random.pick(summaryReceivers(step.state, zone));
     if (receiver !== undefined) {
       sendSummary(step, receiver.endpoint);
     }
@@ -56,7 +56,7 @@
 }
 
 /** A zone's relays; when it is not heard, any of its members, since its relays may be gone. */
-function receiversIn(state: MembershipState, zone: ZoneName): readonly Member[] {
+function summaryReceivers(state: MembershipState, zone: ZoneName): readonly Member[] {
   if (isZoneReachable(state, zone)) {
     return relaysOf(state, zone);
   }
@@ -134,11 +134,11 @@
 /** Takes in several zones' heartbeats. */
 export function hearZones(step: MembershipStep, heartbeats: readonly ZoneHeartbeat[]): void {
   for (const { zone, heartbeat } of heartbeats) {
-    hearZone(step, zone, heartbeat);
+    recordHeartbeat(step, zone, heartbeat);
   }
 }
 
-function hearZone(step: MembershipStep, zone: ZoneName, heartbeat: number): void {
+function recordHeartbeat(step: MembershipStep, zone: ZoneName, heartbeat: number): void {
   const known = step.state.zones.get(zone);
   if (known === undefined || heartbeat > known.heartbeat) {
     const view = { heartbeat, heardAt: step.now };
@@ -146,18 +146,18 @@
   }
 }
 
-function forgetGoneMembers(step: MembershipStep): void {
-  const gone = [...step.state.members.values()].filter(
+function removeDepartedMembers(step: MembershipStep): void {
+  const departed = [...step.state.members.values()].filter(
     (member) =>
       !isPresent(member) &&
       member.name !== step.state.self.name &&
       step.now - member.statusSince >= GONE_RETENTION_MS,
   );
-  if (gone.length === 0) {
+  if (departed.length === 0) {
     return;
   }
   const members = new Map(step.state.members);
-  for (const member of gone) {
+  for (const member of departed) {
     members.delete(member.name);
   }
   step.change({ members });
--- a/test/daemon/role-planning.test.ts
+++ b/test/daemon/role-planning.test.ts
@@ -41,12 +41,12 @@
 });
 
 test('what all daemons tell is summed, and forgotten once it was thought over', () => {
-  const told = { requests: 2, promptTokens: 100, outputTokens: 10 };
-  const heard = hearDemand(hearDemand(INITIAL_ROLE_PLANNING, 'p', told), 'p', told);
-  assert.deepEqual(heard.heard.get('p'), { requests: 4, promptTokens: 200, outputTokens: 20 });
+  const received = { requests: 2, promptTokens: 100, outputTokens: 10 };
+  const summed = hearDemand(hearDemand(INITIAL_ROLE_PLANNING, 'p', received), 'p', received);
+  assert.deepEqual(summed.heard.get('p'), { requests: 4, promptTokens: 200, outputTokens: 20 });
   const held = [{ pool: 'p', engines: [] }];
   const { document } = EMPTY_CONFIGURATION;
-  const { planning } = evaluatePlans(heard, held, document, { now: 50_000, entropy: 0 });
+  const { planning } = evaluatePlans(summed, held, document, { now: 50_000, entropy: 0 });
   assert.equal(planning.heard.size, 0);
   assert.ok(planning.planners.get('p')?.demand !== null, 'the planner heard of the work');
   assert.equal(planning.nextAt, 60_000);
--- a/test/membership/failure-detection.test.ts
+++ b/test/membership/failure-detection.test.ts
@@ -60,7 +60,7 @@
 test('both sides of a partition give each other up and come together again', () => {
   const fleet = startFleet({ daemons: 9 });
   fleet.network.cut = (from, to) => (from.zone === 'zone-0') !== (to.zone === 'zone-0');
-  const parted = fleet.runUntil(
+  const partitioned = fleet.runUntil(
     () =>
       fleet.running.every(({ membership, identity }) => {
         const expected = identity.zone === 'zone-0' ? 3 : 6;
@@ -68,7 +68,7 @@
       }),
     2 * DETECTION_LIMIT_MS,
   );
-  assert.notEqual(parted, null);
+  assert.notEqual(partitioned, null);
   fleet.network.cut = () => false;
   assert.notEqual(
     fleet.runUntil(() => allKnowAll(fleet), DETECTION_LIMIT_MS),
@@ -110,8 +110,8 @@
     null,
   );
   fleet.run(MINUTE_MS);
-  const givenUp = fleet.logged.filter(
+  const declaredDead = fleet.logged.filter(
     (line) => line.number === MEMBERSHIP_EVENTS.died.number && line.at >= wokenAt,
   );
-  assert.deepEqual(givenUp, []);
+  assert.deepEqual(declaredDead, []);
 });
--- a/test/membership/named-life.test.ts
+++ b/test/membership/named-life.test.ts
@@ -14,7 +14,7 @@
 const LISTED = { kind: 'daemon', name: 'd2', zone: 'a', state: 'live', ...at(2) } as const;
 const NAMED = { kind: 'life-named', daemon: 'd2', incarnation: 7 } as const;
 
-function isKnownGoneAfter(events: readonly MembershipEvent[], incarnation: number): boolean {
+function isKnownEndedAfter(events: readonly MembershipEvent[], incarnation: number): boolean {
   const self = { name: 'd1', zone: 'a', incarnation: 1, endpoint: at(1) };
   let state: MembershipState = createMembership(self, []);
   const step = (event: MembershipEvent, now: number): void => {
@@ -30,7 +30,7 @@
 
 test('a life that only a row names is given up when it does not answer', () => {
   const listed: MembershipEvent = { kind: 'daemons-listed', daemons: [LISTED] };
-  assert.equal(isKnownGoneAfter([listed, NAMED], 7), true);
-  assert.equal(isKnownGoneAfter([listed, NAMED], 8), false);
-  assert.equal(isKnownGoneAfter([listed], 7), false);
+  assert.equal(isKnownEndedAfter([listed, NAMED], 7), true);
+  assert.equal(isKnownEndedAfter([listed, NAMED], 8), false);
+  assert.equal(isKnownEndedAfter([listed], 7), false);
 });
--- a/test/membership/zones.test.ts
+++ b/test/membership/zones.test.ts
@@ -17,11 +17,11 @@
   for (const place of fleet.places.filter((place) => place.zone === 'zone-1')) {
     fleet.kill(place);
   }
-  const told = fleet.runUntil(
+  const reported = fleet.runUntil(
     () => fleet.running.every((d) => unreachableZones(d.membership).join() === 'zone-1'),
     2 * DETECTION_LIMIT_MS,
   );
-  assert.notEqual(told, null);
+  assert.notEqual(reported, null);
   assert.ok(fleet.running.every((d) => aliveMembers(d.membership).length === 19));
   fleet.startAll();
   assert.notEqual(
