--- a/src/core/daemon/desired-engines.ts
+++ b/src/core/daemon/desired-engines.ts
@@ -1,6 +1,6 @@
 /**
- * The models and role that each engine of a pool should have, from the configuration and the planned
- * roles.
+ * The models and role that each engine of a pool should have, from the configuration and the
+ * planned roles.
  */
 import type { BackendName, ModelName } from '../common/identifiers.js';
 import type { ConfigurationDocument, ModelConfiguration } from '../configuration/document.js';
@@ -14,9 +14,9 @@
 }
 
 /**
- * The desired state of a pool's engines. An engine keeps the configured models that it has loaded, at
- * their configured versions with all their adapters. An engine without any of them loads the model
- * that the fewest engines have loaded. A role set by an operator overrides the planner's.
+ * The desired state of a pool's engines. An engine keeps the configured models that it has loaded,
+ * at their configured versions with all their adapters. An engine without any of them loads the
+ * model that the fewest engines have loaded. A role set by an operator overrides the planner's.
  */
 export function desiredEngines(
   document: ConfigurationDocument,
--- a/src/core/daemon/explain/explain-configuration.ts
+++ b/src/core/daemon/explain/explain-configuration.ts
@@ -17,7 +17,7 @@
       : `Version ${version} is in force on this daemon.`,
     `The highest version known to it is ${highestVersion}.`,
     waiting.length === 0
-      ? `All known daemons (${confirmation.inForce}) have it in force.`
+      ? `All daemons that may be running (${confirmation.inForce}) have it in force.`
       : `${confirmation.inForce} daemons have it in force; not confirmed by ${waiting.join(', ')}.`,
   ];
   const tables = [{ title: 'daemons', rows: daemonRows(state) }];
--- a/src/core/daemon/explain/explain-engine.ts
+++ b/src/core/daemon/explain/explain-engine.ts
@@ -1,4 +1,6 @@
-/** Explains an engine: why it receives requests or not, its role, its pool's lease, its last order. */
+/**
+ * Explains an engine: why it receives requests or not, its role, its pool's lease, its last order.
+ */
 import { err, ok, type Result } from 'neverthrow';
 import type { MonotonicMs } from '../../common/time.js';
 import { type Fault, refusedNotRun } from '../../errors/fault.js';
--- a/src/core/daemon/step.ts
+++ b/src/core/daemon/step.ts
@@ -1,6 +1,6 @@
 /**
- * The daemon's reducer: passes each event to the components that handle it and merges their effects.
- * The same function runs in production, in the simulation and under the fuzzer.
+ * The daemon's reducer: passes each event to the components that handle it and merges their
+ * effects. The same function runs in production, in the simulation and under the fuzzer.
  */
 import type { PoolName } from '../common/identifiers.js';
 import type { StepContext, Transition } from '../common/transition.js';
--- a/src/core/daemon/traffic.ts
+++ b/src/core/daemon/traffic.ts
@@ -99,7 +99,9 @@
     return mayFreeCapacity ? [...effects, ...this.admitWaiting(context)] : effects;
   }
 
-  /** Admits waiting requests while backends have capacity. Call when capacity may have become free. */
+  /**
+   * Admits waiting requests while backends have capacity. Call when capacity may have become free.
+   */
   admitWaiting(context: StepContext): RequestTableEffect[] {
     const effects: RequestTableEffect[] = [];
     for (;;) {
--- a/src/core/digest/condense.ts
+++ b/src/core/digest/condense.ts
@@ -1,6 +1,7 @@
 /**
- * Turns an engine's report into a digest and back. What seldom changes is sent only to daemons that
- * do not have it; numbers are rounded to what routing can use.
+ * Converts an engine's report into a digest and back. The inventory (the fields that seldom change)
+ * is sent only to daemons that lack it; load figures are rounded to the precision that routing
+ * needs.
  */
 import type { Milliseconds } from '../common/time.js';
 import { type EngineDigest, type EngineInventory, hash32 } from '../peer/index.js';
@@ -14,12 +15,12 @@
   return { boot, role, models, fence, lastOrder, maxBatch };
 }
 
-/** Equal for equal inventories. */
+/** A hash of the report's inventory; equal for equal inventories. */
 export function revisionOf(report: EngineReport): number {
   return hash32(JSON.stringify(inventoryOf(report)));
 }
 
-/** The digest of a report for a daemon that has the inventory of the given revision. */
+/** The digest of a report for a receiver that has the inventory of the given revision. */
 export function condense(
   { report, revision }: OwnReport,
   ageMs: Milliseconds,
@@ -35,7 +36,7 @@
     load: roundLoad(load),
     revision,
     inventory: receiverRevision === revision ? null : inventoryOf(report),
-    // Rounded up: an older report gives a shorter grant.
+    // Rounded up: overstating the age shortens the grant, which is the safe side.
     ageMs: Math.ceil(ageMs),
   };
 }
@@ -52,7 +53,7 @@
   };
 }
 
-/** The report that a digest stands for; null when its inventory is not known here. */
+/** The report that a digest represents; null when its inventory is not known here. */
 export function expand(
   digest: EngineDigest,
   known: KnownInventory | undefined,
--- a/src/core/digest/exchange.ts
+++ b/src/core/digest/exchange.ts
@@ -1,4 +1,4 @@
-/** Interests and digests between daemons. */
+/** Exchange of engine interests and digests between daemons. */
 import type { BackendName, DaemonName } from '../common/identifiers.js';
 import type { MonotonicMs } from '../common/time.js';
 import { endpointOf, isOneGroup } from '../membership/index.js';
@@ -23,7 +23,7 @@
 import type { DigestStep, Interest } from './state.js';
 import { takeReport } from './views.js';
 
-/** Tells the watchers of this daemon's engines that it wants to hear of them. */
+/** Requests digests of the engines that this daemon uses from the daemons that watch them. */
 export function sendInterests(step: DigestStep): void {
   const byWatcher = new Map<DaemonName, EngineInterest[]>();
   for (const { machine, watcher } of step.state.views.values()) {
@@ -45,7 +45,7 @@
   step.change({ nextInterestAt: step.now + interval });
 }
 
-/** Sends each interested daemon what is known of the engines that it named. */
+/** Sends each interested daemon the digests of the engines that it named. */
 export function sendDigests(step: DigestStep): void {
   const isSmall = isOneGroup(step.membership);
   const interval = isSmall ? DIGEST_INTERVAL_MS : LARGE_FLEET_DIGEST_INTERVAL_MS;
@@ -63,7 +63,6 @@
   }
 }
 
-/** Sends one daemon what is known of the named engines. */
 function sendDigestsTo(step: DigestStep, daemon: DaemonName, engines: Interest['engines']): void {
   const endpoint = endpointOf(step.membership, daemon);
   const last = step.state.heard.get(daemon);
@@ -81,7 +80,7 @@
   }
 }
 
-/** Only what the engine itself told this daemon is passed on, never hearsay. */
+/** Only reports that this daemon received from the engine itself are sent, never relayed ones. */
 function digestOf(
   step: DigestStep,
   engine: BackendName,
@@ -96,7 +95,7 @@
   return ageMs > MAX_TOLD_AGE_MS ? null : condense(own, ageMs, receiverRevision);
 }
 
-/** Takes in a message of another daemon. */
+/** Handles a message of another daemon. */
 export function receiveFromPeer(step: DigestStep, event: PeerReceivedEvent): void {
   const { header, message } = event;
   if (message.kind === 'engine-interest' || step.state.interests.has(header.sender)) {
@@ -155,7 +154,10 @@
   step.change({ wantedUntil });
 }
 
-/** The echo is the latest message by its sender's clock, so that delayed ones don't replace it. */
+/**
+ * Keeps the message with the latest `sentAt` for the echo, so that a delayed older message does not
+ * replace it.
+ */
 function recordLastMessage(step: DigestStep, { header }: PeerReceivedEvent): void {
   const known = step.state.heard.get(header.sender);
   const isOlderIncarnation = known !== undefined && known.incarnation > header.incarnation;
--- a/src/core/digest/index.ts
+++ b/src/core/digest/index.ts
@@ -1,6 +1,6 @@
 /**
- * What daemons know of engines: each engine is polled by one daemon, its watcher, which tells those
- * that use the engine.
+ * Distribution of engine reports: one daemon, the engine's watcher, polls each engine and sends
+ * digests of its reports to the daemons that use the engine.
  */
 export { askedAtTheEarliest } from './grant.js';
 export {
--- a/src/core/digest/polling.ts
+++ b/src/core/digest/polling.ts
@@ -1,4 +1,6 @@
-/** Asks engines for reports: the watched ones regularly, others only when their news is stale. */
+/**
+ * Polls engines for reports: watched ones regularly, others only when their last report is stale.
+ */
 import type { BackendName } from '../common/identifiers.js';
 import { isOneGroup } from '../membership/index.js';
 import {
@@ -30,7 +32,10 @@
   }
 }
 
-/** A watched engine that nobody uses is not asked: a daemon that is cut off watches many. */
+/**
+ * A watched engine that no daemon uses is not polled. This limits the polls of a daemon that is cut
+ * off from the others and therefore becomes the watcher of many engines.
+ */
 function isWanted(step: DigestStep, engine: BackendName): boolean {
   const until = step.state.wantedUntil.get(engine) ?? Number.NEGATIVE_INFINITY;
   return step.state.used.has(engine) || step.now < until;
@@ -58,7 +63,7 @@
   });
 }
 
-/** The poll of an engine has ended. */
+/** Records that the poll of an engine has ended. */
 export function endPoll(step: DigestStep, engine: BackendName): void {
   const waiting = new Set(step.state.waiting);
   waiting.delete(engine);
--- a/src/core/digest/state.ts
+++ b/src/core/digest/state.ts
@@ -1,4 +1,4 @@
-/** The digest part's state, and the working copy that one step fills in. */
+/** The digest component's state, and the working copy of one step. */
 import type { BackendName, DaemonName, Incarnation, PoolName } from '../common/identifiers.js';
 import type { MonotonicMs } from '../common/time.js';
 import type { StepContext, Transition } from '../common/transition.js';
@@ -6,7 +6,7 @@
 import type { EngineInventory, PeerEffect } from '../peer/index.js';
 import type { EngineMachine, EngineReport, EngineView } from '../registry/backend.js';
 
-/** An engine's last report as the engine itself gave it to this daemon. */
+/** The last report that this daemon received from the engine itself. */
 export interface OwnReport {
   readonly report: EngineReport;
   /** The hash of the report's inventory. */
@@ -14,9 +14,9 @@
   readonly askedAt: MonotonicMs;
 }
 
-/** Another daemon's wish to hear of engines. */
+/** Another daemon's request for digests of engines. */
 export interface Interest {
-  /** With the revision of the inventory that the other daemon has. */
+  /** Each engine with the revision of the inventory that the other daemon has; null for none. */
   readonly engines: ReadonlyMap<BackendName, number | null>;
   readonly until: MonotonicMs;
 }
@@ -27,35 +27,34 @@
   readonly inventory: EngineInventory;
 }
 
-/** The last message from another daemon, to be echoed to it. */
+/** The last message from another daemon, which digests echo back to it. */
 export interface HeardMessage {
   readonly incarnation: Incarnation;
   readonly sentAt: MonotonicMs;
   readonly receivedAt: MonotonicMs;
 }
 
-/** Everything that the digest part remembers. */
 export interface DigestState {
   readonly self: DaemonName;
   readonly engines: ReadonlyMap<BackendName, EngineMachine>;
-  /** Counts the changes of `engines`. */
+  /** The number of changes of `engines` so far. */
   readonly listing: number;
-  /** What the present assignment of engines was made from. */
+  /** Identifies the inputs of the present assignment of engines. */
   readonly assignedFor: string;
-  /** The pools that this daemon controls: it wants to know all of their engines. */
+  /** The pools that this daemon controls. It needs the reports of all their engines. */
   readonly controlled: readonly PoolName[];
   /** The engines that this daemon sends requests to or controls. */
   readonly used: ReadonlySet<BackendName>;
-  /** Until when other daemons want to hear of an engine. */
+  /** The time until which other daemons have requested digests of an engine. */
   readonly wantedUntil: ReadonlyMap<BackendName, MonotonicMs>;
-  /** What this daemon knows of each engine that it uses or watches. */
+  /** The views of the engines that this daemon uses or watches. */
   readonly views: ReadonlyMap<BackendName, EngineView>;
   readonly own: ReadonlyMap<BackendName, OwnReport>;
-  /** Inventories that watchers told, by engine. */
+  /** Inventories received from watchers, by engine. */
   readonly inventories: ReadonlyMap<BackendName, KnownInventory>;
   readonly interests: ReadonlyMap<DaemonName, Interest>;
   readonly heard: ReadonlyMap<DaemonName, HeardMessage>;
-  /** When each engine was last asked; entries of answered polls stay. */
+  /** When each engine was last polled; entries of answered polls stay. */
   readonly askedAt: ReadonlyMap<BackendName, MonotonicMs>;
   readonly waiting: ReadonlySet<BackendName>;
   readonly nextAssignmentAt: MonotonicMs;
@@ -63,16 +62,15 @@
   readonly nextInterestAt: MonotonicMs;
 }
 
-/** Asks the shell for an engine's report; `engine-report` or `engine-silent` comes back. */
+/** Polls an engine for its report. The shell answers with `engine-report` or `engine-silent`. */
 export interface PollEngineEffect {
   readonly kind: 'poll-engine';
   readonly engine: BackendName;
 }
 
-/** What the digest part asks of the shell. */
 export type DigestEffect = PeerEffect | PollEngineEffect;
 
-/** One step's working copy: functions replace `state` and append to `effects`. */
+/** The working copy of one step: functions replace `state` and append to `effects`. */
 export class DigestStep {
   state: DigestState;
   readonly effects: DigestEffect[] = [];
@@ -90,7 +88,6 @@
     this.state = { ...this.state, ...fields };
   }
 
-  /** Replaces an engine's view. */
   putView(view: EngineView): void {
     this.change({ views: new Map(this.state.views).set(view.machine.name, view) });
   }
@@ -101,7 +98,7 @@
   }
 }
 
-/** The state at a daemon's start. */
+/** The initial state of a daemon. */
 export function createDigest(self: DaemonName): DigestState {
   return {
     self,
--- a/src/core/digest/step.ts
+++ b/src/core/digest/step.ts
@@ -11,10 +11,10 @@
 import { type DigestEffect, type DigestState, DigestStep } from './state.js';
 import { assignEngines, takeReport } from './views.js';
 
-/** How often the assignment of engines is settled anew. */
+/** Interval at which the assignment of engines is recomputed. */
 const ASSIGNMENT_INTERVAL_MS = 500;
 
-/** What the digest part listens to. Ticks are wanted about every 100 ms. */
+/** Events of the digest component. Ticks should arrive about every 100 ms. */
 export type DigestEvent =
   | { readonly kind: 'tick' }
   | PeerReceivedEvent
@@ -31,7 +31,7 @@
   /** A poll failed. */
   | { readonly kind: 'engine-silent'; readonly engine: BackendName };
 
-/** One step of the digest part. `membership` must have taken in the same event before. */
+/** One step of the digest component. `membership` must already have handled the same event. */
 export function stepDigest(
   state: DigestState,
   event: DigestEvent,
@@ -62,7 +62,7 @@
   return step.finish();
 }
 
-/** Keeps what is unchanged, so that a list that is read each second costs nothing further. */
+/** Ignores an unchanged list, so that the regular reads of the list cause no reassignment. */
 function applyEngineList(step: DigestStep, listed: readonly EngineMachine[]): void {
   const known = step.state.engines;
   const isChanged = (engine: EngineMachine): boolean => {
@@ -101,7 +101,7 @@
   }
 }
 
-/** A new watcher is told of the interest at once. */
+/** Recomputes the assignment. After a change of watchers, interests are sent without delay. */
 function reassign(step: DigestStep): void {
   const before = step.state.views;
   assignEngines(step);
--- a/src/core/digest/subset.ts
+++ b/src/core/digest/subset.ts
@@ -1,15 +1,16 @@
 /**
- * Which engines a daemon uses. In a small fleet all; in one that is split by zone a window of its
- * own zone's engines. Daemons and engines are ordered round a ring by hash, and each daemon takes a
- * window that starts at its own share of the ring: every engine is used by almost the same number
- * of daemons, and when a daemon comes or goes the windows of the others shift by little.
+ * The subset of its zone's engines that a daemon uses in a fleet that is split by zone; in a small
+ * fleet a daemon uses all engines. Daemons and engines are each ordered on a ring by hash. A
+ * daemon's window of engines starts at the fraction of the engine ring that corresponds to its own
+ * position on the daemon ring. Every engine is thus used by almost the same number of daemons, and
+ * when a daemon joins or leaves, the windows of the others shift only a little.
  */
 import type { BackendName, DaemonName } from '../common/identifiers.js';
 import { hash32 } from '../peer/index.js';
 import { type EngineMachine, poolOf } from '../registry/backend.js';
 import { SUBSET_SIZE } from './settings.js';
 
-/** The engines that a daemon uses, of those in its zone. */
+/** The engines that a daemon uses, out of those in its zone. */
 export function usedEngines(
   daemon: DaemonName,
   zoneDaemons: readonly DaemonName[],
--- a/src/core/digest/views.ts
+++ b/src/core/digest/views.ts
@@ -1,4 +1,6 @@
-/** Keeps the views: which engines, who watches each, and which report is the newest. */
+/**
+ * Maintains the engine views: which engines have one, the watcher and the newest report of each.
+ */
 import type { BackendName, DaemonName } from '../common/identifiers.js';
 import type { MonotonicMs } from '../common/time.js';
 import {
@@ -18,7 +20,9 @@
 import type { DigestStep } from './state.js';
 import { usedEngines } from './subset.js';
 
-/** Settles anew which engines this daemon uses and who watches each, when that may have changed. */
+/**
+ * Recomputes which engines this daemon uses and which daemon watches each, if the inputs changed.
+ */
 export function assignEngines(step: DigestStep): void {
   const key = assignmentKeyOf(step);
   if (key === step.state.assignedFor) {
@@ -36,14 +40,17 @@
   step.change({ views, used, assignedFor: key });
 }
 
-/** Equal texts mean an equal assignment. */
+/** A key of the assignment's inputs: equal keys give an equal assignment. */
 function assignmentKeyOf(step: DigestStep): string {
   const names = dutyCandidates(step.membership).map((member) => member.name);
   const { listing, controlled } = step.state;
   return `${listing} ${controlled.join(' ')} ${names.sort().join(' ')}`;
 }
 
-/** The engines of other zones are watched there, unless nobody is left there. */
+/**
+ * Leaves out engines of other zones, which are watched there, unless their zone has no daemon or
+ * this daemon controls their pool.
+ */
 function candidateEngines(
   step: DigestStep,
   members: readonly WatcherCandidate[],
@@ -83,7 +90,7 @@
   return new Set([...used, ...controlledEngines(step)]);
 }
 
-/** A pool's controller needs to know all of the pool's engines, whatever their zone. */
+/** A pool's controller needs the reports of all the pool's engines, in every zone. */
 function controlledEngines(step: DigestStep): readonly BackendName[] {
   const pools = new Set(step.state.controlled);
   return [...step.state.engines.values()]
@@ -91,7 +98,7 @@
     .map((engine) => engine.name);
 }
 
-/** Takes in a report that was asked for no earlier than the given time by this daemon's clock. */
+/** Applies a report whose poll started no earlier than `askedAt` by this daemon's clock. */
 export function takeReport(step: DigestStep, report: EngineReport, askedAt: MonotonicMs): void {
   const view = step.state.views.get(report.engine);
   if (view === undefined || askedAt <= view.reportedAt || isOlder(report, view.report)) {
@@ -100,7 +107,9 @@
   step.putView({ ...view, report, reportedAt: askedAt, grantedUntil: grantEnd(askedAt) });
 }
 
-/** Within one life of an engine its fence only rises, so a lower one tells an older report. */
+/**
+ * Within one boot of an engine its fence only increases, so a lower fence means an older report.
+ */
 function isOlder(report: EngineReport, known: EngineReport | null): boolean {
   if (known === null || known.boot !== report.boot) {
     return false;
--- a/src/core/membership/gossip.ts
+++ b/src/core/membership/gossip.ts
@@ -1,16 +1,17 @@
-/** Chooses the updates that ride on a message: the least often sent first, within a size limit. */
+/** Selects the updates piggybacked on a message: least often sent first, within a size limit. */
 import type { MemberUpdate, ZoneHeartbeat } from '../peer/index.js';
 import { type Member, toUpdate } from './member.js';
 import { isOneGroup, probeGroup } from './queries.js';
 import { MAX_UPDATE_BYTES, RETRANSMIT_MULTIPLIER } from './settings.js';
 import type { MembershipStep } from './state.js';
 
-/** An update's fixed part on the wire: numbers, status and lengths. */
+/** Encoded size of an update's fixed part: numbers, status and lengths. */
 const UPDATE_OVERHEAD_BYTES = 30;
 
 /**
- * The updates for a message: the sender's own entry, the receiver's when it should contradict it
- * (Lifeguard's buddy system), then what others should hear.
+ * The updates for a message: the sender's own entry; the receiver's entry if it is not alive here,
+ * so that the receiver can refute it (Lifeguard's buddy system); then queued gossip. Counts each
+ * queued update as sent once more and removes it at the transmit limit.
  */
 export function takeUpdates(
   step: MembershipStep,
@@ -71,7 +72,7 @@
   return UPDATE_OVERHEAD_BYTES + textBytes + (update.suspectedBy?.length ?? 0);
 }
 
-/** The heartbeats of all zones, for a fleet that is split by zone. */
+/** The heartbeats of all zones; none in a fleet that is not split by zone. */
 export function zoneHeartbeats(step: MembershipStep): readonly ZoneHeartbeat[] {
   if (isOneGroup(step.state)) {
     return [];
--- a/src/core/membership/index.ts
+++ b/src/core/membership/index.ts
@@ -1,6 +1,6 @@
 /**
- * Which daemons there are: a SWIM-style failure detector (Das, Gupta and Motivala 2002) with parts
- * of Lifeguard (Dadgar, Phillips and Currey 2018), split by zone in a large fleet.
+ * Membership of the fleet's daemons: a SWIM-style failure detector (Das, Gupta and Motivala 2002)
+ * with parts of Lifeguard (Dadgar, Phillips and Currey 2018), split by zone in a large fleet.
  */
 export { isPresent, type Member } from './member.js';
 export {
--- a/src/core/membership/joining.ts
+++ b/src/core/membership/joining.ts
@@ -1,4 +1,4 @@
-/** Finding other daemons: from the lagging machine list and seeds, and again after a partition. */
+/** Discovery of other daemons from the (lagging) machine list and seeds, and after a partition. */
 import type { Endpoint } from '../registry/backend.js';
 import { isPresent, type Member } from './member.js';
 import { sendPing } from './probing.js';
@@ -12,7 +12,7 @@
   readonly isOwnZone: boolean;
 }
 
-/** Pings daemons that are listed, or were given up, and are not known to be present. */
+/** Pings seeds, listed daemons and dead members that are not known to be present. */
 export function contactOthers(step: MembershipStep): void {
   if (step.now < step.state.nextContactAt) {
     return;
--- a/src/core/membership/member.ts
+++ b/src/core/membership/member.ts
@@ -1,13 +1,13 @@
-/** One daemon as another knows it, and which of two pieces of news about it is the later. */
+/** One daemon's entry in the member table, and which of two updates about it is newer. */
 import type { DaemonName, Incarnation } from '../common/identifiers.js';
 import type { MonotonicMs } from '../common/time.js';
 import type { MemberStatus, MemberUpdate } from '../peer/index.js';
 
 /** A daemon of the fleet. */
 export interface Member extends MemberUpdate {
-  /** When this daemon learned of the status, by its own clock. */
+  /** When this daemon learned of the status, by this daemon's clock. */
   readonly statusSince: MonotonicMs;
-  /** The configuration version that the daemon last said is in force on it; null: none known. */
+  /** The configuration version that the member last reported as in force; null if none is known. */
   readonly configurationVersion: number | null;
 }
 
@@ -19,8 +19,9 @@
 };
 
 /**
- * Whether news supersedes what is known: a later life; within a life its own leave, which is final;
- * then a later refutation; then a worse status. A total order, so that tables converge.
+ * Whether an update supersedes the known entry. A later incarnation wins; within an incarnation the
+ * daemon's own leave wins, as it is final; then the higher refutation; then the worse status. This
+ * is a total order, so that the tables of all daemons converge.
  */
 export function supersedes(update: MemberUpdate, known: MemberUpdate): boolean {
   if (update.incarnation !== known.incarnation) {
@@ -35,12 +36,12 @@
   return STATUS_RANK[update.status] > STATUS_RANK[known.status];
 }
 
-/** Whether the member takes part: alive, or suspected but not given up. */
+/** Whether the member is alive or suspected, but neither dead nor left. */
 export function isPresent(member: MemberUpdate): boolean {
   return member.status === 'alive' || member.status === 'suspect';
 }
 
-/** Whether both speak of the same life of the same daemon. */
+/** Whether both refer to the same incarnation of the same daemon. */
 export function sameLife(
   one: { readonly name: DaemonName; readonly incarnation: Incarnation },
   other: { readonly name: DaemonName; readonly incarnation: Incarnation },
@@ -48,7 +49,7 @@
   return one.name === other.name && one.incarnation === other.incarnation;
 }
 
-/** What is passed on about a member. */
+/** The fields of a member that are gossiped. */
 export function toUpdate(member: MemberUpdate): MemberUpdate {
   return {
     name: member.name,
--- a/src/core/membership/merge.ts
+++ b/src/core/membership/merge.ts
@@ -1,4 +1,4 @@
-/** Takes in news about members: which of it is new, and what follows. */
+/** Merges updates about members into the table: detects new ones and applies their consequences. */
 
 import { MEMBERSHIP_EVENTS } from '../logging/catalogue/membership.js';
 import { log } from '../logging/log-event.js';
@@ -7,10 +7,9 @@
 import { MAX_LOCAL_HEALTH, SUSPICION_CONFIRMATIONS } from './settings.js';
 import { type MembershipStep, withEntry, withoutEntry } from './state.js';
 
-/** Whether news is passed on to others. Whole tables of known fleets are not. */
+/** Whether merged updates are gossiped to others (`pass-on`). Large tables are not (`keep`). */
 export type Propagation = 'pass-on' | 'keep';
 
-/** Takes in several updates. */
 export function mergeUpdates(
   step: MembershipStep,
   updates: readonly MemberUpdate[],
@@ -72,7 +71,7 @@
   return update.suspectedBy === null ? [] : [update.suspectedBy];
 }
 
-/** Another daemon's own suspicion of a suspect shortens the suspicion (Lifeguard). */
+/** An independent suspicion by another daemon shortens the suspicion timeout (Lifeguard). */
 function confirmSuspicion(step: MembershipStep, update: MemberUpdate): void {
   const suspicion = step.state.suspicions.get(update.name);
   const by = update.suspectedBy;
@@ -91,7 +90,7 @@
   }
 }
 
-/** A suspicion or death of this very life is contradicted with a higher refutation. */
+/** Refutes a `suspect` or `dead` update about this incarnation with a higher refutation. */
 function mergeUpdateOfSelf(step: MembershipStep, update: MemberUpdate): void {
   const self = step.self;
   if (update.incarnation > self.incarnation) {
--- a/src/core/membership/probing.ts
+++ b/src/core/membership/probing.ts
@@ -1,4 +1,6 @@
-/** Failure detection: one probe an interval, indirect probes, suspicion and its end (SWIM). */
+/**
+ * Failure detection (SWIM): one probe per interval, indirect probes, suspicions and their expiry.
+ */
 
 import { MEMBERSHIP_EVENTS } from '../logging/catalogue/membership.js';
 import { log } from '../logging/log-event.js';
@@ -35,7 +37,7 @@
   return sequence;
 }
 
-/** Carries the probe under way further, and starts the next when it is time. */
+/** Sends the indirect probes of the current probe when due, and starts the next probe when due. */
 export function continueProbing(step: MembershipStep): void {
   const probe = step.state.probe;
   if (probe !== null && !probe.indirectSent && step.now >= probe.indirectAt) {
@@ -69,7 +71,7 @@
   step.change({ probe });
 }
 
-/** Goes round the group in an order drawn anew for each round, so that each is probed in turn. */
+/** Round robin over the group in an order that is shuffled for each round. */
 function nextProbeTarget(step: MembershipStep): Member | null {
   const group = new Map(probeGroup(step.state).map((member) => [member.name, member]));
   let order = step.state.probeOrder.filter((name) => group.has(name));
@@ -111,7 +113,7 @@
   mergeUpdates(step, [{ ...target, status: 'suspect', suspectedBy }]);
 }
 
-/** An ack came for the probe under way. */
+/** Ends the current probe if the ack with this sequence number answers it. */
 export function succeedProbe(step: MembershipStep, sequence: number): void {
   if (step.state.probe?.sequence !== sequence) {
     return;
@@ -119,12 +121,12 @@
   step.change({ probe: null, localHealth: Math.max(0, step.state.localHealth - 1) });
 }
 
-/** A daemon whose own probes fail may itself be slow: it gives others more time (Lifeguard). */
+/** A daemon whose probes fail may itself be slow, so it gives others more time (Lifeguard). */
 function worsenLocalHealth(step: MembershipStep): void {
   step.change({ localHealth: Math.min(MAX_LOCAL_HEALTH, step.state.localHealth + 1) });
 }
 
-/** Gives up the suspects that have not contradicted in time. */
+/** Declares suspects dead that have not refuted the suspicion in time. */
 export function expireSuspicions(step: MembershipStep): void {
   if (step.state.suspicions.size === 0) {
     return;
@@ -140,7 +142,7 @@
   }
 }
 
-/** How long a suspicion lasts: the more daemons share it, the shorter. */
+/** The suspicion timeout: the more daemons confirm the suspicion, the shorter. */
 function suspicionMs(suspicion: Suspicion, groupSize: number): number {
   const minMs = SUSPICION_MULTIPLIER * Math.max(1, Math.log10(groupSize)) * PROBE_INTERVAL_MS;
   const maxConfirmations = Math.min(SUSPICION_CONFIRMATIONS, Math.max(0, groupSize - 3));
@@ -152,7 +154,10 @@
   return minMs * (LONE_SUSPICION_FACTOR - (LONE_SUSPICION_FACTOR - 1) * reduction);
 }
 
-/** After a pause of this process every silence may be its own: all timers start afresh. */
+/**
+ * Extends suspicions and zone timeouts by a pause of this process and abandons the current probe:
+ * missing messages may be due to the pause, not to failures of others.
+ */
 export function restartTimers(step: MembershipStep, pausedMs: number): void {
   const suspicions = new Map(step.state.suspicions);
   for (const [name, suspicion] of suspicions) {
@@ -166,7 +171,7 @@
   step.effects.push(log(MEMBERSHIP_EVENTS.paused, { pausedMs: Math.round(pausedMs) }));
 }
 
-/** Pings a daemon for another one. */
+/** Pings a daemon on behalf of another one (indirect probe). */
 export function probeForAnother(
   step: MembershipStep,
   replyTo: Endpoint,
@@ -182,7 +187,7 @@
   step.change({ relayed: withEntry(step.state.relayed, sequence, relayed) });
 }
 
-/** Passes on the ack of a ping that was sent for another daemon. */
+/** Forwards the ack of a ping that was sent on behalf of another daemon. */
 export function passOnAck(step: MembershipStep, sequence: number): void {
   const relayed = step.state.relayed.get(sequence);
   if (relayed === undefined) {
@@ -195,7 +200,7 @@
   step.effects.push(datagram(relayed.replyTo, ack));
 }
 
-/** Forgets pings for others that were never answered. */
+/** Drops unanswered pings that were sent on behalf of others. */
 export function expireRelayedPings(step: MembershipStep): void {
   for (const [sequence, relayed] of step.state.relayed) {
     if (step.now >= relayed.expiresAt) {
--- a/src/core/membership/queries.ts
+++ b/src/core/membership/queries.ts
@@ -1,4 +1,4 @@
-/** Questions that other parts put to the membership table. */
+/** Queries of the membership state by other components. */
 import type { BackendName, DaemonName, Incarnation, ZoneName } from '../common/identifiers.js';
 import type { MonotonicMs } from '../common/time.js';
 import { hash32 } from '../peer/index.js';
@@ -9,22 +9,22 @@
 import { factsOf } from './table.js';
 
 /**
- * Whether the fleet is so small that all probe one another across zones. The machine list counts
- * too, so that a daemon that has just started does not take a large fleet for a small one.
+ * Whether the fleet is small enough that all daemons probe one another across zones. Listed daemons
+ * count too, so that a daemon that has just started does not mistake a large fleet for a small one.
  */
 export function isOneGroup(state: MembershipState): boolean {
   const present = factsOf(state.members).present.length;
   return Math.max(present, state.listed.length + 1) <= ONE_ZONE_LIMIT;
 }
 
-/** The daemons that this one probes and gossips with; itself excepted. */
+/** The daemons that this one probes and gossips with, excluding itself. */
 export function probeGroup(state: MembershipState): readonly Member[] {
   const { present, zones } = factsOf(state.members);
   const group = isOneGroup(state) ? present : zones.get(state.self.zone)?.present;
   return (group ?? []).filter((member) => member.name !== state.self.name);
 }
 
-/** Whether a zone's heartbeat is still heard. Always true of the own zone and in a small fleet. */
+/** Whether a zone's heartbeat still advances. Always true for the own zone and in a small fleet. */
 export function isZoneReachable(state: MembershipState, zone: ZoneName): boolean {
   if (zone === state.self.zone || isOneGroup(state)) {
     return true;
@@ -33,22 +33,24 @@
   return view !== undefined && state.observedAt - view.heardAt < ZONE_TIMEOUT_MS;
 }
 
-/** Zones that have members but whose heartbeat stands still: cut off or down, which is not known. */
+/**
+ * Zones with members whose heartbeat has stopped: cut off or down, which can't be distinguished.
+ */
 export function unreachableZones(state: MembershipState): readonly ZoneName[] {
   const zones = [...factsOf(state.members).zones.keys()];
   return zones.filter((zone) => !isZoneReachable(state, zone)).sort();
 }
 
-/** The daemons that may be counted on, this one included: alive, in a zone that is heard. */
+/** The daemons that are alive and in a reachable zone, including this one. */
 export function aliveMembers(state: MembershipState): readonly Member[] {
   const zones = [...factsOf(state.members).zones];
   return zones.flatMap(([zone, { alive }]) => (isZoneReachable(state, zone) ? alive : []));
 }
 
 /**
- * The daemons among which duties are shared out: those that may be counted on and, while this one
- * has just started and may not know them yet, those that the machine list names. Without them a
- * starting daemon would take all duties upon itself.
+ * The daemons among which duties are distributed: the alive ones and, until this daemon has had
+ * time to join the fleet, the listed ones that it does not know yet. Without these a starting
+ * daemon would assign all duties to itself.
  */
 export function dutyCandidates(state: MembershipState): readonly WatcherCandidate[] {
   const alive = aliveMembers(state);
@@ -60,12 +62,12 @@
   return [...alive, ...unknown];
 }
 
-/** Whether the machine list may still lack daemons that started when this one did. */
+/** Whether daemons that started together with this one may still be missing in the machine list. */
 export function mayLackDaemons(state: MembershipState, now: MonotonicMs): boolean {
   return state.ownListingAt === null || now - state.ownListingAt < LIST_SETTLE_MS;
 }
 
-/** Whether that life of the daemon, or a later one, has been heard of. */
+/** Whether this incarnation of the daemon, or a later one, is in the table. */
 export function knowsLife(
   state: MembershipState,
   daemon: DaemonName,
@@ -75,9 +77,9 @@
 }
 
 /**
- * Whether that life of the daemon is known to be over: a later life was seen, it announced its
- * leave, or the others gave it up. The last is a conclusion, not a proof: a daemon that is cut off
- * may still run.
+ * Whether this incarnation of the daemon is known to have ended: a later one was seen, it announced
+ * its leave, or it was declared dead. The last is an inference, not a proof: a daemon that is cut
+ * off may still run.
  */
 export function isGone(
   state: MembershipState,
@@ -91,15 +93,16 @@
   return member.incarnation > incarnation || !isPresent(member);
 }
 
-/** What the choice of a watcher needs to know of a daemon. */
+/** The fields of a daemon that the choice of a watcher uses. */
 export interface WatcherCandidate {
   readonly name: DaemonName;
   readonly zone: ZoneName;
 }
 
 /**
- * The daemon that polls an engine: the highest rendezvous hash (Thaler and Ravishankar 1998) among
- * the given daemons of its zone, or among all when its zone has none. Null when there are none.
+ * The daemon that polls an engine: the one with the highest rendezvous hash (Thaler and Ravishankar
+ * 1998) among the given daemons of its zone, or among all when its zone has none. Null when there
+ * are none.
  */
 export function watcherOf(
   engine: BackendName,
@@ -135,7 +138,7 @@
   return factsOf(state.members).zones.get(zone)?.relays ?? [];
 }
 
-/** Where a daemon's peer transport listens, or null for one that is unknown or gone. */
+/** The endpoint of a daemon's peer transport; null if the daemon is unknown, dead or has left. */
 export function endpointOf(state: MembershipState, daemon: DaemonName): Endpoint | null {
   const member = state.members.get(daemon);
   return member !== undefined && isPresent(member) ? member.endpoint : null;
--- a/src/core/membership/settings.ts
+++ b/src/core/membership/settings.ts
@@ -1,54 +1,60 @@
 /** The constants of membership. docs/decisions/membership.md gives the figures behind them. */
 import type { Milliseconds } from '../common/time.js';
 
-/** Each daemon probes one other in each interval. */
+/** Each daemon probes one other daemon per interval. */
 export const PROBE_INTERVAL_MS: Milliseconds = 1_000;
-/** How long a direct probe waits for its ack before others are asked to probe. */
+/** Time after which a probe without ack is followed by indirect probes. */
 export const PROBE_TIMEOUT_MS: Milliseconds = 300;
-/** How many others are asked to probe in one's stead. */
+/** Number of daemons that are asked for an indirect probe. */
 export const INDIRECT_PROBES = 3;
-/** The shortest suspicion, in probe intervals times log10 of the group's size. */
+/** The shortest suspicion timeout, in probe intervals times log10 of the group's size. */
 export const SUSPICION_MULTIPLIER = 3;
-/** The longest suspicion (nobody else suspects the daemon) as a multiple of the shortest. */
+/** The suspicion timeout without confirmations by other daemons, as a multiple of the shortest. */
 export const LONE_SUSPICION_FACTOR = 3;
-/** How many others' suspicions shorten a suspicion to its shortest. */
+/** Number of confirmations by other daemons at which the suspicion timeout is shortest. */
 export const SUSPICION_CONFIRMATIONS = 3;
-/** The highest local health score (0 is healthy); it stretches the own probe's timings. */
+/**
+ * The highest local health score (0 is healthy). The score lengthens the intervals of own probes.
+ */
 export const MAX_LOCAL_HEALTH = 8;
-/** An update is passed on this many times the binary logarithm of the group's size. */
+/** Transmissions of an update, as a multiple of the binary logarithm of the group's size. */
 export const RETRANSMIT_MULTIPLIER = 3;
-/** The updates of one message take at most about this many bytes. */
+/** Approximate limit for the size of the updates in one message. */
 export const MAX_UPDATE_BYTES = 800;
-/** With at most this many daemons in all, they probe one another across zones. */
+/** A fleet of at most this many daemons is one probe group across zones. */
 export const ONE_ZONE_LIMIT = 16;
-/** How many daemons of a zone exchange summaries with other zones. */
+/** Number of daemons in a zone that exchange summaries with other zones. */
 export const RELAYS_PER_ZONE = 2;
-/** How often a relay sends its summary to each other zone. */
+/** Interval at which a relay sends its summary to each other zone. */
 export const RELAY_INTERVAL_MS: Milliseconds = 1_000;
-/** How often each daemon compares its table with that of a random other in its group. */
+/** Interval at which a daemon compares its table with that of a random member of its group. */
 export const SUMMARY_INTERVAL_MS: Milliseconds = 5_000;
-/** Whole tables are sent at most this often. */
+/** Minimum interval between complete tables sent in answer to summaries. */
 export const TABLE_INTERVAL_MS: Milliseconds = 500;
-/** A zone whose heartbeat stands still for this long is taken to be cut off or down. */
+/** A zone whose heartbeat has not advanced for this long is considered cut off or down. */
 export const ZONE_TIMEOUT_MS: Milliseconds = 12_000;
-/** How often daemons that are listed but not known alive are contacted: before the first answer. */
+/** Interval between contacts of unknown or dead daemons while no other daemon is known. */
 export const JOIN_CONTACT_INTERVAL_MS: Milliseconds = 500;
-/** The same once the daemon knows another one. */
+/** The same once another daemon is known. */
 export const CONTACT_INTERVAL_MS: Milliseconds = 2_000;
-/** How many are contacted at once before the first answer. */
+/** Number of daemons contacted at a time while no other daemon is known. */
 export const JOIN_CONTACTS = 3;
-/** How long a dead or departed daemon's last life is remembered. */
+/** How long the entry of a dead or departed daemon is kept. */
 export const GONE_RETENTION_MS: Milliseconds = 600_000;
-/** A gap between ticks longer than this is a pause of this process: timers start afresh. */
+/** A longer gap between ticks counts as a pause of this process, by which timeouts are extended. */
 export const PAUSE_MS: Milliseconds = 1_500;
-/** More updates than this in one table are not passed on one by one: summaries carry them. */
+/** The updates of a larger table are not gossiped one by one: summaries spread them. */
 export const BULK_TABLE_UPDATES = 32;
-/** A planned leave is told to this many others at once. */
+/** Number of daemons that are notified of a planned leave directly. */
 export const LEAVE_FANOUT = 16;
 /**
- * After the machine list has first named a daemon, others that started with it may still be missing there: they are
- * listed, and have found it, by the second reading and the first contact after that.
+ * How long after the machine list first names this daemon others that started with it may still be
+ * missing there. Covers the second read of the list and the first contact after it, by which time
+ * the others are listed and have contacted this daemon.
  */
 export const LIST_SETTLE_MS: Milliseconds = 2_500;
-/** How long after its start a daemon leaves duties to listed daemons that it does not know yet. */
+/**
+ * How long after its start a daemon assigns duties also to listed daemons that it does not know
+ * yet.
+ */
 export const JOIN_SETTLE_MS: Milliseconds = 10_000;
--- a/src/core/membership/state.ts
+++ b/src/core/membership/state.ts
@@ -1,4 +1,4 @@
-/** Membership's state, and the working copy that one step fills in. */
+/** Membership's state, and the working copy of one step. */
 import type { DaemonName, Incarnation, ZoneName } from '../common/identifiers.js';
 import type { MonotonicMs } from '../common/time.js';
 import type { StepContext, Transition } from '../common/transition.js';
@@ -8,17 +8,18 @@
 import type { Member } from './member.js';
 import { forgetFacts } from './table.js';
 
-/** Who this daemon is. */
 export interface MembershipIdentity {
   readonly name: DaemonName;
   readonly zone: ZoneName;
   /** Where its peer transport listens. */
   readonly endpoint: Endpoint;
-  /** Must grow with each start, for example the wall-clock time of the start in milliseconds. */
+  /**
+   * Must increase with each start, for example the wall-clock time of the start in milliseconds.
+   */
   readonly incarnation: Incarnation;
 }
 
-/** A probe under way. */
+/** The probe in progress. */
 export interface Probe {
   readonly target: DaemonName;
   readonly incarnation: Incarnation;
@@ -28,38 +29,37 @@
   readonly indirectSent: boolean;
 }
 
-/** A ping sent for another daemon. */
+/** A ping sent on behalf of another daemon. */
 export interface RelayedPing {
   readonly replyTo: Endpoint;
   readonly sequence: number;
   readonly expiresAt: MonotonicMs;
 }
 
-/** A suspicion that ends in death unless it is contradicted. */
+/** A suspicion. When it expires without a refutation, the member is declared dead. */
 export interface Suspicion {
   readonly startedAt: MonotonicMs;
   readonly suspectedBy: readonly DaemonName[];
 }
 
-/** What is known of a zone's heartbeat. */
+/** The latest known heartbeat of a zone and when it last advanced. */
 export interface ZoneView {
   readonly heartbeat: number;
   readonly heardAt: MonotonicMs;
 }
 
-/** Everything that membership remembers. */
 export interface MembershipState {
   readonly self: MembershipIdentity;
-  /** Contains this daemon too. */
+  /** Includes this daemon. */
   readonly members: ReadonlyMap<DaemonName, Member>;
-  /** The machine list's daemons, this one excepted. */
+  /** The daemons in the machine list, excluding this one. */
   readonly listed: readonly DaemonMachine[];
   /** When the machine list first named this daemon; null before. */
   readonly ownListingAt: MonotonicMs | null;
   readonly seeds: readonly Endpoint[];
   readonly zones: ReadonlyMap<ZoneName, ZoneView>;
   readonly suspicions: ReadonlyMap<DaemonName, Suspicion>;
-  /** Updates to pass on, with how often each has been sent. */
+  /** Members whose updates are gossiped, with the number of times each has been sent. */
   readonly gossip: ReadonlyMap<DaemonName, number>;
   readonly probe: Probe | null;
   /** Members still to be probed in this round. */
@@ -79,10 +79,9 @@
   readonly observedAt: MonotonicMs;
 }
 
-/** What membership asks of the shell. */
 export type MembershipEffect = PeerEffect | LogEffect;
 
-/** One step's working copy: functions replace `state` and append to `effects`. */
+/** The working copy of one step: functions replace `state` and append to `effects`. */
 export class MembershipStep {
   state: MembershipState;
   readonly effects: MembershipEffect[] = [];
@@ -102,7 +101,7 @@
     this.entropy = context.entropy;
   }
 
-  /** The step's random draws. */
+  /** The random generator of this step. */
   get random(): StepRandom {
     this.generator ??= new StepRandom(this.entropy);
     return this.generator;
@@ -113,7 +112,7 @@
     this.state = { ...this.state, ...fields };
   }
 
-  /** Replaces or adds a member. The table is copied once in a step. */
+  /** Replaces or adds a member. The table is copied at most once per step. */
   putMember(member: Member): void {
     if (this.state.members !== this.ownTable) {
       this.ownTable = new Map(this.state.members);
@@ -123,7 +122,7 @@
     forgetFacts(this.state.members);
   }
 
-  /** Marks a member's entry as news to be passed on. */
+  /** Queues a member's entry for gossip. */
   passOn(name: DaemonName): void {
     if (this.state.gossip !== this.ownGossip) {
       this.ownGossip = new Map(this.state.gossip);
@@ -132,14 +131,14 @@
     this.ownGossip?.set(name, 0);
   }
 
-  /** Takes the next sequence number for a ping. */
+  /** Returns a new sequence number for a ping. */
   takeSequence(): number {
     const sequence = this.state.sequence;
     this.change({ sequence: sequence + 1 });
     return sequence;
   }
 
-  /** This daemon's own entry. */
+  /** This daemon's entry in the table. */
   get self(): Member {
     return this.state.members.get(this.state.self.name) as Member;
   }
@@ -150,7 +149,7 @@
   }
 }
 
-/** The state at a daemon's start: it knows only itself. */
+/** The initial state of a daemon: it knows only itself. */
 export function createMembership(
   self: MembershipIdentity,
   seeds: readonly Endpoint[] = [],
--- a/src/core/membership/step.ts
+++ b/src/core/membership/step.ts
@@ -33,15 +33,17 @@
   sendSummary,
 } from './zones.js';
 
-/** What membership listens to. Ticks are wanted about every 100 ms. */
+/** Events of membership. Ticks should arrive about every 100 ms. */
 export type MembershipEvent =
   | { readonly kind: 'tick' }
   | PeerReceivedEvent
   /** The machine list was read. */
   | { readonly kind: 'daemons-listed'; readonly daemons: readonly DaemonMachine[] }
-  /** This daemon is about to stop: it gives up its duties but goes on answering. */
+  /** This daemon is about to stop. It leaves its duties but goes on answering messages. */
   | { readonly kind: 'leave' }
-  /** A row of the table names a life of a daemon, which may have ended before it was known here. */
+  /**
+   * A row of the table service names an incarnation, which may have ended before it was known here.
+   */
   | { readonly kind: 'life-named'; readonly daemon: DaemonName; readonly incarnation: Incarnation }
   /** A configuration version came into force on this daemon. */
   | { readonly kind: 'version-in-force'; readonly version: number };
@@ -83,7 +85,10 @@
   step.change({ listed, ownListingAt: ownListingAt ?? (namesSelf ? step.now : null) });
 }
 
-/** A life that has not been heard from is suspected: it contradicts, or is given up in time. */
+/**
+ * Suspects an incarnation that this daemon does not know. If it still runs it refutes the
+ * suspicion; otherwise the suspicion expires and it is declared dead.
+ */
 function suspectUnknownIncarnation(
   step: MembershipStep,
   daemon: DaemonName,
@@ -190,7 +195,7 @@
   step.effects.push(datagram(to, { kind: 'ack', sequence, updates, heartbeats }));
 }
 
-/** Remembers which configuration version the sender has in force. */
+/** Records which configuration version the sender has in force. */
 function recordVersion(step: MembershipStep, event: PeerReceivedEvent): void {
   const { sender, incarnation, inForce } = event.header;
   const member = step.state.members.get(sender);
--- a/src/core/membership/table.ts
+++ b/src/core/membership/table.ts
@@ -1,6 +1,6 @@
 /**
- * What follows from the table of members, worked out once for each table: tables are replaced, not
- * changed, so the outcome is remembered by the table's identity.
+ * Data derived from the member table, computed once per table. Tables are replaced rather than
+ * changed, so the result is cached by the table's identity.
  */
 import type { DaemonName, ZoneName } from '../common/identifiers.js';
 import { hash32 } from '../peer/index.js';
@@ -12,16 +12,15 @@
 
 /** One zone's members. */
 export interface ZoneMembers {
-  /** Alive or suspected. */
+  /** Members that are alive or suspected. */
   readonly present: readonly Member[];
   readonly alive: readonly Member[];
   /** The daemons that exchange summaries with other zones. */
   readonly relays: readonly Member[];
-  /** Equal on daemons that know the same lives and refutations. */
+  /** Equal on daemons that know the same incarnations and refutations. */
   readonly hash: number;
 }
 
-/** What follows from a table. */
 export interface TableFacts {
   readonly present: readonly Member[];
   /** Zones with at least one present member. */
@@ -30,7 +29,7 @@
 
 const indexCache = new WeakMap<MemberTable, TableFacts>();
 
-/** What follows from the table. */
+/** The data derived from a table, from the cache if present. */
 export function factsOf(table: MemberTable): TableFacts {
   let index = indexCache.get(table);
   if (index === undefined) {
@@ -40,7 +39,10 @@
   return index;
 }
 
-/** Must be called after a table that is not shared yet was changed in place. */
+/**
+ * Drops the cached data of a table. Must be called after a table not shared yet was changed in
+ * place.
+ */
 export function forgetFacts(table: MemberTable): void {
   indexCache.delete(table);
 }
@@ -69,7 +71,7 @@
   return { present, alive, relays: chooseRelays(alive), hash: hash >>> 0 };
 }
 
-/** The same choice on every daemon that knows the same members. */
+/** Chooses the same relays on every daemon that knows the same members. */
 function chooseRelays(alive: readonly Member[]): readonly Member[] {
   return alive
     .map((member) => ({ member, hash: hash32(`relay ${member.name}`) }))
--- a/src/core/membership/zones.ts
+++ b/src/core/membership/zones.ts
@@ -1,4 +1,4 @@
-/** Exchange of whole tables: between zones by their relays, within a group to repair lost news. */
+/** Exchange of complete tables: between zones by relays, within a group to repair lost updates. */
 import type { ZoneName } from '../common/identifiers.js';
 import {
   datagram,
@@ -21,7 +21,7 @@
 import { type MembershipState, type MembershipStep, withEntry } from './state.js';
 import { factsOf } from './table.js';
 
-/** Sends summaries to other zones (relays) and to a random member of the group, when it is time. */
+/** Sends summaries when due: as a relay to other zones, and to a random member of the group. */
 export function exchangeSummaries(step: MembershipStep): void {
   if (step.now >= step.state.nextRelayAt) {
     step.change({ nextRelayAt: step.now + RELAY_INTERVAL_MS });
@@ -55,7 +55,9 @@
   }
 }
 
-/** A zone's relays; when it is not heard, any of its members, since its relays may be gone. */
+/**
+ * A zone's relays or, if the zone is unreachable, any of its members, as its relays may be down.
+ */
 function summaryReceivers(state: MembershipState, zone: ZoneName): readonly Member[] {
   if (isZoneReachable(state, zone)) {
     return relaysOf(state, zone);
@@ -72,7 +74,6 @@
   step.effects.push(datagram(to, { kind: 'table-summary', replyTo, zones }));
 }
 
-/** Each zone's hash and heartbeat. */
 function summarize(state: MembershipState): readonly ZoneSummary[] {
   return [...factsOf(state.members).zones].map(([zone, { hash }]) => ({
     zone,
@@ -81,7 +82,9 @@
   }));
 }
 
-/** Answers a summary that differs from the own one with whole tables. */
+/**
+ * Answers a summary that differs from the own one with the complete tables of the differing zones.
+ */
 export function compareSummary(
   step: MembershipStep,
   replyTo: Endpoint,
@@ -114,7 +117,7 @@
   step.effects.push(stream(to, { kind: 'table', replyTo, zones, members, answerWanted }));
 }
 
-/** Takes in whole tables and answers with the own ones when asked. */
+/** Merges complete tables and answers with the own ones if requested. */
 export function receiveTable(
   step: MembershipStep,
   table: {
@@ -131,7 +134,6 @@
   }
 }
 
-/** Takes in several zones' heartbeats. */
 export function hearZones(step: MembershipStep, heartbeats: readonly ZoneHeartbeat[]): void {
   for (const { zone, heartbeat } of heartbeats) {
     recordHeartbeat(step, zone, heartbeat);
--- a/src/core/peer/hash.ts
+++ b/src/core/peer/hash.ts
@@ -1,4 +1,4 @@
-/** Hashes by which daemons spread duties and notice differing tables; the same on every daemon. */
+/** Hashes for distributing duties and comparing tables. They are equal on every daemon. */
 import { avalanche, EMPTY_HASH, hashText, hashToHexadecimal } from '../common/hash.js';
 
 /** A 32-bit hash of a text. */
--- a/src/core/peer/index.ts
+++ b/src/core/peer/index.ts
@@ -1,4 +1,4 @@
-/** Messages between daemons and the small tools that the parts which send them share. */
+/** Messages between daemons, and helpers shared by the components that send them. */
 export { contentHash, hash32 } from './hash.js';
 export type {
   ConfigurationMessage,
--- a/src/core/peer/messages.ts
+++ b/src/core/peer/messages.ts
@@ -1,6 +1,6 @@
 /**
- * What daemons say to one another. docs/PEER-PROTOCOL.md gives the wire form; the shell checks
- * every decoded message against these types before the core sees it.
+ * Messages between daemons. docs/PEER-PROTOCOL.md specifies the wire format; the shell validates
+ * every decoded message against these types before the core receives it.
  */
 
 import type {
@@ -14,47 +14,47 @@
 import type { ConfigurationDocument } from '../configuration/document.js';
 import type { Endpoint, EngineReport } from '../registry/backend.js';
 
-/** Stands before every message and says whose it is. */
+/** The header of every message; identifies the sender. */
 export interface PeerHeader {
   readonly sender: DaemonName;
   readonly incarnation: Incarnation;
   /**
-   * The sender's monotonic clock, in whole milliseconds rounded down. It means something only to the
-   * sender, who gets it back as an echo; earlier is the safe side there.
+   * The sender's monotonic clock in whole milliseconds. It is meaningful only to the sender, which
+   * gets it back as an echo. Rounded down, as an earlier time gives a shorter grant: the safe side.
    */
   readonly sentAt: MonotonicMs;
-  /** The version of the configuration in force on the sender; null before it has one. */
+  /** The version of the configuration in force on the sender; null before there is one. */
   readonly inForce: number | null;
-  /** The highest version that the sender has heard of. */
+  /** The highest version known to the sender. */
   readonly highestVersion: number;
 }
 
-/** `left` is a planned stop that the daemon announced itself; `dead` is what the others concluded. */
+/** `left`: the daemon announced a planned stop. `dead`: the other daemons detected a failure. */
 export type MemberStatus = 'alive' | 'suspect' | 'dead' | 'left';
 
-/** What is passed on about one daemon. */
+/** The gossiped state of one daemon. */
 export interface MemberUpdate {
   readonly name: DaemonName;
   readonly zone: ZoneName;
   readonly endpoint: Endpoint;
-  /** The daemon's life: grows with each start. */
+  /** Increases with each start of the daemon. */
   readonly incarnation: Incarnation;
-  /** Grows within a life each time the daemon contradicts a suspicion. */
+  /** Increases within an incarnation each time the daemon refutes a suspicion. */
   readonly refutation: number;
   readonly status: MemberStatus;
-  /** Who suspects it; null unless `status` is `suspect`. */
+  /** The daemon that suspects this one; null unless `status` is `suspect`. */
   readonly suspectedBy: DaemonName | null;
 }
 
-/** A zone's membership in short: equal hashes mean equal tables. */
+/** A summary of a zone's members: equal hashes mean equal tables. */
 export interface ZoneSummary {
   readonly zone: ZoneName;
   readonly hash: number;
-  /** Grows while any relay of the zone runs; a zone whose heartbeat stands still is cut off or down. */
+  /** Increases while any relay of the zone runs. If it stops, the zone is cut off or down. */
   readonly heartbeat: number;
 }
 
-/** A zone's heartbeat alone, as pings carry it. */
+/** A zone's heartbeat without its hash, as carried by pings and acks. */
 export interface ZoneHeartbeat {
   readonly zone: ZoneName;
   readonly heartbeat: number;
@@ -65,7 +65,10 @@
   | {
       readonly kind: 'ping';
       readonly sequence: number;
-      /** Whom it is meant for: another daemon under the same address must not answer. */
+      /**
+       * The intended receiver: another daemon at the same address must not answer. Empty when the
+       * sender does not know which daemon is there; then any daemon answers.
+       */
       readonly target: DaemonName;
       readonly updates: readonly MemberUpdate[];
       readonly heartbeats: readonly ZoneHeartbeat[];
@@ -76,7 +79,7 @@
       readonly updates: readonly MemberUpdate[];
       readonly heartbeats: readonly ZoneHeartbeat[];
     }
-  /** Asks a third daemon to ping `target` and to pass on its ack under `sequence`. */
+  /** Asks a third daemon to ping `target` and to forward its ack with `sequence`. */
   | {
       readonly kind: 'ping-request';
       readonly sequence: number;
@@ -89,7 +92,7 @@
       readonly replyTo: Endpoint;
       readonly zones: readonly ZoneSummary[];
     }
-  /** Whole zones' tables over a stream; `answerWanted` asks for the receiver's in return. */
+  /** Complete tables of zones, over a stream; `answerWanted` requests the receiver's in return. */
   | {
       readonly kind: 'table';
       readonly replyTo: Endpoint;
@@ -98,7 +101,7 @@
       readonly answerWanted: boolean;
     };
 
-/** The part of a report that seldom changes. */
+/** The fields of a report that seldom change. */
 export type EngineInventory = Pick<
   EngineReport,
   'boot' | 'role' | 'models' | 'fence' | 'lastOrder' | 'maxBatch'
@@ -109,31 +112,40 @@
   extends Pick<EngineReport, 'engine' | 'intake' | 'busy' | 'leaving' | 'activeRequests' | 'load'> {
   /** A hash of the inventory. */
   readonly revision: number;
-  /** Null where the receiver said that it has the inventory of this revision. */
+  /** Null if the receiver has stated that it has the inventory of this revision. */
   readonly inventory: EngineInventory | null;
-  /** How long before the digest was sent the watcher asked for the report, by the watcher's clock. */
+  /** The time from the watcher's poll to the sending of this digest, by the watcher's clock. */
   readonly ageMs: Milliseconds;
 }
 
-/** An engine that a daemon wants to hear of, with the revision that it has; null for none. */
+/**
+ * An engine of which a daemon requests digests, with the inventory revision it has; null for none.
+ */
 export interface EngineInterest {
   readonly engine: BackendName;
   readonly revision: number | null;
 }
 
-/** A message that the sender has had from the receiver, told back so that clocks can be related. */
+/**
+ * Refers to a message that the sender received from the receiver, so that their clocks can be
+ * related.
+ */
 export interface Echo {
-  /** The receiver's life that sent it: clocks of different lives can't be compared. */
+  /**
+   * The receiver's incarnation that sent it: clocks of different incarnations can't be compared.
+   */
   readonly incarnation: Incarnation;
   /** That message's `sentAt`, by the receiver's clock. */
   readonly sentAt: MonotonicMs;
-  /** How long before this message was sent it came, by the sender's clock. */
+  /**
+   * The time from the arrival of that message to the sending of this one, by the sender's clock.
+   */
   readonly ageMs: Milliseconds;
 }
 
-/** News of engines, from the daemon that polls them to those that use them. */
+/** Digests of engines, from the daemon that polls them to the daemons that use them. */
 export type DigestMessage =
-  /** The engines that the sender wants to hear of for a while. */
+  /** The engines of which the sender requests digests for the lifetime of an interest. */
   | { readonly kind: 'engine-interest'; readonly engines: readonly EngineInterest[] }
   | {
       readonly kind: 'engine-digest';
@@ -141,9 +153,11 @@
       readonly engines: readonly EngineDigest[];
     };
 
-/** Configuration's messages. */
+/** Messages that distribute configurations. */
 export type ConfigurationMessage =
-  /** A new version is in force on the sender; `origin` wants to hear when it is on the receiver. */
+  /**
+   * A version is in force on the sender. The receiver confirms its own to `origin`, unless null.
+   */
   | {
       readonly kind: 'configuration-announce';
       readonly version: number;
@@ -156,12 +170,16 @@
       readonly hash: string;
       readonly document: ConfigurationDocument;
     }
-  /** Too many pulls at once: ask another daemon. */
+  /**
+   * Declines a pull because of too many recent ones; the receiver should pull from another daemon.
+   */
   | { readonly kind: 'configuration-busy'; readonly version: number }
-  /** The version that is in force on the sender, told to the daemon that recorded a change. */
+  /** The version in force on the sender, confirmed to the daemon that recorded a change. */
   | { readonly kind: 'configuration-confirm'; readonly version: number };
 
-/** What a daemon has had done in a pool since its last such message; to the pool's candidates. */
+/**
+ * A daemon's answered requests in a pool since its last such message, for the pool's candidates.
+ */
 export interface DemandMessage {
   readonly kind: 'demand';
   readonly pool: PoolName;
@@ -173,10 +191,10 @@
 /** Any message between daemons. */
 export type PeerMessage = MembershipMessage | DigestMessage | ConfigurationMessage | DemandMessage;
 
-/** Datagrams carry at most 1,200 bytes and may be lost; a stream carries more. */
+/** Datagrams carry at most 1,200 bytes and may be lost; a stream carries larger messages. */
 export type PeerChannel = 'datagram' | 'stream';
 
-/** Asks the shell to send a message. Nothing says whether it arrived. */
+/** Asks the shell to send a message. Delivery is not confirmed. */
 export interface PeerEffect {
   readonly kind: 'peer-send';
   readonly to: Endpoint;
@@ -187,18 +205,18 @@
 /** An authenticated, well-formed message from another daemon. */
 export interface PeerReceivedEvent {
   readonly kind: 'peer-received';
-  /** For a datagram, where it came from; for a stream, the far end of the connection. */
+  /** The source address of a datagram or the remote end of a stream's connection. */
   readonly from: Endpoint;
   readonly header: PeerHeader;
   readonly message: PeerMessage;
 }
 
-/** Sends a datagram. */
+/** An effect that sends a datagram. */
 export function datagram(to: Endpoint, message: PeerMessage): PeerEffect {
   return { kind: 'peer-send', to, channel: 'datagram', message };
 }
 
-/** Sends over a stream. */
+/** An effect that sends over a stream. */
 export function stream(to: Endpoint, message: PeerMessage): PeerEffect {
   return { kind: 'peer-send', to, channel: 'stream', message };
 }
--- a/src/core/peer/random.ts
+++ b/src/core/peer/random.ts
@@ -1,11 +1,11 @@
 /**
- * Several random numbers out of the one that a step is given. A step that needs more than one draw
- * makes a generator of `context.entropy`; the same entropy gives the same draws.
+ * Derives several random numbers from the one that a step receives. A step that needs more than one
+ * seeds a generator with `context.entropy`; the same entropy gives the same sequence.
  */
 import { uniformInt } from 'pure-rand/distribution/uniformInt';
 import { xorshift128plus } from 'pure-rand/generator/xorshift128plus';
 
-/** Draws for one step. Short-lived: made and dropped within a step. */
+/** The random generator of one step, not kept beyond it. */
 export class StepRandom {
   private readonly generator;
 
@@ -13,12 +13,12 @@
     this.generator = xorshift128plus(entropy);
   }
 
-  /** A whole number from 0 up to but not including `limit`, which must be positive. */
+  /** An integer from 0 (inclusive) to `limit` (exclusive), which must be positive. */
   below(limit: number): number {
     return uniformInt(this.generator, 0, limit - 1);
   }
 
-  /** A new array in random order (Fisher and Yates). */
+  /** A copy of the array in random order (Fisher-Yates). */
   shuffled<Item>(items: readonly Item[]): Item[] {
     const result = [...items];
     for (let last = result.length - 1; last > 0; last -= 1) {
--- a/test/daemon/gateway-loader.test.ts
+++ b/test/daemon/gateway-loader.test.ts
@@ -1,4 +1,4 @@
-/** The loader of the bundled gateway runs the bundle whatever became of the code compiled by the build. */
+/** The loader runs the gateway bundle whether or not its precompiled code is usable. */
 import assert from 'node:assert/strict';
 import { copyFileSync, mkdtempSync, rmSync, writeFileSync } from 'node:fs';
 import { createRequire } from 'node:module';
@@ -14,7 +14,7 @@
 
 const requireFile = createRequire(import.meta.url);
 
-/** A loader beside a small bundle, in a folder of its own. */
+/** Runs `run` with a loader and a small bundle in a temporary folder. */
 function withLoader(run: (loader: Loader, bundle: string) => void): void {
   const folder = mkdtempSync(join(tmpdir(), 'threadfork-loader-'));
   try {
@@ -27,11 +27,11 @@
   }
 }
 
-test('a bundle without compiled code runs', () => {
+test('a bundle without a file of compiled code runs', () => {
   withLoader(({ loadBundle }) => assert.equal(loadBundle().exports.answer(), 42));
 });
 
-test('compiled code that is none is passed over', () => {
+test('a file that is not compiled code is rejected and the bundle runs from source', () => {
   withLoader(({ loadBundle, COMPILED }, bundle) => {
     writeFileSync(bundle, 'exports.answer = () => 43;');
     writeFileSync(COMPILED, 'not compiled code');
--- a/test/daemon/log-lines.test.ts
+++ b/test/daemon/log-lines.test.ts
@@ -1,4 +1,4 @@
-/** The lines that a daemon writes about its callers' listener and about engines. */
+/** Log lines of a daemon about its listener for callers and about engine polls. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import { err, ok } from 'neverthrow';
@@ -14,7 +14,7 @@
 const ANY = '127.0.0.1:0';
 const ENDPOINT = { address: '127.0.0.1', port: 1 };
 
-/** A logger that keeps number and fields of each line. */
+/** A logger that stores the event number and the fields of each line. */
 function memoryLogger() {
   const lines: { number: number; fields: LogFields }[] = [];
   const logger: Logger = {
@@ -41,7 +41,7 @@
   assert.deepEqual(stopping, [2000, 1001, 2001, 1002]);
 });
 
-test('polls of an engine are logged as it falls silent, is mistaken and comes back', async () => {
+test('a daemon logs when an engine stops answering, when another engine answers for it, and when it recovers', async () => {
   const { logger, lines, numbers } = memoryLogger();
   const silent = err(refusedNotRun('backend-broken', 'no answer'));
   const answers = [silent, silent, ok(report('y')), ok(report('x')), silent, silent];
--- a/test/daemon/readiness.test.ts
+++ b/test/daemon/readiness.test.ts
@@ -1,4 +1,4 @@
-/** When a daemon says that it is ready. */
+/** Conditions under which a daemon reports itself as ready. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import { EMPTY_CONFIGURATION } from '../../src/core/configuration/document.js';
@@ -24,7 +24,7 @@
 
 const REPORT = engineReport('e1');
 
-/** A daemon with a configuration in force that has just started. */
+/** A daemon that has just started and has a configuration in force. */
 function configured(): DaemonState {
   const state = createDaemonState({
     name: 'd1',
@@ -45,16 +45,20 @@
   );
 }
 
-test('a daemon that knows no engine yet is not ready, though its configuration is in force', () => {
+test('a daemon with a configuration in force is not ready before an engine has reported', () => {
   const started = configured();
-  assert.equal(readinessOf(started).ready, false, 'ready before the machine list was read');
+  assert.equal(
+    readinessOf(started).ready,
+    false,
+    'daemon is ready before the machine list was read',
+  );
   const listed = after(started, { kind: 'machines-listed', machines: [ENGINE] }, { kind: 'tick' });
-  assert.equal(readinessOf(listed).ready, false, 'ready before any engine has reported');
+  assert.equal(readinessOf(listed).ready, false, 'daemon is ready before any engine has reported');
   const report = { kind: 'engine-report', engine: 'e1', askedAt: 900, report: REPORT } as const;
   assert.deepEqual(readinessOf(after(listed, report)), { ready: true, reason: '' });
 });
 
-test('a fleet without engines needs no report, and a stopping daemon is never ready', () => {
+test('a daemon in a fleet without engines is ready without a report; a stopping daemon is not ready', () => {
   const listed = after(configured(), { kind: 'machines-listed', machines: [] });
   assert.equal(readinessOf(listed).ready, true);
   assert.equal(readinessOf(after(listed, { kind: 'stop' })).ready, false);
--- a/test/daemon/role-planning.test.ts
+++ b/test/daemon/role-planning.test.ts
@@ -1,4 +1,6 @@
-/** How daemons' work reaches a pool's planner, and how its plan reaches the controller. */
+/**
+ * How the daemons' demand reaches a pool's role planner, and how its plan reaches the controller.
+ */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import { EMPTY_CONFIGURATION } from '../../src/core/configuration/document.js';
@@ -24,7 +26,7 @@
   return { kind: 'request-ended', description: DESCRIPTION, result, ...counts };
 }
 
-test('work counts once, for the pool of the engine that answered, until it is told', () => {
+test('an answered request counts once, for the pool of the engine that answered, until the counts are taken', () => {
   const meter = new DemandMeter();
   const poolOf = (backend: string) => (backend === 'viewer' ? null : `pool-of-${backend}`);
   meter.note(started('e1'), poolOf);
@@ -40,7 +42,7 @@
   assert.equal(meter.take().size, 0);
 });
 
-test('what all daemons tell is summed, and forgotten once it was thought over', () => {
+test('demand reported by all daemons is summed and cleared by the next evaluation', () => {
   const received = { requests: 2, promptTokens: 100, outputTokens: 10 };
   const summed = hearDemand(hearDemand(INITIAL_ROLE_PLANNING, 'p', received), 'p', received);
   assert.deepEqual(summed.heard.get('p'), { requests: 4, promptTokens: 200, outputTokens: 20 });
@@ -48,13 +50,17 @@
   const { document } = EMPTY_CONFIGURATION;
   const { planning } = evaluatePlans(summed, held, document, { now: 50_000, entropy: 0 });
   assert.equal(planning.heard.size, 0);
-  assert.ok(planning.planners.get('p')?.demand !== null, 'the planner heard of the work');
+  assert.ok(planning.planners.get('p')?.demand !== null, 'the planner received no demand');
   assert.equal(planning.nextAt, 60_000);
   const lost = evaluatePlans(planning, [], document, { now: 60_000, entropy: 0 });
-  assert.equal(lost.planning.planners.size, 0, 'the planner of a pool that is not held is kept');
+  assert.equal(
+    lost.planning.planners.size,
+    0,
+    'the planner of a pool whose lease is not held was kept',
+  );
 });
 
-test('a plan holds for the life of the engine that it was made for', () => {
+test('a planned role applies only to the engine boot that it was made for', () => {
   const plan = { engine: 'e1', role: 'decode', boot: 'b1', reason: 'gain' } as const;
   const planner = { ...initialRolePlannerState(), planned: new Map([['e1', plan]]) };
   const planning = { ...INITIAL_ROLE_PLANNING, planners: new Map([['p', planner]]) };
--- a/test/daemon/store-rows.test.ts
+++ b/test/daemon/store-rows.test.ts
@@ -1,11 +1,11 @@
-/** The tables that operators read from the table service. */
+/** Rows of the operators' tables that are stored in the table service. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import { createDaemonState } from '../../src/core/daemon/index.js';
 import { initialPoolDuty } from '../../src/core/daemon/pool-duty.js';
 import { STORED_TABLES, withOwnRemainingTime } from '../../src/core/daemon/tables/index.js';
 
-test('a change shows who made it and when, and older rows without either are still shown', () => {
+test('a change row shows its operator and time; an older row without these fields is still shown', () => {
   const value = { version: 3, digest: 'd', description: ['a'] };
   const rowOf = (extra: object) =>
     STORED_TABLES.changes?.rowOf({ key: 'change/x', version: 1, value: { ...value, ...extra } });
@@ -20,7 +20,7 @@
   });
 });
 
-test('only the holder of a lease shows how long it lasts', () => {
+test('only the holder of a lease shows its remaining time, and only until the lease expires', () => {
   const state = createDaemonState({
     name: 'd1',
     zone: 'z',
--- a/test/daemon/traffic.test.ts
+++ b/test/daemon/traffic.test.ts
@@ -1,4 +1,4 @@
-/** The request path of a daemon: what it asks of routing. */
+/** The request path of a daemon: which backends it chooses. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import { Traffic } from '../../src/core/daemon/traffic.js';
@@ -13,7 +13,7 @@
   return view(report(name, { models: [{ model: 'labels', version, adapters: [] }] }));
 }
 
-/** A daemon's request path in the middle of a roll from v1 to v2. */
+/** A daemon's request path during a rolling update from v1 to v2. */
 function trafficInRoll(): Traffic {
   const endpoint = { address: '127.0.0.1', port: 1 };
   const self = { name: 'd1', zone: 'a', incarnation: 1, endpoint };
@@ -35,11 +35,11 @@
 
 function dispatchIn(effects: readonly RequestTableEffect[]) {
   const dispatch = effects.find((effect) => effect.kind === 'dispatch');
-  assert.ok(dispatch !== undefined, 'nothing was dispatched');
+  assert.ok(dispatch !== undefined, 'no dispatch among the effects');
   return dispatch;
 }
 
-test('a broken stream goes on with a holder of the version that wrote its beginning', () => {
+test('a broken stream resumes on another engine with the model version that produced its beginning', () => {
   const resumedOn = new Set<string>();
   for (let entropy = 0; entropy < 60; entropy += 1) {
     const traffic = trafficInRoll();
@@ -60,7 +60,7 @@
   assert.deepEqual([...resumedOn].sort(), ['v1', 'v2']);
 });
 
-test('a dispatch to an engine carries the end of its grant', () => {
+test("a dispatch to an engine carries the end of the engine's grant as `sendBefore`", () => {
   const description = request();
   const context = { now: NOW, entropy: 1 };
   const arrived = { kind: 'request-arrived', description } as const;
--- a/test/digest/digest.test.ts
+++ b/test/digest/digest.test.ts
@@ -17,7 +17,10 @@
 
 const ENDPOINT = { address: '10.0.0.1', port: 7000 };
 
-/** By the true time, the reports of the simulation's engines being marked with their asking. */
+/**
+ * Asserts that no grant outlasts `GRANT_MS` after the true poll time, which simulated engines put
+ * into `load.ageMs`. Returns the number of grants in force.
+ */
 function assertGrantsAreSafe(fleet: FleetSimulation): number {
   let granted = 0;
   for (const { daemon, clockOffset, name } of fleet.places) {
@@ -25,7 +28,10 @@
       if (view.report !== null) {
         const trulyAskedAt = view.report.load.ageMs;
         const until = view.grantedUntil - clockOffset;
-        assert.ok(until <= trulyAskedAt + GRANT_MS, `${name} may send ${until - trulyAskedAt} ms`);
+        assert.ok(
+          until <= trulyAskedAt + GRANT_MS,
+          `${name} may send until ${until - trulyAskedAt} ms after the poll`,
+        );
         granted += until > fleet.time.now ? 1 : 0;
       }
     }
@@ -33,7 +39,7 @@
   return granted;
 }
 
-test('a grant ends in time whatever the clocks, the delays and a drift within the margin', () => {
+test('a relayed grant ends in time for any clock offset and delay and any drift within the margin', () => {
   const span = fc.double({ min: 0, max: 10_000, noNaN: true });
   fc.assert(
     fc.property(
@@ -64,7 +70,7 @@
   );
 });
 
-test('through loss, delays, pauses, restarts and cuts no daemon holds a grant for too long', () => {
+test('under loss, delays, pauses, restarts and partitions no daemon holds a grant for too long', () => {
   for (const seed of [1, 2]) {
     const network = { loss: 0.05, duplication: 0.05, maxDelayMs: 400 };
     const fleet = startFleet({ seed, daemons: 5, engines: 8, network });
@@ -85,11 +91,11 @@
         granted += assertGrantsAreSafe(fleet);
       }
     }
-    assert.ok(granted > 1_000, 'no grants to judge');
+    assert.ok(granted > 1_000, 'too few grants were checked');
   }
 });
 
-test('an echo of an earlier life of this daemon is not believed', () => {
+test('a digest that echoes an earlier incarnation of this daemon is ignored', () => {
   const identity = { name: 'a', zone: 'z', endpoint: ENDPOINT, incarnation: 2 };
   const membership = createMembership(identity);
   const context = { now: 100, entropy: 1 };
@@ -123,7 +129,7 @@
   assert.equal(receive(2), 90);
 });
 
-test('an inventory is left out for who has it, and a digest without one is no report for others', () => {
+test('a digest omits an inventory that the receiver has; without that inventory it yields no report', () => {
   const report = someReport('engine-1');
   const revision = revisionOf(report);
   const own = { report, revision, askedAt: 0 };
@@ -140,7 +146,7 @@
   assert.notEqual(revisionOf({ ...report, role: 'decode' }), revision);
 });
 
-test('each engine is asked by its one watcher, and by another one after that is killed', () => {
+test('each engine is polled by exactly one watcher, and by another one after the watcher is killed', () => {
   const fleet = startFleet({ daemons: 4, zones: 2, engines: 8 });
   fleet.run(15_000);
   const watchers = () => [...fleet.polls.values()].map((names) => new Set(names));
@@ -158,7 +164,7 @@
   assert.equal(assertGrantsAreSafe(fleet), 24);
 });
 
-test('while a watcher is dead but not yet given up, others ask its engines themselves', () => {
+test('daemons poll the engines of a killed watcher directly until the watcher is declared dead', () => {
   const fleet = startFleet({ daemons: 4, zones: 1, engines: 4 });
   fleet.run(15_000);
   const [victim] = fleet.polls.get('engine-0') ?? [];
@@ -173,7 +179,7 @@
   }
 });
 
-test('subsets are even, and a daemon’s subset hardly changes when another one leaves', () => {
+test('subsets use engines evenly, and a daemon’s subset changes little when another daemon leaves', () => {
   const daemons = Array.from({ length: 68 }, (_, index) => `daemon-${index}`);
   const engines = Array.from({ length: 164 }, (_, index) => ({
     ...ENDPOINT,
@@ -194,5 +200,5 @@
   }
   const users = [...counts.values()];
   assert.ok(Math.min(...users) >= 3 && Math.max(...users) <= 4);
-  assert.ok(moved / (68 * 8) < 0.2, `${moved} of ${68 * 8} moved`);
+  assert.ok(moved / (68 * 8) < 0.2, `${moved} of ${68 * 8} subset entries changed`);
 });
--- a/test/membership/failure-detection.test.ts
+++ b/test/membership/failure-detection.test.ts
@@ -6,11 +6,13 @@
 
 const SECOND_MS = 1_000;
 const MINUTE_MS = 60 * SECOND_MS;
-/** Twelve daemons: a round of probes, two indirect ones, and the shortest suspicion. */
+/**
+ * For twelve daemons: one round of probes, two with indirect probes, and the shortest suspicion.
+ */
 const DETECTION_LIMIT_MS = 20 * SECOND_MS;
 
 for (const daemons of [2, 4, 12]) {
-  test(`a kill among ${daemons} daemons is noticed by all within the bound, at 1% loss`, () => {
+  test(`all of ${daemons} daemons detect a killed one within the time limit at 1% loss`, () => {
     for (const seed of [1, 2, 3, 4, 5]) {
       const fleet = startFleet({ seed, daemons, network: { loss: 0.01 } });
       const victim = daemonAt(fleet, 0).identity;
@@ -20,12 +22,12 @@
         DETECTION_LIMIT_MS,
       );
       assert.notEqual(noticed, null, `seed ${seed}`);
-      assert.equal(allKnowAll(fleet), true, `seed ${seed}: somebody else was given up too`);
+      assert.equal(allKnowAll(fleet), true, `seed ${seed}: another daemon was declared dead too`);
     }
   });
 }
 
-test('nobody is given up in ten minutes at 1% loss and duplication', () => {
+test('no daemon is declared dead in ten minutes at 1% loss and duplication', () => {
   for (const seed of [1, 2]) {
     const fleet = startFleet({ seed, network: { loss: 0.01, duplication: 0.01 } });
     fleet.run(10 * MINUTE_MS);
@@ -34,7 +36,7 @@
   }
 });
 
-test('a restart under the same name and address is told apart from the old life', () => {
+test('a restart under the same name and address is distinguished from the earlier incarnation', () => {
   const fleet = startFleet({ network: { loss: 0.01 } });
   const place = placeAt(fleet, 0);
   const old = daemonAt(fleet, 0).identity;
@@ -57,7 +59,7 @@
   assert.equal(countLogged(fleet, MEMBERSHIP_EVENTS.died.number), 0);
 });
 
-test('both sides of a partition give each other up and come together again', () => {
+test('the sides of a partition declare each other dead and rejoin after it heals', () => {
   const fleet = startFleet({ daemons: 9 });
   fleet.network.cut = (from, to) => (from.zone === 'zone-0') !== (to.zone === 'zone-0');
   const partitioned = fleet.runUntil(
@@ -76,14 +78,14 @@
   );
 });
 
-test('a cut of one way only gives up nobody: others probe in one another’s stead', () => {
+test('indirect probes keep a daemon alive when messages from one other daemon to it are lost', () => {
   const fleet = startFleet({ daemons: 8 });
   fleet.network.cut = (from, to) => from.name === 'daemon-0' && to.name === 'daemon-1';
   fleet.run(2 * MINUTE_MS);
   assert.equal(countLogged(fleet, MEMBERSHIP_EVENTS.died.number), 0);
 });
 
-test('a planned leave is known at once and is no failure', () => {
+test('a planned leave is known within a second and is not reported as a failure', () => {
   const fleet = startFleet({ daemons: 8 });
   const leaver = daemonAt(fleet, 3);
   leaver.leave();
@@ -100,7 +102,7 @@
   assert.ok(others().every(({ membership }) => membership.members.get(name)?.status === 'left'));
 });
 
-test('a daemon that wakes from a pause gives up nobody and is taken back', () => {
+test('a daemon that resumes after a pause declares no daemon dead and rejoins the fleet', () => {
   const fleet = startFleet({ daemons: 6, network: { loss: 0.01 } });
   fleet.pause(placeAt(fleet, 2), 30 * SECOND_MS);
   fleet.run(30 * SECOND_MS);
--- a/test/membership/fleets.ts
+++ b/test/membership/fleets.ts
@@ -7,36 +7,36 @@
 
 const JOIN_LIMIT_MS = 30_000;
 
-/** A fleet whose daemons all know each other. */
+/** Starts a fleet and waits until all daemons know each other. */
 export function startFleet(options: Partial<FleetOptions>): FleetSimulation {
   const fleet = new FleetSimulation({ seed: 1, daemons: 6, zones: 3, ...options });
   fleet.startAll();
   const joined = fleet.runUntil(() => allKnowAll(fleet), JOIN_LIMIT_MS);
-  assert.notEqual(joined, null, 'the fleet did not come together');
+  assert.notEqual(joined, null, 'the daemons did not discover each other in time');
   return fleet;
 }
 
-/** Whether each running daemon counts on all running ones and on no other. */
+/** Whether every running daemon considers as many daemons alive as are running. */
 export function allKnowAll(fleet: FleetSimulation): boolean {
   const running = fleet.running.length;
   return fleet.running.every((daemon) => aliveMembers(daemon.membership).length === running);
 }
 
-/** A place that must exist. */
+/** The place with this index; fails if there is none. */
 export function placeAt(fleet: FleetSimulation, index: number): Place {
   const place = fleet.places[index];
   assert.ok(place !== undefined);
   return place;
 }
 
-/** A daemon that must be running. */
+/** The daemon at the place with this index; fails if it is not running. */
 export function daemonAt(fleet: FleetSimulation, index: number): SimulatedDaemon {
   const { daemon } = placeAt(fleet, index);
   assert.ok(daemon !== null);
   return daemon;
 }
 
-/** How many log lines had the event's number. */
+/** The number of log lines with this event number. */
 export function countLogged(fleet: FleetSimulation, number: number): number {
   return fleet.logged.filter((line) => line.number === number).length;
 }
--- a/test/membership/named-life.test.ts
+++ b/test/membership/named-life.test.ts
@@ -28,7 +28,7 @@
   return false;
 }
 
-test('a life that only a row names is given up when it does not answer', () => {
+test('an incarnation known only from a table row is declared dead when it does not answer', () => {
   const listed: MembershipEvent = { kind: 'daemons-listed', daemons: [LISTED] };
   assert.equal(isKnownEndedAfter([listed, NAMED], 7), true);
   assert.equal(isKnownEndedAfter([listed, NAMED], 8), false);
--- a/test/membership/tables.test.ts
+++ b/test/membership/tables.test.ts
@@ -50,7 +50,7 @@
   return rows.sort().join('\n');
 }
 
-test('news in any order and any number of times leads to the same table', () => {
+test('updates in any order, each repeated, lead to the same table', () => {
   fc.assert(
     fc.property(
       fc.array(update, { maxLength: 12 }).chain((updates) =>
@@ -69,7 +69,7 @@
   );
 });
 
-test('an accusation of this life is contradicted; one of an earlier life is not answered', () => {
+test('a daemon refutes its reported death only if the report names its current incarnation', () => {
   const accuse = (incarnation: number) =>
     receive(startedMembership(), {
       kind: 'ping',
@@ -92,7 +92,7 @@
   assert.equal(accuse(0)?.refutation, 0);
 });
 
-test('a suspicion does not run out while this process stands still', () => {
+test('a suspicion does not expire during a pause of this process', () => {
   const suspect: MemberUpdate = {
     name: 'daemon-b',
     zone: 'z',
@@ -121,13 +121,13 @@
   assert.equal(tickAt(70_000), 'dead');
 });
 
-test('a ping meant for another daemon under the same address is not answered', () => {
+test('a ping for another daemon at the same address is not answered', () => {
   const ping = { kind: 'ping', sequence: 1, updates: [], heartbeats: [] } as const;
   assert.equal(receive(startedMembership(), { ...ping, target: 'daemon-x' }).effects.length, 0);
   assert.equal(receive(startedMembership(), { ...ping, target: 'daemon-a' }).effects.length, 1);
 });
 
-test('a ping fits into a datagram however much there is to tell', () => {
+test('an ack fits into a datagram however many updates are queued', () => {
   const longName = (index: number) => `${'n'.repeat(58)}${index}`;
   const members = Array.from({ length: 200 }, (_, index) => ({
     name: longName(index),
@@ -158,7 +158,7 @@
   }
 });
 
-test('each engine has one watcher, in its zone if it can be, and keeps it when others leave', () => {
+test('each engine has one watcher, in its own zone if possible, and keeps it when another daemon leaves', () => {
   const members = Array.from({ length: 12 }, (_, index) => ({
     name: `daemon-${index}`,
     zone: `zone-${index % 3}`,
--- a/test/membership/unlisted-start.test.ts
+++ b/test/membership/unlisted-start.test.ts
@@ -1,8 +1,9 @@
 /**
- * A daemon that had just started answered a change with "applied, in force on one daemon" while two others served the
- * old configuration. The machine list lags, so it did not name them yet, nor this daemon, and so nobody was asked.
- * What a daemon does not know of cannot be waited for: until the list has named the daemon itself for a while, it
- * must not take the daemons that it knows for all there are.
+ * Guards against a daemon that reports a change as "applied, in force on one daemon" while others
+ * still serve the old configuration. The machine list lags: just after a start it may name neither
+ * this daemon nor others that started with it, so their confirmations were not awaited. Until the
+ * list has named the daemon itself for `LIST_SETTLE_MS`, the known daemons must not be taken for
+ * all.
  */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
@@ -25,14 +26,14 @@
   return stepMembership(state, event, { now, entropy: 1 }).state;
 }
 
-test('a daemon that the machine list does not name yet may lack others', () => {
+test('a daemon that the machine list does not name yet may lack knowledge of other daemons', () => {
   const started = createMembership({ ...SELF, incarnation: 1 });
   assert.equal(mayLackDaemons(started, 0), true);
   const empty = listed(started, [], 1_000);
   assert.equal(mayLackDaemons(empty, 60_000), true);
 });
 
-test('so does one that it has only just named, as those that started with it come later', () => {
+test('a daemon that was just listed may lack others, as daemons that started with it are listed later', () => {
   const named = listed(createMembership({ ...SELF, incarnation: 1 }), ['d2'], 1_000);
   assert.equal(mayLackDaemons(named, 2_000), true);
   const others = listed(named, ['d1', 'd2', 'd3'], 3_000);
@@ -40,7 +41,7 @@
   assert.equal(mayLackDaemons(others, 3_500), false);
 });
 
-test('once named long enough it knows the others, also after a list that lacks it', () => {
+test('a daemon listed for long enough lacks no others, even if a later list omits it', () => {
   const named = listed(createMembership({ ...SELF, incarnation: 1 }), ['d1', 'd2'], 1_000);
   const withoutSelf = listed(named, ['d1'], 5_000);
   assert.equal(mayLackDaemons(withoutSelf, 5_001), false);
--- a/test/membership/zones.test.ts
+++ b/test/membership/zones.test.ts
@@ -5,7 +5,7 @@
 
 const DETECTION_LIMIT_MS = 20_000;
 
-test('in a fleet split by zone a kill is known in all zones, and a zone that is down is told', () => {
+test('in a fleet split by zone, a killed daemon and a zone that is down are detected in all zones', () => {
   const fleet = startFleet({ daemons: 30, zones: 3, network: { loss: 0.01 } });
   const victim = daemonAt(fleet, 0).identity;
   fleet.kill(placeAt(fleet, 0));
--- a/test/peer/drop-log.test.ts
+++ b/test/peer/drop-log.test.ts
@@ -3,7 +3,7 @@
 import { PEER_EVENTS } from '../../src/core/logging/catalogue/peer.js';
 import { createDropLog } from '../../src/shell/peer/index.js';
 
-test('dropped messages are logged at once, then counted and logged once in ten seconds', () => {
+test('the first dropped message is logged at once, further ones as one line with a count every ten seconds', () => {
   let now = 0;
   const lines: unknown[] = [];
   const drop = createDropLog(
--- a/test/peer/examples.ts
+++ b/test/peer/examples.ts
@@ -1,7 +1,7 @@
-/** Example values for tests of the parts that daemons talk through. */
+/** Example values for tests of the communication between daemons. */
 import type { EngineReport } from '../../src/core/registry/backend.js';
 
-/** A report of an idle engine. */
+/** A report of an engine with one running request. */
 export function someReport(engine: string, fields: Partial<EngineReport> = {}): EngineReport {
   return {
     engine,
--- a/test/peer/transport.test.ts
+++ b/test/peer/transport.test.ts
@@ -37,7 +37,7 @@
 interface Node {
   readonly transport: PeerTransport;
   readonly endpoint: Endpoint;
-  /** Resolves with the next message or the next reason for a drop. */
+  /** Resolves with the next received message or the reason of the next drop. */
   next(): Promise<PeerReceivedEvent | DropReason>;
 }
 
@@ -78,7 +78,7 @@
   return item.message;
 }
 
-test('every kind of message arrives as it was sent', async () => {
+test('every kind of message arrives unchanged over both channels', async () => {
   const [sender, receiver] = await Promise.all([start(), start()]);
   const endpoint = { address: '10.0.0.1', port: 7000 };
   const update = {
@@ -137,7 +137,7 @@
   }
 });
 
-test('a message too large for a datagram goes over a stream', async () => {
+test('a message too large for a datagram is sent over a stream', async () => {
   const [sender, receiver] = await Promise.all([start(), start()]);
   const engines = Array.from({ length: 5_000 }, (_, index) => {
     return { engine: `engine-${index}`, revision: null };
@@ -148,7 +148,7 @@
   assert.equal(sender.transport.counters().framesSent, 1);
 });
 
-test('messages under another fleet key are dropped on both channels', async () => {
+test('messages authenticated with another fleet key are dropped on both channels', async () => {
   const [stranger, receiver] = await Promise.all([start('another fleet key altogether'), start()]);
   stranger.transport.send(datagram(receiver.endpoint, PULL), HEADER);
   assert.equal(await receiver.next(), 'unauthenticated');
@@ -156,7 +156,7 @@
   assert.equal(await receiver.next(), 'unauthenticated');
 });
 
-test('a datagram is refused when one bit of it differs or it is cut short', async () => {
+test('a datagram with a flipped bit or cut short is dropped as unauthenticated', async () => {
   const [sender, receiver] = await Promise.all([start(), start()]);
   const tap = createSocket('udp4');
   tap.bind(0, '127.0.0.1');
@@ -177,7 +177,7 @@
   tap.close();
 });
 
-test('a frame recorded on one connection is refused on another', async () => {
+test('a frame recorded on one connection and replayed on another is dropped', async () => {
   const [sender, receiver] = await Promise.all([start(), start()]);
   const recorded: Buffer[] = [];
   const tap = createServer((socket) => {
@@ -201,7 +201,7 @@
   await once(replay, 'close');
 });
 
-test('an authenticated message of a wrong shape is dropped', async () => {
+test('an authenticated message with invalid fields is dropped as malformed', async () => {
   const [sender, receiver] = await Promise.all([start(), start()]);
   const wrong = { kind: 'configuration-busy', version: -1 } as const;
   sender.transport.send(datagram(receiver.endpoint, wrong), HEADER);
@@ -213,7 +213,7 @@
   assert.equal(receiver.transport.counters().dropped.malformed, 2);
 });
 
-test('a message to nobody is counted and harms nothing', async () => {
+test('a message to a closed endpoint is dropped as unreachable without an error', async () => {
   const [sender, receiver] = await Promise.all([start(), start()]);
   const gone = receiver.endpoint;
   await receiver.transport.close();
