--- a/src/core/membership/queries.ts
+++ b/src/core/membership/queries.ts
@@ -24,7 +24,10 @@
   return (group ?? []).filter((member) => member.name !== state.self.name);
 }
 
-/** Whether a zone's heartbeat still advances. Always true for the own zone and in a small fleet. */
+/**
+ * Whether a zone's heartbeat still advances. Always true for this daemon's zone and in a small
+ * fleet.
+ */
 export function isZoneReachable(state: MembershipState, zone: ZoneName): boolean {
   if (zone === state.self.zone || isOneGroup(state)) {
     return true;
--- a/src/core/membership/settings.ts
+++ b/src/core/membership/settings.ts
@@ -14,7 +14,8 @@
 /** Number of confirmations by other daemons at which the suspicion timeout is shortest. */
 export const SUSPICION_CONFIRMATIONS = 3;
 /**
- * The highest local health score (0 is healthy). The score lengthens the intervals of own probes.
+ * The highest local health score (0 is healthy). The score lengthens the intervals of this daemon's
+ * probes.
  */
 export const MAX_LOCAL_HEALTH = 8;
 /** Transmissions of an update, as a multiple of the binary logarithm of the group's size. */
--- a/src/core/membership/zones.ts
+++ b/src/core/membership/zones.ts
@@ -83,7 +83,7 @@
 }
 
 /**
- * Answers a summary that differs from the own one with the complete tables of the differing zones.
+ * Answers a summary that differs from this daemon's with the complete tables of differing zones.
  */
 export function compareSummary(
   step: MembershipStep,
@@ -117,7 +117,7 @@
   step.effects.push(stream(to, { kind: 'table', replyTo, zones, members, answerWanted }));
 }
 
-/** Merges complete tables and answers with the own ones if requested. */
+/** Merges complete tables and answers with this daemon's tables if requested. */
 export function receiveTable(
   step: MembershipStep,
   table: {
--- a/src/core/peer/messages.ts
+++ b/src/core/peer/messages.ts
@@ -156,7 +156,7 @@
 /** Messages that distribute configurations. */
 export type ConfigurationMessage =
   /**
-   * A version is in force on the sender. The receiver confirms its own to `origin`, unless null.
+   * A version is in force on the sender. The receiver confirms its version to `origin` unless null.
    */
   | {
       readonly kind: 'configuration-announce';
--- a/test/peer/transport.test.ts
+++ b/test/peer/transport.test.ts
@@ -78,7 +78,7 @@
   return item.message;
 }
 
-test('every kind of message arrives unchanged over both channels', async () => {
+test('messages of membership, digests and configuration arrive unchanged over both channels', async () => {
   const [sender, receiver] = await Promise.all([start(), start()]);
   const endpoint = { address: '10.0.0.1', port: 7000 };
   const update = {
