--- a/src/core/daemon/traffic.ts
+++ b/src/core/daemon/traffic.ts
@@ -182,11 +182,11 @@
         this.index.configuration.classes[className]?.priority ?? LOWEST_PRIORITY,
       retryAfterMs: (description) =>
         this.admission.expectedWaitMs(description) ?? DEFAULT_RETRY_AFTER_MS,
-      isGone: (daemon, incarnation) => this.#isIncarnationEnded(daemon, incarnation),
+      isGone: (daemon, incarnation) => this.#hasIncarnationEnded(daemon, incarnation),
     };
   }
 
-  #isIncarnationEnded(daemon: DaemonName, incarnation: Incarnation): boolean {
+  #hasIncarnationEnded(daemon: DaemonName, incarnation: Incarnation): boolean {
     if (!knowsLife(this.#membership, daemon, incarnation)) {
       this.#unknownIncarnations.push({ daemon, incarnation });
     }
