--- a/soak/mutations.ts
+++ b/soak/mutations.ts
@@ -39,7 +39,7 @@
   {
     name: 'run-once',
     promise: 'TWICE',
-    file: 'src/shell/gateway/whole-exchange.ts',
+    file: 'src/shell/gateway/web-exchange.ts',
     text: 'if (!isFirst && exchange.mayHaveRun && !this.#isRepeatable) return false;',
     replacement: 'if (!isFirst && exchange.runs > 3) return false;',
   },
--- a/src/core/configuration/change-answers.ts
+++ b/src/core/configuration/change-answers.ts
@@ -8,13 +8,13 @@
 import type { ChangeProgress, ConfigurationStep } from './state.js';
 
 /** The store's answer to the commit was lost and the store can't be asked. */
-export function maybeRecorded(id: string): ChangeOutcome {
+export function commitOutcomeUnknown(id: string): ChangeOutcome {
   const message = `The store's answer was lost and it can't be asked now. Ask later: changes where id = "${id}"; or send the same change under the same id, which takes effect once.`;
   return { kind: 'unknown', id, message, recordedVersion: null, waitingFor: [] };
 }
 
 /** Recorded, but some have not confirmed. */
-export function notInForceEverywhere(
+export function confirmationTimedOut(
   id: string,
   version: number,
   waitingFor: readonly string[],
@@ -38,7 +38,7 @@
 }
 
 /** The operator saw another version than the current one. */
-export function versionMoved(seen: number, current: number): Fault {
+export function versionConflict(seen: number, current: number): Fault {
   return refusedNotRun(
     'version-conflict',
     `The change is for version ${seen} but version ${current} is current. Look at it and send the change again for that version.`,
@@ -46,7 +46,7 @@
 }
 
 /** The change's id names other commands. */
-export function idUsedTwice(id: string): Fault {
+export function changeIdReused(id: string): Fault {
   return refusedNotRun(
     'idempotency-conflict',
     `The change id ${id} was used for other commands. Send these under a new id.`,
@@ -72,7 +72,7 @@
 ): void {
   const changes = new Map(step.state.changes);
   changes.delete(progress.request.id);
-  step.change({ changes });
+  step.updateState({ changes });
   for (const token of progress.waiters) {
     step.effects.push({ kind: 'change-answer', token, outcome });
   }
@@ -83,5 +83,5 @@
 /** Remembers how far a change has come. */
 export function putChange(step: ConfigurationStep, progress: ChangeProgress): void {
   const changes = new Map(step.state.changes).set(progress.request.id, progress);
-  step.change({ changes });
+  step.updateState({ changes });
 }
--- a/src/core/configuration/change-confirmation.ts
+++ b/src/core/configuration/change-confirmation.ts
@@ -1,10 +1,10 @@
 /** Waiting until a recorded change is in force on every daemon that may still be running. */
 import { mayLackDaemons } from '../membership/index.js';
 import { datagram } from '../peer/index.js';
-import { answerChange, notInForceEverywhere, putChange } from './change-answers.js';
+import { answerChange, confirmationTimedOut, putChange } from './change-answers.js';
 import { confirmationOf } from './confirmation.js';
+import { CHANGE_DEADLINE_MS, CONFIRM_FANOUT, CONFIRM_INTERVAL_MS } from './constants.js';
 import { inForceVersion } from './in-force.js';
-import { CHANGE_DEADLINE_MS, CONFIRM_FANOUT, CONFIRM_INTERVAL_MS } from './settings.js';
 import type { ChangePhase, ChangeProgress, ConfigurationStep } from './state.js';
 
 type ConfirmingPhase = Extract<ChangePhase, { kind: 'confirming' }>;
@@ -41,7 +41,7 @@
   }
   if (step.now >= progress.deadline) {
     const names = waitingFor.map((daemon) => daemon.name).sort();
-    answerChange(step, progress, notInForceEverywhere(id, version, names));
+    answerChange(step, progress, confirmationTimedOut(id, version, names));
     return;
   }
   if (step.now >= phase.nextAnnounceAt) {
--- a/src/core/configuration/change.ts
+++ b/src/core/configuration/change.ts
@@ -9,25 +9,25 @@
 import type { TableResult, TableRow } from '../platform/table.js';
 import {
   answerChange,
-  idUsedTwice,
-  maybeRecorded,
+  changeIdReused,
+  commitOutcomeUnknown,
   putChange,
   refusal,
   storeUnavailable,
-  versionMoved,
+  versionConflict,
 } from './change-answers.js';
 import { awaitConfirmation, continueConfirming } from './change-confirmation.js';
-import type { ConfigurationDocument } from './document.js';
-import { bringIntoForce, inForceVersion, noteVersion } from './in-force.js';
-import { CURRENT_KEY, changeKey, parseChangeRow, parseCurrentRow, parseDocument } from './row.js';
 import {
   CHANGE_DEADLINE_MS,
   MAX_CHANGE_ATTEMPTS,
   MAX_INLINE_CHARACTERS,
   STORE_RETRY_MS,
-} from './settings.js';
+} from './constants.js';
+import type { ConfigurationDocument } from './document.js';
+import { bringIntoForce, inForceVersion, recordKnownVersion } from './in-force.js';
+import { CURRENT_KEY, changeKey, parseChangeRow, parseCurrentRow, parseDocument } from './row.js';
 import type { ChangeProgress, ChangeRequest, ConfigurationStep, PreparedChange } from './state.js';
-import { readSoon } from './store-read.js';
+import { scheduleImmediateRead } from './store-read.js';
 
 /** Starts a change, or joins the one under way under the same id. */
 export function startChange(step: ConfigurationStep, request: ChangeRequest): void {
@@ -46,7 +46,7 @@
   } else if (running.request.digest === request.digest) {
     putChange(step, { ...running, waiters: [...running.waiters, request.token] });
   } else {
-    const outcome = refusal(step, request.id, idUsedTwice(request.id), inForceVersion(step));
+    const outcome = refusal(step, request.id, changeIdReused(request.id), inForceVersion(step));
     step.effects.push({ kind: 'change-answer', token: request.token, outcome });
   }
 }
@@ -95,7 +95,7 @@
   }
   const current = rows.find((row) => row.key === CURRENT_KEY);
   const version = current?.version ?? 0;
-  noteVersion(step, version);
+  recordKnownVersion(step, version);
   if (unsettled !== null && unsettled.base === version) {
     commit(step, progress, unsettled);
     return;
@@ -106,7 +106,7 @@
     answerChange(
       step,
       settled,
-      refusal(step, request.id, versionMoved(request.ifVersion, version), version),
+      refusal(step, request.id, versionConflict(request.ifVersion, version), version),
     );
     return;
   }
@@ -121,12 +121,12 @@
 ): void {
   if (digest !== progress.request.digest) {
     const { id } = progress.request;
-    answerChange(step, progress, refusal(step, id, idUsedTwice(id), inForceVersion(step)));
+    answerChange(step, progress, refusal(step, id, changeIdReused(id), inForceVersion(step)));
     return;
   }
-  noteVersion(step, version);
+  recordKnownVersion(step, version);
   if (inForceVersion(step) < version) {
-    readSoon(step);
+    scheduleImmediateRead(step);
   }
   awaitConfirmation(step, progress, version);
 }
@@ -320,5 +320,5 @@
     answerChange(step, progress, storeUnavailable(step, progress, STORE_RETRY_MS));
     return;
   }
-  answerChange(step, progress, maybeRecorded(id));
+  answerChange(step, progress, commitOutcomeUnknown(id));
 }
--- a/src/core/configuration/confirmation.ts
+++ b/src/core/configuration/confirmation.ts
@@ -4,7 +4,7 @@
 import type { Endpoint } from '../registry/backend.js';
 
 /** A daemon whose confirmation is wanted. */
-export interface Unconfirmed {
+export interface UnconfirmedDaemon {
   readonly name: DaemonName;
   readonly endpoint: Endpoint;
 }
@@ -13,7 +13,7 @@
 export interface Confirmation {
   /** Daemons that have it or a later one, this one included when it does. */
   readonly inForce: number;
-  readonly waitingFor: readonly Unconfirmed[];
+  readonly waitingFor: readonly UnconfirmedDaemon[];
 }
 
 /**
@@ -27,7 +27,7 @@
   version: number,
 ): Confirmation {
   let inForce = ownVersion >= version ? 1 : 0;
-  const waitingFor = new Map<DaemonName, Unconfirmed>();
+  const waitingFor = new Map<DaemonName, UnconfirmedDaemon>();
   const listed = new Map(membership.listed.map((machine) => [machine.name, machine]));
   for (const member of membership.members.values()) {
     const counts = isPresent(member) || (member.status === 'dead' && listed.has(member.name));
--- a/src/core/configuration/in-force.ts
+++ b/src/core/configuration/in-force.ts
@@ -3,8 +3,8 @@
 import { log } from '../logging/log-event.js';
 import { isPresent, type Member } from '../membership/index.js';
 import { datagram } from '../peer/index.js';
+import { ANNOUNCE_FANOUT, ORIGIN_FANOUT } from './constants.js';
 import type { VersionedConfiguration } from './document.js';
-import { ANNOUNCE_FANOUT, ORIGIN_FANOUT } from './settings.js';
 import type { ConfigurationStep } from './state.js';
 
 /** Where a configuration came from. `change`: recorded by this daemon for an operator. */
@@ -16,11 +16,11 @@
   configuration: VersionedConfiguration,
   source: ConfigurationSource,
 ): void {
-  noteVersion(step, configuration.version);
+  recordKnownVersion(step, configuration.version);
   if (configuration.version <= inForceVersion(step)) {
     return;
   }
-  step.change({ inForce: configuration });
+  step.updateState({ inForce: configuration });
   forgetLowerHolders(step);
   becomeReady(step);
   const fields = { version: configuration.version, source };
@@ -35,22 +35,22 @@
 }
 
 /** Remembers that a version exists. */
-export function noteVersion(step: ConfigurationStep, version: number): void {
+export function recordKnownVersion(step: ConfigurationStep, version: number): void {
   if (version > step.state.highestVersion) {
-    step.change({ highestVersion: version });
+    step.updateState({ highestVersion: version });
   }
 }
 
 /** A daemon is ready once nothing higher than what it has in force has been heard of. */
 function becomeReady(step: ConfigurationStep): void {
   if (!step.state.ready && inForceVersion(step) >= step.state.highestVersion) {
-    step.change({ ready: true });
+    step.updateState({ ready: true });
   }
 }
 
 function forgetLowerHolders(step: ConfigurationStep): void {
   const holders = [...step.state.holders].filter(([, version]) => version > inForceVersion(step));
-  step.change({ holders: new Map(holders) });
+  step.updateState({ holders: new Map(holders) });
 }
 
 function announce(step: ConfigurationStep, source: ConfigurationSource): void {
@@ -78,5 +78,5 @@
   for (const origin of step.state.origins) {
     step.effects.push(datagram(origin, { kind: 'configuration-confirm', version }));
   }
-  step.change({ origins: [] });
+  step.updateState({ origins: [] });
 }
--- a/src/core/configuration/index.ts
+++ b/src/core/configuration/index.ts
@@ -9,7 +9,7 @@
   ChangeRefused,
   ChangeUnknown,
 } from './change-outcome.js';
-export { type Confirmation, confirmationOf, type Unconfirmed } from './confirmation.js';
+export { type Confirmation, confirmationOf, type UnconfirmedDaemon } from './confirmation.js';
 export { type ChangeRecord, CURRENT_KEY, changeKey, parseChangeRow } from './row.js';
 export {
   type ChangeAnswerEffect,
--- a/src/core/configuration/peers.ts
+++ b/src/core/configuration/peers.ts
@@ -4,8 +4,6 @@
 import { endpointOf } from '../membership/index.js';
 import { contentHash, datagram, type PeerReceivedEvent, stream } from '../peer/index.js';
 import type { Endpoint } from '../registry/backend.js';
-import { bringIntoForce, inForceVersion, noteVersion } from './in-force.js';
-import { parseDocument } from './row.js';
 import {
   MAX_HOLDERS,
   MAX_ORIGINS,
@@ -13,15 +11,17 @@
   PULL_TIMEOUT_MS,
   PULL_WINDOW_MS,
   PULLS_PER_WINDOW,
-} from './settings.js';
+} from './constants.js';
+import { bringIntoForce, inForceVersion, recordKnownVersion } from './in-force.js';
+import { parseDocument } from './row.js';
 import type { ConfigurationStep } from './state.js';
 
 /** Takes in what a message shows of its sender's version, then the message itself. */
 export function receiveFromPeer(step: ConfigurationStep, event: PeerReceivedEvent): void {
   const { header, message } = event;
-  noteVersion(step, header.highestVersion);
+  recordKnownVersion(step, header.highestVersion);
   if (header.inForce !== null) {
-    noteVersion(step, header.inForce);
+    recordKnownVersion(step, header.inForce);
     noteHolder(step, header.sender, header.inForce);
   }
   switch (message.kind) {
@@ -35,7 +35,10 @@
       receiveContent(step, message);
       break;
     case 'configuration-busy':
-      step.change({ pull: null, nextPullAt: step.now + 1 + step.random.below(PULL_JITTER_MS) });
+      step.updateState({
+        pull: null,
+        nextPullAt: step.now + 1 + step.random.below(PULL_JITTER_MS),
+      });
       break;
   }
 }
@@ -46,10 +49,10 @@
     return;
   }
   if (holders.size === 0 && step.state.pull === null) {
-    step.change({ nextPullAt: step.now + step.random.below(PULL_JITTER_MS) });
+    step.updateState({ nextPullAt: step.now + step.random.below(PULL_JITTER_MS) });
   }
   if (holders.size < MAX_HOLDERS || holders.has(daemon)) {
-    step.change({ holders: new Map(holders).set(daemon, version) });
+    step.updateState({ holders: new Map(holders).set(daemon, version) });
   }
 }
 
@@ -62,9 +65,9 @@
     return;
   }
   if (origin !== null) {
-    step.change({ origins: withOrigin(step.state.origins, origin) });
+    step.updateState({ origins: withOrigin(step.state.origins, origin) });
   }
-  step.change({ nextPullAt: step.now });
+  step.updateState({ nextPullAt: step.now });
   continuePulling(step);
 }
 
@@ -81,7 +84,7 @@
   if (pull !== null && step.now >= pull.until) {
     const holders = new Map(step.state.holders);
     holders.delete(pull.from);
-    step.change({ pull: null, holders });
+    step.updateState({ pull: null, holders });
   }
   if (step.state.pull !== null || step.now < step.state.nextPullAt) {
     return;
@@ -97,13 +100,13 @@
   if (endpoint === null) {
     const holders = new Map(step.state.holders);
     holders.delete(from);
-    step.change({ holders });
+    step.updateState({ holders });
     return;
   }
   const above = inForceVersion(step);
   const replyTo = step.state.self.endpoint;
   step.effects.push(datagram(endpoint, { kind: 'configuration-pull', above, replyTo }));
-  step.change({ pull: { from, until: step.now + PULL_TIMEOUT_MS } });
+  step.updateState({ pull: { from, until: step.now + PULL_TIMEOUT_MS } });
 }
 
 function answerPull(step: ConfigurationStep, above: number, replyTo: Endpoint): void {
@@ -123,12 +126,12 @@
 
 /** Counts an answer against the window's limit. */
 function mayServe(step: ConfigurationStep): boolean {
-  const { since, count } = step.state.served;
+  const { since, count } = step.state.pullsServed;
   if (step.now - since >= PULL_WINDOW_MS) {
-    step.change({ served: { since: step.now, count: 1 } });
+    step.updateState({ pullsServed: { since: step.now, count: 1 } });
     return true;
   }
-  step.change({ served: { since, count: count + 1 } });
+  step.updateState({ pullsServed: { since, count: count + 1 } });
   return count < PULLS_PER_WINDOW;
 }
 
@@ -136,7 +139,7 @@
   step: ConfigurationStep,
   content: { readonly version: number; readonly hash: string; readonly document: unknown },
 ): void {
-  step.change({ pull: null });
+  step.updateState({ pull: null });
   const parsed = parseDocument(content.document);
   if (parsed.isErr()) {
     const fields = { version: content.version, problem: parsed.error };
--- a/src/core/configuration/state.ts
+++ b/src/core/configuration/state.ts
@@ -113,7 +113,7 @@
   readonly nextPullAt: MonotonicMs;
   /** Daemons that want to hear when the version that they announced is in force here. */
   readonly origins: readonly Endpoint[];
-  readonly served: { readonly since: MonotonicMs; readonly count: number };
+  readonly pullsServed: { readonly since: MonotonicMs; readonly count: number };
   readonly changes: ReadonlyMap<ChangeId, ChangeProgress>;
   readonly nextToken: number;
 }
@@ -156,7 +156,7 @@
   }
 
   /** Replaces some of the state's fields. */
-  change(fields: Partial<ConfigurationState>): void {
+  updateState(fields: Partial<ConfigurationState>): void {
     this.state = { ...this.state, ...fields };
   }
 
@@ -176,7 +176,7 @@
 
   private takeToken(): string {
     const token = `configuration-${this.state.nextToken}`;
-    this.change({ nextToken: this.state.nextToken + 1 });
+    this.updateState({ nextToken: this.state.nextToken + 1 });
     return token;
   }
 
@@ -202,7 +202,7 @@
     pull: null,
     nextPullAt: 0,
     origins: [],
-    served: { since: 0, count: 0 },
+    pullsServed: { since: 0, count: 0 },
     changes: new Map(),
     nextToken: 1,
   };
--- a/src/core/configuration/store-read.ts
+++ b/src/core/configuration/store-read.ts
@@ -3,8 +3,6 @@
 import { log } from '../logging/log-event.js';
 import type { ObjectResult } from '../platform/object.js';
 import type { TableResult } from '../platform/table.js';
-import { bringIntoForce, inForceVersion, noteVersion, otherMembers } from './in-force.js';
-import { CURRENT_KEY, parseCurrentRow, parseDocument } from './row.js';
 import {
   FIRST_READ_SPREAD_MS,
   FLEET_READ_INTERVAL_MS,
@@ -13,13 +11,15 @@
   MIN_CATCH_UP_INTERVAL_MS,
   MIN_READ_INTERVAL_MS,
   STORE_RETRY_MS,
-} from './settings.js';
+} from './constants.js';
+import { bringIntoForce, inForceVersion, otherMembers, recordKnownVersion } from './in-force.js';
+import { CURRENT_KEY, parseCurrentRow, parseDocument } from './row.js';
 import type { ConfigurationStep } from './state.js';
 
 /** Starts a read when it is time. */
 export function continueReading(step: ConfigurationStep): void {
   if (step.state.nextReadAt === null) {
-    step.change({ nextReadAt: step.now + firstDelay(step) });
+    step.updateState({ nextReadAt: step.now + firstDelay(step) });
   }
   putOffFirstRead(step);
   hastenReadWhenBehind(step);
@@ -27,16 +27,16 @@
     return;
   }
   const token = step.callTable({ kind: 'get', keys: [CURRENT_KEY] });
-  step.change({ read: { token, objectVersion: null } });
+  step.updateState({ read: { token, objectVersion: null } });
 }
 
 /** A daemon that got its configuration from another one before its first read need not hurry. */
 function putOffFirstRead(step: ConfigurationStep): void {
   const { inForce, firstReadDone, ready } = step.state;
   if (inForce !== null && !firstReadDone) {
-    step.change({ firstReadDone: true });
+    step.updateState({ firstReadDone: true });
     if (ready && step.state.read === null) {
-      step.change({ nextReadAt: step.now + secondDelay(step) });
+      step.updateState({ nextReadAt: step.now + secondDelay(step) });
     }
   }
 }
@@ -51,13 +51,13 @@
   const pause = Math.max(MIN_CATCH_UP_INTERVAL_MS, FIRST_READ_SPREAD_MS * fleetSize(step));
   const due = readEndedAt + pause;
   if (due < (step.state.nextReadAt ?? Number.POSITIVE_INFINITY)) {
-    step.change({ nextReadAt: due });
+    step.updateState({ nextReadAt: due });
   }
 }
 
 /** Reads the store at the next tick. */
-export function readSoon(step: ConfigurationStep): void {
-  step.change({ nextReadAt: step.now });
+export function scheduleImmediateRead(step: ConfigurationStep): void {
+  step.updateState({ nextReadAt: step.now });
 }
 
 /** Spread over a whole interval, so that daemons that started at once don't read at once. */
@@ -93,14 +93,14 @@
     return;
   }
   const row = parsed.value;
-  noteVersion(step, row.version);
+  recordKnownVersion(step, row.version);
   if (row.version < inForceVersion(step)) {
     const fields = { stored: row.version, inForce: inForceVersion(step) };
     step.effects.push(log(CONFIGURATION_EVENTS.storeIsBehind, fields));
   }
   if (row.kind === 'object' && row.version > inForceVersion(step)) {
     const token = step.callObject({ kind: 'get', name: row.object });
-    step.change({ read: { token, objectVersion: row.version } });
+    step.updateState({ read: { token, objectVersion: row.version } });
     return;
   }
   if (row.kind === 'inline') {
@@ -133,7 +133,7 @@
   const isFirst = !step.state.firstReadDone;
   const pause = isFirst ? secondDelay(step) : jittered(step, regularInterval(step));
   const nextReadAt = step.now + pause;
-  step.change({
+  step.updateState({
     read: null,
     failedReads: 0,
     firstReadDone: true,
@@ -146,7 +146,7 @@
   const { failedReads } = step.state;
   const backoff = Math.min(MAX_READ_BACKOFF_MS, STORE_RETRY_MS * 2 ** failedReads);
   const pause = Math.max(retryAfterMs, jittered(step, backoff));
-  step.change({ read: null, failedReads: failedReads + 1, nextReadAt: step.now + pause });
+  step.updateState({ read: null, failedReads: failedReads + 1, nextReadAt: step.now + pause });
   if (failedReads === 0) {
     step.effects.push(log(CONFIGURATION_EVENTS.storeUnreadable, { retryMs: Math.round(pause) }));
   }
--- a/src/core/controller/decide.ts
+++ b/src/core/controller/decide.ts
@@ -4,10 +4,10 @@
  */
 import type { MonotonicMs } from '../common/time.js';
 import type { IntentRow, OrderAction } from '../orders/index.js';
-import { isUnresolved, sameAction } from '../orders/index.js';
+import { isSameAction, isUnresolved } from '../orders/index.js';
 import type { EngineReport, EngineView, Intake } from '../registry/backend.js';
-import { mayTakeAway, type PoolCensus } from './budget.js';
 import { nextAction } from './next-action.js';
+import { mayTakeOutOfService, type PoolAvailability } from './pool-availability.js';
 import type { ControllerState, EngineControl, KnownIntent } from './state.js';
 import type { DesiredEngine } from './types.js';
 
@@ -32,7 +32,7 @@
 /** An engine whose row has been read and that has been heard from. */
 interface Subject {
   readonly state: ControllerState;
-  readonly census: PoolCensus;
+  readonly availability: PoolAvailability;
   readonly control: EngineControl;
   readonly intent: KnownIntent;
   readonly view: EngineView;
@@ -44,7 +44,7 @@
 /** Decides the next move for an engine. */
 export function decide(
   state: ControllerState,
-  census: PoolCensus,
+  availability: PoolAvailability,
   control: EngineControl,
   now: MonotonicMs,
 ): Move {
@@ -52,7 +52,16 @@
   const report = view?.report ?? null;
   if (control.intent === null || view === undefined || report === null) return WAIT;
   const desired = state.desired.get(control.engine);
-  const subject = { state, census, control, intent: control.intent, view, report, desired, now };
+  const subject = {
+    state,
+    availability,
+    control,
+    intent: control.intent,
+    view,
+    report,
+    desired,
+    now,
+  };
   const row = control.intent.value;
   return isUnresolved(row) ? decideUnresolved(subject, row) : decideResolved(subject);
 }
@@ -112,12 +121,12 @@
 }
 
 function nextChange(subject: Subject): Move | null {
-  const { state, census, control, intent, view, report, desired, now } = subject;
+  const { state, availability, control, intent, view, report, desired, now } = subject;
   if (desired === undefined || now < control.nextChangeAt || now < state.tableRetryAt) return null;
   if (view.reportedAt <= intent.knownAt || report.busy) return null;
   if (report.leaving || view.machine.state === 'leaving') return null;
   const action = nextAction(desired, report);
-  if (action === null || !mayTakeAway(state, census, control.engine)) return null;
+  if (action === null || !mayTakeOutOfService(state, availability, control.engine)) return null;
   return { kind: 'begin', action, boot: report.boot, reason: desired.reason };
 }
 
@@ -135,9 +144,9 @@
 function isStillWanted(subject: Subject, row: IntentRow): boolean {
   const { control, desired, report, state, now } = subject;
   if (control.drainStartedAt === null || desired === undefined) return false;
-  if (now >= control.drainStartedAt + state.settings.drainLimitMs) return false;
+  if (now >= control.drainStartedAt + state.settings.drainTimeoutMs) return false;
   const action = nextAction(desired, report);
-  return action !== null && sameAction(action, row.action);
+  return action !== null && isSameAction(action, row.action);
 }
 
 /** No grant is left anywhere, and a report asked for after that shows the engine idle. */
--- a/src/core/controller/engine-answers.ts
+++ b/src/core/controller/engine-answers.ts
@@ -10,7 +10,7 @@
 import type { EngineOrderState } from '../registry/backend.js';
 import { withControl } from './moves.js';
 import type { ControllerState, EngineControl, OrderProgress, PendingSend } from './state.js';
-import type { AskedOrderState, ControllerEvent, ControllerOutput } from './types.js';
+import type { ControllerEvent, ControllerOutput, OrderQueryResult } from './types.js';
 
 type ControllerTransition = Transition<ControllerState, ControllerOutput>;
 type PendingOrder = Exclude<PendingSend, { kind: 'query' }>;
@@ -59,7 +59,7 @@
   return update(state, { ...answered, progress, retryAt, failures: 0 });
 }
 
-function progressOf(state: Exclude<AskedOrderState, 'lost'>): OrderProgress {
+function progressOf(state: Exclude<OrderQueryResult, 'lost'>): OrderProgress {
   return state === 'unknown' ? 'not-run' : state;
 }
 
--- a/src/core/controller/index.ts
+++ b/src/core/controller/index.ts
@@ -8,11 +8,11 @@
 } from './state.js';
 export { stepController } from './step.js';
 export {
-  type AskedOrderState,
   type ControllerEffect,
   type ControllerEvent,
   type ControllerOutput,
   type ControllerSettings,
   DEFAULT_CONTROLLER_LIMITS,
   type DesiredEngine,
+  type OrderQueryResult,
 } from './types.js';
--- a/src/core/controller/moves.ts
+++ b/src/core/controller/moves.ts
@@ -17,7 +17,7 @@
 type ControllerTransition = Transition<ControllerState, ControllerOutput>;
 
 /** Carries out a move under an authority that the caller has checked. */
-export function carryOut(
+export function executeMove(
   state: ControllerState,
   control: EngineControl,
   move: Move,
--- a/src/core/controller/budget.ts
+++ b/src/core/controller/pool-availability.ts
@@ -8,9 +8,9 @@
 import type { ControllerState, EngineControl } from './state.js';
 
 /** The pool's engines as the limits count them. Taken anew after each change that is begun. */
-export interface PoolCensus {
+export interface PoolAvailability {
   readonly poolSize: number;
-  readonly away: ReadonlySet<BackendName>;
+  readonly outOfService: ReadonlySet<BackendName>;
   /** The engines that take work now, by the models that they hold. */
   readonly serving: ReadonlyMap<ModelName, ReadonlySet<BackendName>>;
   /** The engines that hold a model or are to hold it, whether they take work or not. */
@@ -18,37 +18,41 @@
 }
 
 /** Counts the pool. */
-export function takeCensus(state: ControllerState, now: MonotonicMs): PoolCensus {
-  const away = new Set<BackendName>();
+export function computePoolAvailability(
+  state: ControllerState,
+  now: MonotonicMs,
+): PoolAvailability {
+  const outOfService = new Set<BackendName>();
   const serving = new Map<ModelName, Set<BackendName>>();
   const holding = new Map<ModelName, Set<BackendName>>();
   for (const [engine, view] of state.views) {
     const control = state.engines.get(engine);
-    if (control === undefined || isAway(control)) away.add(engine);
+    if (control === undefined || isAway(control)) outOfService.add(engine);
     // The last report of an engine that is being drained may still call it open.
-    const isServing = !away.has(engine) && takesWork(view, now, state.settings.reportFreshMs);
+    const isServing =
+      !outOfService.has(engine) && takesWork(view, now, state.settings.maxReportAgeMs);
     for (const { model } of view.report?.models ?? []) {
       if (isServing) add(serving, model, engine);
       add(holding, model, engine);
     }
     for (const { model } of state.desired.get(engine)?.models ?? []) add(holding, model, engine);
   }
-  return { poolSize: state.views.size, away, serving, holding };
+  return { poolSize: state.views.size, outOfService, serving, holding };
 }
 
 /** Whether an engine may be taken away now without breaking the pool's limits. */
-export function mayTakeAway(
+export function mayTakeOutOfService(
   state: ControllerState,
-  census: PoolCensus,
+  availability: PoolAvailability,
   engine: BackendName,
 ): boolean {
-  const { maxAwayShare, minServing } = state.settings;
-  const mostAway = Math.max(1, Math.floor(census.poolSize * maxAwayShare));
-  if (countOthers(census.away, engine) >= mostAway) return false;
-  for (const [model, servers] of census.serving) {
+  const { maxOutOfServiceShare, minServing } = state.settings;
+  const mostAway = Math.max(1, Math.floor(availability.poolSize * maxOutOfServiceShare));
+  if (countOthers(availability.outOfService, engine) >= mostAway) return false;
+  for (const [model, servers] of availability.serving) {
     if (!servers.has(engine)) continue;
     // The only engine of a model has no stand-in; its change is wanted all the same.
-    const others = countOthers(census.holding.get(model), engine);
+    const others = countOthers(availability.holding.get(model), engine);
     if (countOthers(servers, engine) < Math.min(minServing, others)) return false;
   }
   return true;
--- a/src/core/controller/step.ts
+++ b/src/core/controller/step.ts
@@ -6,12 +6,12 @@
 import type { StepContext, Transition } from '../common/transition.js';
 import { type Authority, isInForce } from '../lease/index.js';
 import { intentKey } from '../orders/index.js';
-import { type PoolCensus, takeCensus } from './budget.js';
 import { decide, type Move, WAIT } from './decide.js';
 import { receiveOrderAnswer, receiveOrderState } from './engine-answers.js';
-import { carryOut } from './moves.js';
+import { executeMove } from './moves.js';
+import { computePoolAvailability, type PoolAvailability } from './pool-availability.js';
 import { type ControllerState, initialEngineControl } from './state.js';
-import { receiveTableResult } from './table-answers.js';
+import { receiveTableResult } from './table-results.js';
 import type { ControllerEvent, ControllerOutput } from './types.js';
 
 /** The most rows that one read of the table service may ask for. */
@@ -85,15 +85,15 @@
   const read = readUnread(state, context);
   const effects: ControllerOutput[] = [...read.effects];
   let next = read.state;
-  let census = takeCensus(next, context.now);
+  let availability = computePoolAvailability(next, context.now);
   for (const engine of state.views.keys()) {
-    const move = moveFor(next, census, engine, context);
+    const move = moveFor(next, availability, engine, context);
     const control = next.engines.get(engine);
     if (move.kind === 'wait' || control === undefined) continue;
-    const moved = carryOut(next, control, move, authority);
+    const moved = executeMove(next, control, move, authority);
     next = moved.state;
     effects.push(...moved.effects);
-    if (move.kind === 'begin') census = takeCensus(next, context.now);
+    if (move.kind === 'begin') availability = computePoolAvailability(next, context.now);
   }
   return { state: next, effects };
 }
@@ -117,13 +117,13 @@
 /** The next move for an engine; none while something of it is in flight. */
 function moveFor(
   state: ControllerState,
-  census: PoolCensus,
+  availability: PoolAvailability,
   engine: BackendName,
   context: StepContext,
 ): Move {
   const control = state.engines.get(engine);
   if (control === undefined || control.write !== null || control.send !== null) return WAIT;
-  const move = decide(state, census, control, context.now);
+  const move = decide(state, availability, control, context.now);
   const isWrite = move.kind === 'begin' || move.kind === 'mark-ordered' || move.kind === 'settle';
   return isWrite && context.now < state.tableRetryAt ? WAIT : move;
 }
--- a/src/core/controller/types.ts
+++ b/src/core/controller/types.ts
@@ -22,21 +22,21 @@
   /** How long after an acknowledged closing no grant is left: `GRANT_LAPSE_MS`. */
   readonly grantLapseMs: Milliseconds;
   /** A drain that has not ended after this long is abandoned and undone. */
-  readonly drainLimitMs: Milliseconds;
+  readonly drainTimeoutMs: Milliseconds;
   /** The most engines that planned changes may keep away at once, as a share of the pool. */
-  readonly maxAwayShare: number;
+  readonly maxOutOfServiceShare: number;
   /** Engines that must go on serving while another is away; at most one less than the pool has. */
   readonly minServing: number;
   /** How old a report may be for its engine to count as serving. */
-  readonly reportFreshMs: Milliseconds;
+  readonly maxReportAgeMs: Milliseconds;
 }
 
 /** Settings of a controller unless the daemon's say otherwise. */
 export const DEFAULT_CONTROLLER_LIMITS = {
-  drainLimitMs: 60_000,
-  maxAwayShare: 0.25,
+  drainTimeoutMs: 60_000,
+  maxOutOfServiceShare: 0.25,
   minServing: 1,
-  reportFreshMs: 3_000,
+  maxReportAgeMs: 3_000,
 } as const;
 
 /** The state wanted of one engine. */
@@ -51,7 +51,7 @@
 }
 
 /** What an engine says of an order. `lost`: the question or its answer was lost. */
-export type AskedOrderState = EngineOrderState | 'unknown' | 'lost';
+export type OrderQueryResult = EngineOrderState | 'unknown' | 'lost';
 
 /** What a controller reacts to. The shell answers every effect, with `lost` where it can't tell. */
 export type ControllerEvent =
@@ -74,7 +74,7 @@
       readonly kind: 'order-state';
       readonly engine: BackendName;
       readonly orderId: OrderId;
-      readonly state: AskedOrderState;
+      readonly state: OrderQueryResult;
     };
 
 /** What a controller asks the engine shell for. The shell checks `maySendUnder` before it writes. */
--- a/src/core/daemon/role-planning.ts
+++ b/src/core/daemon/role-planning.ts
@@ -10,8 +10,8 @@
 import type { LogEffect } from '../logging/log-event.js';
 import type { EngineView } from '../registry/backend.js';
 import {
-  type AskedRole,
   initialRolePlannerState,
+  type RequestedRole,
   type RoleObjective,
   type RolePlannerState,
   stepRolePlanner,
@@ -66,9 +66,9 @@
     const count = planning.heard.get(pool) ?? NO_DEMAND;
     const window = { kind: 'demand', windowMs: PLANNING_INTERVAL_MS, ...count } as const;
     const observed = stepRolePlanner(before, window, context);
-    const asked = operatorRoles(document, engines);
+    const operatorRoles = operatorRoles(document, engines);
     const objective = objectiveOf(document, engines);
-    const evaluation = { kind: 'evaluate', engines, asked, objective } as const;
+    const evaluation = { kind: 'evaluate', engines, operatorRoles, objective } as const;
     const evaluated = stepRolePlanner(observed.state, evaluation, context);
     planners.set(pool, evaluated.state);
     effects.push(...evaluated.effects.filter((effect) => effect.kind === 'log'));
@@ -96,15 +96,15 @@
 function operatorRoles(
   document: ConfigurationDocument,
   engines: readonly EngineView[],
-): readonly AskedRole[] {
-  const asked: AskedRole[] = [];
+): readonly RequestedRole[] {
+  const operatorRoles: RequestedRole[] = [];
   for (const { machine } of engines) {
     const role = document.backends[machine.name]?.role;
     if (role !== undefined) {
-      asked.push({ engine: machine.name, role });
+      operatorRoles.push({ engine: machine.name, role });
     }
   }
-  return asked;
+  return operatorRoles;
 }
 
 /** The objective of the pool's loaded models; `fewest-changes` if any of them has it. */
--- a/src/core/gateway/choose-engine.ts
+++ b/src/core/gateway/choose-engine.ts
@@ -16,8 +16,8 @@
   zoneCostMs,
 } from './engine-costs.js';
 import type { ExpectedRead, Urgency } from './engine-load.js';
-import { preferredEngineOf } from './home.js';
-import { bestKvSources, type KvSource, kvSourceFor, kvTransferMs } from './prompt-donors.js';
+import { bestKvSources, type KvSource, kvSourceFor, kvTransferMs } from './kv-sources.js';
+import { preferredEngineOf } from './preferred-engine.js';
 import type { ReadSpeed } from './read-speed.js';
 import type { EngineStage, ServerRecord } from './server-directory.js';
 import { drawSpread, type Spread, type SpreadWork, usefulSpread } from './spread-choice.js';
--- a/src/core/gateway/configuration.ts
+++ b/src/core/gateway/configuration.ts
@@ -50,7 +50,7 @@
   /** How long an engine is away to change its stage, once its work is done. */
   readonly roleSwitchMs: number;
   /** Held news calls that one engine takes from all daemons together. */
-  readonly maxNewsCalls: number;
+  readonly maxCacheEventPolls: number;
 }
 
 /** Between how many servers a zone may have of a service that is paid by the second, and what they cost. */
--- a/src/core/gateway/engine-choice-input.ts
+++ b/src/core/gateway/engine-choice-input.ts
@@ -2,7 +2,7 @@
 import type { RequestDescription } from './description.js';
 import type { EngineLoad, Urgency } from './engine-load.js';
 import type { PeerLoads } from './peer-load.js';
-import type { PrefixCacheIndex } from './prefix-knowledge.js';
+import type { PrefixCacheIndex } from './prefix-cache-index.js';
 import type { ReadSpeed } from './read-speed.js';
 import type { ServerRecord } from './server-directory.js';
 import type { ServerHealth } from './server-health.js';
--- a/src/core/gateway/fleet-size.ts
+++ b/src/core/gateway/fleet-size.ts
@@ -23,7 +23,7 @@
   }
 
   /** Takes the length of a list that was read, or that was found to be another daemon's as well. */
-  take(daemons: number): void {
+  recordListed(daemons: number): void {
     if (this.#listed !== undefined && daemons <= this.#largest) this.#isConfirmed = true;
     this.#listed = daemons;
     this.#largest = Math.max(this.#largest, daemons);
--- a/src/core/gateway/index.ts
+++ b/src/core/gateway/index.ts
@@ -50,7 +50,7 @@
 export { FleetSize } from './fleet-size.js';
 export { type EraRelation, FollowedRevisions } from './followed-revisions.js';
 export { ForecastScale } from './forecast-scale.js';
-export { preferredEngineOf } from './home.js';
+export { kvTransferMs } from './kv-sources.js';
 export {
   LEDGER_SPAN_MS,
   LimitLedger,
@@ -74,7 +74,7 @@
   NamedLimits,
   type ReportedLimit,
 } from './named-limits.js';
-export { PaceAdvertiser } from './paces-to-tell.js';
+export { PaceAdvertiser } from './pace-advertiser.js';
 export {
   type EngineWork,
   type LoadReport,
@@ -101,11 +101,11 @@
   type StageNeed,
   type StagePlanInput,
 } from './plan-stages.js';
-export { PrefixCacheIndex, type ReadNotice } from './prefix-knowledge.js';
-export { kvTransferMs } from './prompt-donors.js';
+export { preferredEngineOf } from './preferred-engine.js';
+export { PrefixCacheIndex, type ReadNotice } from './prefix-cache-index.js';
+export { type PromptPriorityInput, promptPriority } from './prompt-priority.js';
 export { planAtRank, RankShares } from './rank-shares.js';
-export { type ReachabilityNotice, ReachabilityNoticeFilter } from './reach-notices.js';
-export { type PromptPriorityInput, promptPriority } from './read-priority.js';
+export { type ReachabilityNotice, ReachabilityNoticeFilter } from './reachability-notices.js';
 export { ReadSpeed } from './read-speed.js';
 export { RecentSends } from './recent-sends.js';
 export { type Recheck, RecheckSchedule } from './recheck-schedule.js';
@@ -148,7 +148,7 @@
   type WorkSource,
 } from './stage-demand.js';
 export { type StageNotice, StageNotices, type StagePhase } from './stage-notices.js';
-export { type AdvertisedSums, SumsAdvertiser } from './sums-to-tell.js';
+export { type AdvertisedSums, SumsAdvertiser } from './sums-advertiser.js';
 export { type Admission, TenantTable } from './tenants.js';
 export { ADVERTISE_DELAY_MS, unseenWork } from './unseen-work.js';
 export { UrgentSlack } from './urgent-slack.js';
--- a/src/core/gateway/limit-ledger.ts
+++ b/src/core/gateway/limit-ledger.ts
@@ -77,7 +77,7 @@
   }
 
   /** Takes what an ask tells, and grants what there is room for. */
-  ask(ask: PermitRequest, nowMs: number): PermitGrant {
+  handleRequest(ask: PermitRequest, nowMs: number): PermitGrant {
     const { daemon, wanted, unmetered } = ask;
     this.#opensAtMs ??= ask.knownForMs > TAKE_OVER_AFTER_MS ? nowMs + LEDGER_SPAN_MS : nowMs;
     this.lastRequestAtMs = nowMs;
--- a/src/core/gateway/named-limits.ts
+++ b/src/core/gateway/named-limits.ts
@@ -59,7 +59,7 @@
   /** When it became known here. */
   readonly knownSinceMs: number;
   /** Whether an answer to this daemon named it, and not only others told of it. */
-  readonly isHeard: boolean;
+  readonly isFirstHand: boolean;
 }
 
 /** The limits in force, by server. */
@@ -82,8 +82,8 @@
         return this.#end(id, known, times.sentAtMs);
       case 'named': {
         const { nowMs } = times;
-        const limit = { perSecond: said.perSecond, reportedAtMs: nowMs, isHeard: true };
-        return this.#keep(id, limit, known?.isHeard !== true, nowMs);
+        const limit = { perSecond: said.perSecond, reportedAtMs: nowMs, isFirstHand: true };
+        return this.#keep(id, limit, known?.isFirstHand !== true, nowMs);
       }
     }
   }
@@ -103,7 +103,7 @@
     if (perSecond === undefined) {
       return known === undefined ? undefined : this.#end(id, known, reportedAtMs);
     }
-    const limit = { perSecond, reportedAtMs, isHeard: known?.isHeard ?? false };
+    const limit = { perSecond, reportedAtMs, isFirstHand: known?.isFirstHand ?? false };
     return this.#keep(id, limit, known === undefined, nowMs);
   }
 
@@ -137,7 +137,7 @@
   /** @param isFirst whether it is news whatever was known before */
   #keep(
     id: string,
-    limit: Pick<NamedLimit, 'perSecond' | 'reportedAtMs' | 'isHeard'>,
+    limit: Pick<NamedLimit, 'perSecond' | 'reportedAtMs' | 'isFirstHand'>,
     isFirst: boolean,
     nowMs: number,
   ): LimitChange | undefined {
--- a/src/core/gateway/pace-samples.ts
+++ b/src/core/gateway/pace-samples.ts
@@ -1,7 +1,7 @@
 /**
  * What was seen of one engine's pace: a mean of logarithms whose evidence fades, and the pace that is believed by it.
  */
-import { quantizedPace } from './home.js';
+import { quantizedPace } from './preferred-engine.js';
 
 /** What is left of a sample's weight with each newer one: machines are shared, and what they give changes. */
 const SAMPLE_DECAY = 0.95;
--- a/src/core/gateway/peer-load.ts
+++ b/src/core/gateway/peer-load.ts
@@ -4,8 +4,8 @@
  */
 
 import type { Urgency } from './engine-load.js';
-import type { ReadNotice } from './prefix-knowledge.js';
-import type { ReachabilityNotice } from './reach-notices.js';
+import type { ReadNotice } from './prefix-cache-index.js';
+import type { ReachabilityNotice } from './reachability-notices.js';
 import { addDemands, type ServiceDemand } from './stage-demand.js';
 
 /** A daemon that has told nothing for this long counts as having nothing. */
@@ -92,7 +92,7 @@
   #hasHeardDemand = false;
 
   /** Takes a report unless a newer one of the same life is known. */
-  take(report: LoadReport, nowMs: number): void {
+  applyReport(report: LoadReport, nowMs: number): void {
     const known = this.#byDaemon.get(report.daemon)?.report;
     const isSameLife = known?.incarnation === report.incarnation;
     if (known !== undefined && isSameLife && known.sequence >= report.sequence) return;
--- a/src/core/gateway/peer-roster.ts
+++ b/src/core/gateway/peer-roster.ts
@@ -200,26 +200,26 @@
 
   /**
    * Whether this daemon asks an engine for its news.
-   * @param maxNewsCalls held calls that the engine takes from all daemons together
+   * @param maxCacheEventPolls held calls that the engine takes from all daemons together
    */
-  isWatcher(engineId: string, maxNewsCalls: number, nowMs: number): boolean {
-    return this.#watchersOf(engineId, maxNewsCalls, nowMs).includes(this.#self.name);
+  isWatcher(engineId: string, maxCacheEventPolls: number, nowMs: number): boolean {
+    return this.#watchersOf(engineId, maxCacheEventPolls, nowMs).includes(this.#self.name);
   }
 
   /** Who is passed an engine's news by this daemon: none unless it is the first of the watchers. */
   cacheEventRecipients(
     engineId: string,
-    maxNewsCalls: number,
+    maxCacheEventPolls: number,
     nowMs: number,
   ): readonly PeerDaemon[] {
-    const watchers = this.#watchersOf(engineId, maxNewsCalls, nowMs);
+    const watchers = this.#watchersOf(engineId, maxCacheEventPolls, nowMs);
     if (watchers[0] !== this.#self.name) return [];
     return this.zonePeers().filter(({ name }) => !watchers.includes(name));
   }
 
-  #watchersOf(engineId: string, maxNewsCalls: number, nowMs: number): readonly string[] {
+  #watchersOf(engineId: string, maxCacheEventPolls: number, nowMs: number): readonly string[] {
     const ranked = this.#rankInZone(engineId, nowMs);
-    return this.daemonCount <= maxNewsCalls ? ranked : ranked.slice(0, 1);
+    return this.daemonCount <= maxCacheEventPolls ? ranked : ranked.slice(0, 1);
   }
 
   #relayOf(zone: string, nowMs: number): string | undefined {
--- a/src/core/gateway/server-availability.ts
+++ b/src/core/gateway/server-availability.ts
@@ -93,7 +93,7 @@
   readonly #rests = new Map<string, Rest>();
 
   /** Takes an answer's word. @returns what it tells that was not known */
-  take(
+  recordReport(
     server: ServerRecord,
     { isLeaving, backOffMs }: ReportedAvailability,
     { nowMs, unixMs, entropy }: ToldAt,
--- a/src/core/gateway/server-health.ts
+++ b/src/core/gateway/server-health.ts
@@ -3,7 +3,7 @@
  * that fails is passed over for a time that doubles with each failure in a row, then tried again.
  */
 
-import { MIN_UNREACHABLE_REPORTS, type ReachabilityNotice } from './reach-notices.js';
+import { MIN_UNREACHABLE_REPORTS, type ReachabilityNotice } from './reachability-notices.js';
 
 const FIRST_EJECTION_MS = 400;
 const LONGEST_EJECTION_MS = 4_000;
@@ -85,7 +85,7 @@
   }
 
   /** An attempt to connect was not answered at all. */
-  recordSilent(nowMs: number): void {
+  recordConnectUnanswered(nowMs: number): void {
     this.recordBroken(nowMs);
     this.#isSilent = true;
   }
--- a/src/core/gateway/stage-notices.ts
+++ b/src/core/gateway/stage-notices.ts
@@ -30,7 +30,7 @@
 export class StageNotices {
   readonly #held = new Map<string, HeldNotice>();
 
-  take(notice: StageNotice, nowMs: number): void {
+  apply(notice: StageNotice, nowMs: number): void {
     const validMs = notice.phase === 'changing' ? CHANGING_VALID_MS : CHANGED_VALID_MS;
     this.#held.set(notice.engineId, { ...notice, untilMs: nowMs + validMs });
   }
--- a/src/core/language/apply-backend.ts
+++ b/src/core/language/apply-backend.ts
@@ -1,7 +1,7 @@
 /** Applies the commands about single backends. A backend that nothing is asked of has no entry. */
 import type { BackendConfiguration, ConfigurationDocument } from '../configuration/document.js';
 import type { EngineRole } from '../registry/backend.js';
-import { entry } from './draft.js';
+import { getOwnEntry } from './draft.js';
 import type { Command } from './syntax.js';
 
 /** A command about one backend. */
@@ -29,11 +29,11 @@
 }
 
 function setDrained(draft: ConfigurationDocument, name: string, drained: boolean): void {
-  setBackend(draft, name, drained, entry(draft.backends, name)?.role);
+  setBackend(draft, name, drained, getOwnEntry(draft.backends, name)?.role);
 }
 
 function setRole(draft: ConfigurationDocument, name: string, role: EngineRole | undefined): void {
-  setBackend(draft, name, entry(draft.backends, name)?.drained ?? false, role);
+  setBackend(draft, name, getOwnEntry(draft.backends, name)?.drained ?? false, role);
 }
 
 function setBackend(
--- a/src/core/language/apply-model.ts
+++ b/src/core/language/apply-model.ts
@@ -1,7 +1,7 @@
 /** Applies the commands about models and adapters. */
 import { err, ok } from 'neverthrow';
 import type { ConfigurationDocument, ModelConfiguration } from '../configuration/document.js';
-import { type CommandOutcome, entry } from './draft.js';
+import { type CommandOutcome, getOwnEntry } from './draft.js';
 import type { Command } from './syntax.js';
 
 /** A command about a model or an adapter. */
@@ -15,7 +15,7 @@
   if (command.kind === 'serve-model') {
     return serveModel(draft, command);
   }
-  const model = entry(draft.models, command.model);
+  const model = getOwnEntry(draft.models, command.model);
   if (model === undefined) {
     return err(
       `The model "${command.model}" is not served. Use serve model ${command.model} version … first.`,
@@ -37,7 +37,7 @@
   draft: ConfigurationDocument,
   command: Extract<Command, { kind: 'serve-model' }>,
 ): CommandOutcome {
-  const present = entry(draft.models, command.model);
+  const present = getOwnEntry(draft.models, command.model);
   const model: ModelConfiguration = {
     version: command.version,
     adapters: present?.adapters ?? {},
@@ -83,7 +83,7 @@
   model: ModelConfiguration,
 ): CommandOutcome {
   const { adapter, model: name } = command;
-  const present = entry(model.adapters, adapter);
+  const present = getOwnEntry(model.adapters, adapter);
   if (present === undefined) {
     return err(
       `The adapter "${adapter}" on "${name}" is not served. Use serve adapter ${adapter} on ${name} version … first.`,
--- a/src/core/language/apply-traffic.ts
+++ b/src/core/language/apply-traffic.ts
@@ -5,7 +5,7 @@
   ConfigurationDocument,
   RouteConfiguration,
 } from '../configuration/document.js';
-import { type CommandOutcome, entry } from './draft.js';
+import { type CommandOutcome, getOwnEntry } from './draft.js';
 import { formatDuration } from './duration.js';
 import type { Command } from './syntax.js';
 
@@ -80,14 +80,14 @@
   name: string,
   change: Partial<ClassConfiguration>,
 ): CommandOutcome {
-  const present = entry(draft.classes, name);
+  const present = getOwnEntry(draft.classes, name);
   return present === undefined
     ? err(missingClass(name))
     : withClass(draft, name, { ...present, ...change });
 }
 
 function removeClass(draft: ConfigurationDocument, name: string): CommandOutcome {
-  if (entry(draft.classes, name) === undefined) {
+  if (getOwnEntry(draft.classes, name) === undefined) {
     return err(missingClass(name));
   }
   delete draft.classes[name];
@@ -103,7 +103,7 @@
   command: Extract<Command, { kind: 'set-tenant' }>,
 ): CommandOutcome {
   const { tenant, className, weight } = command;
-  const present = entry(draft.tenants, tenant);
+  const present = getOwnEntry(draft.tenants, tenant);
   const keyDigests = [...(command.keyDigests ?? present?.keyDigests ?? [])];
   draft.tenants[tenant] = { class: className, weight, keyDigests };
   return ok(
@@ -112,7 +112,7 @@
 }
 
 function removeTenant(draft: ConfigurationDocument, tenant: string): CommandOutcome {
-  if (entry(draft.tenants, tenant) === undefined) {
+  if (getOwnEntry(draft.tenants, tenant) === undefined) {
     return err(
       `The tenant "${tenant}" does not exist. See query config where section = "tenants".`,
     );
--- a/src/core/language/apply.ts
+++ b/src/core/language/apply.ts
@@ -8,7 +8,7 @@
 import { applyBackendCommand } from './apply-backend.js';
 import { applyModelCommand } from './apply-model.js';
 import { applyTrafficCommand } from './apply-traffic.js';
-import { type CommandOutcome, draftOf } from './draft.js';
+import { type CommandOutcome, createDraft } from './draft.js';
 import type { Command } from './syntax.js';
 
 /** The document after all commands, and one sentence for each of them. */
@@ -23,7 +23,7 @@
   commands: readonly Command[],
 ): Result<AppliedCommands, Fault> {
   const description: string[] = [];
-  const draft = draftOf(document);
+  const draft = createDraft(document);
   for (const [index, command] of commands.entries()) {
     const applied = applyCommand(draft, command);
     if (applied.isErr()) {
--- a/src/core/language/draft.ts
+++ b/src/core/language/draft.ts
@@ -9,7 +9,7 @@
 export type CommandOutcome = Result<string, string>;
 
 /** A copy of the document that commands may change. */
-export function draftOf(document: ConfigurationDocument): ConfigurationDocument {
+export function createDraft(document: ConfigurationDocument): ConfigurationDocument {
   return {
     ...document,
     models: { ...document.models },
@@ -21,6 +21,6 @@
 }
 
 /** Reads an entry by name; names such as `constructor` are not taken for inherited members. */
-export function entry<T>(record: Readonly<Record<string, T>>, name: string): T | undefined {
+export function getOwnEntry<T>(record: Readonly<Record<string, T>>, name: string): T | undefined {
   return Object.hasOwn(record, name) ? record[name] : undefined;
 }
--- a/src/core/language/evaluate.ts
+++ b/src/core/language/evaluate.ts
@@ -29,7 +29,7 @@
  * The text that a condition pins a field to (`field = "text"` that must hold), or null. Lets a
  * backend fetch one row instead of a whole table.
  */
-export function pinnedText(condition: Condition | null, field: string): string | null {
+export function requiredTextValue(condition: Condition | null, field: string): string | null {
   if (condition === null) {
     return null;
   }
@@ -39,7 +39,7 @@
       return pins && typeof condition.value === 'string' ? condition.value : null;
     }
     case 'and':
-      return pinnedText(condition.left, field) ?? pinnedText(condition.right, field);
+      return requiredTextValue(condition.left, field) ?? requiredTextValue(condition.right, field);
     default:
       return null;
   }
--- a/src/core/orders/intent.ts
+++ b/src/core/orders/intent.ts
@@ -13,7 +13,7 @@
 }
 
 /** Whether two orders ask the same of an engine. */
-export function sameAction(left: OrderAction, right: OrderAction): boolean {
+export function isSameAction(left: OrderAction, right: OrderAction): boolean {
   return describeAction(left) === describeAction(right);
 }
 
--- a/src/core/roles/best-change.ts
+++ b/src/core/roles/best-change.ts
@@ -4,9 +4,9 @@
 import type { BackendName } from '../common/identifiers.js';
 import type { EngineRole } from '../registry/backend.js';
 import type { ExpectedDemand } from './demand-forecast.js';
-import { countEngines, type EngineGroup, moved, without } from './engine-groups.js';
-import { splitCapacity, type TokenMix } from './split-goodput.js';
-import type { PlannerCaution, RolePlannerSettings } from './types.js';
+import { countEngines, type EngineGroup, withOneFewer, withRoleChanged } from './engine-groups.js';
+import { splitCapacity, type TokenMix } from './split-capacity.js';
+import type { PlannerThresholds, RolePlannerSettings } from './types.js';
 
 /** A change with its figures; rates in finished requests a second. */
 export interface RoleChange {
@@ -26,7 +26,7 @@
   readonly groups: readonly EngineGroup[];
   readonly demand: ExpectedDemand;
   readonly settings: RolePlannerSettings;
-  readonly caution: PlannerCaution;
+  readonly thresholds: PlannerThresholds;
 }
 
 const ROLES: readonly EngineRole[] = ['prefill', 'decode', 'mixed'];
@@ -68,18 +68,18 @@
   group: EngineGroup,
   role: EngineRole,
 ): RoleChange | null {
-  const { groups, settings, caution } = input;
+  const { groups, settings, thresholds } = input;
   if (group.movable === null || role === group.role) {
     return null;
   }
-  const changed = moved(groups, group, role);
+  const changed = withRoleChanged(groups, group, role);
   if (!keepsFloor(changed, settings.floorShare)) {
     return null;
   }
   const after = goodputs(input, changed);
   const differences = after.map((rate, point) => rate - (before[point] ?? 0));
-  const cautious = mean(differences) - caution.deviations * deviation(differences);
-  const lost = mean(before) - mean(goodputs(input, without(groups, group)));
+  const cautious = mean(differences) - thresholds.deviations * deviation(differences);
+  const lost = mean(before) - mean(goodputs(input, withOneFewer(groups, group)));
   return {
     engine: group.movable,
     from: group.role,
@@ -87,17 +87,17 @@
     goodputBefore: mean(before),
     goodputAfter: mean(after),
     gain: (cautious * settings.horizonMs) / MS_PER_SECOND,
-    loss: (Math.max(0, lost) * settings.awayMs) / MS_PER_SECOND,
+    loss: (Math.max(0, lost) * settings.outOfServiceMs) / MS_PER_SECOND,
   };
 }
 
 function isWorthIt(input: ChangeInput, change: RoleChange): boolean {
-  const { groups, settings, caution } = input;
+  const { groups, settings, thresholds } = input;
   const ofOneEngine = change.goodputBefore / Math.max(1, countEngines(groups));
-  const leastRate = caution.minGainOfEngine * ofOneEngine;
+  const leastRate = thresholds.minGainShareOfEngine * ofOneEngine;
   const leastGain = (leastRate * settings.horizonMs) / MS_PER_SECOND;
   const enough = change.gain > 0 && change.gain >= leastGain;
-  return enough && change.gain >= caution.gainOverLoss * change.loss;
+  return enough && change.gain >= thresholds.minGainToLossRatio * change.loss;
 }
 
 /** Finished requests a second at each point of the uncertain mix: no more than are asked for. */
--- a/src/core/roles/engine-groups.ts
+++ b/src/core/roles/engine-groups.ts
@@ -46,17 +46,17 @@
 }
 
 /** The groups with one engine fewer in `group`. */
-export function without(groups: readonly EngineGroup[], group: EngineGroup): EngineGroup[] {
+export function withOneFewer(groups: readonly EngineGroup[], group: EngineGroup): EngineGroup[] {
   return groups.map((other) => (other === group ? { ...other, count: other.count - 1 } : other));
 }
 
 /** The groups with one engine of `group` in another role. */
-export function moved(
+export function withRoleChanged(
   groups: readonly EngineGroup[],
   group: EngineGroup,
   role: EngineRole,
 ): EngineGroup[] {
-  return [...without(groups, group), { ...group, role, count: 1, movable: null }];
+  return [...withOneFewer(groups, group), { ...group, role, count: 1, movable: null }];
 }
 
 /** How many engines are in the groups that `belongs` names. */
--- a/src/core/roles/engine-speeds.ts
+++ b/src/core/roles/engine-speeds.ts
@@ -12,15 +12,15 @@
 }
 
 /** What was learnt of one engine. Zeros: nothing yet. */
-export interface LearntSpeed {
+export interface SpeedEstimate {
   readonly prefillTokensPerSecond: number;
   readonly decodeStepMs: number;
 }
 
 /** Speeds by engine. */
-export type LearntSpeeds = ReadonlyMap<BackendName, LearntSpeed>;
+export type SpeedEstimates = ReadonlyMap<BackendName, SpeedEstimate>;
 
-const UNKNOWN: LearntSpeed = { prefillTokensPerSecond: 0, decodeStepMs: 0 };
+const UNKNOWN: SpeedEstimate = { prefillTokensPerSecond: 0, decodeStepMs: 0 };
 /** How much of a best value is kept with each report that does not reach it. */
 const KEPT_PER_REPORT = 0.998;
 /** A step with a full batch beside the shortest step seen; assumed. */
@@ -31,8 +31,11 @@
 const MS_PER_SECOND = 1_000;
 
 /** Takes over what the reports say. Forgets engines that are not among the views. */
-export function learnSpeeds(known: LearntSpeeds, views: readonly EngineView[]): LearntSpeeds {
-  const learnt = new Map<BackendName, LearntSpeed>();
+export function updateSpeedEstimates(
+  known: SpeedEstimates,
+  views: readonly EngineView[],
+): SpeedEstimates {
+  const learnt = new Map<BackendName, SpeedEstimate>();
   for (const view of views) {
     const before = known.get(view.machine.name) ?? UNKNOWN;
     learnt.set(view.machine.name, learnSpeed(before, view));
@@ -42,7 +45,7 @@
 
 /** The speeds of each kind of accelerator: the medians over its engines. */
 export function speedsByAccelerator(
-  speeds: LearntSpeeds,
+  speeds: SpeedEstimates,
   views: readonly EngineView[],
 ): ReadonlyMap<string, EngineSpeed> {
   const kinds = new Map<string, EngineView[]>();
@@ -57,7 +60,7 @@
   return new Map([...kinds].map(([kind, kin]) => [kind, medianSpeed(speeds, kin)]));
 }
 
-function medianSpeed(speeds: LearntSpeeds, kin: readonly EngineView[]): EngineSpeed {
+function medianSpeed(speeds: SpeedEstimates, kin: readonly EngineView[]): EngineSpeed {
   const learnt = kin.map((view) => speeds.get(view.machine.name) ?? UNKNOWN);
   const prefill = median(learnt.map((speed) => speed.prefillTokensPerSecond));
   const step = median(learnt.map((speed) => speed.decodeStepMs)) || DEFAULT_DECODE_STEP_MS;
@@ -68,7 +71,7 @@
   };
 }
 
-function learnSpeed(before: LearntSpeed, view: EngineView): LearntSpeed {
+function learnSpeed(before: SpeedEstimate, view: EngineView): SpeedEstimate {
   const report = view.report;
   if (report === null) {
     return before;
--- a/src/core/roles/index.ts
+++ b/src/core/roles/index.ts
@@ -1,10 +1,10 @@
 /** Roles: when an engine should change between prefill, decode and mixed. */
 export { stepRolePlanner } from './step-role-planner.js';
 export {
-  type AskedRole,
   DEFAULT_ROLE_PLANNER_SETTINGS,
   initialRolePlannerState,
   type PlannedRole,
+  type RequestedRole,
   type RoleObjective,
   type RolePlanEffect,
   type RolePlannerEvent,
--- a/src/core/roles/split-goodput.ts
+++ b/src/core/roles/split-capacity.ts
@@ -32,8 +32,8 @@
 /** Requests a second that an engine finishes when it reads, or writes, and does nothing else. */
 interface PhaseRates {
   readonly count: number;
-  readonly read: number;
-  readonly write: number;
+  readonly prefill: number;
+  readonly decode: number;
 }
 
 /** The capacity of the engines in requests a second. */
@@ -47,7 +47,7 @@
   for (const engine of engines) {
     const rates = phaseRates(engine, mix, model);
     if (engine.role === 'prefill') {
-      reading += rates.count * rates.read;
+      reading += rates.count * rates.prefill;
     } else {
       flexible.push(rates);
     }
@@ -57,23 +57,27 @@
 
 function phaseRates(engine: RoleSpeed, mix: TokenMix, model: ServingModel): PhaseRates {
   const { role, speed, count } = engine;
-  const read = speed.prefillTokensPerSecond / Math.max(1, mix.promptTokens);
-  const write = speed.decodeTokensPerSecond / Math.max(1, mix.outputTokens);
+  const prefill = speed.prefillTokensPerSecond / Math.max(1, mix.promptTokens);
+  const decode = speed.decodeTokensPerSecond / Math.max(1, mix.outputTokens);
   switch (role) {
     case 'prefill':
-      return { count, read, write: 0 };
+      return { count, prefill, decode: 0 };
     case 'decode':
-      return { count, read: read * model.decodeRolePrefillEfficiency, write };
+      return { count, prefill: prefill * model.decodeRolePrefillEfficiency, decode };
     case 'mixed':
-      return { count, read: read * model.mixedEfficiency, write: write * model.mixedEfficiency };
+      return {
+        count,
+        prefill: prefill * model.mixedEfficiency,
+        decode: decode * model.mixedEfficiency,
+      };
   }
 }
 
 /** Without hand-over each engine does whole requests by itself, and prefill engines do nothing. */
 function aloneRate(engines: readonly PhaseRates[]): number {
   let rate = 0;
-  for (const { count, read, write } of engines) {
-    rate += count / (1 / read + 1 / write);
+  for (const { count, prefill, decode } of engines) {
+    rate += count / (1 / prefill + 1 / decode);
   }
   return rate;
 }
@@ -85,18 +89,18 @@
  */
 function balanced(prefillRead: number, flexible: readonly PhaseRates[]): number {
   const byAdvantage = [...flexible].sort(
-    (left, right) => right.read * left.write - left.read * right.write,
+    (left, right) => right.prefill * left.decode - left.prefill * right.decode,
   );
-  let read = prefillRead;
-  let write = flexible.reduce((sum, engine) => sum + engine.count * engine.write, 0);
+  let prefill = prefillRead;
+  let decode = flexible.reduce((sum, engine) => sum + engine.count * engine.decode, 0);
   for (const engine of byAdvantage) {
-    const missing = write - read;
+    const missing = decode - prefill;
     if (missing <= 0) {
       break;
     }
-    const turned = Math.min(engine.count, missing / (engine.read + engine.write));
-    read += turned * engine.read;
-    write -= turned * engine.write;
+    const turned = Math.min(engine.count, missing / (engine.prefill + engine.decode));
+    prefill += turned * engine.prefill;
+    decode -= turned * engine.decode;
   }
-  return Math.min(read, write);
+  return Math.min(prefill, decode);
 }
--- a/src/core/roles/step-role-planner.ts
+++ b/src/core/roles/step-role-planner.ts
@@ -14,11 +14,11 @@
 import { bestChange, type RoleChange } from './best-change.js';
 import { type ExpectedDemand, expectDemand, observeDemand } from './demand-forecast.js';
 import { groupEngines, type PlannedEngine } from './engine-groups.js';
-import { learnSpeeds, speedsByAccelerator } from './engine-speeds.js';
+import { speedsByAccelerator, updateSpeedEstimates } from './engine-speeds.js';
 import type {
   Allowance,
   PlannedRole,
-  PlannerCaution,
+  PlannerThresholds,
   RolePlanEffect,
   RolePlannerEvent,
   RolePlannerState,
@@ -49,7 +49,7 @@
 }
 
 function evaluate(before: RolePlannerState, event: Evaluation, now: MonotonicMs): RoleTransition {
-  const caution = before.settings.caution[event.objective];
+  const thresholds = before.settings.thresholds[event.objective];
   const learnt = refreshed(before, event);
   const plan = learnt.planned.size === before.planned.size ? [] : [planEffect(learnt.planned)];
   const demand = expectDemand(learnt.demand);
@@ -57,13 +57,13 @@
   if (demand === null || isMoving(learnt, engines, event)) {
     return { state: learnt, effects: plan };
   }
-  const state = withAllowance(learnt, { caution, demand, engines: engines.length, now });
+  const state = withAllowance(learnt, { thresholds, demand, engines: engines.length, now });
   const groups = groupEngines(engines, speedsByAccelerator(state.speeds, event.engines));
-  const change = bestChange({ groups, demand, settings: state.settings, caution });
+  const change = bestChange({ groups, demand, settings: state.settings, thresholds });
   if (change === null) {
-    return { state: { ...state, wanted: null }, effects: plan };
+    return { state: { ...state, candidate: null }, effects: plan };
   }
-  return want(state, { change, demand, caution, event, plan });
+  return want(state, { change, demand, thresholds, event, plan });
 }
 
 /** Learns speeds, and drops plans for engines that are gone, restarted or asked for by operators. */
@@ -75,11 +75,11 @@
       planned.set(plan.engine, plan);
     }
   }
-  return { ...state, planned, speeds: learnSpeeds(state.speeds, event.engines) };
+  return { ...state, planned, speeds: updateSpeedEstimates(state.speeds, event.engines) };
 }
 
 interface AllowanceInput {
-  readonly caution: PlannerCaution;
+  readonly thresholds: PlannerThresholds;
   readonly demand: ExpectedDemand;
   readonly engines: number;
   readonly now: MonotonicMs;
@@ -90,25 +90,25 @@
  * after that is taken for the rest of the same shift.
  */
 function withAllowance(state: RolePlannerState, input: AllowanceInput): RolePlannerState {
-  const { caution, demand, engines, now } = input;
+  const { thresholds, demand, engines, now } = input;
   const { allowance } = state;
   const mix = Math.log(demand.promptTokens / demand.outputTokens);
-  const byFleet = Math.floor(engines * caution.changeSharePerShift);
-  const changes = Math.max(caution.changesPerShift, byFleet);
-  const fresh: Allowance = { changes, mix, at: now, awaySince: null };
+  const byFleet = Math.floor(engines * thresholds.changeSharePerShift);
+  const changes = Math.max(thresholds.changesPerShift, byFleet);
+  const fresh: Allowance = { changes, mix, grantedAt: now, shiftedSince: null };
   if (allowance === null) {
     return { ...state, allowance: fresh };
   }
-  if (now - allowance.at < caution.shiftPauseMs) {
+  if (now - allowance.grantedAt < thresholds.shiftPauseMs) {
     return { ...state, allowance: { ...allowance, mix } };
   }
   const shift = Math.max(SHIFT_OF_MIX, SHIFT_DEVIATIONS * demand.mixDeviation);
   if (Math.abs(mix - allowance.mix) < shift) {
-    return { ...state, allowance: { ...allowance, awaySince: null } };
+    return { ...state, allowance: { ...allowance, shiftedSince: null } };
   }
-  const awaySince = allowance.awaySince ?? now;
-  const lasts = now - awaySince >= SHIFT_LASTS_MS;
-  return { ...state, allowance: lasts ? fresh : { ...allowance, awaySince } };
+  const shiftedSince = allowance.shiftedSince ?? now;
+  const lasts = now - shiftedSince >= SHIFT_LASTS_MS;
+  return { ...state, allowance: lasts ? fresh : { ...allowance, shiftedSince } };
 }
 
 /** The engines that serve, in the roles that they have or are on their way to. */
@@ -134,8 +134,13 @@
   event: Evaluation,
   view: EngineView,
 ): PlannedEngine['role'] {
-  const asked = event.asked.find((wish) => wish.engine === view.machine.name);
-  return asked?.role ?? state.planned.get(view.machine.name)?.role ?? view.report?.role ?? 'mixed';
+  const operatorRoles = event.operatorRoles.find((wish) => wish.engine === view.machine.name);
+  return (
+    operatorRoles?.role ??
+    state.planned.get(view.machine.name)?.role ??
+    view.report?.role ??
+    'mixed'
+  );
 }
 
 /** Whether as many engines as may are on their way to another role. */
@@ -156,18 +161,18 @@
 interface Wish {
   readonly change: RoleChange;
   readonly demand: ExpectedDemand;
-  readonly caution: PlannerCaution;
+  readonly thresholds: PlannerThresholds;
   readonly event: Evaluation;
   readonly plan: readonly RolePlanEffect[];
 }
 
 /** A change is begun once enough evaluations in a row wanted one to the same role. */
 function want(state: RolePlannerState, wish: Wish): RoleTransition {
-  const { change, caution, plan } = wish;
-  const repeats = state.wanted?.role === change.to ? state.wanted.evaluations + 1 : 1;
+  const { change, thresholds, plan } = wish;
+  const repeats = state.candidate?.role === change.to ? state.candidate.evaluations + 1 : 1;
   const wanted = { engine: change.engine, role: change.to, evaluations: repeats };
-  if (repeats < caution.evaluations || !isAllowed(state, change)) {
-    return { state: { ...state, wanted }, effects: plan };
+  if (repeats < thresholds.evaluations || !isAllowed(state, change)) {
+    return { state: { ...state, candidate: wanted }, effects: plan };
   }
   return begin(state, wish);
 }
@@ -204,7 +209,7 @@
       ? null
       : { ...state.allowance, changes: state.allowance.changes - used };
   return {
-    state: { ...state, planned, wanted: null, allowance },
+    state: { ...state, planned, candidate: null, allowance },
     effects: [planEffect(planned), log(ROLE_EVENTS.changePlanned, fields)],
   };
 }
@@ -228,5 +233,5 @@
 }
 
 function isAsked(event: Evaluation, engine: BackendName): boolean {
-  return event.asked.some((wish) => wish.engine === engine);
+  return event.operatorRoles.some((wish) => wish.engine === engine);
 }
--- a/src/core/roles/types.ts
+++ b/src/core/roles/types.ts
@@ -4,18 +4,18 @@
 import type { ModelConfiguration } from '../configuration/document.js';
 import type { EngineRole, EngineView } from '../registry/backend.js';
 import type { DemandForecast, DemandWindow } from './demand-forecast.js';
-import type { LearntSpeeds } from './engine-speeds.js';
-import type { ServingModel } from './split-goodput.js';
+import type { SpeedEstimates } from './engine-speeds.js';
+import type { ServingModel } from './split-capacity.js';
 
 /** What a pool's planner works towards. */
 export type RoleObjective = ModelConfiguration['objective'];
 
 /** How bold the planner is; one set for each objective. */
-export interface PlannerCaution {
+export interface PlannerThresholds {
   /** A change must promise at least this share of what an engine finishes in the mean. */
-  readonly minGainOfEngine: number;
+  readonly minGainShareOfEngine: number;
   /** The gain over the horizon must be so many times the work lost by the change. */
-  readonly gainOverLoss: number;
+  readonly minGainToLossRatio: number;
   /** Standard deviations of the gain, over the uncertain mix, that are taken off it. */
   readonly deviations: number;
   /** Evaluations in a row that must want the same change. */
@@ -31,26 +31,26 @@
 export interface RolePlannerSettings {
   readonly horizonMs: Milliseconds;
   /** How long an engine is away for a role change, with its drain. */
-  readonly awayMs: Milliseconds;
+  readonly outOfServiceMs: Milliseconds;
   /** The part of the engines that must be able to read, and to write, at any time. */
   readonly floorShare: number;
   /** The part of the engines that may be on their way to another role at once; at least one may. */
   readonly maxMovingShare: number;
   readonly model: ServingModel;
-  readonly caution: Readonly<Record<RoleObjective, PlannerCaution>>;
+  readonly thresholds: Readonly<Record<RoleObjective, PlannerThresholds>>;
 }
 
 /** The settings; docs/decisions/role-planner.md says what decided them. */
 export const DEFAULT_ROLE_PLANNER_SETTINGS: RolePlannerSettings = {
   horizonMs: 300_000,
-  awayMs: 15_000,
+  outOfServiceMs: 15_000,
   floorShare: 0.25,
   maxMovingShare: 0.25,
   model: { handOver: false, mixedEfficiency: 1, decodeRolePrefillEfficiency: 0.5 },
-  caution: {
+  thresholds: {
     goodput: {
-      minGainOfEngine: 0.2,
-      gainOverLoss: 2,
+      minGainShareOfEngine: 0.2,
+      minGainToLossRatio: 2,
       deviations: 0.5,
       evaluations: 3,
       changesPerShift: 2,
@@ -58,8 +58,8 @@
       shiftPauseMs: 300_000,
     },
     'fewest-changes': {
-      minGainOfEngine: 0.5,
-      gainOverLoss: 4,
+      minGainShareOfEngine: 0.5,
+      minGainToLossRatio: 4,
       deviations: 1,
       evaluations: 6,
       changesPerShift: 1,
@@ -70,7 +70,7 @@
 };
 
 /** A role that an operator asked for; the planner leaves the engine alone. */
-export interface AskedRole {
+export interface RequestedRole {
   readonly engine: BackendName;
   readonly role: EngineRole;
 }
@@ -84,7 +84,7 @@
       readonly kind: 'evaluate';
       /** The engines of the pool that hold the model. */
       readonly engines: readonly EngineView[];
-      readonly asked: readonly AskedRole[];
+      readonly operatorRoles: readonly RequestedRole[];
       readonly objective: RoleObjective;
     };
 
@@ -105,7 +105,7 @@
 }
 
 /** A change that recent evaluations wanted. */
-export interface WantedChange {
+export interface CandidateChange {
   readonly engine: BackendName;
   readonly role: EngineRole;
   readonly evaluations: number;
@@ -116,18 +116,18 @@
   readonly changes: number;
   /** The logarithm of prompt over output tokens at which it was given, and when. */
   readonly mix: number;
-  readonly at: MonotonicMs;
+  readonly grantedAt: MonotonicMs;
   /** Since when the mix has been a shift away from that; null while it is not. */
-  readonly awaySince: MonotonicMs | null;
+  readonly shiftedSince: MonotonicMs | null;
 }
 
 /** The state of one pool's planner. */
 export interface RolePlannerState {
   readonly settings: RolePlannerSettings;
   readonly demand: DemandForecast | null;
-  readonly speeds: LearntSpeeds;
+  readonly speeds: SpeedEstimates;
   readonly planned: ReadonlyMap<BackendName, PlannedRole>;
-  readonly wanted: WantedChange | null;
+  readonly candidate: CandidateChange | null;
   /** Changes that the present mix of demand still allows. */
   readonly allowance: Allowance | null;
 }
@@ -141,7 +141,7 @@
     demand: null,
     speeds: new Map(),
     planned: new Map(),
-    wanted: null,
+    candidate: null,
     allowance: null,
   };
 }
--- a/src/daemon/operator-backend.ts
+++ b/src/daemon/operator-backend.ts
@@ -25,9 +25,9 @@
 import { type Fault, refusedNotRun } from '../core/errors/fault.js';
 import {
   applyCommands,
-  pinnedText,
   type Query,
   type Row,
+  requiredTextValue,
   type TableName,
 } from '../core/language/index.js';
 import type { TableCall, TableResult } from '../core/platform/table.js';
@@ -72,7 +72,7 @@
   async rows(table: TableName, query: Query): Promise<Result<readonly Row[], Fault>> {
     const stored = STORED_TABLES[table];
     if (stored !== undefined) {
-      const key = pinnedText(query.where, stored.keyField);
+      const key = requiredTextValue(query.where, stored.keyField);
       const rows = await this.#storedRows(stored, key);
       return table === 'leases' ? rows.map((leases) => this.#withRemainingTime(leases)) : rows;
     }
--- a/src/lab/model/control/key.ts
+++ b/src/lab/model/control/key.ts
@@ -168,7 +168,7 @@
   }
   if (busyAt !== null) parts.push('b', Number(askedAt > busyAt), Number(viewAt > busyAt));
   if (drainStartedAt !== null) {
-    parts.push('d', until(drainStartedAt + state.settings.drainLimitMs, now));
+    parts.push('d', until(drainStartedAt + state.settings.drainTimeoutMs, now));
   }
   return parts.join();
 }
--- a/src/lab/model/control/properties.ts
+++ b/src/lab/model/control/properties.ts
@@ -4,9 +4,9 @@
 import {
   type IntentRow,
   intentKey,
+  isSameAction,
   isUnresolved,
   type Order,
-  sameAction,
 } from '../../../core/orders/index.js';
 import { bootId, type ModelEngine, runningOrder } from '../engine.js';
 import { rowOf } from '../table.js';
@@ -39,7 +39,7 @@
     row.orderId === order.id &&
     row.phase === 'ordered' &&
     row.boot === order.boot &&
-    sameAction(row.action, order.action);
+    isSameAction(row.action, order.action);
   if (!isIntended) {
     const named = row === null ? 'nothing' : `${row.orderId} ${row.phase}`;
     draft.violate(
--- a/src/lab/model/control/world.ts
+++ b/src/lab/model/control/world.ts
@@ -207,7 +207,7 @@
       pool: POOL,
       ...DEFAULT_CONTROLLER_LIMITS,
       grantLapseMs: protections.barrier ? lapseTicks * TICK_MS : 0,
-      drainLimitMs: TICKS.drainLimit * TICK_MS,
+      drainTimeoutMs: TICKS.drainLimit * TICK_MS,
     }),
     report: null,
     askedAt: 0,
--- a/src/shell/engine/client.ts
+++ b/src/shell/engine/client.ts
@@ -3,7 +3,7 @@
 import type { z } from 'zod';
 import type { AttemptId, OrderId } from '../../core/common/identifiers.js';
 import type { Milliseconds } from '../../core/common/time.js';
-import type { AskedOrderState } from '../../core/controller/index.js';
+import type { OrderQueryResult } from '../../core/controller/index.js';
 import { type Fault, refusedNotRun } from '../../core/errors/fault.js';
 import type { Order, OrderAnswer } from '../../core/orders/index.js';
 import type { Endpoint, EngineReport } from '../../core/registry/backend.js';
@@ -33,7 +33,7 @@
   /** Gives an order. `lost`: no answer came; ask for the order's state before anything else. */
   order(endpoint: Endpoint, order: Order): Promise<OrderAnswer>;
   /** Asks what became of an order; `lost` where the question or its answer was lost. */
-  orderState(endpoint: Endpoint, id: OrderId): Promise<AskedOrderState>;
+  orderState(endpoint: Endpoint, id: OrderId): Promise<OrderQueryResult>;
   /** Ends an attempt; false when the engine did not know it as active. */
   cancel(endpoint: Endpoint, attempt: AttemptId): Promise<Result<boolean, Fault>>;
   /** Reads the published cache events after number `after`. */
--- a/src/shell/gateway/request-room.ts
+++ b/src/shell/gateway/admission-gate.ts
@@ -6,11 +6,15 @@
 import { type RoomPlace, WaitingRoom } from '../../core/admission/index.js';
 import type { Placement } from '../../core/gateway/index.js';
 import { GATEWAY_EVENTS } from '../../core/logging/catalogue/gateway.js';
+import {
+  type AdmissionCheck,
+  admissionLogFields,
+  type ReleaseReservation,
+} from './admission-check.js';
+import { AdmissionRefusals } from './admission-refusals.js';
 import type { Exchange } from './exchange.js';
 import type { GatewayMetrics } from './gateway-metrics.js';
 import type { GatewayLog } from './request-log.js';
-import { type AdmissionCheck, admissionLogFields, type ReleaseReservation } from './room-ask.js';
-import { AdmissionRefusals } from './room-refusals.js';
 import type { CancelTimer, TimerService } from './timer-service.js';
 
 /** Room that is expected to come by itself is looked for no more often than this. */
@@ -34,7 +38,7 @@
   readonly isOn: boolean;
   readonly timers: TimerService;
   readonly log: Pick<GatewayLog, 'write'>;
-  readonly metrics: Pick<GatewayMetrics, 'recordWait' | 'recordRoomRefusal'>;
+  readonly metrics: Pick<GatewayMetrics, 'recordWait' | 'recordCapacityRefusal'>;
 }
 
 /** The waiting room of a daemon. */
--- a/src/shell/gateway/room-refusals.ts
+++ b/src/shell/gateway/admission-refusals.ts
@@ -1,10 +1,10 @@
 /** Refusals for want of room: the time to come back, the line in the log, the count and the answer. */
 import { RetryLine } from '../../core/admission/index.js';
 import { GATEWAY_EVENTS } from '../../core/logging/catalogue/gateway.js';
+import { type AdmissionCheck, admissionLogFields } from './admission-check.js';
 import type { Exchange } from './exchange.js';
 import type { GatewayMetrics } from './gateway-metrics.js';
 import type { GatewayLog } from './request-log.js';
-import { type AdmissionCheck, admissionLogFields } from './room-ask.js';
 import type { TimerService } from './timer-service.js';
 
 /** Another daemon takes a request at once. */
@@ -14,7 +14,7 @@
 export interface AdmissionRefusalsOptions {
   readonly timers: TimerService;
   readonly log: Pick<GatewayLog, 'write'>;
-  readonly metrics: Pick<GatewayMetrics, 'recordRoomRefusal'>;
+  readonly metrics: Pick<GatewayMetrics, 'recordCapacityRefusal'>;
 }
 
 /** Why a request is refused. */
@@ -53,7 +53,7 @@
       waitedMs: Math.round(waitedMs),
       behind,
     });
-    this.#options.metrics.recordRoomRefusal(reason, exchange.options.rank);
+    this.#options.metrics.recordCapacityRefusal(reason, exchange.options.rank);
     exchange.refuse('no server is expected to answer in time', retryAfterMs);
   }
 
@@ -64,7 +64,7 @@
       reason: 'stopping',
       retryAfterMs: STOPPING_RETRY_AFTER_MS,
     });
-    this.#options.metrics.recordRoomRefusal('stopping', exchange.options.rank);
+    this.#options.metrics.recordCapacityRefusal('stopping', exchange.options.rank);
     exchange.refuse('this daemon stops before there is room', STOPPING_RETRY_AFTER_MS);
   }
 
--- a/src/shell/gateway/attempt.ts
+++ b/src/shell/gateway/attempt.ts
@@ -11,13 +11,13 @@
 } from '../../core/gateway/index.js';
 import { GATEWAY_EVENTS } from '../../core/logging/catalogue/gateway.js';
 import { withoutConnectionHeaders } from '../http/headers.js';
+import type { AdmissionGate } from './admission-gate.js';
 import { type BackendAnswer, CONNECT_TIMEOUT_MS } from './backend-connections.js';
 import type { CrashGuard } from './crash-guard.js';
 import type { Exchange } from './exchange.js';
 import type { FleetView } from './fleet-view.js';
 import type { LimitCoordinator } from './limit-coordinator.js';
-import type { MemorySource, RequestCodec } from './ports.js';
-import type { AdmissionGate } from './request-room.js';
+import type { HandoverSource, RequestCodec } from './ports.js';
 import type { HeldBack, ServerCalls } from './server-calls.js';
 import type { WebWork } from './web-work.js';
 
@@ -48,17 +48,17 @@
   /** To be called when work on a long prompt begins or ends. */
   readonly onLoadChange: () => void;
   /** To be called when a shared part begins to be read, so that no other daemon has it read again. */
-  readonly noteRead: (read: ReadNotice) => void;
+  readonly advertiseRead: (read: ReadNotice) => void;
   /** To be called when a server does not answer a connection, or does so again. */
   readonly advertiseReachability: (reach: Omit<ReachabilityNotice, 'by'>) => void;
   /** What is known of requests that end servers. */
   readonly crashes: Pick<
     CrashGuard,
     | 'isQuarantined'
-    | 'isPrepared'
+    | 'isReadyToServe'
     | 'recordBrokenRun'
     | 'recordCompleteRun'
-    | 'refuse'
+    | 'refuseIfQuarantined'
     | 'whenChecked'
   >;
   /** To be called when a request began to run at a server, so long ago. */
@@ -75,7 +75,7 @@
   readonly mayKeepConnection: boolean;
   readonly priority: number | undefined;
   readonly prefillOnly: boolean;
-  readonly memorySource: MemorySource | undefined;
+  readonly handoverSource: HandoverSource | undefined;
   readonly fetchFrom: string | undefined;
   readonly resumeAfterEventId: string | undefined;
   /** When the head of the answer is expected; 0 where nothing is known of that. */
@@ -104,7 +104,7 @@
 type CallResult =
   | FailedCall
   | HeldBack
-  | { readonly kind: 'answered'; readonly attempt: Omit<AnsweredAttempt, 'noteRead'> };
+  | { readonly kind: 'answered'; readonly attempt: Omit<AnsweredAttempt, 'recordPrefilled'> };
 
 /** An attempt whose answer has begun. */
 export interface AnsweredAttempt {
@@ -114,7 +114,7 @@
   /** Call when the body has ended well or not. */
   readonly end: (outcome: AnswerOutcome) => void;
   /** Call when the prompt was read and did not run. */
-  readonly noteRead: () => void;
+  readonly recordPrefilled: () => void;
 }
 
 /** Options that are the same for most attempts. */
@@ -124,7 +124,7 @@
     mayKeepConnection: false,
     priority: undefined,
     prefillOnly: false,
-    memorySource: undefined,
+    handoverSource: undefined,
     fetchFrom: undefined,
     resumeAfterEventId: undefined,
     expectedMs: 0,
@@ -148,7 +148,7 @@
   if (result.kind !== 'answered') return result;
   const { attempt } = result;
   const noteRead = () => exchange.sends.end(send, 'read', budget);
-  return { kind: 'answered', attempt: { ...attempt, noteRead } };
+  return { kind: 'answered', attempt: { ...attempt, recordPrefilled: noteRead } };
 }
 
 async function callServer(
@@ -175,7 +175,7 @@
     tenant: exchange.options.tenant?.name,
     priority: options.priority,
     prefillOnly: options.prefillOnly,
-    memorySource: options.memorySource,
+    handoverSource: options.handoverSource,
     fetchFrom: options.fetchFrom,
     resumeAfterEventId: options.resumeAfterEventId,
   });
@@ -213,7 +213,7 @@
   if (health.recordReached()) {
     context.advertiseReachability({ serverId: options.server.id, isReachable: true });
   }
-  const marks = context.codec.readMarks(answer.status, answer.message.headers);
+  const marks = context.codec.readAnswerMetadata(answer.status, answer.message.headers);
   if (isWebCall && marks.load !== undefined)
     context.webWork.applyReportedLoad(options.server, marks.load);
   if (marks.isNotExecuted) {
@@ -303,7 +303,7 @@
   const { log, metrics, description, timers } = exchange.options;
   if (failure.kind === 'not-executed') health.recordRefusal(timers.nowMs());
   else if (failure.kind === 'not-sent' && failure.connectTimedOut) {
-    health.recordSilent(timers.nowMs());
+    health.recordConnectUnanswered(timers.nowMs());
     if (!context.fleet.directory.isSuperseded(options.server)) {
       context.advertiseReachability({ serverId: options.server.id, isReachable: false });
     }
@@ -339,14 +339,14 @@
   const { service, timers } = exchange.options;
   const nowMs = timers.nowMs();
   const { leaving, resting } = context.fleet.unavailableOf(service, nowMs);
-  const atLimit = context.fleet.atLimit(service, nowMs).length;
+  const atLimit = context.fleet.serversAtLimit(service, nowMs).length;
   exchange.refuse(reason, retryAfterMs(exchange, context), { leaving, resting, atLimit });
 }
 
 /** When a refused caller may come back: when a server that is passed over now is tried again. */
 function retryAfterMs(exchange: Exchange, { fleet }: AttemptContext): number {
   const { service, route, timers } = exchange.options;
-  const expectedMs = fleet.roomExpectedInMs(service, timers.nowMs());
+  const expectedMs = fleet.capacityExpectedInMs(service, timers.nowMs());
   const waitMs = expectedMs ?? route.targetLatencyMs;
   // Spread, so that those who were refused together do not come back together.
   return waitMs * (1 + RETRY_SPREAD * Math.random());
--- a/src/shell/gateway/cache-news-watcher.ts
+++ b/src/shell/gateway/cache-event-watchers.ts
@@ -8,7 +8,7 @@
 import { GATEWAY_EVENTS } from '../../core/logging/catalogue/gateway.js';
 import type { FleetView } from './fleet-view.js';
 import type { EngineCacheEvents } from './peer-messages.js';
-import type { CacheNews, RequestCodec } from './ports.js';
+import type { CacheEventBatch, RequestCodec } from './ports.js';
 import type { GatewayLog } from './request-log.js';
 import type { ServerCalls } from './server-calls.js';
 import { type CancelTimer, callWithTimeout, delay, type TimerService } from './timer-service.js';
@@ -153,7 +153,7 @@
     }
   }
 
-  #ask(): Promise<CacheNews | 'failed' | 'turned-away'> {
+  #ask(): Promise<CacheEventBatch | 'failed' | 'turned-away'> {
     return callWithTimeout(
       this.#context.timers,
       WAIT_MS + ANSWER_SLACK_MS,
@@ -162,10 +162,10 @@
     );
   }
 
-  async #askWithin(signal: AbortSignal): Promise<CacheNews | 'failed' | 'turned-away'> {
+  async #askWithin(signal: AbortSignal): Promise<CacheEventBatch | 'failed' | 'turned-away'> {
     const { calls, codec } = this.#context;
     const result = await calls.call({
-      ...codec.cacheNews(this.#next, WAIT_MS),
+      ...codec.cacheEvents(this.#next, WAIT_MS),
       server: this.#engine,
       purpose: 'cache-news',
       request: '',
@@ -178,10 +178,10 @@
     if (result.kind !== 'answered') return 'failed';
     if (result.answer.status === TURNED_AWAY_STATUS) return 'turned-away';
     if (result.answer.status !== 200 || body === undefined) return 'failed';
-    return codec.readCacheNews(body) ?? 'failed';
+    return codec.readCacheEvents(body) ?? 'failed';
   }
 
-  async #take(news: CacheNews): Promise<void> {
+  async #take(news: CacheEventBatch): Promise<void> {
     const { timers, duty } = this.#context;
     const { prefixIndex } = this.#context.fleet;
     this.#noteSuccess();
--- a/src/shell/gateway/caller-listener.ts
+++ b/src/shell/gateway/caller-listener.ts
@@ -13,7 +13,7 @@
 import { runModelExchange } from './model-exchange.js';
 import type { GatewayLog } from './request-log.js';
 import type { TimerService } from './timer-service.js';
-import { runWebExchange } from './whole-exchange.js';
+import { runWebExchange } from './web-exchange.js';
 
 /** The parser's own bound; the configured one is checked on what was read. */
 const MAX_PARSED_HEADER_BYTES = 131_072;
@@ -101,7 +101,7 @@
     const { context } = this.#options;
     const { inForce } = context.fleet;
     if (inForce === undefined) return this.#rejectYet(request, response, 'no configuration yet');
-    if (!context.crashes.isPrepared) {
+    if (!context.crashes.isReadyToServe) {
       return this.#rejectYet(request, response, 'this daemon has just started');
     }
     const route = inForce.routes.find(request.headers.host ?? '', request.url ?? '/');
@@ -142,7 +142,7 @@
       metrics,
       stopsAtMs: () => this.#stopsAtMs,
     });
-    if (context.crashes.refuse(exchange)) return;
+    if (context.crashes.refuseIfQuarantined(exchange)) return;
     const hasEngines = inForce.configuration.services.get(service)?.engine !== undefined;
     const isModelRequest = hasEngines || route.kind === 'streaming';
     if (isModelRequest) await runModelExchange(exchange, context);
--- a/src/shell/gateway/crash-guard.ts
+++ b/src/shell/gateway/crash-guard.ts
@@ -17,13 +17,13 @@
 import { CrashStoreDuty } from './crash-store-duty.js';
 import { CrashStoreRestore } from './crash-store-restore.js';
 import { CrashTable, type CrashTableContent } from './crash-table.js';
-import { UnresolvedBreaks } from './open-breaks.js';
 import type { PeerExchange } from './peer-exchange.js';
 import type { TableService } from './ports.js';
 import { type GuardedExchange, RequestFingerprints } from './request-fingerprint.js';
 import type { GatewayLog } from './request-log.js';
-import type { ServerExitCheck } from './server-end-check.js';
+import type { ServerExitCheck } from './server-exit-check.js';
 import { delay, type TimerService, type WallClock } from './timer-service.js';
+import { UnresolvedBreaks } from './unresolved-breaks.js';
 
 const READ_RETRY_MS = 500;
 
@@ -45,7 +45,7 @@
 /** What a guard is built from. */
 export interface CrashGuardOptions {
   readonly table: TableService;
-  readonly endCheck: Pick<ServerExitCheck, 'hasEnded'>;
+  readonly exitCheck: Pick<ServerExitCheck, 'hasEnded'>;
   /** Whether a life of a server took new work when it was last listed; one that is about to end by plan does not. */
   readonly isReady: (server: ServerRecord) => boolean;
   readonly roster: Pick<PeerRoster, 'allPeers' | 'positionFor' | 'hasList'>;
@@ -121,7 +121,7 @@
    * Whether requests may be sent: a daemon that has not read the table would send what all others refuse. One that
    * the store turns away serves all the same once it could have been told by the others.
    */
-  get isPrepared(): boolean {
+  get isReadyToServe(): boolean {
     const { timers, contactMs } = this.#options;
     return this.#hasRead || timers.nowMs() - this.#startedMs >= contactMs;
   }
@@ -144,7 +144,7 @@
   }
 
   /** Refuses a quarantined request, or fails it where it has run; false where it is none. */
-  refuse(exchange: GuardedExchange): boolean {
+  refuseIfQuarantined(exchange: GuardedExchange): boolean {
     if (!this.isQuarantined(exchange)) return false;
     const fingerprint = this.#fingerprints.of(exchange) ?? '';
     const ageMs = this.#records.get(fingerprint, this.#options.timers.nowMs())?.ageMs ?? 0;
@@ -198,9 +198,9 @@
 
   async #check(exchange: GuardedExchange, broken: BrokenRun): Promise<void> {
     const { server, wasReady, ranMs } = broken;
-    const { endCheck, timers, log } = this.#options;
+    const { exitCheck, timers, log } = this.#options;
     const startedMs = timers.nowMs();
-    const hasEnded = await endCheck.hasEnded(server);
+    const hasEnded = await exitCheck.hasEnded(server);
     const fingerprint = this.#fingerprints.of(exchange) ?? '';
     const isTold = wasReady && fingerprint !== '';
     const isCounted = hasEnded && isTold;
--- a/src/shell/gateway/duties.ts
+++ b/src/shell/gateway/duties.ts
@@ -82,7 +82,7 @@
   }
 
   /** Servers of a service that are on their way, as far as this daemon knows. */
-  comingServers(service: string): number {
+  startingServers(service: string): number {
     return this.capacityBeliefs.find((known) => known.service === service)?.coming ?? 0;
   }
 
@@ -93,6 +93,6 @@
 
   /** What another daemon tells of usage, or asks. */
   handleUsage(message: UsageMessage, reply: Reply): void {
-    this.#usage?.take(message, reply);
+    this.#usage?.handleMessage(message, reply);
   }
 }
--- a/src/shell/gateway/fleet-demand.ts
+++ b/src/shell/gateway/fleet-demand.ts
@@ -15,10 +15,10 @@
   type UnseenWork,
   unseenWork,
 } from '../../core/gateway/index.js';
-import { getOrCreate } from './entry-of.js';
+import { getOrCreate } from './get-or-create.js';
 
 /** The mix of work is judged over this time. */
-export const DEMAND_SPAN_MS = 6_000;
+export const DEMAND_WINDOW_MS = 6_000;
 const MILLISECONDS_PER_SECOND = 1_000;
 
 /** What it is worked out from. */
@@ -44,7 +44,7 @@
 
   /** What this daemon is asked for. */
   of(service: string): StageDemand {
-    return getOrCreate(this.#demands, service, () => new StageDemand(DEMAND_SPAN_MS));
+    return getOrCreate(this.#demands, service, () => new StageDemand(DEMAND_WINDOW_MS));
   }
 
   /** What other daemons have sent for a service that does not show yet; undefined where all shows at once. */
@@ -55,7 +55,7 @@
       knownAgeMs: this.#sources.peerLoads.sumsAgeMs(nowMs),
       own: this.of(service).sums(nowMs),
       all: this.#ofAll(service, nowMs),
-      spanMs: DEMAND_SPAN_MS,
+      spanMs: DEMAND_WINDOW_MS,
       busyForMs: this.#sources.peerLoads.busyForMs(nowMs),
     });
   }
@@ -77,15 +77,15 @@
       .filter(({ stage }) => stage === 'decode');
     const paces = engines.reduce((sum, { id }) => sum + paceOf(id), 0);
     const { shortRequests } = this.#ofAll(service, nowMs);
-    return shortRequests / DEMAND_SPAN_MS / Math.max(1, paces);
+    return shortRequests / DEMAND_WINDOW_MS / Math.max(1, paces);
   }
 
   /** The work of a service, in engines of the usual pace that it keeps busy. */
   needOf(service: string, nowMs: number): StageNeed {
     const { prefillMs, decodeMs, requests } = this.#ofAll(service, nowMs);
     return {
-      prefillEngines: prefillMs / DEMAND_SPAN_MS,
-      decodeEngines: decodeMs / DEMAND_SPAN_MS,
+      prefillEngines: prefillMs / DEMAND_WINDOW_MS,
+      decodeEngines: decodeMs / DEMAND_WINDOW_MS,
       requests,
     };
   }
@@ -106,7 +106,7 @@
     if (this.#sources.limits.count === 0) return () => 1;
     const { requests } = this.#ofAll(service, nowMs);
     const servers = this.#sources.readyOf(service, nowMs);
-    const perSecond = (requests * MILLISECONDS_PER_SECOND) / DEMAND_SPAN_MS;
+    const perSecond = (requests * MILLISECONDS_PER_SECOND) / DEMAND_WINDOW_MS;
     return (serverId) => {
       const limit = this.#sources.limits.of(serverId);
       if (limit === undefined || perSecond === 0) return 1;
--- a/src/shell/gateway/fleet-follower.ts
+++ b/src/shell/gateway/fleet-follower.ts
@@ -13,17 +13,17 @@
 } from '../../core/gateway/index.js';
 import { GATEWAY_EVENTS } from '../../core/logging/catalogue/gateway.js';
 import { FIRST_ERA } from '../../core/platform/store-position.js';
-import type { CacheEventWatchers } from './cache-news-watcher.js';
+import type { CacheEventWatchers } from './cache-event-watchers.js';
 import type { FleetView } from './fleet-view.js';
-import { NewestPeerVersion } from './heard-version.js';
+import { NewestPeerVersion } from './newest-peer-version.js';
 import type { ForwardedConfiguration } from './peer-messages.js';
 import type { PlatformAdapter, WatchedRow } from './ports.js';
 import type { RelayDigest } from './relay-digest.js';
 import type { GatewayLog } from './request-log.js';
-import { WatchRetryQueue } from './retry-turns.js';
 import { type TableChanges, TableWatcher } from './table-watcher.js';
 import type { CancelTimer, TimerService, WallClock } from './timer-service.js';
 import { UnreadableRows } from './unreadable-rows.js';
+import { WatchRetryQueue } from './watch-retry-queue.js';
 import type { RecheckSpans, WatchTiming } from './watch-timing.js';
 
 /**
@@ -57,7 +57,7 @@
 export interface FleetFollowerOptions {
   readonly adapter: PlatformAdapter;
   readonly fleet: FleetView;
-  readonly cacheNews: CacheEventWatchers;
+  readonly cacheEventWatchers: CacheEventWatchers;
   /** The times of the watches, by what this daemon does for the others. */
   readonly timing: () => WatchTiming;
   /** For how long tables are read whole again, as reads may be stale. */
@@ -105,9 +105,9 @@
   constructor(options: FleetFollowerOptions) {
     this.#options = options;
     const { adapter, timing, recheckSpans, random, timers, log, digest } = options;
-    const retryTurns = new WatchRetryQueue(timers);
+    const retryQueue = new WatchRetryQueue(timers);
     const handleEra = (era: number) => this.#noteEra(era);
-    const shared = { timing, recheckSpans, random, retryTurns, timers, log, handleEra };
+    const shared = { timing, recheckSpans, random, retryQueue, timers, log, handleEra };
     const configurations = new TableWatcher({
       table: adapter.configurations,
       consumer: {
@@ -357,12 +357,12 @@
   }
 
   #carryOut(change: DirectoryChange): void {
-    const { fleet, cacheNews, recordServerStart, log } = this.#options;
+    const { fleet, cacheEventWatchers, recordServerStart, log } = this.#options;
     const { added, changed, removed, restarted } = change;
-    fleet.forgetEnded(change);
-    for (const server of removed) cacheNews.remove(server.id);
-    for (const server of added) cacheNews.add(server);
-    for (const server of restarted) cacheNews.restart(server);
+    fleet.forgetEndedBoots(change);
+    for (const server of removed) cacheEventWatchers.remove(server.id);
+    for (const server of added) cacheEventWatchers.add(server);
+    for (const server of restarted) cacheEventWatchers.restart(server);
     for (const server of [...added, ...restarted]) recordServerStart(server);
     for (const server of added) this.#logServer(GATEWAY_EVENTS.serverAdded, server);
     for (const server of changed) this.#logServer(GATEWAY_EVENTS.serverChanged, server);
--- a/src/shell/gateway/fleet-view.ts
+++ b/src/shell/gateway/fleet-view.ts
@@ -36,9 +36,9 @@
   type WebServerLoad,
   WebServerLoads,
 } from '../../core/gateway/index.js';
-import { getOrCreate } from './entry-of.js';
 import { FleetDemand } from './fleet-demand.js';
-import { type LoadDecisions, USUAL_LOAD_DECISIONS } from './gateway-settings.js';
+import { DEFAULT_LOAD_DECISIONS, type LoadDecisions } from './gateway-settings.js';
+import { getOrCreate } from './get-or-create.js';
 import type { EngineCacheEvents } from './peer-messages.js';
 
 /** Entries for web servers in one message, beside those for engines: crowded services have few servers. */
@@ -90,7 +90,7 @@
   constructor(
     budgetOptions: RetryBudgetOptions,
     noteBudgetBegun: (service: string, budget: RetryBudget) => void = () => undefined,
-    decisions: Pick<LoadDecisions, 'enginePaces' | 'waiting'> = USUAL_LOAD_DECISIONS,
+    decisions: Pick<LoadDecisions, 'enginePaces' | 'waiting'> = DEFAULT_LOAD_DECISIONS,
   ) {
     this.#countsOverdue = decisions.waiting;
     this.#budgetOptions = budgetOptions;
@@ -130,7 +130,7 @@
   }
 
   /** Forgets what was known of servers that are gone, and of lives that are over. */
-  forgetEnded({ removed, restarted }: Pick<DirectoryChange, 'removed' | 'restarted'>): void {
+  forgetEndedBoots({ removed, restarted }: Pick<DirectoryChange, 'removed' | 'restarted'>): void {
     for (const server of [...removed, ...restarted]) {
       this.#health.delete(server.id);
       this.#loads.delete(server.id);
@@ -177,7 +177,7 @@
   }
 
   /** Servers of a service that nothing but their limit keeps from being sent work. */
-  atLimit(service: string, nowMs: number): ServerRecord[] {
+  serversAtLimit(service: string, nowMs: number): ServerRecord[] {
     return this.limits.count === 0 ? [] : this.#usableOf(service, nowMs, ['at-limit']);
   }
 
@@ -221,7 +221,7 @@
    * When there may be room for a request that no server took: as soon as the first of those that were
    * passed over is tried again. Undefined where none was passed over.
    */
-  roomExpectedInMs(service: string, nowMs: number): number | undefined {
+  capacityExpectedInMs(service: string, nowMs: number): number | undefined {
     const waitsMs = this.readyOf(service, nowMs)
       .filter(({ stage }) => stage !== 'prefill')
       .map((server) => this.#passedOverMs(server, nowMs))
@@ -230,7 +230,7 @@
   }
 
   /** How many of all listed servers have said that they leave, or want rest now. */
-  saidSo(kind: Unavailable['kind'], nowMs: number): number {
+  countReporting(kind: Unavailable['kind'], nowMs: number): number {
     return this.#countOf(kind, [...this.directory.all()], nowMs);
   }
 
@@ -274,7 +274,7 @@
   }
 
   /** What waits at the busiest of the engines that only read against their mean; 0 while nothing waits. */
-  busiestToMean(nowMs: number): number {
+  busiestToMeanWait(nowMs: number): number {
     const services = [...(this.#inForce?.configuration.services.keys() ?? [])];
     const engines = services.flatMap((service) => this.candidates(service, nowMs));
     const waitsMs = engines
@@ -373,7 +373,7 @@
   }
 
   /** How long the more urgent kinds of a service can wait. */
-  slackOf(service: string): UrgentSlack {
+  urgentSlackOf(service: string): UrgentSlack {
     return getOrCreate(this.#slacks, service, () => new UrgentSlack());
   }
 
@@ -397,7 +397,7 @@
 
   /** How many daemons a list holds that was read, or that the zone's relay has as well. */
   setDaemonCount(daemons: number): void {
-    this.#size.take(daemons);
+    this.#size.recordListed(daemons);
     const { sharers } = this.#size;
     if (sharers === undefined) return;
     for (const budget of this.#budgets.values()) budget.setDaemonCount(sharers);
--- a/src/shell/gateway/gateway-gauges.ts
+++ b/src/shell/gateway/gateway-gauges.ts
@@ -1,5 +1,6 @@
 /** Figures of a gateway that are read when they are asked for. */
 import type { CapacityBelief } from '../../core/capacity/index.js';
+import type { AdmissionGate } from './admission-gate.js';
 import type { BackendConnections } from './backend-connections.js';
 import type { CallerListener } from './caller-listener.js';
 import type { CrashGuard } from './crash-guard.js';
@@ -9,7 +10,6 @@
 import type { GatewayMetrics } from './gateway-metrics.js';
 import type { LimitCoordinator } from './limit-coordinator.js';
 import type { GatewayLog } from './request-log.js';
-import type { AdmissionGate } from './request-room.js';
 import type { TimerService } from './timer-service.js';
 import type { WebWork } from './web-work.js';
 
@@ -118,7 +118,7 @@
     {
       name: 'engine_wait_busiest_to_mean',
       help: 'What waits at the busiest engine that only reads, against the mean of these; 0 while nothing waits',
-      read: () => fleet.busiestToMean(timers.nowMs()),
+      read: () => fleet.busiestToMeanWait(timers.nowMs()),
     },
     {
       name: 'requests_in_flight',
@@ -143,12 +143,12 @@
     {
       name: 'servers_said_leaving',
       help: 'Listed servers that have said in an answer to this daemon that they leave',
-      read: () => fleet.saidSo('leaving', timers.nowMs()),
+      read: () => fleet.countReporting('leaving', timers.nowMs()),
     },
     {
       name: 'servers_resting',
       help: 'Listed servers that want nothing from this daemon for a time, as they asked',
-      read: () => fleet.saidSo('resting', timers.nowMs()),
+      read: () => fleet.countReporting('resting', timers.nowMs()),
     },
     {
       name: 'servers_limited',
--- a/src/shell/gateway/gateway-metrics.ts
+++ b/src/shell/gateway/gateway-metrics.ts
@@ -111,7 +111,7 @@
     this.#waits.observe({ rank }, waitedMs / MILLISECONDS_PER_SECOND);
   }
 
-  recordRoomRefusal(reason: string, rank: number): void {
+  recordCapacityRefusal(reason: string, rank: number): void {
     this.#roomRefusals.inc({ reason, rank });
   }
 
@@ -120,7 +120,7 @@
   }
 
   /** An answer said something of its server. */
-  recordToldAvailability(what: string): void {
+  recordReportedAvailability(what: string): void {
     this.#toldAvailability.inc({ what });
   }
 
--- a/src/shell/gateway/gateway-settings.ts
+++ b/src/shell/gateway/gateway-settings.ts
@@ -40,7 +40,7 @@
 export type LoadDecisions = z.infer<typeof decisionsSchema>;
 
 /** Those that are made where the settings say nothing. */
-export const USUAL_LOAD_DECISIONS: LoadDecisions = decisionsSchema.parse({});
+export const DEFAULT_LOAD_DECISIONS: LoadDecisions = decisionsSchema.parse({});
 
 const settingsSchema = z.object({
   name: text,
@@ -76,7 +76,7 @@
     slack: z.number().check(z.minimum(0)),
   }),
   logging: z.object({ maxLinesPerSecond: z.number().check(z.minimum(1)) }),
-  decisions: z._default(decisionsSchema, USUAL_LOAD_DECISIONS),
+  decisions: z._default(decisionsSchema, DEFAULT_LOAD_DECISIONS),
 });
 
 /** A gateway's settings. */
--- a/src/shell/gateway/gateway.ts
+++ b/src/shell/gateway/gateway.ts
@@ -6,9 +6,10 @@
 import type { Server } from 'node:http';
 import { PeerRoster, type ReachabilityNotice, RestoredServers } from '../../core/gateway/index.js';
 import { GATEWAY_EVENTS } from '../../core/logging/catalogue/gateway.js';
+import { AdmissionGate } from './admission-gate.js';
 import type { AttemptContext } from './attempt.js';
 import { BackendConnections } from './backend-connections.js';
-import { CacheEventWatchers } from './cache-news-watcher.js';
+import { CacheEventWatchers } from './cache-event-watchers.js';
 import { CallerListener } from './caller-listener.js';
 import { CrashGuard } from './crash-guard.js';
 import { Duties } from './duties.js';
@@ -22,11 +23,10 @@
 import type { PlatformAdapter } from './ports.js';
 import { RelayDigest } from './relay-digest.js';
 import type { GatewayLog } from './request-log.js';
-import { AdmissionGate } from './request-room.js';
 import { RetryBudgetReporter } from './retry-budget-reporter.js';
-import { RosterCacheEventDuty } from './roster-news-duty.js';
+import { RosterCacheEventDuty } from './roster-cache-event-duty.js';
 import { ServerCalls } from './server-calls.js';
-import { ServerExitCheck } from './server-end-check.js';
+import { ServerExitCheck } from './server-exit-check.js';
 import { createMetricsServer, createReadinessServer, listen } from './small-listeners.js';
 import { StageController } from './stage-controller.js';
 import {
@@ -78,7 +78,7 @@
   readonly #callers: CallerListener;
   readonly #servers: Server[] = [];
   readonly #follower: FleetFollower;
-  readonly #cacheNews: CacheEventWatchers;
+  readonly #cacheEventWatchers: CacheEventWatchers;
   readonly #stages: StageController;
   /** Absent where the settings name no address for it. */
   readonly #peers: PeerExchange | undefined;
@@ -101,7 +101,7 @@
     this.#steadyClock = steadyWallClock(timers, wallClock());
     this.#fleet = new FleetView(
       settings.retryBudget,
-      (service, budget) => this.#retryBudgets.noteBegun(service, budget),
+      (service, budget) => this.#retryBudgets.recordBudgetCreated(service, budget),
       settings.decisions,
     );
     this.#retryBudgets = new RetryBudgetReporter({
@@ -154,7 +154,7 @@
       zone: settings.zone,
       isSpreading: settings.decisions.spreading,
       onLoadChange: () => this.#peers?.scheduleReport(),
-      noteRead: (read) => this.#peers?.noteRead(read),
+      advertiseRead: (read) => this.#peers?.advertiseRead(read),
       advertiseReachability: (reach) => this.#peers?.advertiseReachability(reach),
       crashes: this.#crashes,
       webWork,
@@ -176,11 +176,11 @@
       peers: this.#peers,
       timers,
     });
-    this.#cacheNews = new CacheEventWatchers({ ...context, timers, duty, log });
+    this.#cacheEventWatchers = new CacheEventWatchers({ ...context, timers, duty, log });
     this.#follower = new FleetFollower({
       adapter,
       fleet: this.#fleet,
-      cacheNews: this.#cacheNews,
+      cacheEventWatchers: this.#cacheEventWatchers,
       timing: () => watchTiming(this.#watchRole, settings.bounds.contactMs),
       recheckSpans: recheckSpans(settings.bounds.contactMs),
       restored: new RestoredServers(settings.bounds.contactMs),
@@ -205,7 +205,7 @@
       calls,
       codec: adapter.requests,
       mayOrder: () => this.#knowsDemand,
-      startingEngines: (service) => this.#duties.comingServers(service),
+      startingEngines: (service) => this.#duties.startingServers(service),
       broadcastStage: (notice) => this.#peers?.broadcastStage(notice),
       timers,
       leaseTimers: this.#suspensionAware,
@@ -238,7 +238,7 @@
     this.#retryBudgets.start();
     const readinessServer = createReadinessServer(
       adapter.readinessPath,
-      () => this.#fleet.isReady && this.#crashes.isPrepared && !this.#isStopping,
+      () => this.#fleet.isReady && this.#crashes.isReadyToServe && !this.#isStopping,
     );
     const callersPort = await this.#listen(this.#callers.server, callers);
     const readinessPort = await this.#listen(readinessServer, readiness);
@@ -284,7 +284,7 @@
     this.#isStopping = true;
     this.#follower.stop();
     this.#crashes.stop();
-    this.#cacheNews.stop();
+    this.#cacheEventWatchers.stop();
     this.#stages.stop();
     this.#peers?.stop();
     this.#duties.stop();
@@ -326,7 +326,7 @@
     const { settings, adapter, timers, log } = this.#options;
     return new CrashGuard({
       table: adapter.table,
-      endCheck: new ServerExitCheck({
+      exitCheck: new ServerExitCheck({
         connections: this.#connections,
         isSuperseded: (server) => this.#fleet.directory.isSuperseded(server),
         timers,
@@ -377,18 +377,18 @@
       configurationVersion: () => this.#follower.inForceVersion,
       recordPeerVersion: (version, daemon) => this.#follower.recordPeerVersion(version, daemon),
       applyServers: (changes) => this.#follower.applyServerChanges(changes),
-      handleTableDigest: (digest) => this.#digest.take(digest),
+      handleTableDigest: (digest) => this.#digest.apply(digest),
       relayPeersChecksum: () => this.#digest.peersChecksum,
-      handleStageNotice: (notice) => this.#fleet.stageNotices.take(notice, timers.nowMs()),
+      handleStageNotice: (notice) => this.#fleet.stageNotices.apply(notice, timers.nowMs()),
       handleCrashRecords: (records) => this.#crashes.applyPeerRecords(records),
       handleUsage: (message, reply) => this.#duties.handleUsage(message, reply),
-      handleLimitMessage: (message, reply) => this.#limits.take(message, reply),
+      handleLimitMessage: (message, reply) => this.#limits.handleMessage(message, reply),
       applyCacheEvents: (news) => this.#fleet.applyCacheEvents(news, timers.nowMs()),
       loads: this.#fleet.peerLoads,
       paces: this.#fleet.paces,
       isReady: () => this.#fleet.isReady,
       timers,
-      ownWork: () => [...this.#fleet.ownWork(timers.nowMs()), ...this.#webWork.own()],
+      ownWork: () => [...this.#fleet.ownWork(timers.nowMs()), ...this.#webWork.ownLoad()],
       ownDemand: () => this.#fleet.demand.own(timers.nowMs()),
       serverIdOf: (shortId) => this.#fleet.directory.idOf(shortId),
       onSums: () => this.#admission.wake(),
--- a/src/shell/gateway/index.ts
+++ b/src/shell/gateway/index.ts
@@ -1,11 +1,11 @@
 /** Described requests over sockets: listeners, calls to backends, and watches of the store. */
 export { Gateway, type GatewayAddresses, type GatewayOptions } from './gateway.js';
 export {
+  DEFAULT_LOAD_DECISIONS,
   type GatewaySettings,
   type LoadDecisions,
   parseGatewaySettings,
   type SettingsProblem,
-  USUAL_LOAD_DECISIONS,
 } from './gateway-settings.js';
 export type * from './ports.js';
 export { GatewayLog } from './request-log.js';
--- a/src/shell/gateway/limit-coordinator.ts
+++ b/src/shell/gateway/limit-coordinator.ts
@@ -14,9 +14,9 @@
 import type { Exchange } from './exchange.js';
 import type { FleetView } from './fleet-view.js';
 import type { GatewayMetrics } from './gateway-metrics.js';
-import { PermitRequester } from './limit-asks.js';
-import { PermitGranter } from './limit-grants.js';
 import type { LimitMessage } from './limit-message-fields.js';
+import { PermitGranter } from './permit-granter.js';
+import { PermitRequester } from './permit-requester.js';
 import { PermitWaiters } from './permit-waiters.js';
 import type { GatewayLog } from './request-log.js';
 import type { CallPurpose } from './server-calls.js';
@@ -66,7 +66,7 @@
   /** 0 to 1, anew each time; spreads the asks of daemons. */
   readonly random: () => number;
   readonly log: Pick<GatewayLog, 'write'>;
-  readonly metrics: Pick<GatewayMetrics, 'recordPermits' | 'recordToldAvailability'>;
+  readonly metrics: Pick<GatewayMetrics, 'recordPermits' | 'recordReportedAvailability'>;
 }
 
 interface Arrivals {
@@ -140,12 +140,12 @@
   recordReportedLimit(server: ServerRecord, change: LimitChange, purpose: CallPurpose): void {
     const { id, service } = server;
     this.#asks.tell(id, change);
-    this.#options.metrics.recordToldAvailability(`limit-${change.kind}`);
+    this.#options.metrics.recordReportedAvailability(`limit-${change.kind}`);
     this.#noteChange(id, change, { service, purpose });
   }
 
   /** Takes another daemon's message; `reply` goes back to it. */
-  take(message: LimitMessage, reply: (answer: LimitMessage) => void): void {
+  handleMessage(message: LimitMessage, reply: (answer: LimitMessage) => void): void {
     const { fleet, timers } = this.#options;
     switch (message.kind) {
       case 'limit-ask':
@@ -171,7 +171,7 @@
     const { fleet, timers, log } = this.#options;
     const { service, rank, arrivedAtMs, attemptId, maxWaitMs: mostMs, signal } = seeker;
     const nowMs = timers.nowMs();
-    const limited = fleet.atLimit(service, nowMs).filter(({ stage }) => stage !== 'prefill');
+    const limited = fleet.serversAtLimit(service, nowMs).filter(({ stage }) => stage !== 'prefill');
     const expectedMs = limited.map(({ id }) => fleet.permits.expectedInMs(id, nowMs));
     if (limited.length === 0 || mostMs <= 0 || Math.min(...expectedMs) > mostMs) return false;
     const wait = { service, rank, arrivedAtMs, mostMs, signal };
@@ -262,7 +262,7 @@
   }
 
   #noteTold(serverId: string, change: LimitChange, by: string): void {
-    this.#options.metrics.recordToldAvailability(`limit-${change.kind}-told`);
+    this.#options.metrics.recordReportedAvailability(`limit-${change.kind}-told`);
     this.#noteChange(serverId, change, { by });
   }
 
--- a/src/shell/gateway/model-room-ask.ts
+++ b/src/shell/gateway/model-admission-check.ts
@@ -6,9 +6,9 @@
   planAtRank,
 } from '../../core/gateway/index.js';
 import type { LogFields } from '../../core/logging/log-event.js';
+import { type AdmissionCheck, roundedOrNull } from './admission-check.js';
 import type { AttemptContext } from './attempt.js';
 import type { Exchange } from './exchange.js';
-import { type AdmissionCheck, roundedOrNull } from './room-ask.js';
 
 /** How the request is planned. */
 export interface ModelAdmissionCheckOptions {
@@ -64,7 +64,7 @@
       remainingMs: exchange.remainingMs(),
       latencyBudgetMs,
       latencyBudgetLeftMs: latencyBudgetMs - exchange.elapsedMs(),
-      urgentSlackMs: fleet.slackOf(service).minSlackMs(rank, this.#nowMs()),
+      urgentSlackMs: fleet.urgentSlackOf(service).minSlackMs(rank, this.#nowMs()),
       // Asked again it is its turn: those that wait are behind it.
       isContended: isFirst && admission.waitingIn(this.lane) > 0,
       isLearnt: fleet.speedOf(service).isLearnt,
@@ -77,7 +77,7 @@
     const { fleet } = this.#context;
     const { service, rank } = this.#exchange.options;
     const { expectedMs, read } = this.#latest;
-    const urgentSlackMs = fleet.slackOf(service).minSlackMs(rank, nowMs);
+    const urgentSlackMs = fleet.urgentSlackOf(service).minSlackMs(rank, nowMs);
     const sumsAgeMs = fleet.peerLoads.newestAgeMs(nowMs);
     return {
       urgency: read.urgency,
@@ -117,7 +117,7 @@
   #noteSlack({ read, expectedMs }: EnginePlan): void {
     const { service, rank } = this.#exchange.options;
     const slackMs = this.#options.latencyBudgetMs - (expectedMs - read.waitMs);
-    this.#context.fleet.slackOf(service).recordRequest(rank, slackMs, this.#nowMs());
+    this.#context.fleet.urgentSlackOf(service).recordRequest(rank, slackMs, this.#nowMs());
   }
 
   /** Requests refused by all daemons come back to the same engines. */
--- a/src/shell/gateway/model-exchange.ts
+++ b/src/shell/gateway/model-exchange.ts
@@ -20,8 +20,8 @@
 import type { Exchange } from './exchange.js';
 import { type PermitReservation, permitWaitRequestOf } from './limit-coordinator.js';
 import { ModelPlanner, type PlanLimits } from './model-planner.js';
-import type { MemorySource } from './ports.js';
-import { freeKvMemory, type PrefillPlan, runPrefill } from './prompt-reading.js';
+import type { HandoverSource } from './ports.js';
+import { freeKvMemory, type PrefillPlan, runPrefill } from './prefill.js';
 import { StreamRelay } from './stream-relay.js';
 
 const MAX_ERROR_BYTES = 1_048_576;
@@ -179,7 +179,7 @@
   /** Lets an engine generate and passes its stream on. */
   async #run(
     server: ServerRecord,
-    memorySource: MemorySource | undefined,
+    handoverSource: HandoverSource | undefined,
     fetchFrom: string | undefined,
     plan: EnginePlan,
     hasPermit = false,
@@ -193,7 +193,7 @@
       ...defaultAttemptOptions(server, exchange.signal),
       mayKeepConnection: this.#isRepeatable,
       priority: this.#planner.runPriorityOf(plan),
-      memorySource,
+      handoverSource,
       fetchFrom,
       resumeAfterEventId: this.#relay.lastEventId,
       expectedMs: plan.kind === 'direct' ? plan.expectedMs : 0,
@@ -202,8 +202,8 @@
     const startedAtMs = this.#nowMs();
     const result = await sendAttempt(exchange, this.#context, options);
     if (result.kind === 'answered') {
-      const way = memorySource === undefined ? plan.kind : 'hand-over';
-      this.#planner.noteHead(way, plan, this.#nowMs() - startedAtMs);
+      const way = handoverSource === undefined ? plan.kind : 'hand-over';
+      this.#planner.recordResponseHead(way, plan, this.#nowMs() - startedAtMs);
     }
     if (read !== undefined) load.abandon(read);
     exchange.endRun(hasNotRun(result));
@@ -211,7 +211,7 @@
     if (result.kind === 'answered') {
       const headAtMs = this.#nowMs();
       const next = await this.#relayAnswer(result.attempt);
-      this.#planner.noteRun(this.#nowMs() - headAtMs);
+      this.#planner.recordRunEnd(this.#nowMs() - headAtMs);
       load.running -= 1;
       this.#context.admission.wake();
       return next;
@@ -219,15 +219,15 @@
     load.running -= 1;
     // It was not sent there: it may be once the engine takes more.
     if (result.kind === 'held-back') exchange.triedServerIds.delete(server.id);
-    const other = this.#engineInstead(result, memorySource, plan);
-    if (other !== undefined) return this.#run(other, memorySource, undefined, plan);
-    this.#freeUnused(memorySource, plan);
+    const other = this.#engineInstead(result, handoverSource, plan);
+    if (other !== undefined) return this.#run(other, handoverSource, undefined, plan);
+    this.#freeUnused(handoverSource, plan);
     this.#lastReason = 'reason' in result ? result.reason : `status ${result.status}`;
     if (result.kind === 'no-budget') return this.#giveUp();
     if (result.kind === 'broken' || result.kind === 'held-back') return 'again';
     this.#turnedDown += 1;
     // The memory may be what could not be had: the next engine reads the prompt by itself.
-    if (memorySource !== undefined) {
+    if (handoverSource !== undefined) {
       this.#prefillFailed = true;
       exchange.triedServerIds.delete(server.id);
     }
@@ -237,7 +237,7 @@
   /** Memory that no engine has been asked for yet serves at another one as well. */
   #engineInstead(
     result: AttemptResult,
-    memory: MemorySource | undefined,
+    memory: HandoverSource | undefined,
     plan: EnginePlan,
   ): ServerRecord | undefined {
     const wasSent = result.kind !== 'not-sent' && result.kind !== 'held-back';
@@ -248,7 +248,7 @@
   }
 
   /** Memory that was read for this request and that no engine goes on from. */
-  #freeUnused(memory: MemorySource | undefined, plan: EnginePlan): void {
+  #freeUnused(memory: HandoverSource | undefined, plan: EnginePlan): void {
     if (memory === undefined || plan.kind !== 'prefill') return;
     freeKvMemory(this.#exchange, this.#context, memory, plan.prefill.server);
   }
@@ -322,7 +322,7 @@
     const exchange = this.#exchange;
     if (exchange.signal.aborted) return this.#endInterrupted();
     if (exchange.isAnswered) exchange.abortResponse(this.#lastReason);
-    else if (!this.#context.crashes.refuse(exchange)) {
+    else if (!this.#context.crashes.refuseIfQuarantined(exchange)) {
       refuseUnavailable(exchange, this.#context, this.#lastReason);
     }
     return 'done';
--- a/src/shell/gateway/model-planner.ts
+++ b/src/shell/gateway/model-planner.ts
@@ -19,8 +19,8 @@
 import { GATEWAY_EVENTS } from '../../core/logging/catalogue/gateway.js';
 import { type AttemptContext, engineTraits } from './attempt.js';
 import type { Exchange } from './exchange.js';
-import { ModelAdmissionCheck } from './model-room-ask.js';
-import { hadShortQueue } from './prompt-reading.js';
+import { ModelAdmissionCheck } from './model-admission-check.js';
+import { hadShortQueue } from './prefill.js';
 
 /** A request is taken to be in time when it is expected within this part of its target. */
 const IN_TIME_SHARE = 0.9;
@@ -88,7 +88,7 @@
   limitedChoice(limits: PlanLimits): readonly ServerRecord[] {
     const { fleet } = this.#context;
     const nowMs = this.#nowMs();
-    const atLimit = fleet.atLimit(this.#service, nowMs);
+    const atLimit = fleet.serversAtLimit(this.#service, nowMs);
     if (atLimit.length === 0) return [];
     const candidates = fleet.candidatesWithLimited(this.#service, nowMs);
     const plan = this.#planAmong(candidates, limits);
@@ -105,7 +105,7 @@
   limitedRunChoice(source: ServerRecord, where: 'any' | 'no-other'): readonly ServerRecord[] {
     const { fleet } = this.#context;
     const nowMs = this.#nowMs();
-    const atLimit = fleet.atLimit(this.#service, nowMs);
+    const atLimit = fleet.serversAtLimit(this.#service, nowMs);
     if (atLimit.length === 0) return [];
     if (where === 'no-other' && this.decodeEngineAfter(source) !== undefined) return [];
     const candidates = fleet.candidatesWithLimited(this.#service, nowMs);
@@ -154,7 +154,7 @@
   }
 
   /** The head of an answer came, and with it the first token. */
-  noteHead(way: RunWay, plan: EnginePlan, elapsedMs: number): void {
+  recordResponseHead(way: RunWay, plan: EnginePlan, elapsedMs: number): void {
     if (way === 'hand-over') this.#speed.learnHandOver(elapsedMs);
     else if (plan.kind === 'direct') {
       const { server, missingTokens, read } = plan;
@@ -164,7 +164,7 @@
   }
 
   /** A run has ended, so long after its head. */
-  noteRun(elapsedMs: number): void {
+  recordRunEnd(elapsedMs: number): void {
     const { description } = this.#exchange.options;
     if (this.#exchange.signal.aborted) return;
     this.#speed.learnRun(description.maxOutputTokens, elapsedMs);
--- a/src/shell/gateway/pace-teller.ts
+++ b/src/shell/gateway/pace-gossip.ts
@@ -89,7 +89,7 @@
   }
 
   /** Takes what another daemon tells; `reply` goes back to it. */
-  take(message: PaceMessage, reply: (answer: PaceMessage) => void): void {
+  handleMessage(message: PaceMessage, reply: (answer: PaceMessage) => void): void {
     const { daemon, zone, paces, timers, isRelay } = this.#options;
     if (!paces.isOn || message.daemon === daemon) return;
     const nowMs = timers.nowMs();
--- a/src/shell/gateway/peer-exchange.ts
+++ b/src/shell/gateway/peer-exchange.ts
@@ -23,14 +23,14 @@
   TableDigest,
 } from '../../core/gateway/index.js';
 import { ByteBudget, datagramWireBytes } from './byte-budget.js';
-import { CacheEventPublisher } from './cache-news-teller.js';
+import { CacheEventPublisher } from './cache-event-publisher.js';
 import {
   ConfigurationGossip,
   MAX_FORWARDED_BYTES,
   type VersionedValue,
-} from './configuration-teller.js';
+} from './configuration-gossip.js';
 import type { LimitMessage } from './limit-message-fields.js';
-import { PaceGossip } from './pace-teller.js';
+import { PaceGossip } from './pace-gossip.js';
 import { PeerDirectory } from './peer-directory.js';
 import {
   decodePeerMessage,
@@ -72,7 +72,7 @@
   readonly listen: PeerAddress;
   readonly table: TableService;
   readonly roster: PeerRoster;
-  readonly loads: Pick<PeerLoads, 'take' | 'applySums'> & RelayDutyOptions['loads'];
+  readonly loads: Pick<PeerLoads, 'applyReport' | 'applySums'> & RelayDutyOptions['loads'];
   readonly timers: TimerService;
   readonly log: Pick<GatewayLog, 'write'>;
   /** What is known of engines' paces. */
@@ -229,7 +229,7 @@
   }
 
   /** Says soon that a read of a shared part was begun. */
-  noteRead(read: ReadNotice): void {
+  advertiseRead(read: ReadNotice): void {
     this.#ownReads.push(read);
     this.scheduleReport();
   }
@@ -305,7 +305,7 @@
 
   #takeReport(report: LoadReport): void {
     const { loads, timers } = this.#options;
-    loads.take(report, timers.nowMs());
+    loads.applyReport(report, timers.nowMs());
     this.#takeNewsOf(report);
     if (this.#relay.isRelay) this.#relay.forward(report);
   }
@@ -381,7 +381,7 @@
         handleUsage(message, (answer) => this.#reply(answer, sender));
         return;
       case 'paces':
-        this.#paces.take(message.message, (answer) =>
+        this.#paces.handleMessage(message.message, (answer) =>
           this.#reply({ kind: 'paces', message: answer }, sender),
         );
         return;
--- a/src/shell/gateway/limit-grants.ts
+++ b/src/shell/gateway/permit-granter.ts
@@ -68,7 +68,7 @@
     if (limit?.perSecond !== undefined) ledger.setLimit(limit.perSecond);
     const wanted = limit?.perSecond === undefined ? 0 : ask.wanted;
     const unmetered = ask.unmetered.map(({ ageMs, count }) => ({ atMs: nowMs - ageMs, count }));
-    const granted = ledger.ask({ ...ask, wanted, unmetered }, nowMs);
+    const granted = ledger.handleRequest({ ...ask, wanted, unmetered }, nowMs);
     return { kind: 'limit-grant', daemon, number, serverId, limit, ...granted };
   }
 
--- a/src/shell/gateway/limit-asks.ts
+++ b/src/shell/gateway/permit-requester.ts
@@ -13,8 +13,8 @@
 import { GATEWAY_EVENTS } from '../../core/logging/catalogue/gateway.js';
 import type { FleetView } from './fleet-view.js';
 import type { GatewayMetrics } from './gateway-metrics.js';
-import type { PermitGranter } from './limit-grants.js';
 import type { PermitGrantMessage, PermitRequestMessage } from './limit-message-fields.js';
+import type { PermitGranter } from './permit-granter.js';
 import type { GatewayLog } from './request-log.js';
 import type { CancelTimer, TimerService } from './timer-service.js';
 
@@ -192,7 +192,7 @@
     }
     const known = fleet.limits.of(serverId);
     const isUnconfirmed = known !== undefined && nowMs - known.reportedAtMs > UNCONFIRMED_MS;
-    if (isUnconfirmed && !known.isHeard) this.#lapse(serverId, known.perSecond);
+    if (isUnconfirmed && !known.isFirstHand) this.#lapse(serverId, known.perSecond);
     else noteMayAsk(serverId);
   }
 
--- a/src/shell/gateway/ports.ts
+++ b/src/shell/gateway/ports.ts
@@ -20,7 +20,7 @@
 export type RawHeaders = readonly string[];
 
 /** Where a prompt's memory lies. */
-export interface MemorySource {
+export interface HandoverSource {
   /** IP:PORT of the engine that read the prompt. */
   readonly address: string;
   readonly handle: string;
@@ -38,7 +38,7 @@
   readonly priority: number | undefined;
   /** Only read the prompt and keep its memory. */
   readonly prefillOnly: boolean;
-  readonly memorySource: MemorySource | undefined;
+  readonly handoverSource: HandoverSource | undefined;
   /** IP:PORT of an engine to take missing parts of the prompt from. */
   readonly fetchFrom: string | undefined;
   /** Go on after this event; undefined keeps what the caller said. */
@@ -46,23 +46,23 @@
 }
 
 /** The marks by which a backend's answer is told from others. */
-export interface AnswerMarks {
+export interface AnswerMetadata {
   readonly attemptId: string | undefined;
   readonly isStamped: boolean;
   /** The server says that the request has not run there. */
   readonly isNotExecuted: boolean;
   /** What the server says of its load; undefined where it says nothing. */
-  readonly load?: ToldLoad | undefined;
+  readonly load?: ReportedLoad | undefined;
 }
 
 /** A server's own word on its load. */
-export type ToldLoad =
+export type ReportedLoad =
   | { readonly kind: 'figures'; readonly figures: LoadFigures }
   /** Not as servers write it; it says nothing. */
   | { readonly kind: 'unreadable'; readonly text: string };
 
 /** A server's word on whether it takes work, as an answer has it. */
-export interface SaidAvailability extends ReportedAvailability {
+export interface AvailabilityReading extends ReportedAvailability {
   /** What the answer says of it that is not as servers write it; empty where there is nothing such. */
   readonly unreadable: string;
 }
@@ -81,7 +81,7 @@
 }
 
 /** An engine's cache news since a number. */
-export interface CacheNews {
+export interface CacheEventBatch {
   readonly epoch: string;
   readonly nextNumber: number;
   /** Events between the asked number and these are lost. */
@@ -127,16 +127,16 @@
    * @param callerHeaders those of the message, without those of its connection
    */
   backendHeaders(callerHeaders: RawHeaders, instructions: SendInstructions): string[];
-  readMarks(status: number, headers: IncomingHttpHeaders): AnswerMarks;
+  readAnswerMetadata(status: number, headers: IncomingHttpHeaders): AnswerMetadata;
   /** What any answer of a server says of whether it takes work; undefined where it says nothing. */
-  readAvailability(status: number, headers: IncomingHttpHeaders): SaidAvailability | undefined;
+  readAvailability(status: number, headers: IncomingHttpHeaders): AvailabilityReading | undefined;
   /** What any answer of a server says of the requests a second that it takes from all daemons together. */
   readLimit(status: number, headers: IncomingHttpHeaders): LimitReading;
   /** The answer to a prompt that was only read; undefined when it is none. */
   readPrefillAnswer(body: Buffer): PrefillAnswer | undefined;
   freeHandle(handle: string, serverId: string): EngineCall;
-  cacheNews(since: number, waitMs: number): EngineCall;
-  readCacheNews(body: Buffer): CacheNews | undefined;
+  cacheEvents(since: number, waitMs: number): EngineCall;
+  readCacheEvents(body: Buffer): CacheEventBatch | undefined;
   orderStage(order: StageOrder, serverId: string): EngineCall;
   report(serverId: string): EngineCall;
   readReport(body: Buffer): EngineReport | undefined;
--- a/src/shell/gateway/prompt-reading.ts
+++ b/src/shell/gateway/prefill.ts
@@ -9,7 +9,7 @@
 } from '../../core/gateway/index.js';
 import { type AttemptContext, defaultAttemptOptions, sendAttempt } from './attempt.js';
 import type { Exchange } from './exchange.js';
-import type { MemorySource } from './ports.js';
+import type { HandoverSource } from './ports.js';
 import { callWithTimeout } from './timer-service.js';
 
 const MAX_ANSWER_BYTES = 65_536;
@@ -31,7 +31,7 @@
   context: AttemptContext,
   plan: PrefillPlan,
   priority: number,
-): Promise<MemorySource | 'held-back' | undefined> {
+): Promise<HandoverSource | 'held-back' | undefined> {
   const { server, missingTokens } = plan.prefill;
   const { timers, description, service } = exchange.options;
   const { urgency } = plan.read;
@@ -111,7 +111,7 @@
   if (missingTokens <= ownTokens && plan.prefill.fetchFrom === undefined) return;
   const read = { engineId: server.id, part, readyInMs: plan.expectedMs };
   context.fleet.prefixIndex.expectRead(read, timers.nowMs());
-  context.noteRead(read);
+  context.advertiseRead(read);
 }
 
 async function askToRead(
@@ -120,7 +120,7 @@
   plan: PrefillPlan,
   priority: number,
   signal: AbortSignal,
-): Promise<MemorySource | 'held-back' | undefined> {
+): Promise<HandoverSource | 'held-back' | undefined> {
   const { server, fetchFrom } = plan.prefill;
   const result = await sendAttempt(exchange, context, {
     ...defaultAttemptOptions(server, signal),
@@ -132,7 +132,7 @@
   });
   if (result.kind === 'held-back') return 'held-back';
   if (result.kind !== 'answered') return undefined;
-  const { answer, end, noteRead } = result.attempt;
+  const { answer, end, recordPrefilled: noteRead } = result.attempt;
   const body = await answer.collect(MAX_ANSWER_BYTES);
   const isRead = body !== undefined && answer.status === 200;
   const prefill = isRead ? context.codec.readPrefillAnswer(body) : undefined;
@@ -149,7 +149,7 @@
 export function freeKvMemory(
   exchange: Exchange,
   context: AttemptContext,
-  memory: MemorySource,
+  memory: HandoverSource,
   source: ServerRecord,
 ): void {
   const call = {
--- a/src/shell/gateway/relay-digest.ts
+++ b/src/shell/gateway/relay-digest.ts
@@ -34,7 +34,7 @@
   }
 
   /** Takes a digest; one that was delayed makes none fresh that is older, and one of an era before says nothing. */
-  take(digest: TableDigest): void {
+  apply(digest: TableDigest): void {
     const known = this.#digest;
     if (known !== undefined && isOfEarlierEra(digest, known)) return;
     const freshUntilMs = this.#timers.nowMs() + this.#maxAgeMs - digest.ageMs;
--- a/src/shell/gateway/retry-budget-reporter.ts
+++ b/src/shell/gateway/retry-budget-reporter.ts
@@ -54,7 +54,7 @@
   }
 
   /** To be called when a service's first request creates its budget. */
-  noteBegun(service: string, budget: RetryBudget): void {
+  recordBudgetCreated(service: string, budget: RetryBudget): void {
     const { fleet, log } = this.#options;
     log.write(GATEWAY_EVENTS.retryBudgetBegun, {
       service,
--- a/src/shell/gateway/roster-news-duty.ts
+++ b/src/shell/gateway/roster-cache-event-duty.ts
@@ -1,6 +1,6 @@
 /** Parts the engines' news calls among the daemons, as the roster says. */
 import type { PeerRoster, ServerRecord } from '../../core/gateway/index.js';
-import type { CacheEventDuty } from './cache-news-watcher.js';
+import type { CacheEventDuty } from './cache-event-watchers.js';
 import type { FleetView } from './fleet-view.js';
 import type { PeerExchange } from './peer-exchange.js';
 import type { EngineCacheEvents } from './peer-messages.js';
@@ -36,17 +36,21 @@
     if (peers === undefined) return true;
     const nowMs = timers.nowMs();
     if (!roster.hasList) return nowMs - this.#startedMs > LIST_AWAITED_MS;
-    return roster.isWatcher(engine.id, this.#maxNewsCalls(engine), nowMs);
+    return roster.isWatcher(engine.id, this.#maxCacheEventPolls(engine), nowMs);
   }
 
   forward(engine: ServerRecord, news: EngineCacheEvents): void {
     const { roster, peers, timers } = this.#options;
-    const told = roster.cacheEventRecipients(engine.id, this.#maxNewsCalls(engine), timers.nowMs());
+    const told = roster.cacheEventRecipients(
+      engine.id,
+      this.#maxCacheEventPolls(engine),
+      timers.nowMs(),
+    );
     peers?.forward(news, told);
   }
 
-  #maxNewsCalls(engine: ServerRecord): number {
+  #maxCacheEventPolls(engine: ServerRecord): number {
     const services = this.#options.fleet.inForce?.configuration.services;
-    return services?.get(engine.service)?.engine?.maxNewsCalls ?? 1;
+    return services?.get(engine.service)?.engine?.maxCacheEventPolls ?? 1;
   }
 }
--- a/src/shell/gateway/server-calls.ts
+++ b/src/shell/gateway/server-calls.ts
@@ -59,7 +59,7 @@
   readonly wallClock: WallClock;
   readonly metrics: Pick<
     GatewayMetrics,
-    'recordToldAvailability' | 'recordHeldBack' | 'recordCallToLimited'
+    'recordReportedAvailability' | 'recordHeldBack' | 'recordCallToLimited'
   >;
   readonly log: Pick<GatewayLog, 'write'>;
 }
@@ -134,9 +134,9 @@
     if (said === undefined) return;
     if (said.unreadable !== '') this.#noteUnreadable(server.id, said.unreadable);
     const toldAt = { nowMs: timers.nowMs(), unixMs: wallClock(), entropy: Math.random() };
-    for (const news of fleet.availability.take(server, said, toldAt)) {
+    for (const news of fleet.availability.recordReport(server, said, toldAt)) {
       const fields = { server: server.id, service: server.service, purpose, status };
-      metrics.recordToldAvailability(news.kind);
+      metrics.recordReportedAvailability(news.kind);
       switch (news.kind) {
         case 'leaving':
           log.write(GATEWAY_EVENTS.serverSaidLeaving, { ...fields, listed: server.state });
@@ -165,7 +165,7 @@
   #noteUnreadable(server: string, told: string): void {
     const { timers, log, metrics } = this.#options;
     this.#unreadable += 1;
-    metrics.recordToldAvailability('unreadable');
+    metrics.recordReportedAvailability('unreadable');
     const nowMs = timers.nowMs();
     if (nowMs - this.#unreadableSaidMs < SAID_AGAIN_MS) return;
     this.#unreadableSaidMs = nowMs;
--- a/src/shell/gateway/stage-controller.ts
+++ b/src/shell/gateway/stage-controller.ts
@@ -21,7 +21,7 @@
 } from '../../core/lease/index.js';
 import { GATEWAY_EVENTS } from '../../core/logging/catalogue/gateway.js';
 import type { TableEffect } from '../../core/platform/table.js';
-import { DEMAND_SPAN_MS } from './fleet-demand.js';
+import { DEMAND_WINDOW_MS } from './fleet-demand.js';
 import type { TableService } from './ports.js';
 import { StageOrders, type StageOrdersOptions } from './stage-orders.js';
 import { callTable } from './table-call.js';
@@ -41,7 +41,7 @@
 /** An order back has to wait until the last one has paid for the time that the engine was away. */
 const REVERSAL_SWITCHES = 4;
 /** Nor does the split follow a mix that swings faster than it is seen. */
-const LEAST_REVERSAL_MS = 2 * DEMAND_SPAN_MS;
+const LEAST_REVERSAL_MS = 2 * DEMAND_WINDOW_MS;
 /** No engine that generates can be reached for this long: longer than a lost packet, and for two looks. */
 const RESCUE_SETTLE_MS = 400;
 /** A rescue that came to nothing, as its engines were lost as well, is tried again after this time. */
@@ -54,7 +54,7 @@
 
 /** What a controller is built from. */
 export interface StageControllerOptions
-  extends Omit<StageOrdersOptions, 'currentEpoch' | 'noteSent'> {
+  extends Omit<StageOrdersOptions, 'currentEpoch' | 'onOrderSent'> {
   /** Another with each start of the process. */
   readonly incarnation: number;
   readonly leaseMs: number;
@@ -89,7 +89,7 @@
     this.#orders = new StageOrders({
       ...options,
       currentEpoch: () => this.#authority(),
-      noteSent: (stage) => {
+      onOrderSent: (stage) => {
         this.#lastStage = stage;
       },
     });
--- a/src/shell/gateway/stage-orders.ts
+++ b/src/shell/gateway/stage-orders.ts
@@ -36,7 +36,7 @@
   /** The epoch of the lease while this daemon holds it. */
   readonly currentEpoch: () => number | undefined;
   /** Told when an order is sent. */
-  readonly noteSent: (stage: EngineStage) => void;
+  readonly onOrderSent: (stage: EngineStage) => void;
   readonly timers: TimerService;
   readonly log: GatewayLog;
 }
@@ -81,7 +81,7 @@
       wantedPrefill: change.wantedPrefill,
       currentPrefill: change.currentPrefill,
     });
-    this.#options.noteSent(stage);
+    this.#options.onOrderSent(stage);
     const order = { stage, holder: daemon, fence: epoch, expectedSequence };
     const answer = await this.#callEngine(engine, 'order', codec.orderStage(order, engine.id));
     log.write(GATEWAY_EVENTS.orderAnswered, { server: engine.id, outcome: answer.outcome });
@@ -119,7 +119,7 @@
 
   #tellStage(notice: StageNotice): void {
     const { fleet, timers, broadcastStage } = this.#options;
-    fleet.stageNotices.take(notice, timers.nowMs());
+    fleet.stageNotices.apply(notice, timers.nowMs());
     broadcastStage(notice);
   }
 
--- a/src/shell/gateway/table-watcher.ts
+++ b/src/shell/gateway/table-watcher.ts
@@ -19,8 +19,8 @@
 import type { WatchAnswer, WatchedRow, WatchedTable } from './ports.js';
 import type { FollowedTable, RelayDigest } from './relay-digest.js';
 import type { GatewayLog } from './request-log.js';
-import type { WatchRetryQueue } from './retry-turns.js';
 import { callWithTimeout, delay, type TimerService } from './timer-service.js';
+import type { WatchRetryQueue } from './watch-retry-queue.js';
 import {
   ANSWER_SLACK_MS,
   FIRST_RETRY_SHARE,
@@ -74,7 +74,7 @@
   /** From 0 to below 1, to spread the retries of many daemons. */
   readonly random: () => number;
   /** Shared by all watches of this daemon. */
-  readonly retryTurns: WatchRetryQueue;
+  readonly retryQueue: WatchRetryQueue;
   readonly timers: TimerService;
   readonly log: Pick<GatewayLog, 'write'>;
 }
@@ -382,7 +382,7 @@
     }
     this.#failuresInARow = 0;
     this.#lastAnswerMs = timers.nowMs();
-    this.#options.retryTurns.recordStoreAnswer();
+    this.#options.retryQueue.recordStoreAnswer();
   }
 
   async #handleFailure(answer: Exclude<WatchAnswer<Value>, { kind: 'rows' }>): Promise<void> {
@@ -404,7 +404,7 @@
 
   /** A fresh digest of the relay ends the wait, as it may say that there is nothing to ask for. */
   async #backOff(): Promise<void> {
-    const { digest, timing, random, retryTurns } = this.#options;
+    const { digest, timing, random, retryQueue } = this.#options;
     const { maxRetryDelayMs } = timing();
     const backoffMs = FIRST_RETRY_SHARE * maxRetryDelayMs * 2 ** (this.#failuresInARow - 1);
     const spread = 1 - RETRY_SPREAD * random();
@@ -415,7 +415,7 @@
     // A fresh digest says already that there is something to ask for.
     const mayHear = digest !== undefined && !digest.from.isFresh;
     if (mayHear) void digest.from.waitUntilFresh(ended.signal).then(end);
-    await this.#idle(retryTurns.next({ waitMs, callMs: this.#lookMs }, ended.signal));
+    await this.#idle(retryQueue.waitForTurn({ waitMs, callMs: this.#lookMs }, ended.signal));
     end();
     this.#stopped.signal.removeEventListener('abort', end);
   }
--- a/src/shell/gateway/tenant-usage.ts
+++ b/src/shell/gateway/tenant-usage.ts
@@ -96,7 +96,7 @@
   }
 
   /** What another daemon tells, or asks. */
-  take(message: UsageMessage, reply: Reply): void {
+  handleMessage(message: UsageMessage, reply: Reply): void {
     switch (message.kind) {
       case 'usage-asked':
         for (const part of this.#ownParts(message.window)) reply({ kind: 'usage-counted', part });
--- a/src/shell/gateway/retry-turns.ts
+++ b/src/shell/gateway/watch-retry-queue.ts
@@ -26,7 +26,7 @@
   }
 
   /** Waits for a turn to call again, after a call that failed; the signal ends the wait at once. */
-  next({ waitMs, callMs }: Omit<Waiting, 'go'>, signal: AbortSignal): Promise<void> {
+  waitForTurn({ waitMs, callMs }: Omit<Waiting, 'go'>, signal: AbortSignal): Promise<void> {
     this.#release();
     return new Promise((resolve) => {
       const go = () => {
--- a/src/shell/gateway/web-room-ask.ts
+++ b/src/shell/gateway/web-admission-check.ts
@@ -1,8 +1,8 @@
 /** What a request to a web service asks of the waiting room. */
 import { placeWebRequest } from '../../core/gateway/index.js';
+import { type AdmissionCheck, roundedOrNull } from './admission-check.js';
 import type { AttemptContext } from './attempt.js';
 import type { Exchange } from './exchange.js';
-import { type AdmissionCheck, roundedOrNull } from './room-ask.js';
 
 /** Requests to web servers cost alike: the time that one takes is not known beforehand. */
 const WEB_COST_MS = 1;
--- a/src/shell/gateway/whole-exchange.ts
+++ b/src/shell/gateway/web-exchange.ts
@@ -21,7 +21,7 @@
 } from './attempt.js';
 import type { CompleteAnswer, Exchange } from './exchange.js';
 import { permitWaitRequestOf } from './limit-coordinator.js';
-import { webAdmissionCheck } from './web-room-ask.js';
+import { webAdmissionCheck } from './web-admission-check.js';
 
 const MAX_ANSWER_BYTES = 16_777_216;
 /** Servers that may turn a request down, or be out of reach, before it is refused. */
@@ -120,7 +120,7 @@
     const exchange = this.#exchange;
     if (exchange.signal.aborted) exchange.endInterrupted();
     else if (this.#lastFailure !== undefined) exchange.answer(this.#lastFailure);
-    else if (!this.#context.crashes.refuse(exchange)) {
+    else if (!this.#context.crashes.refuseIfQuarantined(exchange)) {
       refuseUnavailable(exchange, this.#context, this.#lastReason);
     }
   }
@@ -143,7 +143,7 @@
   async #prepareLimited(): Promise<void> {
     const { fleet, limits } = this.#context;
     const { service, timers } = this.#exchange.options;
-    const atLimit = fleet.atLimit(service, timers.nowMs());
+    const atLimit = fleet.serversAtLimit(service, timers.nowMs());
     if (atLimit.length === 0) return;
     const chosen = this.#choose(fleet.candidatesWithLimited(service, timers.nowMs()));
     await limits.requestPermits(atLimit.filter(({ id }) => id === chosen?.id));
--- a/src/shell/gateway/web-work.ts
+++ b/src/shell/gateway/web-work.ts
@@ -11,7 +11,7 @@
 import { GATEWAY_EVENTS } from '../../core/logging/catalogue/gateway.js';
 import type { FleetView } from './fleet-view.js';
 import type { PeerExchange } from './peer-exchange.js';
-import type { ToldLoad } from './ports.js';
+import type { ReportedLoad } from './ports.js';
 import type { GatewayLog } from './request-log.js';
 import type { TimerService } from './timer-service.js';
 
@@ -45,7 +45,7 @@
   }
 
   /** This daemon's calls, as far as the others are told of them. */
-  own(): LoadReport['work'] {
+  ownLoad(): LoadReport['work'] {
     return this.#isTold ? this.#options.fleet.ownWebWork() : NO_WORK;
   }
 
@@ -62,7 +62,7 @@
   }
 
   /** A server says something of its load. */
-  applyReportedLoad(server: ServerRecord, load: ToldLoad): void {
+  applyReportedLoad(server: ServerRecord, load: ReportedLoad): void {
     const { isEnabled, fleet, timers } = this.#options;
     if (!isEnabled) return;
     switch (load.kind) {
--- a/src/shell/operator/backend.ts
+++ b/src/shell/operator/backend.ts
@@ -76,7 +76,7 @@
 /** The daemon as the operator server sees it. No call throws; what fails is a fault or an outcome. */
 export interface OperatorBackend {
   /**
-   * The rows of a table. `query` is a hint: where it pins a field (see `pinnedText`), only those
+   * The rows of a table. `query` is a hint: where it pins a field (see `requiredTextValue`), only those
    * rows need be fetched. The server evaluates the query itself.
    */
   rows(table: TableName, query: Query): Promise<Result<readonly Row[], Fault>>;
--- a/test/gateway/request-room.test.ts
+++ b/test/gateway/admission-gate.test.ts
@@ -4,9 +4,9 @@
 import type { Placement } from '../../src/core/gateway/index.js';
 import { GATEWAY_EVENTS } from '../../src/core/logging/catalogue/gateway.js';
 import type { LogEvent, LogFields } from '../../src/core/logging/log-event.js';
+import type { AdmissionCheck } from '../../src/shell/gateway/admission-check.js';
+import { AdmissionGate } from '../../src/shell/gateway/admission-gate.js';
 import type { Exchange } from '../../src/shell/gateway/exchange.js';
-import { AdmissionGate } from '../../src/shell/gateway/request-room.js';
-import type { AdmissionCheck } from '../../src/shell/gateway/room-ask.js';
 import { ManualTimers } from './support/manual-timers.js';
 
 const GO: Placement = { kind: 'go', slackMs: 200 };
@@ -29,7 +29,7 @@
     log: { write: (event, fields = {}) => lines.push({ event, fields }) },
     metrics: {
       recordWait: (_rank, waitedMs) => waits.push(waitedMs),
-      recordRoomRefusal: (reason, rank) => refusals.push(`${reason} ${rank}`),
+      recordCapacityRefusal: (reason, rank) => refusals.push(`${reason} ${rank}`),
     },
   });
   return { room, timers, lines, waits, refusals };
--- a/test/gateway/configuration-teller.test.ts
+++ b/test/gateway/configuration-gossip.test.ts
@@ -2,7 +2,7 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import { PeerRoster } from '../../src/core/gateway/index.js';
-import { ConfigurationGossip } from '../../src/shell/gateway/configuration-teller.js';
+import { ConfigurationGossip } from '../../src/shell/gateway/configuration-gossip.js';
 import { decodePeerMessage } from '../../src/shell/gateway/peer-messages.js';
 import { ManualTimers } from './support/manual-timers.js';
 
--- a/test/gateway/crash-spread.test.ts
+++ b/test/gateway/crash-spread.test.ts
@@ -3,7 +3,7 @@
 import { test } from 'node:test';
 import { uniformFloat64 } from 'pure-rand/distribution/uniformFloat64';
 import { xoroshiro128plus } from 'pure-rand/generator/xoroshiro128plus';
-import { CONTACT_MS, FleetOfGuards, requestOf } from './support/fleet-of-guards.js';
+import { CONTACT_MS, FleetOfGuards, requestOf } from './support/crash-guard-fleet.js';
 
 const BODY = 'ends whoever runs it';
 const START_MS = 100;
@@ -169,9 +169,9 @@
   fleet.isTurnedAway = (daemon) => daemon === 3;
   fleet.start(3);
   await fleet.advance(CONTACT_MS - 200);
-  assert.ok(!fleet.guard(3).isPrepared);
+  assert.ok(!fleet.guard(3).isReadyToServe);
   await fleet.advance(400);
-  assert.ok(fleet.guard(3).isPrepared);
+  assert.ok(fleet.guard(3).isReadyToServe);
   fleet.isTurnedAway = () => false;
   await fleet.advance(1_000);
   assert.deepEqual(fleet.sendersOf(BODY), []);
--- a/test/gateway/engine-paces.test.ts
+++ b/test/gateway/engine-paces.test.ts
@@ -2,7 +2,6 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import fc from 'fast-check';
-import { quantizedPace } from '../../src/core/gateway/home.js';
 import {
   EngineLoad,
   EnginePaces,
@@ -17,9 +16,10 @@
   type ServerRecord,
   type ServicePaceSums,
 } from '../../src/core/gateway/index.js';
+import { quantizedPace } from '../../src/core/gateway/preferred-engine.js';
 import { rankByRendezvous } from '../../src/core/gateway/rendezvous.js';
 import { FleetView } from '../../src/shell/gateway/fleet-view.js';
-import { type PlannedRead, playUnlikeEngines, seededRandom } from './support/unlike-engines.js';
+import { type PlannedRead, playUnlikeEngines, seededRandom } from './support/engine-simulation.js';
 
 const SPEEDS = Array.from({ length: 12 }, (_, place) => [0.7, 0.7, 1.7][place % 3] ?? 1);
 const LEARNT_AFTER = 400;
@@ -407,7 +407,7 @@
     assert.equal(fleet.paceOf('e1') > 1.7, enginePaces === 'always');
     assert.equal(fleet.paceOf('not listed'), 1);
     const change = fleet.directory.replaceAll([]);
-    fleet.forgetEnded(change);
+    fleet.forgetEndedBoots(change);
     fleet.directory.replaceAll(servers);
     assert.equal(fleet.paceOf('e1'), 1, 'another life has its own pace');
   }
--- a/test/gateway/fleet-demand.test.ts
+++ b/test/gateway/fleet-demand.test.ts
@@ -10,7 +10,7 @@
   type ServiceDemand,
   StageDemand,
 } from '../../src/core/gateway/index.js';
-import { DEMAND_SPAN_MS } from '../../src/shell/gateway/fleet-demand.js';
+import { DEMAND_WINDOW_MS } from '../../src/shell/gateway/fleet-demand.js';
 import { FleetView } from '../../src/shell/gateway/fleet-view.js';
 
 function demand(requests: number, prefillMs = 100 * requests): ServiceDemand {
@@ -31,8 +31,8 @@
 
 test('a relay adds up its zone for the others, and all zones for its own', () => {
   const loads = new PeerLoads();
-  loads.take(report('a', 3), 0);
-  loads.take(report('b', 4), 0);
+  loads.applyReport(report('a', 3), 0);
+  loads.applyReport(report('b', 4), 0);
   loads.applyZoneSums('south', sums('r', 10), 0);
   assert.equal(requestsOf(loads.zoneDemand([demand(1)], 0)), 8);
   assert.equal(requestsOf(loads.totalDemand([demand(1)], 0)), 18);
@@ -53,11 +53,11 @@
   }
   const alone = fleet.demand.needOf('m', 0);
   assert.equal(alone.requests, 6, 'what nobody told is not counted as seen');
-  assert.equal(alone.prefillEngines, (8 * 600) / DEMAND_SPAN_MS);
-  fleet.peerLoads.take(report('a', 40), 0);
+  assert.equal(alone.prefillEngines, (8 * 600) / DEMAND_WINDOW_MS);
+  fleet.peerLoads.applyReport(report('a', 40), 0);
   const together = fleet.demand.needOf('m', 0);
   assert.equal(together.requests, 46);
-  assert.equal(together.prefillEngines, 4_600 / DEMAND_SPAN_MS);
+  assert.equal(together.prefillEngines, 4_600 / DEMAND_WINDOW_MS);
 });
 
 test('sums of demand do not depend on order, and services are kept apart', () => {
@@ -84,14 +84,14 @@
   const gapsMs = fc.array(fc.record({ gapMs: fc.nat(3_000), workMs: fc.nat(100) }));
   fc.assert(
     fc.property(gapsMs, (steps) => {
-      const kept = new StageDemand(DEMAND_SPAN_MS);
+      const kept = new StageDemand(DEMAND_WINDOW_MS);
       const noted: { readonly atMs: number; readonly workMs: number }[] = [];
       let nowMs = 0;
       for (const { gapMs, workMs } of steps) {
         nowMs += gapMs;
         noted.push({ atMs: nowMs, workMs });
         kept.recordRequest('short-prompt', { prefillMs: workMs, decodeMs: 0 }, nowMs);
-        const inSpan = noted.filter(({ atMs }) => atMs > nowMs - DEMAND_SPAN_MS);
+        const inSpan = noted.filter(({ atMs }) => atMs > nowMs - DEMAND_WINDOW_MS);
         const expected = inSpan.reduce((sum, entry) => sum + entry.workMs, 0);
         const { prefillMs, requests, shortRequests } = kept.sums(nowMs);
         assert.equal(prefillMs, expected);
@@ -111,7 +111,7 @@
     return { ...engine, id, stage, address: `10.0.0.${place}:80` };
   });
   fleet.directory.replaceAll(engines);
-  fleet.peerLoads.take(report('a', 180), 0);
+  fleet.peerLoads.applyReport(report('a', 180), 0);
   assert.equal(fleet.demand.limitSharesOf('m', 0)('e2'), 1);
   // 180 requests in 6 s are 10 a second for each of three that generate.
   fleet.limits.applyAdvertised('e2', { perSecond: 2, reportedAgoMs: 0 }, 0);
--- a/test/gateway/fleet-size.test.ts
+++ b/test/gateway/fleet-size.test.ts
@@ -5,7 +5,7 @@
 
 function sizeAfter(lists: readonly number[]): FleetSize {
   const size = new FleetSize();
-  for (const daemons of lists) size.take(daemons);
+  for (const daemons of lists) size.recordListed(daemons);
   return size;
 }
 
--- a/test/gateway/waiting-at-the-door.test.ts
+++ b/test/gateway/holding-requests.test.ts
@@ -2,7 +2,7 @@
 import assert from 'node:assert/strict';
 import { afterEach, beforeEach, test } from 'node:test';
 import { GATEWAY_EVENTS } from '../../src/core/logging/catalogue/gateway.js';
-import { SYSTEM_TIMERS, USUAL_LOAD_DECISIONS } from '../../src/shell/gateway/index.js';
+import { DEFAULT_LOAD_DECISIONS, SYSTEM_TIMERS } from '../../src/shell/gateway/index.js';
 import { configuration, GatewayFixture, route } from './support/fixture.js';
 import { answering, rejectingAsNotExecuted, type Script } from './support/server-stand-in.js';
 
@@ -18,7 +18,7 @@
 afterEach(() => fixture.stop());
 
 async function startWith(waiting: boolean): Promise<void> {
-  await fixture.start(SYSTEM_TIMERS, undefined, { ...USUAL_LOAD_DECISIONS, waiting });
+  await fixture.start(SYSTEM_TIMERS, undefined, { ...DEFAULT_LOAD_DECISIONS, waiting });
   fixture.store.putConfiguration(configuration(1, [PATIENT]));
   await fixture.logged(GATEWAY_EVENTS.configurationInForce);
 }
--- a/test/gateway/leaving-and-rest.test.ts
+++ b/test/gateway/leaving-and-back-off.test.ts
@@ -10,7 +10,7 @@
 import assert from 'node:assert/strict';
 import { afterEach, beforeEach, test } from 'node:test';
 import { GATEWAY_EVENTS } from '../../src/core/logging/catalogue/gateway.js';
-import { USUAL_LOAD_DECISIONS } from '../../src/shell/gateway/index.js';
+import { DEFAULT_LOAD_DECISIONS } from '../../src/shell/gateway/index.js';
 import { deferred } from './support/deferred.js';
 import {
   configuration,
@@ -42,7 +42,7 @@
 async function start(waiting: boolean): Promise<void> {
   fixture = new GatewayFixture();
   timers = new ManualTimers();
-  await fixture.start(timers, undefined, { ...USUAL_LOAD_DECISIONS, waiting });
+  await fixture.start(timers, undefined, { ...DEFAULT_LOAD_DECISIONS, waiting });
   fixture.store.putConfiguration(configuration(1, [route({}), READ_ROUTE, RESUMABLE_ROUTE]));
   await fixture.logged(GATEWAY_EVENTS.configurationInForce);
 }
--- a/test/gateway/limit-fleets.test.ts
+++ b/test/gateway/limit-fleets.test.ts
@@ -5,7 +5,7 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import type { PermitReservation } from '../../src/shell/gateway/limit-coordinator.js';
-import { FleetOfLimits } from './support/fleet-of-limits.js';
+import { FleetOfLimits } from './support/limit-fleet.js';
 import { allowedInSpan, SETTLE_MS } from './support/limited-server.js';
 
 const BEFORE_MS = 5_000;
@@ -174,7 +174,7 @@
     await fleet.play(5, () => 0);
     place = asker.limits.reservePermit(server.service, () => server);
   }
-  asker.fleet.forgetEnded({ removed: [server], restarted: [] });
+  asker.fleet.forgetEndedBoots({ removed: [server], restarted: [] });
   asker.limits.returnPermits(place);
   await fleet.play(1_000, () => 0);
   assert.equal(granter.fleet.limits.of(server.id)?.perSecond, 5);
@@ -190,7 +190,7 @@
   // As long as a prompt is read.
   fleet.answerMs = 500;
   await fleet.play(12_000, evenly(fleet, 40));
-  for (const { fleet: view } of fleet.daemons) view.forgetEnded(view.directory.replaceAll([]));
+  for (const { fleet: view } of fleet.daemons) view.forgetEndedBoots(view.directory.replaceAll([]));
   await fleet.play(800, evenly(fleet, 40));
   for (const { fleet: view } of fleet.daemons) view.directory.replaceAll(fleet.servers);
   await fleet.play(8_000, evenly(fleet, 40));
--- a/test/gateway/limit-ledger.test.ts
+++ b/test/gateway/limit-ledger.test.ts
@@ -17,7 +17,7 @@
 function grantedBetween(ledger: LimitLedger, fromMs: number, toMs: number): number {
   let granted = 0;
   for (let nowMs = fromMs; nowMs < toMs; nowMs += 10) {
-    granted += ledger.ask(ask({ wanted: 64 }), nowMs).granted;
+    granted += ledger.handleRequest(ask({ wanted: 64 }), nowMs).granted;
   }
   return granted;
 }
@@ -35,35 +35,35 @@
 test('what was sent before the limit was known counts, by its age', () => {
   const ledger = ledgerAt(1);
   const unmetered = [{ atMs: 1_000, count: 4 }];
-  assert.equal(ledger.ask(ask({ unmetered }), 2_000).granted, 0);
-  const { granted, roomInMs } = ledger.ask(ask({ unmetered }), 3_000);
+  assert.equal(ledger.handleRequest(ask({ unmetered }), 2_000).granted, 0);
+  const { granted, roomInMs } = ledger.handleRequest(ask({ unmetered }), 3_000);
   assert.equal(granted, 0);
   assert.equal(roomInMs, 1_000 + LEDGER_SPAN_MS - 3_000);
-  assert.equal(ledger.ask(ask(), 1_000 + LEDGER_SPAN_MS).granted, 1);
+  assert.equal(ledger.handleRequest(ask(), 1_000 + LEDGER_SPAN_MS).granted, 1);
 });
 
 test('what is given back is granted again, once', () => {
   const ledger = ledgerAt(1);
-  assert.equal(ledger.ask(ask(), 0).granted, 1);
-  assert.equal(ledger.ask(ask({ daemon: 'b' }), 10).granted, 0);
-  ledger.ask(ask({ wanted: 0, returned: 1 }), 20);
-  ledger.ask(ask({ wanted: 0, returned: 5 }), 30);
-  assert.equal(ledger.ask(ask({ daemon: 'b', wanted: 2 }), 40).granted, 1);
-  assert.equal(ledger.ask(ask({ daemon: 'b' }), 50).granted, 0);
+  assert.equal(ledger.handleRequest(ask(), 0).granted, 1);
+  assert.equal(ledger.handleRequest(ask({ daemon: 'b' }), 10).granted, 0);
+  ledger.handleRequest(ask({ wanted: 0, returned: 1 }), 20);
+  ledger.handleRequest(ask({ wanted: 0, returned: 5 }), 30);
+  assert.equal(ledger.handleRequest(ask({ daemon: 'b', wanted: 2 }), 40).granted, 1);
+  assert.equal(ledger.handleRequest(ask({ daemon: 'b' }), 50).granted, 0);
 });
 
 test('a daemon that takes over grants nothing for a span', () => {
   const ledger = ledgerAt(2);
-  const { granted, roomInMs } = ledger.ask(ask({ knownForMs: 5_000 }), 100);
+  const { granted, roomInMs } = ledger.handleRequest(ask({ knownForMs: 5_000 }), 100);
   assert.deepEqual([granted, roomInMs], [0, LEDGER_SPAN_MS]);
-  assert.equal(ledger.ask(ask({ knownForMs: 9_000 }), 100 + LEDGER_SPAN_MS).granted, 1);
+  assert.equal(ledger.handleRequest(ask({ knownForMs: 9_000 }), 100 + LEDGER_SPAN_MS).granted, 1);
 });
 
 test('daemons that ask share what there is', () => {
   const ledger = ledgerAt(20);
-  const first = ledger.ask(ask({ daemon: 'a', wanted: 64 }), 0).granted;
+  const first = ledger.handleRequest(ask({ daemon: 'a', wanted: 64 }), 0).granted;
   assert.equal(first, 20);
   const shared = ledgerAt(20);
-  shared.ask(ask({ daemon: 'b', wanted: 1 }), 0);
-  assert.equal(shared.ask(ask({ daemon: 'a', wanted: 64 }), 1).granted, 10);
+  shared.handleRequest(ask({ daemon: 'b', wanted: 1 }), 0);
+  assert.equal(shared.handleRequest(ask({ daemon: 'a', wanted: 64 }), 1).granted, 10);
 });
--- a/test/gateway/named-limits.test.ts
+++ b/test/gateway/named-limits.test.ts
@@ -86,7 +86,7 @@
     limits.applyAdvertised('i-1', { perSecond: 5, reportedAgoMs: 50 }, 1_010),
     undefined,
   );
-  assert.equal(limits.of('i-1')?.isHeard, false);
+  assert.equal(limits.of('i-1')?.isFirstHand, false);
   assert.equal(
     limits.recordReport(SERVER, named(2), { sentAtMs: 1_000, nowMs: 1_020 })?.kind,
     'named',
--- a/test/gateway/heard-version.test.ts
+++ b/test/gateway/newest-peer-version.test.ts
@@ -3,7 +3,7 @@
 import { test } from 'node:test';
 import { GATEWAY_EVENTS } from '../../src/core/logging/catalogue/gateway.js';
 import type { LogEvent, LogFields } from '../../src/core/logging/log-event.js';
-import { NewestPeerVersion } from '../../src/shell/gateway/heard-version.js';
+import { NewestPeerVersion } from '../../src/shell/gateway/newest-peer-version.js';
 import { ManualTimers } from './support/manual-timers.js';
 
 const GRACE_MS = 1_000;
--- a/test/gateway/pace-teller.test.ts
+++ b/test/gateway/pace-gossip.test.ts
@@ -3,8 +3,8 @@
 import { test } from 'node:test';
 import { pack } from 'msgpackr';
 import { decodePeerMessage, encodePeerMessage } from '../../src/shell/gateway/peer-messages.js';
-import { FleetOfTellers, seeReads, type Teller } from './support/fleet-of-tellers.js';
-import { seededRandom } from './support/unlike-engines.js';
+import { seededRandom } from './support/engine-simulation.js';
+import { FleetOfTellers, seeReads, type Teller } from './support/pace-gossip-fleet.js';
 
 const ZONES = ['a', 'b', 'c'];
 const SPEEDS = [0.7, 0.7, 1.7];
@@ -167,7 +167,7 @@
   for (let time = 0; time < 3; time += 1) {
     const message = decodePeerMessage(bytes);
     assert.equal(message?.kind, 'paces');
-    if (message?.kind === 'paces') teller.take(message.message, () => undefined);
+    if (message?.kind === 'paces') teller.handleMessage(message.message, () => undefined);
   }
   assert.deepEqual(ignored, [5], 'what comes soon after is counted for the next line');
   assert.equal(paces.paceOf('e1'), 1);
--- a/test/gateway/peer-roster.test.ts
+++ b/test/gateway/peer-roster.test.ts
@@ -4,7 +4,7 @@
 import { type PeerDaemon, PeerRoster } from '../../src/core/gateway/index.js';
 
 const ZONES = ['north', 'south', 'west'];
-const MAX_NEWS_CALLS = 12;
+const MAX_CACHE_EVENT_POLLS = 12;
 const SILENT_MS = 10_000;
 
 function daemons(count: number): PeerDaemon[] {
@@ -34,9 +34,9 @@
     assert.equal(roster.isLarge, false);
     assert.equal(roster.changeRecipients(0).length, 8);
     assert.equal(roster.isRelay(0), false);
-    assert.equal(roster.isWatcher('engine', MAX_NEWS_CALLS, 0), true);
+    assert.equal(roster.isWatcher('engine', MAX_CACHE_EVENT_POLLS, 0), true);
     assert.deepEqual(
-      roster.cacheEventRecipients('engine', MAX_NEWS_CALLS, 0),
+      roster.cacheEventRecipients('engine', MAX_CACHE_EVENT_POLLS, 0),
       [],
       all[index]?.name,
     );
@@ -62,12 +62,12 @@
   const rosters = rostersOf(all);
   for (const engineId of ['e1', 'e2', 'e3', 'e4']) {
     const watchers = all.filter((_, index) =>
-      rosters[index]?.isWatcher(engineId, MAX_NEWS_CALLS, 0),
+      rosters[index]?.isWatcher(engineId, MAX_CACHE_EVENT_POLLS, 0),
     );
     assert.deepEqual(watchers.map(({ zone }) => zone).sort(), ZONES);
-    assert.ok(watchers.length <= MAX_NEWS_CALLS);
+    assert.ok(watchers.length <= MAX_CACHE_EVENT_POLLS);
     const told = rosters.flatMap((roster) =>
-      roster.cacheEventRecipients(engineId, MAX_NEWS_CALLS, 0),
+      roster.cacheEventRecipients(engineId, MAX_CACHE_EVENT_POLLS, 0),
     );
     assert.deepEqual(namesOf([...told, ...watchers]), namesOf(all));
   }
@@ -104,13 +104,14 @@
   const all = daemons(60);
   const rosters = rostersOf(all);
   const first = all.find(
-    (_, index) => (rosters[index]?.cacheEventRecipients('e', MAX_NEWS_CALLS, 0).length ?? 0) > 0,
+    (_, index) =>
+      (rosters[index]?.cacheEventRecipients('e', MAX_CACHE_EVENT_POLLS, 0).length ?? 0) > 0,
   );
   assert.ok(first !== undefined);
   const left = rosters.filter((_, index) => all[index] !== first);
   for (const roster of left) hearAllBut(roster, all, first.name, SILENT_MS);
   const zones = left.flatMap((roster) => {
-    const told = roster.cacheEventRecipients('e', MAX_NEWS_CALLS, SILENT_MS);
+    const told = roster.cacheEventRecipients('e', MAX_CACHE_EVENT_POLLS, SILENT_MS);
     return told.length > 0 ? [told[0]?.zone] : [];
   });
   assert.deepEqual(zones.sort(), ZONES);
--- a/test/gateway/peers.test.ts
+++ b/test/gateway/peers.test.ts
@@ -49,8 +49,8 @@
 
 test('the work of all daemons adds up and fades as time passes', () => {
   const loads = new PeerLoads();
-  loads.take(report(), 0);
-  loads.take(report({ daemon: 'b' }), 100);
+  loads.applyReport(report(), 0);
+  loads.applyReport(report({ daemon: 'b' }), 100);
   assert.equal(loads.waitMs('e', 'in-time', 100), 500);
   assert.equal(loads.running('e', 100), 4);
   assert.equal(loads.waitMs('e', 'in-time', 1_000), 0);
@@ -59,10 +59,10 @@
 
 test('an older report of the same life is not taken, one of a new life is', () => {
   const loads = new PeerLoads();
-  loads.take(report({ sequence: 5, work: [] }), 0);
-  loads.take(report({ sequence: 4 }), 0);
+  loads.applyReport(report({ sequence: 5, work: [] }), 0);
+  loads.applyReport(report({ sequence: 4 }), 0);
   assert.equal(loads.waitMs('e', 'in-time', 0), 0);
-  loads.take(report({ incarnation: 2, sequence: 1 }), 0);
+  loads.applyReport(report({ incarnation: 2, sequence: 1 }), 0);
   assert.equal(loads.waitMs('e', 'in-time', 0), 300);
 });
 
@@ -83,7 +83,7 @@
 
 test("a relay's sums are taken less the own work, instead of what single daemons told", () => {
   const loads = new PeerLoads();
-  loads.take(report(), 0);
+  loads.applyReport(report(), 0);
   loads.applySums(sums(), [{ engineId: 'e', pendingMs: 200, lateMs: 0, running: 1 }], 0);
   assert.equal(loads.waitMs('e', 'in-time', 0), 300);
   assert.equal(loads.waitMs('e', 'in-time', 100), 200);
@@ -106,7 +106,7 @@
 test('when the relay falls silent, what single daemons told counts again', () => {
   const loads = new PeerLoads();
   loads.applySums(sums({ work: [] }), [], 0);
-  loads.take(report(), 2_000);
+  loads.applyReport(report(), 2_000);
   assert.equal(loads.running('e', 2_000), 0);
   assert.equal(loads.running('e', 3_000), 2);
 });
@@ -114,7 +114,7 @@
 test('a relay adds the sums of other zones for its own, and tells other relays of its zone alone', () => {
   const loads = new PeerLoads();
   const work = (running: number) => [{ engineId: 'e', pendingMs: 100, lateMs: 0, running }];
-  loads.take({ ...report(), daemon: 'a', work: work(2) }, 0);
+  loads.applyReport({ ...report(), daemon: 'a', work: work(2) }, 0);
   const sums = {
     relay: 'r',
     incarnation: 1,
@@ -310,8 +310,8 @@
     handleCrashRecords: () => undefined,
     handleRead: noticed.resolve,
     loads: {
-      take: (report, nowMs) => {
-        loads.take(report, nowMs);
+      applyReport: (report, nowMs) => {
+        loads.applyReport(report, nowMs);
         reported.resolve(report);
       },
       applySums: (sums) => {
@@ -353,7 +353,7 @@
   const teller = exchangeOf('b', 'z', timers, table, report().work);
   teller.exchange.start();
   assert.equal(await teller.listed.promise, 2);
-  teller.exchange.noteRead(READ);
+  teller.exchange.advertiseRead(READ);
   timers.advance(20);
   const told = await listener.reported.promise;
   listener.exchange.stop();
@@ -390,7 +390,7 @@
 
 test('in a large fleet the relay of a zone hears of changes and tells its zone the sums', async () => {
   const { timers, both, relay, other } = await startedZone();
-  other.exchange.noteRead(READ);
+  other.exchange.advertiseRead(READ);
   timers.advance(20);
   await relay.reported.promise;
   const told = await settledBy(other.summed.promise, timers);
--- a/test/gateway/reach-notices.test.ts
+++ b/test/gateway/reachability-notices.test.ts
@@ -14,13 +14,13 @@
 
 test('a silent server is passed over, then tried by one call at a time', () => {
   const health = new ServerHealth();
-  health.recordSilent(0);
+  health.recordConnectUnanswered(0);
   assert.equal(health.isUnreachable(100), true);
   assert.equal(health.isUnreachable(1_000), false, 'it may be tried');
   const trial = health.open(1_000);
   assert.equal(health.isUnreachable(1_000), true, 'the trial is under way');
   health.close(trial);
-  health.recordSilent(1_220);
+  health.recordConnectUnanswered(1_220);
   assert.equal(health.isUnreachable(1_300), true);
   health.recordReached();
   assert.equal(health.isUnreachable(1_300), false);
@@ -29,7 +29,7 @@
 test('a call that was open before does not keep a silent server from being tried', () => {
   const health = new ServerHealth();
   health.open(0);
-  health.recordSilent(10);
+  health.recordConnectUnanswered(10);
   assert.equal(health.isUnreachable(1_000), false);
 });
 
@@ -47,7 +47,7 @@
 
 test('what was found silent here and there is believed, and a server that is back is used at once', () => {
   const health = new ServerHealth();
-  health.recordSilent(0);
+  health.recordConnectUnanswered(0);
   health.applyReachNotice(silent('a'), 10);
   assert.equal(health.isUnreachable(900), true);
   health.applyReachNotice(back('b'), 910);
@@ -86,12 +86,12 @@
     [engine('r', 'prefill'), engine('d1', 'decode'), engine('d2', 'decode')],
     [],
   );
-  assert.equal(fleet.roomExpectedInMs('m', 0), undefined);
-  fleet.healthOf('d1').recordSilent(0);
-  for (let failure = 0; failure < 3; failure += 1) fleet.healthOf('d2').recordSilent(0);
+  assert.equal(fleet.capacityExpectedInMs('m', 0), undefined);
+  fleet.healthOf('d1').recordConnectUnanswered(0);
+  for (let failure = 0; failure < 3; failure += 1) fleet.healthOf('d2').recordConnectUnanswered(0);
   const ids = fleet.candidates('m', 100).map(({ id }) => id);
   assert.deepEqual(ids, ['r']);
-  const waitMs = fleet.roomExpectedInMs('m', 100) ?? 0;
+  const waitMs = fleet.capacityExpectedInMs('m', 100) ?? 0;
   assert.ok(waitMs > 0 && waitMs <= 400, `${waitMs} ms`);
   assert.equal(fleet.isReachable('d2', 100), false);
   fleet.handleReachability({ serverId: 'd2', by: 'b', isReachable: true }, 100);
--- a/test/gateway/retry-budget-list.test.ts
+++ b/test/gateway/retry-budget-incomplete-list.test.ts
@@ -10,7 +10,7 @@
  */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
-import { FleetOfBudgets, worstWindow } from './support/repeats-of-fleet.js';
+import { RetryBudgetFleet, worstWindow } from './support/retry-budget-fleet.js';
 
 const OPTIONS = { ratio: 0.2, slack: 158 };
 const DAEMONS = 59;
@@ -20,28 +20,28 @@
 const EVERY_DAEMON = Array.from({ length: DAEMONS }, (_, daemon) => daemon);
 
 /** Requests that a first server takes, so that repeats are saved up; then all are turned away. */
-function playFrom(fleet: FleetOfBudgets): void {
+function playFrom(fleet: RetryBudgetFleet): void {
   for (let request = 0; request * REQUEST_GAP_MS < RUN_MS; request += 1) {
     const nowMs = request * REQUEST_GAP_MS;
     fleet.request(request, nowMs < WELL_MS ? 0 : 4, nowMs);
   }
 }
 
-function assertWithinBound(fleet: FleetOfBudgets, course: string): void {
-  const { repeats, allowed } = worstWindow(fleet.seen, OPTIONS);
+function assertWithinBound(fleet: RetryBudgetFleet, course: string): void {
+  const { repeats, allowed } = worstWindow(fleet.observed, OPTIONS);
   assert.ok(repeats <= allowed, `${course}: ${repeats} repeats of ${allowed}`);
 }
 
 test('daemons whose list is short keep the bound', () => {
   for (const listed of [30, 15, 1]) {
-    const shrinking = new FleetOfBudgets(OPTIONS, DAEMONS);
+    const shrinking = new RetryBudgetFleet(OPTIONS, DAEMONS);
     for (const daemon of EVERY_DAEMON) {
       for (const length of [DAEMONS, DAEMONS, listed]) shrinking.readList(daemon, length);
     }
     playFrom(shrinking);
     assertWithinBound(shrinking, `a list that shrank to ${listed}`);
 
-    const starting = new FleetOfBudgets(OPTIONS, DAEMONS);
+    const starting = new RetryBudgetFleet(OPTIONS, DAEMONS);
     for (const daemon of EVERY_DAEMON) starting.readList(daemon, listed);
     playFrom(starting);
     assertWithinBound(starting, `a first list of ${listed}, and none after it`);
--- a/test/gateway/retry-budget-reporter.test.ts
+++ b/test/gateway/retry-budget-reporter.test.ts
@@ -15,7 +15,7 @@
   const metrics = new GatewayMetrics();
   const lines: { readonly event: LogEvent; readonly fields: LogFields }[] = [];
   const fleet: FleetView = new FleetView(OPTIONS, (service, budget) =>
-    reporter.noteBegun(service, budget),
+    reporter.recordBudgetCreated(service, budget),
   );
   const log = {
     write: (event: LogEvent, fields: LogFields = {}) => void lines.push({ event, fields }),
--- a/test/gateway/retry-budget-births.test.ts
+++ b/test/gateway/retry-budget-restart.test.ts
@@ -15,7 +15,7 @@
  */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
-import { FleetOfBudgets, type WorstWindow, worstWindow } from './support/repeats-of-fleet.js';
+import { RetryBudgetFleet, type WorstWindow, worstWindow } from './support/retry-budget-fleet.js';
 
 const RATIO = 0.2;
 const REQUEST_GAP_MS = 2.5;
@@ -35,7 +35,7 @@
 /** Evenly spread requests, all turned away, over a fleet whose processes are killed together. */
 function play({ daemons, slack, killsAtMs, listAfterMs }: Course): WorstWindow {
   const options = { ratio: RATIO, slack };
-  const fleet = new FleetOfBudgets(options, daemons);
+  const fleet = new RetryBudgetFleet(options, daemons);
   const everyDaemon = Array.from({ length: daemons }, (_, daemon) => daemon);
   for (const daemon of [...everyDaemon, ...everyDaemon]) fleet.readList(daemon, daemons);
   const births = killsAtMs.map((atMs) => atMs + DOWN_MS);
@@ -53,7 +53,7 @@
     if (isListRead) for (const daemon of everyDaemon) fleet.readList(daemon, daemons);
     if (!isDown(nowMs)) fleet.request(request, 4, nowMs);
   }
-  return worstWindow(fleet.seen, options);
+  return worstWindow(fleet.observed, options);
 }
 
 test('lives that begin together, before they have read the list of daemons, keep the bound', () => {
--- a/test/gateway/server-availability.test.ts
+++ b/test/gateway/server-availability.test.ts
@@ -73,7 +73,7 @@
     assert.deepEqual([said?.isLeaving, said?.backOffMs], [false, undefined]);
     assert.notEqual(said?.unreadable, '');
     const told = new ServerAvailability();
-    if (said !== undefined) told.take(SERVER, said, at(0));
+    if (said !== undefined) told.recordReport(SERVER, said, at(0));
     assert.equal(kindAt(told, 1), 'open');
   });
 }
@@ -86,15 +86,15 @@
 
 test('a rest holds whole, and a shorter one that is asked for meanwhile takes nothing off it', () => {
   const told = new ServerAvailability();
-  told.take(SERVER, REST, at(0));
-  told.take(SERVER, { ...REST, backOffMs: 1_000 }, at(100));
+  told.recordReport(SERVER, REST, at(0));
+  told.recordReport(SERVER, { ...REST, backOffMs: 1_000 }, at(100));
   assert.equal(kindAt(told, 2_999), 'resting');
   assert.equal(kindAt(told, 3_000), 'open');
 });
 
 test('a rest holds at its address, for the server before and for one that has started again there', () => {
   const told = new ServerAvailability();
-  told.take(SERVER, REST, at(0));
+  told.recordReport(SERVER, REST, at(0));
   assert.equal(kindAt(told, 1, serverOf({ id: 'i-0', bornMs: 0 })), 'resting');
   assert.equal(kindAt(told, 1, serverOf({ bornMs: 2 })), 'resting');
   assert.equal(kindAt(told, 1, serverOf({ address: '10.0.0.2:80' })), 'open');
@@ -103,7 +103,7 @@
 test('daemons that were turned away together do not come back together', () => {
   const ends = [0, 0.5, 0.999].map((entropy) => {
     const told = new ServerAvailability();
-    told.take(SERVER, REST, at(0, entropy));
+    told.recordReport(SERVER, REST, at(0, entropy));
     const rest = told.of(SERVER, 0);
     return rest.kind === 'resting' ? rest.forMs : 0;
   });
@@ -113,33 +113,33 @@
 
 test('however long a rest is asked for, the server is tried again within a minute or so', () => {
   const told = new ServerAvailability();
-  told.take(SERVER, { ...REST, backOffMs: 9_999_999_999_000 }, at(0, 1));
+  told.recordReport(SERVER, { ...REST, backOffMs: 9_999_999_999_000 }, at(0, 1));
   assert.equal(kindAt(told, 59_000), 'resting');
   assert.equal(kindAt(told, 66_000), 'open');
 });
 
 test('after a rest one request goes first; the others follow its answer, or when it was taken in', () => {
   const told = new ServerAvailability();
-  told.take(SERVER, REST, at(0));
+  told.recordReport(SERVER, REST, at(0));
   told.recordSent(SERVER, 3_010);
   assert.equal(kindAt(told, 3_020), 'resting');
   assert.equal(kindAt(told, 3_260), 'open');
   told.recordAccepted(SERVER, 3_010);
   assert.equal(kindAt(told, 3_021), 'open');
-  told.take(SERVER, REST, at(4_000));
+  told.recordReport(SERVER, REST, at(4_000));
   assert.equal(kindAt(told, 6_999), 'resting');
 });
 
 test('the answer to what was sent before the rest ended says nothing of it', () => {
   const told = new ServerAvailability();
-  told.take(SERVER, REST, at(0));
+  told.recordReport(SERVER, REST, at(0));
   told.recordAccepted(SERVER, -50);
   assert.equal(kindAt(told, 1_000), 'resting');
 });
 
 test('a daemon that was frozen through a rest sends one request first', () => {
   const told = new ServerAvailability();
-  told.take(SERVER, REST, at(0));
+  told.recordReport(SERVER, REST, at(0));
   assert.equal(kindAt(told, 60_000), 'open');
   told.recordSent(SERVER, 60_000);
   assert.equal(kindAt(told, 60_001), 'resting');
@@ -147,19 +147,19 @@
 
 test('a leave holds against the list, until another life begins; a false one does not hold for ever', () => {
   const told = new ServerAvailability();
-  told.take(SERVER, LEAVING, at(0));
+  told.recordReport(SERVER, LEAVING, at(0));
   assert.equal(kindAt(told, 60_000), 'leaving');
   assert.equal(kindAt(told, 1, serverOf({ bornMs: 2 })), 'open');
   assert.equal(kindAt(told, 1, serverOf({ address: '10.0.0.2:80' })), 'open');
   assert.equal(kindAt(told, 1, serverOf({ service: 'other' })), 'open');
-  told.take(SERVER, LEAVING, at(60_000));
+  told.recordReport(SERVER, LEAVING, at(60_000));
   assert.equal(kindAt(told, 179_000), 'leaving');
   assert.equal(kindAt(told, 180_000), 'open');
 });
 
 test('a server that leaves and wants rest is left alone in both', () => {
   const told = new ServerAvailability();
-  told.take(SERVER, { ...REST, isLeaving: true }, at(0));
+  told.recordReport(SERVER, { ...REST, isLeaving: true }, at(0));
   assert.equal(kindAt(told, 1_000), 'leaving');
   assert.equal(told.backOffOf(SERVER, 1_000)?.forMs, 2_000);
   assert.equal(told.backOffOf(SERVER, 3_000), undefined);
@@ -168,7 +168,7 @@
 test('only a leave that was not known is news; each rest is', () => {
   const told = new ServerAvailability();
   const kinds = (word: typeof LEAVING | typeof REST) =>
-    told.take(SERVER, word, at(0)).map(({ kind }) => kind);
+    told.recordReport(SERVER, word, at(0)).map(({ kind }) => kind);
   assert.deepEqual([kinds(LEAVING), kinds(LEAVING)], [['leaving'], []]);
   assert.deepEqual([kinds(REST), kinds(REST)], [['resting'], ['resting']]);
 });
@@ -176,7 +176,7 @@
 test('a row that comes late, an entry that lapses and comes back, or a whole reading undoes no leave', () => {
   const fleet = new FleetView({ ratio: 1, slack: 1 });
   const list = (servers: readonly ServerRecord[]) =>
-    fleet.forgetEnded(fleet.directory.replaceAll(servers));
+    fleet.forgetEndedBoots(fleet.directory.replaceAll(servers));
   const candidates = () =>
     fleet
       .candidates('s', 1_000)
@@ -184,7 +184,7 @@
       .sort();
   const other = serverOf({ id: 'i-2', address: '10.0.0.2:80' });
   list([SERVER, other]);
-  fleet.availability.take(SERVER, LEAVING, at(0));
+  fleet.availability.recordReport(SERVER, LEAVING, at(0));
   assert.deepEqual(candidates(), ['i-2']);
   fleet.directory.apply([SERVER], []);
   assert.deepEqual(candidates(), ['i-2']);
@@ -203,9 +203,9 @@
   const fleet = new FleetView({ ratio: 1, slack: 1 });
   const other = serverOf({ id: 'i-2', address: '10.0.0.2:80' });
   fleet.directory.replaceAll([SERVER, other]);
-  fleet.availability.take(SERVER, REST, at(0));
-  fleet.availability.take(other, { ...REST, backOffMs: 800 }, at(0));
+  fleet.availability.recordReport(SERVER, REST, at(0));
+  fleet.availability.recordReport(other, { ...REST, backOffMs: 800 }, at(0));
   assert.deepEqual(fleet.candidates('s', 100), []);
-  assert.equal(fleet.roomExpectedInMs('s', 100), 700);
+  assert.equal(fleet.capacityExpectedInMs('s', 100), 700);
   assert.deepEqual(fleet.unavailableOf('s', 100), { leaving: 0, resting: 2 });
 });
--- a/test/gateway/server-lives.test.ts
+++ b/test/gateway/server-boots.test.ts
@@ -12,12 +12,12 @@
 } from '../../src/core/gateway/index.js';
 import { FleetFollower } from '../../src/shell/gateway/fleet-follower.js';
 import { FleetView } from '../../src/shell/gateway/fleet-view.js';
-import { UnresolvedBreaks } from '../../src/shell/gateway/open-breaks.js';
 import { decodePeerMessage, encodePeerMessage } from '../../src/shell/gateway/peer-messages.js';
 import type { PlatformAdapter, WatchAnswer, WatchedRow } from '../../src/shell/gateway/ports.js';
 import { RelayDigest } from '../../src/shell/gateway/relay-digest.js';
-import { ServerExitCheck } from '../../src/shell/gateway/server-end-check.js';
+import { ServerExitCheck } from '../../src/shell/gateway/server-exit-check.js';
 import type { TableChanges } from '../../src/shell/gateway/table-watcher.js';
+import { UnresolvedBreaks } from '../../src/shell/gateway/unresolved-breaks.js';
 import { ManualTimers } from './support/manual-timers.js';
 
 const BORN_MS = 1_800_000_000_000;
@@ -67,7 +67,7 @@
       decode: (key: string) => ({ kind: 'gone', key }) as const,
     };
     const servers = storeTable({ ...table, decode: decodeServer });
-    const cacheNews = {
+    const cacheEventWatchers = {
       add: () => undefined,
       remove: () => undefined,
       restart: ({ id }: ServerRecord) => this.renewedWatches.push(id),
@@ -75,7 +75,7 @@
     this.#follower = new FleetFollower({
       adapter: { servers, configurations } as unknown as PlatformAdapter,
       fleet: this.fleet,
-      cacheNews: cacheNews as never,
+      cacheEventWatchers: cacheEventWatchers as never,
       timing: () => ({ ...TIMING, holdMs: 1_000 }),
       recheckSpans: { cutMs: 0, historyLostMs: 0 },
       restored: new RestoredServers(3_000),
@@ -122,7 +122,7 @@
   /** The relay says that nothing has changed since the first reading. */
   relyOnRelay(): void {
     const progress = { era: 0, changed: 1, seen: 1, reread: 0 };
-    this.#digest.take({
+    this.#digest.apply({
       configurations: progress,
       servers: progress,
       ageMs: 0,
@@ -303,9 +303,9 @@
     fleet.healthOf(id).recordBroken(nowMs);
     fleet.healthOf(id).open(nowMs);
     fleet.loadOf(id).running += 2;
-    fleet.stageNotices.take({ engineId: id, stage: 'prefill', phase: 'changed' }, nowMs);
+    fleet.stageNotices.apply({ engineId: id, stage: 'prefill', phase: 'changed' }, nowMs);
   }
-  fleet.peerLoads.take(
+  fleet.peerLoads.applyReport(
     {
       daemon: 'b',
       incarnation: 1,
--- a/test/gateway/server-limits.test.ts
+++ b/test/gateway/server-limits.test.ts
@@ -10,7 +10,7 @@
 import assert from 'node:assert/strict';
 import { afterEach, beforeEach, test } from 'node:test';
 import { GATEWAY_EVENTS } from '../../src/core/logging/catalogue/gateway.js';
-import { USUAL_LOAD_DECISIONS } from '../../src/shell/gateway/index.js';
+import { DEFAULT_LOAD_DECISIONS } from '../../src/shell/gateway/index.js';
 import {
   type CallerAnswer,
   type CallerRequest,
@@ -46,8 +46,8 @@
   await timers.advanceUntil(() => timers.nowMs() >= endMs);
 }
 
-async function startOne(waiting = USUAL_LOAD_DECISIONS.waiting): Promise<void> {
-  await fixture.start(timers, undefined, { ...USUAL_LOAD_DECISIONS, waiting });
+async function startOne(waiting = DEFAULT_LOAD_DECISIONS.waiting): Promise<void> {
+  await fixture.start(timers, undefined, { ...DEFAULT_LOAD_DECISIONS, waiting });
   await configure();
 }
 
--- a/test/gateway/spread.test.ts
+++ b/test/gateway/spread.test.ts
@@ -18,7 +18,7 @@
 } from '../../src/core/gateway/index.js';
 import { drawSpread, levelOf } from '../../src/core/gateway/spread-choice.js';
 import { FleetView } from '../../src/shell/gateway/fleet-view.js';
-import { busiestToMean, replaySpread, type SpreadScenario } from './support/spread-replay.js';
+import { busiestToMeanWait, replaySpread, type SpreadScenario } from './support/spread-replay.js';
 
 const SEEDS = [1, 2, 3, 4];
 /** Beyond chance: each engine gets so many prompts in a second that chance alone stays below this. */
@@ -59,7 +59,7 @@
   const { enginesOfStage } = scenario;
   return meanOf(
     replayAll(scenario).map(({ arrivals }) =>
-      busiestToMean(arrivals, 'prefill', enginesOfStage, span),
+      busiestToMeanWait(arrivals, 'prefill', enginesOfStage, span),
     ),
   );
 }
@@ -75,7 +75,7 @@
   const spread = replayAll(LOADED);
   const herding = replayAll({ ...LOADED, isSpreading: false });
   const measured = meanOf(
-    spread.map(({ arrivals }) => busiestToMean(arrivals, 'prefill', 21, LATER)),
+    spread.map(({ arrivals }) => busiestToMeanWait(arrivals, 'prefill', 21, LATER)),
   );
   assert.ok(measured <= MOST_UNEVEN, `the busiest had ${measured} times the mean`);
   const sum = (outcomes: typeof spread, key: 'sharedReadTokens' | 'handOvers') =>
@@ -283,8 +283,8 @@
   const limits = { maxHeaderBytes: 1, maxBodyBytes: 1, headerTimeoutMs: 1, idleTimeoutMs: 1 };
   fleet.applyConfiguration({ version: 1, routes: [], tenants: undefined, services, limits }, 0);
   fleet.directory.replaceAll(['a', 'b'].map((id) => engine(id, 'prefill', 'zone-0')));
-  assert.equal(fleet.busiestToMean(0), 0);
+  assert.equal(fleet.busiestToMeanWait(0), 0);
   fleet.loadOf('a').begin({ urgency: 'in-time', readMs: 300, waitMs: 0 }, 0);
   fleet.loadOf('b').begin({ urgency: 'in-time', readMs: 100, waitMs: 0 }, 0);
-  assert.equal(fleet.busiestToMean(0), 1.5);
+  assert.equal(fleet.busiestToMeanWait(0), 1.5);
 });
--- a/test/gateway/stage-controller.test.ts
+++ b/test/gateway/stage-controller.test.ts
@@ -65,7 +65,7 @@
     kvTokenBytes: 1,
     linkMbps: 1,
     roleSwitchMs: 3_000,
-    maxNewsCalls: 1,
+    maxCacheEventPolls: 1,
   };
   const limits = {
     maxHeaderBytes: 1,
@@ -247,13 +247,14 @@
     setup.fleet.directory.apply([{ ...record, stage }], []);
     setup.engines.setStage(record.address, stage);
   }
-  for (const id of LOST_IDS) setup.fleet.healthOf(id).recordSilent(setup.timers.nowMs());
+  for (const id of LOST_IDS) setup.fleet.healthOf(id).recordConnectUnanswered(setup.timers.nowMs());
 }
 
 /** Lets time pass while every attempt to reach the lost engines fails. */
 async function passWhileLost(setup: Setup, spanMs: number): Promise<void> {
   for (let passedMs = 0; passedMs < spanMs; passedMs += 200) {
-    for (const id of LOST_IDS) setup.fleet.healthOf(id).recordSilent(setup.timers.nowMs());
+    for (const id of LOST_IDS)
+      setup.fleet.healthOf(id).recordConnectUnanswered(setup.timers.nowMs());
     await pass(setup, 200);
   }
 }
@@ -365,7 +366,7 @@
   const { directory } = setup.fleet;
   const engine = directory.get(setup.notices[0]?.engineId ?? '');
   assert.ok(engine);
-  setup.fleet.forgetEnded(directory.apply([{ ...engine, bornMs: BORN_MS + 1 }], []));
+  setup.fleet.forgetEndedBoots(directory.apply([{ ...engine, bornMs: BORN_MS + 1 }], []));
   await pass(setup, 400);
   assert.deepEqual(
     setup.engines.orders.filter(({ address }) => address === engine.address),
--- a/test/gateway/stage-notices.test.ts
+++ b/test/gateway/stage-notices.test.ts
@@ -16,17 +16,17 @@
 
 test('an engine that changes gets no work, and then work of its new stage before the list shows it', () => {
   const notices = new StageNotices();
-  notices.take({ engineId: 'e1', stage: 'prefill', phase: 'changing' }, 0);
+  notices.apply({ engineId: 'e1', stage: 'prefill', phase: 'changing' }, 0);
   assert.deepEqual(notices.usable([ENGINE], 100), []);
   assert.equal(notices.expected([ENGINE], 100)[0]?.stage, 'prefill');
-  notices.take({ engineId: 'e1', stage: 'prefill', phase: 'changed' }, 1_000);
+  notices.apply({ engineId: 'e1', stage: 'prefill', phase: 'changed' }, 1_000);
   assert.equal(notices.usable([ENGINE], 1_100)[0]?.stage, 'prefill');
 });
 
 test('a notice whose orderer fell silent leaves the engine as it is listed', () => {
   const notices = new StageNotices();
-  notices.take({ engineId: 'e1', stage: 'prefill', phase: 'changing' }, 0);
+  notices.apply({ engineId: 'e1', stage: 'prefill', phase: 'changing' }, 0);
   assert.equal(notices.usable([ENGINE], 1_600)[0]?.stage, 'decode');
-  notices.take({ engineId: 'e1', stage: 'prefill', phase: 'changed' }, 2_000);
+  notices.apply({ engineId: 'e1', stage: 'prefill', phase: 'changed' }, 2_000);
   assert.equal(notices.usable([ENGINE], 20_000)[0]?.stage, 'decode');
 });
--- a/test/gateway/support/fleet-of-guards.ts
+++ b/test/gateway/support/crash-guard-fleet.ts
@@ -57,7 +57,7 @@
     roster.replace(peers, this.timers.nowMs());
     const guard = new CrashGuard({
       table: { call: (call) => this.#callStore(daemon, call) },
-      endCheck: { hasEnded: async () => !this.takesConnections },
+      exitCheck: { hasEnded: async () => !this.takesConnections },
       isReady: () => true,
       roster,
       peers: () => ({
@@ -107,7 +107,7 @@
   /** Daemons that would send a request now. */
   sendersOf(body: string): readonly number[] {
     return this.#names.flatMap((_, daemon) =>
-      this.guard(daemon).isPrepared && !this.guard(daemon).isQuarantined(requestOf(body))
+      this.guard(daemon).isReadyToServe && !this.guard(daemon).isQuarantined(requestOf(body))
         ? [daemon]
         : [],
     );
--- a/test/gateway/support/fixture.ts
+++ b/test/gateway/support/fixture.ts
@@ -6,13 +6,13 @@
 import { GATEWAY_EVENTS } from '../../../src/core/logging/catalogue/gateway.js';
 import type { LogEvent, LogFields } from '../../../src/core/logging/log-event.js';
 import {
+  DEFAULT_LOAD_DECISIONS,
   Gateway,
   type GatewayAddresses,
   GatewayLog,
   type GatewaySettings,
   SYSTEM_TIMERS,
   type TimerService,
-  USUAL_LOAD_DECISIONS,
 } from '../../../src/shell/gateway/index.js';
 import { type Script, ServerStandIn } from './server-stand-in.js';
 import { StoreStandIn } from './store-stand-in.js';
@@ -165,7 +165,7 @@
   async start(
     timers: TimerService = SYSTEM_TIMERS,
     retryBudget: GatewaySettings['retryBudget'] = AMPLE_BUDGET,
-    decisions: GatewaySettings['decisions'] = USUAL_LOAD_DECISIONS,
+    decisions: GatewaySettings['decisions'] = DEFAULT_LOAD_DECISIONS,
   ): Promise<void> {
     const options = { name: FIRST_DAEMON, timers, retryBudget, hasPeers: false, decisions };
     const addresses = await this.#startGateway(options);
@@ -180,7 +180,7 @@
       timers,
       retryBudget: AMPLE_BUDGET,
       hasPeers: true,
-      decisions: USUAL_LOAD_DECISIONS,
+      decisions: DEFAULT_LOAD_DECISIONS,
     };
     const { callersPort } = await this.#startGateway(options);
     await this.logged(GATEWAY_EVENTS.fingerprintKeyRead, (_fields, daemon) => daemon === name);
--- a/test/gateway/support/followed-zone.ts
+++ b/test/gateway/support/followed-zone.ts
@@ -273,7 +273,7 @@
     this.follower = new FleetFollower({
       adapter: adapter as unknown as PlatformAdapter,
       fleet: this.fleet,
-      cacheNews: {
+      cacheEventWatchers: {
         add: () => undefined,
         remove: () => undefined,
         restart: () => undefined,
@@ -420,7 +420,7 @@
       this.timers.after(DATAGRAM_MS, () => {
         for (const { digest: heard, follower } of followers) {
           follower.recordPeerVersion(digest.configurationVersion, 'relay');
-          heard.take(digest);
+          heard.apply(digest);
         }
       });
     }
--- a/test/gateway/support/fleet-of-limits.ts
+++ b/test/gateway/support/limit-fleet.ts
@@ -15,8 +15,8 @@
 import type { LimitMessage } from '../../../src/shell/gateway/limit-message-fields.js';
 import { decodePeerMessage, encodePeerMessage } from '../../../src/shell/gateway/peer-messages.js';
 import { type ServerCall, ServerCalls } from '../../../src/shell/gateway/server-calls.js';
+import { seededRandom } from './engine-simulation.js';
 import { ManualTimers } from './manual-timers.js';
-import { seededRandom } from './unlike-engines.js';
 
 const SERVICE = 's';
 const STEP_MS = 5;
@@ -148,7 +148,7 @@
       const isOfLimits =
         read?.kind === 'limit-ask' || read?.kind === 'limit-grant' || read?.kind === 'limit-told';
       if (!isOfLimits) throw new Error('a message that was sent can be read');
-      this.daemons[to]?.limits.take(read, (answer) => this.deliver(to, from, answer));
+      this.daemons[to]?.limits.handleMessage(read, (answer) => this.deliver(to, from, answer));
     });
   }
 
@@ -201,7 +201,7 @@
     limits.recordArrival(SERVICE);
     const arrivedAtMs = this.timers.nowMs();
     const wanted = this.#drawn(fleet.candidatesWithLimited(SERVICE, arrivedAtMs));
-    const atLimit = fleet.atLimit(SERVICE, arrivedAtMs);
+    const atLimit = fleet.serversAtLimit(SERVICE, arrivedAtMs);
     await limits.requestPermits(atLimit.filter(({ id }) => id === wanted?.id));
     for (;;) {
       const server = this.#drawn(fleet.candidates(SERVICE, this.timers.nowMs()));
--- a/test/gateway/support/fleet-of-tellers.ts
+++ b/test/gateway/support/pace-gossip-fleet.ts
@@ -6,7 +6,7 @@
   ReadSpeed,
 } from '../../../src/core/gateway/index.js';
 import { GATEWAY_EVENTS } from '../../../src/core/logging/catalogue/gateway.js';
-import { PaceGossip } from '../../../src/shell/gateway/pace-teller.js';
+import { PaceGossip } from '../../../src/shell/gateway/pace-gossip.js';
 import { decodePeerMessage, encodePeerMessage } from '../../../src/shell/gateway/peer-messages.js';
 import { ManualTimers } from './manual-timers.js';
 
@@ -120,7 +120,7 @@
     sent?.set(name, (sent.get(name) ?? 0) + bytes.length + LINK_OVERHEAD_BYTES);
     const message = decodePeerMessage(bytes);
     if (message?.kind !== 'paces') throw new Error('a message of paces cannot be read');
-    this.live.get(name)?.teller.take(message.message, (answer) => {
+    this.live.get(name)?.teller.handleMessage(message.message, (answer) => {
       const answered = encodePeerMessage({ kind: 'paces', message: answer });
       this.#deliver(this.#daemonNamed(name), from.name, answered, this.live.get(name)?.sent);
     });
--- a/test/gateway/support/repeats-of-fleet.ts
+++ b/test/gateway/support/retry-budget-fleet.ts
@@ -10,14 +10,14 @@
 const WINDOW_MS = 10_000;
 
 /** Times of requests and repeats as servers and callers see them, in rising order. */
-export interface SeenTimes {
+export interface ObservedTimes {
   readonly requestsMs: number[];
   readonly repeatsMs: number[];
 }
 
 /** Daemons that share a service's retry budget. */
-export class FleetOfBudgets {
-  readonly seen: SeenTimes = { requestsMs: [], repeatsMs: [] };
+export class RetryBudgetFleet {
+  readonly observed: ObservedTimes = { requestsMs: [], repeatsMs: [] };
   readonly #options: RetryBudgetOptions;
   readonly #views: FleetView[];
 
@@ -44,11 +44,11 @@
   request(daemon: number, turnedAway: number, nowMs: number): void {
     const budget = this.#viewOf(daemon).budgetOf(SERVICE);
     budget.countRequest();
-    this.seen.requestsMs.push(nowMs);
+    this.observed.requestsMs.push(nowMs);
     const meter = new SendMeter();
     for (let send = 0; send <= turnedAway; send += 1) {
       if (meter.tryBegin('run', budget) === undefined) break;
-      if (send > 0) this.seen.repeatsMs.push(nowMs);
+      if (send > 0) this.observed.repeatsMs.push(nowMs);
     }
   }
 
@@ -66,7 +66,10 @@
   readonly allowed: number;
 }
 
-export function worstWindow(seen: SeenTimes, { ratio, slack }: RetryBudgetOptions): WorstWindow {
+export function worstWindow(
+  seen: ObservedTimes,
+  { ratio, slack }: RetryBudgetOptions,
+): WorstWindow {
   let worst: WorstWindow = { startMs: 0, repeats: 0, allowed: slack };
   for (const startMs of new Set(seen.repeatsMs)) {
     const within = (times: readonly number[]) =>
