--- a/test/gateway/support/spread-replay.ts
+++ b/test/gateway/support/spread-replay.ts
@@ -63,7 +63,7 @@
 }
 
 /** Work of the busiest engine of a stage against the mean's. */
-export function busiestToMean(
+export function busiestToMeanWait(
   arrivals: readonly Arrival[],
   stage: Arrival['stage'],
   engines: number,
@@ -344,7 +344,7 @@
       demand: fleet.demand.own(nowMs),
     };
     this.#clock.at(nowMs + LINK_MS, () => {
-      relay.daemon.fleet.peerLoads.take(report, this.#clock.now);
+      relay.daemon.fleet.peerLoads.applyReport(report, this.#clock.now);
       relay.zoneReads.push(...reads);
       this.#takeReads(relay.daemon, reads);
     });
--- a/test/gateway/support/web-fleet.ts
+++ b/test/gateway/support/web-fleet-simulation.ts
@@ -279,7 +279,7 @@
         work: this.#ownWork(daemon),
         ...NO_NOTICES,
       };
-      this.#after(LINK_MS, () => relay.take(report, this.#nowMs));
+      this.#after(LINK_MS, () => relay.applyReport(report, this.#nowMs));
     });
   }
 
--- a/test/gateway/table-watcher.test.ts
+++ b/test/gateway/table-watcher.test.ts
@@ -3,8 +3,8 @@
 import { test } from 'node:test';
 import type { WatchAnswer, WatchedRow, WatchedTable } from '../../src/shell/gateway/ports.js';
 import { RelayDigest } from '../../src/shell/gateway/relay-digest.js';
-import { WatchRetryQueue } from '../../src/shell/gateway/retry-turns.js';
 import { type TableConsumer, TableWatcher } from '../../src/shell/gateway/table-watcher.js';
+import { WatchRetryQueue } from '../../src/shell/gateway/watch-retry-queue.js';
 import { ManualTimers } from './support/manual-timers.js';
 
 const GATHER_MS = 400;
@@ -50,7 +50,7 @@
     consumer: collectorOf(taken),
     timing: () => ({ ...TIMING, holdMs: 1_000 }),
     random: Math.random,
-    retryTurns: new WatchRetryQueue(timers),
+    retryQueue: new WatchRetryQueue(timers),
     batchMs,
     handleEra: () => undefined,
     recheckSpans: { cutMs: 6_000, historyLostMs: 12_000 },
@@ -124,7 +124,7 @@
     consumer: collectorOf(taken),
     timing: () => ({ ...TIMING, holdMs: 3_000 }),
     random: Math.random,
-    retryTurns: new WatchRetryQueue(timers),
+    retryQueue: new WatchRetryQueue(timers),
     digest: { table: 'servers', from: digest },
     batchMs: GATHER_MS,
     handleEra: () => undefined,
@@ -148,17 +148,17 @@
   const table = new HeldTable();
   const taken: number[] = [];
   const { digest, watcher } = followerOf(table, timers, taken);
-  digest.take(digestAt(10));
+  digest.apply(digestAt(10));
   const running = watcher.run();
   for (let beat = 0; beat < 10; beat += 1) {
     await settled();
     timers.advance(400);
-    digest.take(digestAt(10));
+    digest.apply(digestAt(10));
   }
   await settled();
   assert.equal(table.calls, 1);
   table.revision = 12;
-  digest.take(digestAt(12));
+  digest.apply(digestAt(12));
   await settled();
   assert.equal(table.calls, 2);
   assert.equal(taken.at(-1), 12);
@@ -172,12 +172,12 @@
     const timers = new ManualTimers();
     const table = new HeldTable();
     const { digest, watcher } = followerOf(table, timers, []);
-    digest.take(digestAt(10));
+    digest.apply(digestAt(10));
     const running = watcher.run();
     await settled();
     assert.equal(table.calls, 1);
     timers.advance(WORD_AGE_MS - 1);
-    if (isOld) digest.take(digestAt(10, WORD_AGE_MS));
+    if (isOld) digest.apply(digestAt(10, WORD_AGE_MS));
     await settled();
     assert.equal(table.calls, 1);
     timers.advance(2);
@@ -274,7 +274,7 @@
   const { digest, watcher } = followerOf(table, timers, seen);
   const pass = async (spanMs: number) => {
     for (let passedMs = 0; passedMs < spanMs; passedMs += 50) {
-      digest.take({ ...digestAt(0), servers: relay.progress });
+      digest.apply({ ...digestAt(0), servers: relay.progress });
       await settled();
       timers.advance(50);
       await settled();
@@ -325,13 +325,13 @@
   const timers = new ManualTimers();
   const table = new HeldTable();
   const { digest, watcher } = followerOf(table, timers, []);
-  digest.take(digestAt(10));
+  digest.apply(digestAt(10));
   const running = watcher.run();
   await settled();
   assert.equal(table.wholeReads, 1);
   table.revision = 14;
   for (let beat = 0; beat < 4; beat += 1) {
-    digest.take(digestAt(10, 0, 14, 14));
+    digest.apply(digestAt(10, 0, 14, 14));
     await settled();
     timers.advance(400);
   }
@@ -346,10 +346,10 @@
   const timers = new ManualTimers();
   const table = new HeldTable();
   const { digest, watcher } = followerOf(table, timers, []);
-  digest.take(digestAt(10));
+  digest.apply(digestAt(10));
   const running = watcher.run();
   await settled();
-  digest.take(digestAt(10, 0, 90));
+  digest.apply(digestAt(10, 0, 90));
   await settled();
   assert.equal(watcher.progress.seen, 90);
   watcher.stop();
@@ -368,11 +368,11 @@
   timers.advance(GATHER_MS);
   await settled();
   const calls = table.calls;
-  digest.take(digestAt(10));
+  digest.apply(digestAt(10));
   for (let beat = 0; beat < 6; beat += 1) {
     await settled();
     timers.advance(400);
-    digest.take(digestAt(10));
+    digest.apply(digestAt(10));
   }
   assert.equal(table.calls, calls);
   watcher.stop();
@@ -382,8 +382,8 @@
 
 test('a digest that goes back in revisions is not believed', () => {
   const digest = new RelayDigest(new ManualTimers(), WORD_AGE_MS);
-  digest.take(digestAt(12));
-  digest.take(digestAt(11));
+  digest.apply(digestAt(12));
+  digest.apply(digestAt(11));
   assert.equal(digest.hasChanged('servers', { era: 0, revision: 11 }), true);
 });
 
@@ -398,7 +398,7 @@
     revision,
     rows: [{ kind: 'value', key: 'row', value: revision }] as const,
   });
-  digest.take(digestAt(10));
+  digest.apply(digestAt(10));
   watcher.offer(changes(0, 99));
   const running = watcher.run();
   await settled();
@@ -406,11 +406,11 @@
   watcher.offer(changes(8, 11));
   watcher.offer(changes(13, 14));
   assert.deepEqual(taken, [10, 12], 'neither what came too early, nor old, nor after a gap');
-  digest.take(digestAt(12));
+  digest.apply(digestAt(12));
   await settled();
   assert.equal(table.calls, 1);
   table.revision = 14;
-  digest.take(digestAt(14));
+  digest.apply(digestAt(14));
   await settled();
   assert.equal(table.calls, 2);
   assert.equal(taken.at(-1), 14);
@@ -427,11 +427,11 @@
     const { configurations, servers, ...rest } = digestAt(10);
     return { ...rest, configurations: { ...configurations, era }, servers: { ...servers, era } };
   };
-  digest.take(inEra(1));
+  digest.apply(inEra(1));
   timers.advance(1_000);
-  digest.take(inEra(0));
+  digest.apply(inEra(0));
   timers.advance(1_000);
   assert.equal(digest.isFresh, false);
-  digest.take(inEra(1));
+  digest.apply(inEra(1));
   assert.equal(digest.isFresh, true);
 });
--- a/test/gateway/urgency.test.ts
+++ b/test/gateway/urgency.test.ts
@@ -51,7 +51,7 @@
 test('other daemons’ late prompts wait until their prompts in time are done', () => {
   const loads = new PeerLoads();
   const work = [{ engineId: 'e', pendingMs: 100, lateMs: 50, running: 0 }];
-  loads.take(
+  loads.applyReport(
     { daemon: 'd', incarnation: 1, sequence: 1, work, reads: [], reach: [], demand: [] },
     0,
   );
--- a/test/gateway/retry-turns.test.ts
+++ b/test/gateway/watch-retry-queue.test.ts
@@ -1,7 +1,7 @@
 /** Turns of a daemon's watches while the store answers none of them. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
-import { WatchRetryQueue } from '../../src/shell/gateway/retry-turns.js';
+import { WatchRetryQueue } from '../../src/shell/gateway/watch-retry-queue.js';
 import { ManualTimers } from './support/manual-timers.js';
 
 const TURN = { waitMs: 100, callMs: 1_000 };
@@ -12,7 +12,7 @@
   const gone: string[] = [];
   const stopped = new AbortController();
   const wait = (name: string, signal = stopped.signal) =>
-    turns.next(TURN, signal).then(() => gone.push(name));
+    turns.waitForTurn(TURN, signal).then(() => gone.push(name));
   const pass = async (spanMs: number) => {
     timers.advance(spanMs);
     await new Promise((resolve) => setImmediate(resolve));
--- a/test/gateway/web-server-load.test.ts
+++ b/test/gateway/web-server-load.test.ts
@@ -15,7 +15,11 @@
 import { FleetView } from '../../src/shell/gateway/fleet-view.js';
 import { WebWork, type WebWorkOptions } from '../../src/shell/gateway/web-work.js';
 import { ManualTimers } from './support/manual-timers.js';
-import { runWebFleet, type WebFleetOptions, type WebFleetOutcome } from './support/web-fleet.js';
+import {
+  runWebFleet,
+  type WebFleetOptions,
+  type WebFleetOutcome,
+} from './support/web-fleet-simulation.js';
 
 const ZONES = ['a', 'b', 'c'];
 
@@ -187,12 +191,12 @@
 
 test('a load is read as servers write it, and nothing else is', () => {
   const readLoad = (text: string) =>
-    REQUEST_CODEC.readMarks(200, { 'x-attempt-id': '1', 'x-server-load': text }).load;
+    REQUEST_CODEC.readAnswerMetadata(200, { 'x-attempt-id': '1', 'x-server-load': text }).load;
   for (const [text, expected] of READ_LOADS) {
     assert.deepEqual(readLoad(text), { kind: 'figures', figures: expected }, text);
   }
   for (const text of UNREADABLE_LOADS) assert.equal(readLoad(text)?.kind, 'unreadable', text);
-  assert.equal(REQUEST_CODEC.readMarks(200, {}).load, undefined);
+  assert.equal(REQUEST_CODEC.readAnswerMetadata(200, {}).load, undefined);
 });
 
 /** The work of one daemon of a large fleet, unless said otherwise. */
@@ -228,7 +232,7 @@
     const work = webWorkOf({ isEnabled, fleet, roster: { isLarge }, peers });
     work.recordCall('s');
     assert.equal(told, isTold ? 1 : 0);
-    assert.equal(work.own().length, isTold ? 1 : 0);
+    assert.equal(work.ownLoad().length, isTold ? 1 : 0);
     assert.equal(work.loadsOf('s') !== undefined, isEnabled);
   }
 });
--- a/test/language/evaluate.test.ts
+++ b/test/language/evaluate.test.ts
@@ -4,9 +4,9 @@
 import {
   evaluateQuery,
   parseStatement,
-  pinnedText,
   type Query,
   type Row,
+  requiredTextValue,
 } from '../../src/core/language/index.js';
 
 const ROWS: readonly Row[] = [
@@ -68,9 +68,15 @@
 });
 
 test('a condition pins a text only where it must hold', () => {
-  assert.equal(pinnedText(queryOf('changes where version > 1 and id = "c1"').where, 'id'), 'c1');
-  assert.equal(pinnedText(queryOf('changes where id = "c1" or version = 1').where, 'id'), null);
-  assert.equal(pinnedText(queryOf('changes where not id = "c1"').where, 'id'), null);
+  assert.equal(
+    requiredTextValue(queryOf('changes where version > 1 and id = "c1"').where, 'id'),
+    'c1',
+  );
+  assert.equal(
+    requiredTextValue(queryOf('changes where id = "c1" or version = 1').where, 'id'),
+    null,
+  );
+  assert.equal(requiredTextValue(queryOf('changes where not id = "c1"').where, 'id'), null);
 });
 
 test('a field of several types is compared where the types agree', () => {
--- a/test/orders/fence.test.ts
+++ b/test/orders/fence.test.ts
@@ -1,6 +1,11 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
-import { compareFences, describeAction, isStale, sameAction } from '../../src/core/orders/index.js';
+import {
+  compareFences,
+  describeAction,
+  isSameAction,
+  isStale,
+} from '../../src/core/orders/index.js';
 
 test('fences order by epoch, then by sequence', () => {
   assert.ok(compareFences({ epoch: 2, sequence: 1 }, { epoch: 1, sequence: 9 }) > 0);
@@ -12,7 +17,7 @@
 
 test('actions are the same only when every part is', () => {
   const load = { kind: 'load-model', model: 'labels', version: '2' } as const;
-  assert.equal(sameAction(load, { ...load }), true);
-  assert.equal(sameAction(load, { ...load, version: '3' }), false);
+  assert.equal(isSameAction(load, { ...load }), true);
+  assert.equal(isSameAction(load, { ...load, version: '3' }), false);
   assert.equal(describeAction({ kind: 'set-role', role: 'decode' }), 'set-role decode');
 });
--- a/test/roles/role-planner.test.ts
+++ b/test/roles/role-planner.test.ts
@@ -3,9 +3,9 @@
 import fc from 'fast-check';
 import type { EngineRole, EngineView } from '../../src/core/registry/backend.js';
 import {
-  type AskedRole,
   DEFAULT_ROLE_PLANNER_SETTINGS,
   initialRolePlannerState,
+  type RequestedRole,
   type RoleObjective,
   type RolePlannerSettings,
   stepRolePlanner,
@@ -28,7 +28,7 @@
 interface Fleet {
   readonly roles: EngineRole[];
   readonly objective?: RoleObjective;
-  readonly asked?: readonly AskedRole[];
+  readonly operatorRoles?: readonly RequestedRole[];
   readonly settings?: RolePlannerSettings;
 }
 
@@ -47,7 +47,7 @@
 /** Runs a planner over phases of demand; engines take the planned role two windows later. */
 function run(fleet: Fleet, phases: readonly Mix[], seed: number) {
   const random = new Random(seed);
-  const { asked = [], objective = 'goodput' } = fleet;
+  const { operatorRoles = [], objective = 'goodput' } = fleet;
   const settings = fleet.settings ?? SPLIT_PAYS;
   let state = initialRolePlannerState(settings);
   const roles = [...fleet.roles];
@@ -64,7 +64,7 @@
       const demand = { windowMs: WINDOW_MS, requests, promptTokens, outputTokens };
       state = stepRolePlanner(state, { kind: 'demand', ...demand }, { now, entropy: 0 }).state;
       const engines = roles.map((role, place) => viewOf(place, role, now));
-      const event = { kind: 'evaluate', engines, asked, objective } as const;
+      const event = { kind: 'evaluate', engines, operatorRoles, objective } as const;
       const transition = stepRolePlanner(state, event, { now, entropy: 0 });
       state = transition.state;
       for (const effect of transition.effects) {
@@ -176,11 +176,15 @@
   });
 
   it('leaves engines alone whose role an operator asked for', () => {
-    const asked = Array.from({ length: 12 }, (_, place) => ({
+    const operatorRoles = Array.from({ length: 12 }, (_, place) => ({
       engine: `e${place}`,
       role: 'mixed' as const,
     }));
-    const { changes } = run({ roles: mixedFleet(13), asked }, [{ ...NIGHT, windows: 300 }], 1);
+    const { changes } = run(
+      { roles: mixedFleet(13), operatorRoles },
+      [{ ...NIGHT, windows: 300 }],
+      1,
+    );
     assert.ok(changes.every(({ engine }) => engine === 'e12'));
   });
 
@@ -202,7 +206,7 @@
       (random, phases, goal) => {
         const sound: EngineRole[] = [...random, ...mixedFleet(Math.max(2, random.length))];
         const { changes } = run({ roles: sound, objective: goal }, phases, 7);
-        const { changesPerShift, shiftPauseMs } = SPLIT_PAYS.caution[goal];
+        const { changesPerShift, shiftPauseMs } = SPLIT_PAYS.thresholds[goal];
         const total = phases.reduce((sum, { windows }) => sum + windows, 0) * WINDOW_MS;
         const most = Math.max(changesPerShift, Math.floor(sound.length * 0.15));
         assert.ok(changes.length <= most * (1 + total / shiftPauseMs));
--- a/test/tenant-usage/reporting.test.ts
+++ b/test/tenant-usage/reporting.test.ts
@@ -95,7 +95,7 @@
   }
 
   #take(name: string, message: PeerMessage, reply: (answer: PeerMessage) => void): void {
-    this.daemons.get(name)?.take(message as UsageMessage, reply);
+    this.daemons.get(name)?.handleMessage(message as UsageMessage, reply);
   }
 }
 
