--- a/src/core/digest/exchange.ts
+++ b/src/core/digest/exchange.ts
@@ -1,4 +1,4 @@
-/** Interests and digests between daemons. */
+/** Exchange of engine interests and digests between daemons. */
 import type { BackendName, DaemonName } from '../common/identifiers.js';
 import type { MonotonicMs } from '../common/time.js';
 import { endpointOf, isOneGroup } from '../membership/index.js';
@@ -23,7 +23,7 @@
 import type { DigestStep, Interest } from './state.js';
 import { takeReport } from './views.js';
 
-/** Tells the watchers of this daemon's engines that it wants to hear of them. */
+/** Requests digests of the engines that this daemon uses from the daemons that watch them. */
 export function sendInterests(step: DigestStep): void {
   const byWatcher = new Map<DaemonName, EngineInterest[]>();
   for (const { machine, watcher } of step.state.views.values()) {
@@ -45,7 +45,7 @@
   step.change({ nextInterestAt: step.now + interval });
 }
 
-/** Sends each interested daemon what is known of the engines that it named. */
+/** Sends each interested daemon the digests of the engines that it named. */
 export function sendDigests(step: DigestStep): void {
   const isSmall = isOneGroup(step.membership);
   const interval = isSmall ? DIGEST_INTERVAL_MS : LARGE_FLEET_DIGEST_INTERVAL_MS;
@@ -63,14 +63,13 @@
   }
 }
 
-/** Sends one daemon what is known of the named engines. */
 function sendDigestsTo(step: DigestStep, daemon: DaemonName, engines: Interest['engines']): void {
   const endpoint = endpointOf(step.membership, daemon);
-  const heard = step.state.heard.get(daemon);
-  if (endpoint === null || heard === undefined) {
+  const last = step.state.heard.get(daemon);
+  if (endpoint === null || last === undefined) {
     return;
   }
-  const { incarnation, sentAt, receivedAt } = heard;
+  const { incarnation, sentAt, receivedAt } = last;
   const echo = { incarnation, sentAt, ageMs: Math.floor(step.now - receivedAt) };
   const digests = [...engines]
     .map(([engine, revision]) => digestOf(step, engine, revision))
@@ -81,11 +80,11 @@
   }
 }
 
-/** Only what the engine itself told this daemon is passed on, never hearsay. */
+/** Only reports that this daemon received from the engine itself are sent, never relayed ones. */
 function digestOf(
   step: DigestStep,
   engine: BackendName,
-  theirRevision: number | null,
+  receiverRevision: number | null,
 ): EngineDigest | null {
   const own = step.state.own.get(engine);
   const isWatched = step.state.views.get(engine)?.watcher === step.state.self;
@@ -93,20 +92,20 @@
     return null;
   }
   const ageMs = step.now - own.askedAt;
-  return ageMs > MAX_TOLD_AGE_MS ? null : condense(own, ageMs, theirRevision);
+  return ageMs > MAX_TOLD_AGE_MS ? null : condense(own, ageMs, receiverRevision);
 }
 
-/** Takes in a message of another daemon. */
+/** Handles a message of another daemon. */
 export function receiveFromPeer(step: DigestStep, event: PeerReceivedEvent): void {
   const { header, message } = event;
   if (message.kind === 'engine-interest' || step.state.interests.has(header.sender)) {
-    hear(step, event);
+    recordLastMessage(step, event);
   }
   if (message.kind === 'engine-interest') {
     receiveInterest(step, header.sender, message.engines);
   }
-  const ownLife = step.membership.self.incarnation;
-  if (message.kind === 'engine-digest' && message.echo.incarnation === ownLife) {
+  const ownIncarnation = step.membership.self.incarnation;
+  if (message.kind === 'engine-digest' && message.echo.incarnation === ownIncarnation) {
     for (const digest of message.engines) {
       receiveDigest(step, message.echo, digest);
     }
@@ -123,7 +122,7 @@
   const engines = new Map(wanted.map(({ engine, revision }) => [engine, revision]));
   const interests = new Map(step.state.interests).set(daemon, { engines, until });
   step.change({ interests });
-  noteWanted(step, [...engines.keys()], until);
+  recordWanted(step, [...engines.keys()], until);
   if (isNew) {
     sendDigestsTo(step, daemon, engines);
   }
@@ -145,7 +144,7 @@
   }
 }
 
-function noteWanted(step: DigestStep, engines: readonly BackendName[], until: MonotonicMs): void {
+function recordWanted(step: DigestStep, engines: readonly BackendName[], until: MonotonicMs): void {
   const wantedUntil = new Map(step.state.wantedUntil);
   for (const engine of engines) {
     if (step.state.engines.has(engine)) {
@@ -155,12 +154,15 @@
   step.change({ wantedUntil });
 }
 
-/** The echo is the latest message by its sender's clock, so that delayed ones don't replace it. */
-function hear(step: DigestStep, { header }: PeerReceivedEvent): void {
+/**
+ * Keeps the message with the latest `sentAt` for the echo, so that a delayed older message does not
+ * replace it.
+ */
+function recordLastMessage(step: DigestStep, { header }: PeerReceivedEvent): void {
   const known = step.state.heard.get(header.sender);
-  const isOldLife = known !== undefined && known.incarnation > header.incarnation;
-  const isSameLife = known !== undefined && known.incarnation === header.incarnation;
-  if (isOldLife || (isSameLife && known.sentAt >= header.sentAt)) {
+  const isOlderIncarnation = known !== undefined && known.incarnation > header.incarnation;
+  const isSameIncarnation = known !== undefined && known.incarnation === header.incarnation;
+  if (isOlderIncarnation || (isSameIncarnation && known.sentAt >= header.sentAt)) {
     return;
   }
   const { incarnation, sentAt } = header;
--- a/src/core/digest/polling.ts
+++ b/src/core/digest/polling.ts
@@ -1,4 +1,6 @@
-/** Asks engines for reports: the watched ones regularly, others only when their news is stale. */
+/**
+ * Polls engines for reports: watched ones regularly, others only when their last report is stale.
+ */
 import type { BackendName } from '../common/identifiers.js';
 import { isOneGroup } from '../membership/index.js';
 import {
@@ -14,23 +16,26 @@
 /** Starts the polls that are due. */
 export function pollEngines(step: DigestStep): void {
   const staleMs = isOneGroup(step.membership) ? STALE_MS : LARGE_FLEET_STALE_MS;
-  let direct = countDirectPolls(step);
+  let directPolls = countDirectPolls(step);
   for (const view of step.state.views.values()) {
     const { name } = view.machine;
     if (view.watcher === step.state.self) {
       if (isWanted(step, name) && isDue(step, name, POLL_INTERVAL_MS)) {
         poll(step, name);
       }
-    } else if (step.now - view.reportedAt > staleMs && direct < MAX_DIRECT_POLLS) {
+    } else if (step.now - view.reportedAt > staleMs && directPolls < MAX_DIRECT_POLLS) {
       if (isDue(step, name, DIRECT_POLL_INTERVAL_MS)) {
-        direct += 1;
+        directPolls += 1;
         poll(step, name);
       }
     }
   }
 }
 
-/** A watched engine that nobody uses is not asked: a daemon that is cut off watches many. */
+/**
+ * A watched engine that no daemon uses is not polled. This limits the polls of a daemon that is cut
+ * off from the others and therefore becomes the watcher of many engines.
+ */
 function isWanted(step: DigestStep, engine: BackendName): boolean {
   const until = step.state.wantedUntil.get(engine) ?? Number.NEGATIVE_INFINITY;
   return step.state.used.has(engine) || step.now < until;
@@ -46,8 +51,8 @@
 
 function isDue(step: DigestStep, engine: BackendName, intervalMs: number): boolean {
   const askedAt = step.state.askedAt.get(engine) ?? Number.NEGATIVE_INFINITY;
-  const pause = step.state.waiting.has(engine) ? POLL_TIMEOUT_MS : intervalMs;
-  return step.now - askedAt >= pause;
+  const minIntervalMs = step.state.waiting.has(engine) ? POLL_TIMEOUT_MS : intervalMs;
+  return step.now - askedAt >= minIntervalMs;
 }
 
 function poll(step: DigestStep, engine: BackendName): void {
@@ -58,7 +63,7 @@
   });
 }
 
-/** The poll of an engine has ended. */
+/** Records that the poll of an engine has ended. */
 export function endPoll(step: DigestStep, engine: BackendName): void {
   const waiting = new Set(step.state.waiting);
   waiting.delete(engine);
--- a/src/core/membership/step.ts
+++ b/src/core/membership/step.ts
@@ -33,15 +33,17 @@
   sendSummary,
 } from './zones.js';
 
-/** What membership listens to. Ticks are wanted about every 100 ms. */
+/** Events of membership. Ticks should arrive about every 100 ms. */
 export type MembershipEvent =
   | { readonly kind: 'tick' }
   | PeerReceivedEvent
   /** The machine list was read. */
   | { readonly kind: 'daemons-listed'; readonly daemons: readonly DaemonMachine[] }
-  /** This daemon is about to stop: it gives up its duties but goes on answering. */
+  /** This daemon is about to stop. It leaves its duties but goes on answering messages. */
   | { readonly kind: 'leave' }
-  /** A row of the table names a life of a daemon, which may have ended before it was known here. */
+  /**
+   * A row of the table service names an incarnation, which may have ended before it was known here.
+   */
   | { readonly kind: 'life-named'; readonly daemon: DaemonName; readonly incarnation: Incarnation }
   /** A configuration version came into force on this daemon. */
   | { readonly kind: 'version-in-force'; readonly version: number };
@@ -61,13 +63,13 @@
       receive(step, event);
       break;
     case 'daemons-listed':
-      takeList(step, event.daemons);
+      applyMachineList(step, event.daemons);
       break;
     case 'leave':
       leave(step);
       break;
     case 'life-named':
-      suspectUnknownLife(step, event.daemon, event.incarnation);
+      suspectUnknownIncarnation(step, event.daemon, event.incarnation);
       break;
     case 'version-in-force':
       step.putMember({ ...step.self, configurationVersion: event.version });
@@ -76,15 +78,18 @@
   return step.finish();
 }
 
-function takeList(step: MembershipStep, daemons: readonly DaemonMachine[]): void {
+function applyMachineList(step: MembershipStep, daemons: readonly DaemonMachine[]): void {
   const { self, ownListingAt } = step.state;
   const listed = daemons.filter((daemon) => daemon.name !== self.name);
   const namesSelf = listed.length < daemons.length;
   step.change({ listed, ownListingAt: ownListingAt ?? (namesSelf ? step.now : null) });
 }
 
-/** A life that has not been heard from is suspected: it contradicts, or is given up in time. */
-function suspectUnknownLife(
+/**
+ * Suspects an incarnation that this daemon does not know. If it still runs it refutes the
+ * suspicion; otherwise the suspicion expires and it is declared dead.
+ */
+function suspectUnknownIncarnation(
   step: MembershipStep,
   daemon: DaemonName,
   incarnation: Incarnation,
@@ -93,9 +98,9 @@
   if (daemon === self.name || knowsLife(step.state, daemon, incarnation)) {
     return;
   }
-  const place = listed.find((machine) => machine.name === daemon);
-  const zone = place?.zone ?? members.get(daemon)?.zone;
-  const endpoint = place ?? members.get(daemon)?.endpoint;
+  const listing = listed.find((machine) => machine.name === daemon);
+  const zone = listing?.zone ?? members.get(daemon)?.zone;
+  const endpoint = listing ?? members.get(daemon)?.endpoint;
   if (zone === undefined || endpoint === undefined) {
     return;
   }
@@ -131,13 +136,13 @@
   if (event.header.sender === step.state.self.name) {
     return;
   }
-  const wasStranger = !step.state.members.has(event.header.sender);
+  const wasUnknown = !step.state.members.has(event.header.sender);
   if (isMembershipMessage(event.message)) {
     receiveMessage(step, event, event.message);
   }
-  noteVersion(step, event);
+  recordVersion(step, event);
   const sender = step.state.members.get(event.header.sender);
-  if (wasStranger && sender !== undefined) {
+  if (wasUnknown && sender !== undefined) {
     sendSummary(step, sender.endpoint);
   }
 }
@@ -190,8 +195,8 @@
   step.effects.push(datagram(to, { kind: 'ack', sequence, updates, heartbeats }));
 }
 
-/** Remembers which configuration version the sender has in force. */
-function noteVersion(step: MembershipStep, event: PeerReceivedEvent): void {
+/** Records which configuration version the sender has in force. */
+function recordVersion(step: MembershipStep, event: PeerReceivedEvent): void {
   const { sender, incarnation, inForce } = event.header;
   const member = step.state.members.get(sender);
   if (member === undefined || member.incarnation !== incarnation || inForce === null) {
--- a/src/core/membership/table.ts
+++ b/src/core/membership/table.ts
@@ -1,6 +1,6 @@
 /**
- * What follows from the table of members, worked out once for each table: tables are replaced, not
- * changed, so the outcome is remembered by the table's identity.
+ * Data derived from the member table, computed once per table. Tables are replaced rather than
+ * changed, so the result is cached by the table's identity.
  */
 import type { DaemonName, ZoneName } from '../common/identifiers.js';
 import { hash32 } from '../peer/index.js';
@@ -12,40 +12,42 @@
 
 /** One zone's members. */
 export interface ZoneMembers {
-  /** Alive or suspected. */
+  /** Members that are alive or suspected. */
   readonly present: readonly Member[];
   readonly alive: readonly Member[];
   /** The daemons that exchange summaries with other zones. */
   readonly relays: readonly Member[];
-  /** Equal on daemons that know the same lives and refutations. */
+  /** Equal on daemons that know the same incarnations and refutations. */
   readonly hash: number;
 }
 
-/** What follows from a table. */
 export interface TableFacts {
   readonly present: readonly Member[];
   /** Zones with at least one present member. */
   readonly zones: ReadonlyMap<ZoneName, ZoneMembers>;
 }
 
-const remembered = new WeakMap<MemberTable, TableFacts>();
+const indexCache = new WeakMap<MemberTable, TableFacts>();
 
-/** What follows from the table. */
+/** The data derived from a table, from the cache if present. */
 export function factsOf(table: MemberTable): TableFacts {
-  let facts = remembered.get(table);
-  if (facts === undefined) {
-    facts = workOut(table);
-    remembered.set(table, facts);
+  let index = indexCache.get(table);
+  if (index === undefined) {
+    index = buildTableIndex(table);
+    indexCache.set(table, index);
   }
-  return facts;
+  return index;
 }
 
-/** Must be called after a table that is not shared yet was changed in place. */
+/**
+ * Drops the cached data of a table. Must be called after a table not shared yet was changed in
+ * place.
+ */
 export function forgetFacts(table: MemberTable): void {
-  remembered.delete(table);
+  indexCache.delete(table);
 }
 
-function workOut(table: MemberTable): TableFacts {
+function buildTableIndex(table: MemberTable): TableFacts {
   const present = [...table.values()].filter(isPresent);
   const byZone = new Map<ZoneName, Member[]>();
   for (const member of present) {
@@ -69,7 +71,7 @@
   return { present, alive, relays: chooseRelays(alive), hash: hash >>> 0 };
 }
 
-/** The same choice on every daemon that knows the same members. */
+/** Chooses the same relays on every daemon that knows the same members. */
 function chooseRelays(alive: readonly Member[]): readonly Member[] {
   return alive
     .map((member) => ({ member, hash: hash32(`relay ${member.name}`) }))
