--- a/src/core/configuration/change-answers.ts
+++ b/src/core/configuration/change-answers.ts
@@ -9,7 +9,7 @@
 
 /** The store's answer to the commit was lost, and the store cannot be read to find out. */
 export function commitOutcomeUnknown(id: string): ChangeOutcome {
-  const message = `The store's answer to the commit was lost and the store cannot be read now. Query later: changes where id = "${id}"; or send the same change under the same id, which takes effect once.`;
+  const message = `The store's answer was lost and it can't be asked now. Ask later: changes where id = "${id}"; or send the same change under the same id, which takes effect once.`;
   return { kind: 'unknown', id, message, recordedVersion: null, waitingFor: [] };
 }
 
@@ -19,7 +19,7 @@
   version: number,
   waitingFor: readonly string[],
 ): ChangeOutcome {
-  const message = `Version ${version} is recorded and will come into force on each daemon as it is reached, but ${waitingFor.length} of them have not confirmed it. Query later: changes where id = "${id}".`;
+  const message = `Version ${version} is recorded and will come into force on each daemon as it is reached, but ${waitingFor.length} of them have not confirmed it. Ask later: changes where id = "${id}".`;
   return { kind: 'unknown', id, message, recordedVersion: version, waitingFor };
 }
 
@@ -41,7 +41,7 @@
 export function versionConflict(seen: number, current: number): Fault {
   return refusedNotRun(
     'version-conflict',
-    `The change is for version ${seen} but version ${current} is current. Review the current version and send the change again for it.`,
+    `The change is for version ${seen} but version ${current} is current. Look at it and send the change again for that version.`,
   );
 }
 
--- a/src/core/configuration/change.ts
+++ b/src/core/configuration/change.ts
@@ -146,7 +146,7 @@
   if (parsed.isErr()) {
     const fault = refusedNotRun(
       'internal',
-      `The stored configuration cannot be used: ${parsed.error}. Check the row ${CURRENT_KEY}.`,
+      `The stored configuration can't be used: ${parsed.error}. Look at the row ${CURRENT_KEY}.`,
     );
     answerChange(step, progress, refusal(step, progress.request.id, fault, version));
   } else if (parsed.value.kind === 'inline') {
@@ -216,7 +216,7 @@
   }
   const fault = refusedNotRun(
     'internal',
-    `The stored configuration cannot be used: ${parsed.error}. Check the object that ${CURRENT_KEY} names.`,
+    `The stored configuration can't be used: ${parsed.error}. Look at the object that ${CURRENT_KEY} names.`,
   );
   answerChange(step, progress, refusal(step, progress.request.id, fault, version));
 }
@@ -271,7 +271,7 @@
   }
   const fault = refusedNotRun(
     'version-conflict',
-    'Each attempt conflicted with another change. Review the newer version and send the change again.',
+    'Other changes came first each time. Look at the newer version and send the change again.',
     { retryable: true },
   );
   answerChange(step, progress, refusal(step, id, fault, step.state.highestVersion));
--- a/src/core/configuration/validate.ts
+++ b/src/core/configuration/validate.ts
@@ -78,7 +78,7 @@
       const owner = owners.get(digest);
       if (owner !== undefined) {
         problems.push(
-          `The same key digest is listed for the tenants "${owner}" and "${name}". Give each key to one tenant, once.`,
+          `The tenants "${owner}" and "${name}" state the same key digest twice. Give each key to one tenant, once.`,
         );
       }
       owners.set(digest, name);
--- a/src/core/daemon/explain/explain-configuration.ts
+++ b/src/core/daemon/explain/explain-configuration.ts
@@ -13,11 +13,11 @@
   const waiting = confirmation.waitingFor.map((daemon) => daemon.name);
   const sentences = [
     inForce === null
-      ? 'No configuration is in force on this daemon: it has reached neither the table service nor another daemon that has one.'
+      ? 'No configuration is in force on this daemon: it has neither reached the table service nor another daemon that has one.'
       : `Version ${version} is in force on this daemon.`,
-    `The highest version known to it is ${highestVersion}.`,
+    `The highest version it has heard of is ${highestVersion}.`,
     waiting.length === 0
-      ? `All daemons that may be running (${confirmation.inForce}) have it in force.`
+      ? `Every daemon that the fleet counts (${confirmation.inForce}) has it in force.`
       : `${confirmation.inForce} daemons have it in force; not confirmed by ${waiting.join(', ')}.`,
   ];
   const tables = [{ title: 'daemons', rows: daemonRows(state) }];
--- a/src/core/daemon/explain/explain-engine.ts
+++ b/src/core/daemon/explain/explain-engine.ts
@@ -53,12 +53,12 @@
   if (state.traffic.index.configuration.backends[machine.name]?.drained === true) {
     return 'an operator has drained it';
   }
-  if (machine.state === 'leaving') return 'the machine list marks it as leaving';
-  if (report.leaving) return 'it reports that it is leaving';
+  if (machine.state === 'leaving') return 'the machine list says that it is leaving';
+  if (report.leaving) return 'it says that it is leaving';
   if (report.intake === 'closed')
-    return 'its controller has closed its intake while it applies a change';
-  if (report.busy) return 'it is busy with a role change or a load';
-  if (now >= view.grantedUntil) return 'its last report is too old: the dispatch grant has expired';
+    return 'its controller has closed its intake for a change';
+  if (report.busy) return 'an order keeps it away';
+  if (now >= view.grantedUntil) return 'its last report is too old to grant dispatch';
   return null;
 }
 
@@ -69,8 +69,8 @@
   const role = view.report?.role ?? 'unknown';
   const wanted = desired?.role ?? null;
   return wanted === null || wanted === role
-    ? `Its role is ${role}; no other role is desired.`
-    : `Its role is ${role}; the desired role is ${wanted} (${desired?.reason ?? 'no reason given'}).`;
+    ? `Its role is ${role}; no other is wanted of it.`
+    : `Its role is ${role}; ${wanted} is wanted of it (${desired?.reason ?? 'no reason given'}).`;
 }
 
 function leaseSentence(state: DaemonState, view: EngineView, now: MonotonicMs): string {
@@ -81,10 +81,10 @@
     return `Its pool is ${pool}; this daemon does not know who holds the pool's lease.`;
   }
   const own = holdsAuthority(lease, now) ? ' (this daemon, in force)' : '';
-  return `Its pool is ${pool}; the lease was last seen held by ${row.holder ?? 'nobody'}${own} at epoch ${row.epoch}.`;
+  return `Its pool is ${pool}; the lease was last seen with ${row.holder ?? 'nobody'}${own} at epoch ${row.epoch}.`;
 }
 
 function orderSentence(storeSilent: boolean, count: number): string {
-  if (storeSilent) return 'The table service did not answer, so its last order is unknown here.';
-  return count === 0 ? 'No order has been recorded for it.' : 'Its last order is in the table.';
+  if (storeSilent) return 'The table service did not answer, so its last order is not known here.';
+  return count === 0 ? 'No order was ever recorded for it.' : 'Its last order is in the table.';
 }
--- a/src/core/daemon/explain/explain-request.ts
+++ b/src/core/daemon/explain/explain-request.ts
@@ -14,7 +14,7 @@
     return err(
       refusedNotRun(
         'invalid-request',
-        'This daemon has no record of that request. Ask the daemon that received it (its name begins the request id); only the latest requests are kept.',
+        'This daemon does not remember that request. Ask the daemon that took it (its name begins the request id), soon after.',
       ),
     );
   }
@@ -35,11 +35,11 @@
     return `Request ${id} of class ${className} went to the web service ${target.service}.`;
   }
   const adapter = target.adapter === null ? '' : ` with adapter ${target.adapter}`;
-  return `Request ${id} of class ${className} targeted model ${target.model}${adapter}: about ${target.promptTokens} prompt tokens and at most ${target.maxOutputTokens} output tokens.`;
+  return `Request ${id} of class ${className} asked for model ${target.model}${adapter}: about ${target.promptTokens} prompt tokens and at most ${target.maxOutputTokens} output tokens.`;
 }
 
 function endSentence({ end }: LoggedRequest): string {
-  if (end === null) return 'It has not ended yet.';
+  if (end === null) return 'It has not ended.';
   return `It ended as ${end.result} after ${end.attempts} attempts, with ${end.promptTokens} prompt tokens and ${end.outputTokens} output tokens.`;
 }
 
--- a/src/core/daemon/explain/index.ts
+++ b/src/core/daemon/explain/index.ts
@@ -19,5 +19,5 @@
 
 const ENGINE_NAME_NEEDED = refusedNotRun(
   'invalid-request',
-  'The name of an engine is required. List the engines with the query `engines`.',
+  "An engine's name is needed. List the engines with the query `engines`.",
 );
--- a/src/core/daemon/readiness.ts
+++ b/src/core/daemon/readiness.ts
@@ -19,7 +19,7 @@
   if (stopping) return 'the daemon is stopping';
   if (!configuration.ready) return 'no confirmed configuration is in force yet';
   if ((configuration.inForce?.version ?? 0) === 0) {
-    return 'no operator has set a configuration yet';
+    return 'no operator has stated a configuration yet';
   }
   if (!state.machinesListed) return 'the machine list has not been read yet';
   return hasEngineReport(state) ? '' : 'no engine has reported yet';
--- a/src/core/daemon/role-planning.ts
+++ b/src/core/daemon/role-planning.ts
@@ -66,7 +66,7 @@
     const count = planning.heard.get(pool) ?? NO_DEMAND;
     const window = { kind: 'demand', windowMs: PLANNING_INTERVAL_MS, ...count } as const;
     const observed = stepRolePlanner(before, window, context);
-    const operatorRoles = operatorRoles(document, engines);
+    const operatorRoles = operatorRolesOf(document, engines);
     const objective = objectiveOf(document, engines);
     const evaluation = { kind: 'evaluate', engines, operatorRoles, objective } as const;
     const evaluated = stepRolePlanner(observed.state, evaluation, context);
@@ -93,7 +93,7 @@
   return planned;
 }
 
-function operatorRoles(
+function operatorRolesOf(
   document: ConfigurationDocument,
   engines: readonly EngineView[],
 ): readonly RequestedRole[] {
--- a/src/shell/engine/client.ts
+++ b/src/shell/engine/client.ts
@@ -110,6 +110,6 @@
 
 /** The fault of a query or a cancellation. Both are idempotent, so the fault is retryable. */
 function unusableAnswerFault(reason: string): Fault {
-  const message = `The engine gave no usable answer: ${reason}. Check the engine; the call may safely be repeated.`;
+  const message = `The engine gave no usable answer: ${reason}. Look at the engine; asking again is safe.`;
   return refusedNotRun('backend-broken', message, { retryable: true });
 }
--- a/src/shell/gateway/gateway-gauges.ts
+++ b/src/shell/gateway/gateway-gauges.ts
@@ -54,7 +54,7 @@
   }
   metrics.addLabelledGauge(
     'threadfork_gateway_engine_pace',
-    'Pace of an engine relative to the typical one of its service, for the engines that deviate most',
+    'Pace of an engine against the usual one of its service, of those that differ most',
     'server',
     () => sources.fleet.paces.largestDeviations(MAX_ENGINE_SERIES),
   );
@@ -66,27 +66,27 @@
   return [
     {
       name: 'configuration_version',
-      help: 'Version of the configuration in force',
+      help: 'Version in force',
       read: () => fleet.inForce?.configuration.version ?? 0,
     },
     {
       name: 'configuration_highest_version',
-      help: 'Highest configuration version that any daemon is known to have in force',
+      help: 'Newest version that any daemon is known to have in force',
       read: () => follower.highestVersion,
     },
     {
       name: 'store_era',
-      help: 'Era of the store: rises each time the store is restored from an older copy',
+      help: 'Era of the store: rises each time that it comes back from an older copy',
       read: () => follower.storeEra,
     },
     {
       name: 'store_tables_unread',
-      help: 'Watched tables that need a complete read before their changes can be followed',
+      help: 'Watched tables that are to be read whole before their changes are followed',
       read: () => follower.unreadTables,
     },
     {
       name: 'configuration_look_age_ms',
-      help: 'Age of the last check for a newer configuration, by this daemon or its relay',
+      help: "Age of the last look for a newer configuration, this daemon's own or its relay's",
       read: () => follower.configurationCheckAgeMs(),
     },
     {
@@ -97,37 +97,37 @@
     { name: 'store_calls', help: 'Calls to the store', read: () => follower.callsTotal },
     {
       name: 'store_silent_ms',
-      help: 'Age of the last answer of the store, for the watched table with the oldest one',
+      help: 'Age of the last answer',
       read: () => follower.silentMs(),
     },
     {
       name: 'server_rows_unreadable',
-      help: 'Malformed rows in the list of servers; the servers that they name are not used',
+      help: 'Rows of the list of servers that cannot be read; they name no server to use',
       read: () => follower.unreadableServers,
     },
     {
       name: 'peers',
-      help: 'Daemons whose load reports were received recently',
+      help: 'Daemons heard of lately',
       read: () => fleet.peerLoads.count(timers.nowMs()),
     },
     {
       name: 'fleet_daemons',
-      help: 'Daemons in the last list read, including this one; 0 until a list was read',
+      help: 'Daemons of the last list, this one counted; 0 until one was read',
       read: () => fleet.size.listed ?? 0,
     },
     {
       name: 'engine_wait_busiest_to_mean',
-      help: 'Waiting work at the busiest prefill engine, relative to the mean of all; 0 while none waits',
+      help: 'What waits at the busiest engine that only reads, against the mean of these; 0 while nothing waits',
       read: () => fleet.busiestToMeanWait(timers.nowMs()),
     },
     {
       name: 'requests_in_flight',
-      help: 'Requests in progress',
+      help: 'Requests without a final answer',
       read: () => callers.inFlight,
     },
     {
       name: 'requests_waiting',
-      help: 'Requests that wait for capacity',
+      help: 'Requests that wait for room',
       read: () => admission.waiting,
     },
     {
@@ -137,45 +137,45 @@
     },
     {
       name: 'server_loads_unreadable',
-      help: 'Malformed load reports of web servers since the start',
+      help: 'Reports of web servers on their load that could not be read, since the start',
       read: () => webWork.unreadableTotal,
     },
     {
       name: 'servers_said_leaving',
-      help: 'Listed servers that reported to this daemon that they are leaving',
+      help: 'Listed servers that have said in an answer to this daemon that they leave',
       read: () => fleet.countReporting('leaving', timers.nowMs()),
     },
     {
       name: 'servers_resting',
-      help: 'Listed servers that asked this daemon to back off for a time',
+      help: 'Listed servers that want nothing from this daemon for a time, as they asked',
       read: () => fleet.countReporting('resting', timers.nowMs()),
     },
     {
       name: 'servers_limited',
-      help: 'Servers known to this daemon to limit the requests per second',
+      help: 'Servers that name a limit of requests a second, as far as this daemon knows',
       read: () => fleet.limits.count,
     },
     {
       name: 'limit_permits',
-      help: 'Requests that this daemon may send now to servers with a limit, by its unused permits',
+      help: 'Requests that this daemon may send to servers that name a limit at this moment',
       read: () => fleet.permits.count(timers.nowMs()),
     },
     {
       name: 'limit_servers_granted',
-      help: 'Servers with a limit, or recently with one, whose permits this daemon grants to the fleet',
+      help: 'Servers that name a limit, or did lately, whose requests this daemon grants to all',
       read: () => limits.grantedServers,
     },
     {
       name: 'requests_quarantined',
-      help: 'Requests that are no longer sent because servers ended while running them',
+      help: 'Requests that are not sent any more, as servers ended while they ran',
       read: () => crashes.quarantined,
     },
     {
       name: 'requests_suspected',
-      help: 'Requests that ran on a server when it ended, including those cleared since',
+      help: 'Requests that ran at a server when it ended, or did so until they were cleared',
       read: () => crashes.suspected,
     },
-    { name: 'log_lines_dropped', help: 'Log lines dropped', read: () => log.droppedTotal },
+    { name: 'log_lines_dropped', help: 'Log lines left out', read: () => log.droppedTotal },
     ...capacityGauges(sources),
   ];
 }
@@ -187,22 +187,22 @@
   return [
     {
       name: 'capacity_needed',
-      help: 'Servers that the work needs, with headroom for uneven arrivals',
+      help: 'Servers that the work needs, with room for its unevenness',
       read: sumOf(({ needed }) => needed),
     },
     {
       name: 'capacity_wanted',
-      help: 'Servers wanted, including spare ones',
+      help: 'Servers that there are to be, the spare ones counted',
       read: sumOf(({ wanted }) => wanted),
     },
     {
       name: 'capacity_present',
-      help: 'Servers that accept work',
+      help: 'Servers that take work',
       read: sumOf(({ present }) => present),
     },
     {
       name: 'capacity_coming',
-      help: 'Servers ordered or booting',
+      help: 'Servers under order or booting',
       read: sumOf(({ coming }) => coming),
     },
   ];
--- a/src/shell/gateway/gateway-metrics.ts
+++ b/src/shell/gateway/gateway-metrics.ts
@@ -26,14 +26,14 @@
   });
   readonly #waits = new Histogram({
     name: 'threadfork_gateway_wait_seconds',
-    help: 'Time that requests waited for capacity at a server before they were sent, by rank',
+    help: 'Time that requests waited for room at a server before they went, by rank',
     labelNames: ['rank'],
     buckets: LATENCY_BUCKETS_SECONDS,
     registers: [this.#registry],
   });
   readonly #capacityRefusals = new Counter({
     name: 'threadfork_gateway_room_refusals_total',
-    help: 'Requests refused for lack of capacity, by reason and rank',
+    help: 'Requests refused for want of room, by reason and rank',
     labelNames: ['reason', 'rank'],
     registers: [this.#registry],
   });
@@ -53,37 +53,37 @@
   });
   readonly #attempts = new Counter({
     name: 'threadfork_gateway_attempts_total',
-    help: 'Calls to backends that have ended, by result',
+    help: 'Calls to backends that have ended, by what came of them',
     labelNames: ['result'],
     registers: [this.#registry],
   });
 
   readonly #reportedAvailability = new Counter({
     name: 'threadfork_gateway_told_availability_total',
-    help: 'Answers of servers that report leaving, back-off, or a new, changed or ended limit, or that are malformed',
+    help: 'Answers of servers that say that they leave, ask for rest, name, change or end a limit, or say so unreadably',
     labelNames: ['what'],
     registers: [this.#registry],
   });
   readonly #heldBack = new Counter({
     name: 'threadfork_gateway_calls_held_back_total',
-    help: 'Calls not made because the server is leaving, in a back-off period or at its limit, as it had reported',
+    help: 'Calls that were not made as their server had said that it leaves, wants rest, or takes no more a second',
     labelNames: ['why'],
     registers: [this.#registry],
   });
   readonly #callsToLimited = new Counter({
     name: 'threadfork_gateway_calls_to_limited_total',
-    help: 'Requests of callers sent to servers that limit the requests per second',
+    help: 'Requests of callers sent to servers that name a limit of requests a second',
     registers: [this.#registry],
   });
   readonly #permits = new Counter({
     name: 'threadfork_gateway_limit_permits_total',
-    help: 'Permits for servers with a limit that this daemon requested, was granted or returned unused',
+    help: 'Requests to servers that name a limit for which this daemon asked, was granted, or gave back unused',
     labelNames: ['what'],
     registers: [this.#registry],
   });
   readonly #retryBudget = new Counter({
     name: 'threadfork_gateway_retry_budget_total',
-    help: 'Requests counted by the retry budget, and repeats taken, given back and denied, by service',
+    help: 'Requests that earned repeats, and repeats taken, given back and denied, by service',
     labelNames: ['service', 'what'],
     registers: [this.#registry],
   });
--- a/src/shell/metrics/fleet-gauges.ts
+++ b/src/shell/metrics/fleet-gauges.ts
@@ -61,14 +61,14 @@
       numberGauge('requestsWaiting', 'requests_waiting', 'Requests that wait for a backend'),
       numberGauge('heldBodyBytes', 'held_body_bytes', 'Bytes of request bodies in memory'),
       numberGauge('peerBytesSent', 'peer_sent_bytes', 'Bytes sent to other daemons'),
-      numberGauge('peerBytesReceived', 'peer_received_bytes', 'Bytes received from other daemons'),
+      numberGauge('peerBytesReceived', 'peer_received_bytes', 'Bytes had from other daemons'),
       numberGauge('configurationVersion', 'configuration_version', 'The version in force here'),
       numberGauge(
         'highestConfigurationVersion',
         'configuration_highest_version',
-        'The highest version known; above the one in force while it is being fetched',
+        'The highest version heard of; above the one in force while it is being fetched',
       ),
-      numberGauge('daemonsPresent', 'daemons_present', 'Daemons not known to have departed'),
+      numberGauge('daemonsPresent', 'daemons_present', 'Daemons not known to be gone'),
     ];
     this.#engines = new Gauge({
       name: 'threadfork_engines',
--- a/src/shell/metrics/request-metrics.ts
+++ b/src/shell/metrics/request-metrics.ts
@@ -83,7 +83,7 @@
     });
     this.#total = new Histogram({
       name: 'threadfork_answer_seconds',
-      help: "From a request's arrival to the end of its complete answer",
+      help: "From a request's arrival to the end of its whole answer",
       labelNames: ['class'],
       buckets: TOTAL_BUCKETS_SECONDS,
       registers,
--- a/src/shell/platform/client.ts
+++ b/src/shell/platform/client.ts
@@ -133,7 +133,7 @@
 function notPerformedFault(reason: string, afterMs: Milliseconds | undefined): Fault {
   return refusedNotRun(
     'store-unavailable',
-    `The platform did not take the call: ${reason}. Retry later; if this persists, check the platform.`,
+    `The platform did not take the call: ${reason}. Try again later; if it goes on, look at the platform.`,
     { retryable: true, retryAfterMs: afterMs ?? DEFAULT_RETRY_AFTER_MS },
   );
 }
--- a/src/shell/platform/table-calls.ts
+++ b/src/shell/platform/table-calls.ts
@@ -33,7 +33,7 @@
     return unavailable(`the table service answered ${status}`, afterMs);
   }
   if (status === 400 || status === 413) {
-    const reason = `the table service refused the call (${status}): it violates a limit of docs/PLATFORM-API.md`;
+    const reason = `the table service will not take this call (${status}): it breaks a limit of docs/PLATFORM-API.md`;
     return unavailable(reason, INVALID_CALL_RETRY_AFTER_MS);
   }
   const body = parseJson(exchange.body);
