--- a/src/core/admission/admission-queue.ts
+++ b/src/core/admission/admission-queue.ts
@@ -11,9 +11,9 @@
 } from '../configuration/document.js';
 import type { RequestDescription, RequestTarget } from '../requests/types.js';
 import type { AdmissionRules } from './admission-rules.js';
-import { MIN_CLASS_SHARE } from './class-use.js';
+import { type AdmissionLimits, AdmissionScheduler } from './admission-scheduler.js';
+import { MIN_CLASS_SHARE } from './class-usage.js';
 import { estimatedCost, type TokenUse, tokenCost } from './token-cost.js';
-import { type AdmissionLimits, WaitingLines } from './waiting-lines.js';
 
 /** Applies to requests whose class was removed from the configuration while they were in progress. */
 const REMOVED_CLASS_DEFAULTS: ClassConfiguration = classSchema.parse({
@@ -44,7 +44,7 @@
 }
 
 /** All requests of the product's own API that are waiting or admitted. */
-export class AdmissionQueue extends WaitingLines<RequestDescription> {
+export class AdmissionQueue extends AdmissionScheduler<RequestDescription> {
   readonly #documentRules: DocumentRules;
 
   constructor(limits: Partial<AdmissionLimits> = {}) {
@@ -56,11 +56,11 @@
   /** Applies the classes, shares and weights of a configuration. */
   configure(configuration: ConfigurationDocument): void {
     this.#documentRules.document = configuration;
-    this.rulesChanged();
+    this.onRulesChanged();
   }
 
   /** Records the end of a request with the tokens that it used; null when it was not run. */
-  finished(id: RequestId, used: TokenUse | null): void {
+  recordFinished(id: RequestId, used: TokenUse | null): void {
     this.settle(id, used === null ? 0 : tokenCost(used));
   }
 }
--- a/src/core/admission/waiting-lines.ts
+++ b/src/core/admission/admission-scheduler.ts
@@ -8,7 +8,7 @@
 import type { Milliseconds, MonotonicMs } from '../common/time.js';
 import type { Fault } from '../errors/fault.js';
 import type { Admissible, AdmissionRules } from './admission-rules.js';
-import { expectWait, type WaitEstimate } from './expected-wait.js';
+import { estimateWait, type WaitEstimate } from './expected-wait.js';
 import { IndexedHeap } from './indexed-heap.js';
 import { Lane } from './lane.js';
 import { deadlineFault, shedFault } from './shed-fault.js';
@@ -26,7 +26,7 @@
 const UNRESTRICTED_QUEUE_SHARE = 0.5;
 
 /** The decision about an offered request. */
-export type AdmissionAnswer =
+export type AdmissionDecision =
   | { readonly kind: 'dispatch-now' }
   /** `expectedWaitMs` is null before the lane's drain rate is known. */
   | { readonly kind: 'queued'; readonly expectedWaitMs: Milliseconds | null }
@@ -40,7 +40,7 @@
 }
 
 /** All requests that are waiting or admitted. Updated in place by its owner, as it is on the path of every request. */
-export class WaitingLines<Request extends Admissible> {
+export class AdmissionScheduler<Request extends Admissible> {
   readonly #rules: AdmissionRules<Request>;
   readonly #limits: AdmissionLimits;
   readonly #lanes = new Map<string, Lane<Request>>();
@@ -57,7 +57,7 @@
    * Must be called after the rules' priorities or shares of classes have changed. A tenant's new weight applies from
    * its next request on.
    */
-  rulesChanged(): void {
+  onRulesChanged(): void {
     for (const lane of this.#lanes.values()) {
       lane.configure((name) => this.#rules.classOf(name));
     }
@@ -82,7 +82,7 @@
    * Offers a request. A request that was admitted before (a retry) is dispatched again, or waits ahead of its
    * tenant's other requests, and is not charged twice.
    */
-  offer(description: Request, context: OfferContext): AdmissionAnswer {
+  offer(description: Request, context: OfferContext): AdmissionDecision {
     const { now, hasCapacity } = context;
     const lane = this.#laneOf(description);
     const earlierAdmission = this.#admitted.get(description.id);
@@ -176,7 +176,7 @@
     const cost = this.#rules.costOf(description);
     const queue = lane.queueOf(description.className, this.#rules.classOf(description.className));
     queue.charge(description.tenant, this.#rules.weightOf(description.tenant), cost);
-    lane.passed(description.className, cost, now);
+    lane.recordDirectAdmission(description.className, cost, now);
     this.#recordAdmitted({ description, lane: this.#rules.laneOf(description), cost }, now);
   }
 
@@ -188,7 +188,7 @@
   ): void {
     const request: WaitingRequest<Request> = {
       key: description.deadline,
-      place: -1,
+      heapIndex: -1,
       description,
       lane: this.#rules.laneOf(description),
       cost: earlierAdmission?.cost ?? this.#rules.costOf(description),
@@ -202,7 +202,7 @@
 
   #estimate(description: Request, lane: Lane): WaitEstimate {
     const classRules = this.#rules.classOf(description.className);
-    return expectWait({
+    return estimateWait({
       lane,
       queue: lane.queueOf(description.className, classRules),
       priority: classRules.priority,
@@ -226,7 +226,7 @@
       estimate,
       slackMs: description.deadline - now,
       queueFull: queue.size >= limit,
-      tenantOverPart: queue.size >= limit * UNRESTRICTED_QUEUE_SHARE && isOverShare,
+      tenantOverShare: queue.size >= limit * UNRESTRICTED_QUEUE_SHARE && isOverShare,
     });
   }
 
--- a/src/core/admission/expected-wait.ts
+++ b/src/core/admission/expected-wait.ts
@@ -6,7 +6,7 @@
 
 /** The input of an estimate. */
 export interface WaitInput {
-  readonly lane: Pick<Lane, 'costAbove' | 'rate' | 'size'>;
+  readonly lane: Pick<Lane, 'costOfHigherPriority' | 'rate' | 'size'>;
   readonly queue: Pick<FairQueue, 'activeWeight' | 'cost' | 'costOf'>;
   readonly priority: number;
   readonly tenant: TenantName;
@@ -18,7 +18,7 @@
   /** The expected wait of this request. */
   readonly waitMs: Milliseconds | null;
   /** The expected wait of a request of the same class by a tenant that has no requests waiting. */
-  readonly freshTenantWaitMs: Milliseconds | null;
+  readonly idleTenantWaitMs: Milliseconds | null;
 }
 
 /**
@@ -26,20 +26,20 @@
  * class, by fair queueing, a request waits for its tenant's earlier requests and for the cost that other tenants
  * are served in the same time, but never for more than the total cost waiting in the class.
  */
-export function expectWait(input: WaitInput): WaitEstimate {
+export function estimateWait(input: WaitInput): WaitEstimate {
   const { lane, queue, priority, tenant, weight } = input;
   const perMs = lane.rate.perMs;
   if (perMs === null || lane.size === 0) {
     const unknown = lane.size === 0 ? 0 : null;
-    return { waitMs: unknown, freshTenantWaitMs: unknown };
+    return { waitMs: unknown, idleTenantWaitMs: unknown };
   }
-  const higherPriorityCost = lane.costAbove(priority);
+  const higherPriorityCost = lane.costOfHigherPriority(priority);
   const ownCost = queue.costOf(tenant);
   const othersWeight = queue.activeWeight + (ownCost > 0 ? 0 : weight);
   const costAhead = Math.min(queue.cost, (ownCost * othersWeight) / weight);
   return {
     waitMs: duration(higherPriorityCost + costAhead, perMs),
-    freshTenantWaitMs: duration(higherPriorityCost, perMs),
+    idleTenantWaitMs: duration(higherPriorityCost, perMs),
   };
 }
 
--- a/src/core/admission/fair-queue.ts
+++ b/src/core/admission/fair-queue.ts
@@ -12,7 +12,7 @@
 /** A tenant's waiting requests; the heap key is the start tag of the first one. */
 interface TenantQueue<Request extends Admissible> {
   key: number;
-  place: number;
+  heapIndex: number;
   readonly tenant: TenantName;
   weight: number;
   /** The virtual time up to which the tenant has been served. */
@@ -67,7 +67,7 @@
     queue.cost += request.cost;
     this.#waiting += 1;
     this.#cost += request.cost;
-    if (queue.place < 0) {
+    if (queue.heapIndex < 0) {
       queue.key = Math.max(this.#virtualTime, queue.finish);
       this.#active.add(queue);
       this.#activeWeight += queue.weight;
@@ -139,7 +139,7 @@
       this.#active.update(queue);
       return;
     }
-    if (queue.place >= 0) {
+    if (queue.heapIndex >= 0) {
       this.#active.remove(queue);
       this.#activeWeight -= queue.weight;
     }
@@ -156,7 +156,7 @@
     }
     const created: TenantQueue<Request> = {
       key: 0,
-      place: -1,
+      heapIndex: -1,
       tenant,
       weight,
       finish: this.#virtualTime,
@@ -168,7 +168,7 @@
   }
 
   #setWeight(queue: TenantQueue<Request>, weight: number): void {
-    if (queue.place >= 0) {
+    if (queue.heapIndex >= 0) {
       this.#activeWeight += weight - queue.weight;
     }
     queue.weight = weight;
--- a/src/core/admission/indexed-heap.ts
+++ b/src/core/admission/indexed-heap.ts
@@ -8,7 +8,7 @@
   /** The sort key. After a change of the key, `update` must be called. */
   key: number;
   /** The index in the heap; -1 while the item is not in the heap. Written by the heap only. */
-  place: number;
+  heapIndex: number;
 }
 
 /** The heap. The order of items with equal keys is undefined. */
@@ -26,14 +26,14 @@
 
   /** Adds an item that is not in the heap. */
   add(item: Item): void {
-    item.place = this.#items.length;
+    item.heapIndex = this.#items.length;
     this.#items.push(item);
     this.#rise(item);
   }
 
   /** Restores the heap order after an item's key has changed. Items that are not in the heap are ignored. */
   update(item: Item): void {
-    if (item.place >= 0) {
+    if (item.heapIndex >= 0) {
       this.#rise(item);
       this.#sink(item);
     }
@@ -41,21 +41,21 @@
 
   /** Removes an item. Items that are not in the heap are ignored. */
   remove(item: Item): void {
-    const place = item.place;
-    const last = place >= 0 ? this.#items.pop() : undefined;
+    const heapIndex = item.heapIndex;
+    const last = heapIndex >= 0 ? this.#items.pop() : undefined;
     if (last === undefined) {
       return;
     }
-    item.place = -1;
+    item.heapIndex = -1;
     if (last !== item) {
-      this.#put(last, place);
+      this.#put(last, heapIndex);
       this.update(last);
     }
   }
 
   #rise(item: Item): void {
-    while (item.place > 0) {
-      const parent = this.#items[(item.place - 1) >> 1];
+    while (item.heapIndex > 0) {
+      const parent = this.#items[(item.heapIndex - 1) >> 1];
       if (parent === undefined || parent.key <= item.key) {
         return;
       }
@@ -65,7 +65,7 @@
 
   #sink(item: Item): void {
     for (;;) {
-      const child = this.#lowerChild(item.place);
+      const child = this.#lowerChild(item.heapIndex);
       if (child === undefined || item.key <= child.key) {
         return;
       }
@@ -73,20 +73,20 @@
     }
   }
 
-  #lowerChild(place: number): Item | undefined {
-    const left = this.#items[2 * place + 1];
-    const right = this.#items[2 * place + 2];
+  #lowerChild(heapIndex: number): Item | undefined {
+    const left = this.#items[2 * heapIndex + 1];
+    const right = this.#items[2 * heapIndex + 2];
     return left !== undefined && right !== undefined && right.key < left.key ? right : left;
   }
 
   #swap(left: Item, right: Item): void {
-    const place = left.place;
-    this.#put(left, right.place);
-    this.#put(right, place);
+    const heapIndex = left.heapIndex;
+    this.#put(left, right.heapIndex);
+    this.#put(right, heapIndex);
   }
 
-  #put(item: Item, place: number): void {
-    item.place = place;
-    this.#items[place] = item;
+  #put(item: Item, heapIndex: number): void {
+    item.heapIndex = heapIndex;
+    this.#items[heapIndex] = item;
   }
 }
--- a/src/core/admission/lane.ts
+++ b/src/core/admission/lane.ts
@@ -5,7 +5,7 @@
 import type { ClassName } from '../common/identifiers.js';
 import type { MonotonicMs } from '../common/time.js';
 import type { Admissible, ClassRules } from './admission-rules.js';
-import { ClassUse } from './class-use.js';
+import { ClassUse } from './class-usage.js';
 import { DrainRate } from './drain-rate.js';
 import { FairQueue } from './fair-queue.js';
 import type { WaitingRequest } from './waiting-request.js';
@@ -88,7 +88,7 @@
   }
 
   /** Records the cost of a request that was dispatched without waiting. */
-  passed(name: ClassName, cost: number, now: MonotonicMs): void {
+  recordDirectAdmission(name: ClassName, cost: number, now: MonotonicMs): void {
     this.#use.add(name, cost, now);
   }
 
@@ -105,7 +105,7 @@
   }
 
   /** Summed cost of the requests waiting in classes of higher priority (a lower number). */
-  costAbove(priority: number): number {
+  costOfHigherPriority(priority: number): number {
     let cost = 0;
     for (const known of this.#classes) {
       cost += known.priority < priority ? known.queue.cost : 0;
@@ -124,7 +124,7 @@
     const waiting = this.#classes.filter((known) => known.queue.size > 0);
     const maxShare = 1 - this.#minClassShare * (waiting.length - 1);
     const withinShare = waiting.find(
-      (known) => this.#use.fraction(known.name) <= Math.min(known.share, maxShare),
+      (known) => this.#use.shareOf(known.name) <= Math.min(known.share, maxShare),
     );
     return withinShare ?? waiting[0];
   }
--- a/src/core/admission/retry-line.ts
+++ b/src/core/admission/retry-schedule.ts
@@ -8,26 +8,32 @@
 const RETRY_SPREAD = 0.5;
 
 /** The input of a retry time. */
-export interface RetryInput {
+export interface RetryScheduleInput {
   readonly nowMs: MonotonicMs;
   /** Time until capacity is expected for the request if no other requests arrive. */
   readonly roomInMs: Milliseconds;
   /** The time that this daemon's share of the servers needs for one such request: the distance between slots. */
   readonly spacingMs: Milliseconds;
   /** Time until the caller stops waiting; a later retry is of no use to it. */
-  readonly mostMs: Milliseconds;
+  readonly maxMs: Milliseconds;
   /** A random number from 0 to 1. */
   readonly entropy: number;
 }
 
 /** The retry times assigned to callers of one lane. */
-export class RetryLine {
+export class RetrySchedule {
   #scheduledUntilMs: MonotonicMs = 0;
 
   /** Takes the next free slot and returns the time to wait until then, to be reported to the caller. */
-  promise({ nowMs, roomInMs, spacingMs, mostMs, entropy }: RetryInput): Milliseconds {
+  scheduleRetryMs({
+    nowMs,
+    roomInMs,
+    spacingMs,
+    maxMs,
+    entropy,
+  }: RetryScheduleInput): Milliseconds {
     const earliestMs = nowMs + Math.max(0, roomInMs);
-    const isBeforeTimeout = this.#scheduledUntilMs <= nowMs + mostMs;
+    const isBeforeTimeout = this.#scheduledUntilMs <= nowMs + maxMs;
     // A schedule that extends beyond the caller's time limit starts over, so that callers stay spread over that time.
     const slotAtMs = isBeforeTimeout ? Math.max(earliestMs, this.#scheduledUntilMs) : earliestMs;
     this.#scheduledUntilMs = slotAtMs + Math.max(0, spacingMs);
--- a/src/core/admission/waiting-room.ts
+++ b/src/core/admission/wait-queue.ts
@@ -8,15 +8,15 @@
 import type { Milliseconds, MonotonicMs } from '../common/time.js';
 import type { Admissible, AdmissionRules, ClassRules } from './admission-rules.js';
 import {
-  type AdmissionAnswer,
+  type AdmissionDecision,
   type AdmissionLimits,
+  AdmissionScheduler,
   type ExpiredRequest,
   type OfferContext,
-  WaitingLines,
-} from './waiting-lines.js';
+} from './admission-scheduler.js';
 
 /** A request offered to the queue, in the form that the scheduler needs. */
-export interface RoomRequest extends Admissible {
+export interface WaitQueueRequest extends Admissible {
   /** Requests of one lane wait for the same capacity and have similar costs. */
   readonly lane: string;
   /** The server time that the request is expected to need. */
@@ -24,13 +24,13 @@
 }
 
 /** What decides the position of a request in the queue. */
-export interface RoomPlace {
+export interface WaitQueueEntry {
   readonly id: RequestId;
   readonly lane: string;
   readonly tenant: TenantName;
   /** The operator's rank, 0 the most urgent. */
   readonly rank: number;
-  readonly canBeInTime: boolean;
+  readonly canMeetDeadline: boolean;
   readonly costMs: Milliseconds;
   readonly arrivedAtMs: MonotonicMs;
   readonly latestStartMs: MonotonicMs;
@@ -43,7 +43,7 @@
 /** The gateway's configuration gives tenants no weights. */
 const EQUAL_WEIGHT = 1;
 
-const ROOM_RULES: AdmissionRules<RoomRequest> = {
+const ROOM_RULES: AdmissionRules<WaitQueueRequest> = {
   minClassShare: 0,
   laneOf: ({ lane }) => lane,
   costOf: ({ costMs }) => Math.max(MIN_COST_MS, costMs),
@@ -52,12 +52,12 @@
 };
 
 /** The queue of waiting requests. Updated in place by its owner; it reads no clock. */
-export class WaitingRoom {
-  readonly #scheduler: WaitingLines<RoomRequest>;
+export class WaitQueue {
+  readonly #scheduler: AdmissionScheduler<WaitQueueRequest>;
   readonly #waitingByLane = new Map<string, number>();
 
   constructor(limits: Partial<AdmissionLimits> = {}) {
-    this.#scheduler = new WaitingLines(ROOM_RULES, limits);
+    this.#scheduler = new AdmissionScheduler(ROOM_RULES, limits);
   }
 
   /** The number of waiting requests. */
@@ -66,17 +66,17 @@
   }
 
   /** The number of waiting requests of a lane. */
-  waitingIn(lane: string): number {
+  waitingInLane(lane: string): number {
     return this.#waitingByLane.get(lane) ?? 0;
   }
 
   /** The earliest latest start among the waiting requests. */
-  get nextLatestStart(): MonotonicMs | null {
+  get nextStartDeadline(): MonotonicMs | null {
     return this.#scheduler.nextDeadline;
   }
 
   /** Dispatches, queues or refuses a request; a refusal has a time after which a retry would be admitted. */
-  enter(place: RoomPlace, context: OfferContext): AdmissionAnswer {
+  offer(place: WaitQueueEntry, context: OfferContext): AdmissionDecision {
     const answer = this.#scheduler.offer(requestOf(place), context);
     switch (answer.kind) {
       case 'dispatch-now':
@@ -92,7 +92,7 @@
   }
 
   /** Removes and returns the next request for which there is capacity. */
-  next(now: MonotonicMs, hasRoom: (id: RequestId) => boolean): RoomRequest | null {
+  next(now: MonotonicMs, hasRoom: (id: RequestId) => boolean): WaitQueueRequest | null {
     const next = this.#scheduler.next(now, ({ id }) => hasRoom(id));
     if (next === null) return null;
     this.#scheduler.settle(next.id, ROOM_RULES.costOf(next));
@@ -101,28 +101,28 @@
   }
 
   /** Removes a request whose caller has disconnected. */
-  leave(place: Pick<RoomPlace, 'id' | 'lane'>, now: MonotonicMs): void {
+  remove(place: Pick<WaitQueueEntry, 'id' | 'lane'>, now: MonotonicMs): void {
     const before = this.#scheduler.waiting;
     this.#scheduler.remove(place.id, now);
     if (this.#scheduler.waiting < before) this.#adjustCount(place.lane, -1);
   }
 
   /** Removes the requests whose latest start has passed, and returns each with its refusal. */
-  expired(now: MonotonicMs): readonly ExpiredRequest<RoomRequest>[] {
+  expired(now: MonotonicMs): readonly ExpiredRequest<WaitQueueRequest>[] {
     const expired = this.#scheduler.expired(now);
     for (const { description } of expired) this.#adjustCount(description.lane, -1);
     return expired;
   }
 
   #adjustCount(lane: string, change: number): void {
-    const waiting = this.waitingIn(lane) + change;
+    const waiting = this.waitingInLane(lane) + change;
     if (waiting <= 0) this.#waitingByLane.delete(lane);
     else this.#waitingByLane.set(lane, waiting);
   }
 }
 
-function requestOf(place: RoomPlace): RoomRequest {
-  const { id, lane, tenant, rank, canBeInTime, costMs, arrivedAtMs, latestStartMs } = place;
-  const className = String(rank * CLASSES_PER_RANK + (canBeInTime ? 0 : 1));
+function requestOf(place: WaitQueueEntry): WaitQueueRequest {
+  const { id, lane, tenant, rank, canMeetDeadline, costMs, arrivedAtMs, latestStartMs } = place;
+  const className = String(rank * CLASSES_PER_RANK + (canMeetDeadline ? 0 : 1));
   return { id, lane, tenant, className, costMs, arrivedAt: arrivedAtMs, deadline: latestStartMs };
 }
--- a/src/core/capacity/capacity-duty.ts
+++ b/src/core/capacity/capacity-duty.ts
@@ -13,10 +13,10 @@
   type SeenRecord,
 } from '../duty/index.js';
 import { FIRST_ERA, isSamePosition, type StorePosition } from '../platform/store-position.js';
-import { LossBearingPlanner } from './loss-bearing-planner.js';
-import { type CapacityOrder, OrderBook, type OrderOutcome } from './order-book.js';
+import { type CapacityOrder, type OrderOutcome, OrderTracker } from './order-tracker.js';
 import { planCapacity } from './plan-capacity.js';
-import type { CapacityBelief, ScaledService, ServicePlan } from './scaled-service.js';
+import type { CapacitySummary, ScaledService, ServicePlan } from './scaled-service.js';
+import { ZoneLossPlanner } from './zone-loss-planner.js';
 
 /** The target number of servers per zone, spot and plain together, by service. */
 export type WantedPerZone = Readonly<Record<string, number>>;
@@ -41,7 +41,7 @@
 
 export interface CapacityDutySettings extends RecordLeaseSettings {
   /** Whether spare servers are ordered for the loss of a zone's spot servers, and lost servers replaced at once. */
-  readonly bearsLoss: boolean;
+  readonly toleratesZoneLoss: boolean;
 }
 
 /** Another daemon takes over when an order has been due for this many boot times of the slowest service. */
@@ -62,8 +62,8 @@
 export class CapacityDuty {
   readonly #lease: RecordLease<CapacityRecord>;
   readonly #bearsLoss: boolean;
-  readonly #orders = new OrderBook();
-  readonly #planner = new LossBearingPlanner(this.#orders);
+  readonly #orders = new OrderTracker();
+  readonly #planner = new ZoneLossPlanner(this.#orders);
   #plans: readonly ServicePlan[] = [];
   /** Since when an order has been due. */
   #orderDueSinceMs: number | undefined;
@@ -81,7 +81,7 @@
 
   constructor(settings: CapacityDutySettings) {
     this.#lease = new RecordLease(settings);
-    this.#bearsLoss = settings.bearsLoss;
+    this.#bearsLoss = settings.toleratesZoneLoss;
   }
 
   get isHolder(): boolean {
@@ -89,9 +89,9 @@
   }
 
   /** The inputs of the last plan; empty unless zone loss is tolerated and the record was read. */
-  get beliefs(): readonly CapacityBelief[] {
+  get summaries(): readonly CapacitySummary[] {
     if (!this.#hasRead) return [];
-    return this.#plans.flatMap(({ belief }) => (belief === undefined ? [] : [belief]));
+    return this.#plans.flatMap(({ summary }) => (summary === undefined ? [] : [summary]));
   }
 
   /** Decides the next action from the current state of the services. */
@@ -117,8 +117,8 @@
    * Applies the outcome of a read or write of the record.
    * @param sentMs when the call was sent
    */
-  takeRecord(outcome: RecordOutcome<CapacityRecord>, sentMs: number, nowMs: number): void {
-    this.#lease.take(outcome, sentMs, nowMs);
+  applyRecord(outcome: RecordOutcome<CapacityRecord>, sentMs: number, nowMs: number): void {
+    this.#lease.applyOutcome(outcome, sentMs, nowMs);
     this.#isOutdated = false;
     if (outcome.kind !== 'seen') return;
     this.#hasRead = true;
@@ -131,10 +131,15 @@
   }
 
   /** Records the outcome of an order. After a conflict, another daemon may hold the duty: the record is read again. */
-  takeOrder(outcome: OrderOutcome, order: CapacityOrder, bootMs: number, nowMs: number): void {
-    this.#orders.take(outcome, order, bootMs, nowMs);
-    if (this.#bearsLoss) this.#planner.noteOrder(order, outcome);
-    if (outcome === 'conflict') this.#lease.noteDoubt();
+  recordOrderOutcome(
+    outcome: OrderOutcome,
+    order: CapacityOrder,
+    bootMs: number,
+    nowMs: number,
+  ): void {
+    this.#orders.recordOutcome(outcome, order, bootMs, nowMs);
+    if (this.#bearsLoss) this.#planner.recordOrderOutcome(order, outcome);
+    if (outcome === 'conflict') this.#lease.requireRead();
   }
 
   /** Writes the record to take over or keep the duty, if the holder has had enough time to act. */
@@ -181,13 +186,13 @@
   }
 
   #planOf(scaled: ScaledService, wanted: WantedPerZone, nowMs: number): ServicePlan {
-    const { service, limits, zones, neededInAll } = scaled;
+    const { service, limits, zones, neededTotal } = scaled;
     const wantedPerZone = wanted[service] ?? limits.min;
     if (this.#bearsLoss && limits.spotPrice < 1) {
       return this.#planner.plan(scaled, wantedPerZone, nowMs);
     }
-    const targets = planCapacity({ limits, zones, wantedPerZone, neededInAll });
-    return { scaled, targets, belief: undefined };
+    const targets = planCapacity({ limits, zones, wantedPerZone, neededTotal });
+    return { scaled, targets, summary: undefined };
   }
 
   /**
@@ -201,7 +206,7 @@
   }
 
   #trackShortage(nowMs: number): void {
-    const isShort = this.beliefs.some(
+    const isShort = this.summaries.some(
       ({ present, coming, wanted }) =>
         wanted - present - coming >= Math.max(MIN_LOST_SERVERS, MIN_LOST_SHARE * wanted),
     );
@@ -221,20 +226,20 @@
   #isDue(plan: ServicePlan, order: CapacityOrder, nowMs: number): boolean {
     const now = plan.scaled.zones.find(({ zone }) => zone === order.zone);
     const present = (order.isSpot ? now?.spot : now?.plain) ?? 0;
-    if (plan.belief !== undefined && !this.#planner.mayOrder(plan, order, present, nowMs)) {
+    if (plan.summary !== undefined && !this.#planner.mayOrder(plan, order, present, nowMs)) {
       return false;
     }
     return this.#orders.isDue(order, present, nowMs);
   }
 
   #targets(): readonly CapacityOrder[] {
-    return this.#plans.flatMap((plan) => (plan.belief === undefined ? [] : ordersOf(plan)));
+    return this.#plans.flatMap((plan) => (plan.summary === undefined ? [] : ordersOf(plan)));
   }
 
   #applyTargets(targets: readonly CapacityOrder[], nowMs: number): void {
     for (const order of targets) {
       const plan = this.#plans.find(({ scaled }) => scaled.service === order.service);
-      if (plan !== undefined) this.#orders.announce(order, plan.scaled.limits.bootMs, nowMs);
+      if (plan !== undefined) this.#orders.recordAnnounced(order, plan.scaled.limits.bootMs, nowMs);
     }
   }
 }
--- a/src/core/capacity/within-limits.ts
+++ b/src/core/capacity/clamp-to-limits.ts
@@ -2,6 +2,6 @@
 import type { ScalingLimits } from '../gateway/index.js';
 
 /** Clamps a zone's number of servers, of both kinds together, to its limits. */
-export function withinLimits(servers: number, { min, max }: ScalingLimits): number {
+export function clampToLimits(servers: number, { min, max }: ScalingLimits): number {
   return Math.min(max, Math.max(min, servers));
 }
--- a/src/core/capacity/order-book.ts
+++ b/src/core/capacity/order-tracker.ts
@@ -29,7 +29,7 @@
   /** How many times in a row the order was sent without bringing all of its servers. */
   readonly tries: number;
   /** When the order is sent again if its servers have not come. */
-  readonly againAtMs: number;
+  readonly retryAtMs: number;
   readonly wasAccepted: boolean;
 }
 
@@ -44,11 +44,11 @@
 const MAX_DOUBLINGS = 3;
 
 /** The newest order for each kind of server in each zone. */
-export class OrderBook {
+export class OrderTracker {
   readonly #sent = new Map<string, SentOrder>();
 
   /** Records the outcome of an order that this daemon sent. */
-  take(outcome: OrderOutcome, order: CapacityOrder, bootMs: number, nowMs: number): void {
+  recordOutcome(outcome: OrderOutcome, order: CapacityOrder, bootMs: number, nowMs: number): void {
     const previous = this.#sent.get(keyOf(order));
     const tries = previous?.servers === order.servers ? previous.tries + 1 : 1;
     const boots = outcome === 'accepted' ? RETRY_BOOTS : CONFLICT_RETRY_BOOTS;
@@ -56,26 +56,26 @@
     this.#sent.set(keyOf(order), {
       servers: order.servers,
       tries,
-      againAtMs: nowMs + waitMs,
+      retryAtMs: nowMs + waitMs,
       wasAccepted: outcome === 'accepted',
     });
   }
 
   /** Records an order that the duty's holder announced; its servers are assumed to be coming. */
-  announce(order: CapacityOrder, bootMs: number, nowMs: number): void {
-    const againAtMs = nowMs + RETRY_BOOTS * bootMs;
-    const sent = { servers: order.servers, tries: 1, againAtMs, wasAccepted: true };
+  recordAnnounced(order: CapacityOrder, bootMs: number, nowMs: number): void {
+    const retryAtMs = nowMs + RETRY_BOOTS * bootMs;
+    const sent = { servers: order.servers, tries: 1, retryAtMs, wasAccepted: true };
     this.#sent.set(keyOf(order), sent);
   }
 
-  /** Records that the platform reclaimed ordered servers: none are coming, the order is sent again at `againAtMs`. */
-  noteTakenAway(kind: CapacityKind, againAtMs: number): void {
-    const servers = this.orderedOf(kind) ?? 0;
-    this.#sent.set(keyOf(kind), { servers, tries: 0, againAtMs, wasAccepted: false });
+  /** Records that the platform reclaimed ordered servers: none are coming, the order is sent again at `retryAtMs`. */
+  recordReclaimed(kind: CapacityKind, retryAtMs: number): void {
+    const servers = this.lastOrdered(kind) ?? 0;
+    this.#sent.set(keyOf(kind), { servers, tries: 0, retryAtMs, wasAccepted: false });
   }
 
   /** The number of servers last ordered. */
-  orderedOf(kind: CapacityKind): number | undefined {
+  lastOrdered(kind: CapacityKind): number | undefined {
     return this.#sent.get(keyOf(kind))?.servers;
   }
 
@@ -83,21 +83,21 @@
   isDue(order: CapacityOrder, present: number, nowMs: number): boolean {
     const sent = this.#sent.get(keyOf(order));
     if (sent === undefined || sent.servers !== order.servers) return present !== order.servers;
-    if (present < order.servers) return nowMs >= sent.againAtMs;
+    if (present < order.servers) return nowMs >= sent.retryAtMs;
     // The order is fulfilled. Servers that others have added are not removed.
     this.#sent.set(keyOf(order), { ...sent, tries: 0 });
     return false;
   }
 
   /** When an order of this kind may be sent again, whatever its number of servers. */
-  againAtMs(kind: CapacityKind): number {
-    return this.#sent.get(keyOf(kind))?.againAtMs ?? Number.NEGATIVE_INFINITY;
+  retryAtMs(kind: CapacityKind): number {
+    return this.#sent.get(keyOf(kind))?.retryAtMs ?? Number.NEGATIVE_INFINITY;
   }
 
   /** The number of ordered servers that are still to come, given the number present. */
-  comingOf(kind: CapacityKind, present: number, nowMs: number): number {
+  pendingServers(kind: CapacityKind, present: number, nowMs: number): number {
     const sent = this.#sent.get(keyOf(kind));
-    if (sent === undefined || !sent.wasAccepted || nowMs >= sent.againAtMs) return 0;
+    if (sent === undefined || !sent.wasAccepted || nowMs >= sent.retryAtMs) return 0;
     return Math.max(0, sent.servers - present);
   }
 }
--- a/src/core/capacity/plan-capacity.ts
+++ b/src/core/capacity/plan-capacity.ts
@@ -6,7 +6,7 @@
  * usually available again within seconds, and replacement engines have to process cached prompts again.
  */
 import type { ScalingLimits } from '../gateway/index.js';
-import { withinLimits } from './within-limits.js';
+import { clampToLimits } from './clamp-to-limits.js';
 
 /** The servers of a zone by kind: those that accept work, or the targets. `plain` servers are on-demand servers. */
 export interface ZoneCapacity {
@@ -21,7 +21,7 @@
   /** The number of servers that each zone should have, of both kinds together. */
   readonly wantedPerZone: number;
   /** The minimum number of servers with which the service keeps up with its work. */
-  readonly neededInAll: number;
+  readonly neededTotal: number;
 }
 
 /** Plain servers that each zone keeps, so that it has a server when its spot servers are reclaimed. */
@@ -32,13 +32,13 @@
   limits,
   zones,
   wantedPerZone,
-  neededInAll,
+  neededTotal,
 }: CapacityInput): readonly ZoneCapacity[] {
-  const wanted = withinLimits(wantedPerZone, limits);
+  const wanted = clampToLimits(wantedPerZone, limits);
   if (limits.spotPrice >= 1) return zones.map(({ zone }) => ({ zone, plain: wanted, spot: 0 }));
   const minPlain = Math.min(wanted, MIN_PLAIN_PER_ZONE);
   const spotWanted = wanted - minPlain;
-  const isShort = serversOf(zones) < neededInAll;
+  const isShort = serversOf(zones) < neededTotal;
   return zones.map(({ zone, plain, spot }) => {
     const missing = Math.max(0, wanted - minPlain - spot);
     const spare = Math.max(0, plain - minPlain);
--- a/src/core/capacity/plan-for-loss.ts
+++ b/src/core/capacity/plan-for-zone-loss.ts
@@ -13,8 +13,8 @@
  *   and are removed once there are enough servers without them.
  */
 import type { ScalingLimits } from '../gateway/index.js';
+import { clampToLimits } from './clamp-to-limits.js';
 import type { ZoneCapacity } from './plan-capacity.js';
-import { withinLimits } from './within-limits.js';
 
 /** A zone's servers, the servers on their way, and whether spot servers are available. */
 export interface ZoneSupply extends ZoneCapacity {
@@ -24,20 +24,20 @@
   readonly hasSpot: boolean;
 }
 
-export interface LossPlanInput {
+export interface ZoneLossPlanInput {
   readonly limits: ScalingLimits;
   readonly zones: readonly ZoneSupply[];
   /** The number of servers, of both kinds, that each zone had when the deployment was set up. */
-  readonly givenPerZone: number;
+  readonly initialPerZone: number;
   /** The number of servers with which a free one is found even when work arrives unevenly. */
-  readonly neededInAll: number;
+  readonly neededTotal: number;
 }
 
 /** The target of each zone, and the total. */
-export interface LossPlan {
+export interface ZoneLossPlan {
   readonly targets: readonly ZoneCapacity[];
   /** The total number of servers wanted, including spares. */
-  readonly wantedInAll: number;
+  readonly wantedTotal: number;
 }
 
 /** A zone's share of the servers being distributed; `count` grows up to `most`. */
@@ -61,18 +61,18 @@
 const ROUNDING_TOLERANCE = 1e-9;
 
 /** Computes the target of each zone. */
-export function planForLoss(input: LossPlanInput): LossPlan {
+export function planForZoneLoss(input: ZoneLossPlanInput): ZoneLossPlan {
   const { limits, zones } = input;
-  const wantedInAll = wantedServers(input);
-  const kept = keptPlain(input, wantedInAll);
-  const spot = spotTargets(input, wantedInAll - sumOf(kept), kept);
+  const wantedTotal = wantedServers(input);
+  const kept = keptPlain(input, wantedTotal);
+  const spot = spotTargets(input, wantedTotal - sumOf(kept), kept);
   // Beyond the initial number of servers, only spot servers are ordered.
-  const neededInAll = Math.min(input.neededInAll, initialTotal(input));
+  const neededTotal = Math.min(input.neededTotal, initialTotal(input));
   const covered = sumOf(kept) + zones.reduce((sum, supply) => sum + expectedSpot(supply, spot), 0);
   const plainLimit = (supply: ZoneSupply) =>
     limits.max - (kept.get(supply.zone) ?? 0) - reservedForSpot(supply, spot.get(supply.zone) ?? 0);
   const extra = distributeToCheapest(
-    Math.max(0, neededInAll - covered),
+    Math.max(0, neededTotal - covered),
     sharesOf(input, zones, plainLimit),
   );
   const minPlainOf = ({ zone }: ZoneSupply) =>
@@ -85,33 +85,33 @@
     // The limit applies to both kinds together while plain servers are being replaced.
     spot: Math.max(0, Math.min(spot.get(zone) ?? 0, limits.max - (plain.get(zone) ?? 0))),
   }));
-  return { targets, wantedInAll };
+  return { targets, wantedTotal };
 }
 
-function initialTotal({ limits, zones, givenPerZone }: LossPlanInput): number {
-  return withinLimits(givenPerZone, limits) * zones.length;
+function initialTotal({ limits, zones, initialPerZone }: ZoneLossPlanInput): number {
+  return clampToLimits(initialPerZone, limits) * zones.length;
 }
 
 /** The total number of servers wanted: the initial number, or more if the work needs more to survive a zone loss. */
-function wantedServers({ limits, zones, givenPerZone, neededInAll }: LossPlanInput): number {
-  const initial = withinLimits(givenPerZone, limits);
+function wantedServers({ limits, zones, initialPerZone, neededTotal }: ZoneLossPlanInput): number {
+  const initial = clampToLimits(initialPerZone, limits);
   const others = zones.length - 1;
   if (others < 1) return initial;
-  const spotNeeded = Math.max(0, neededInAll - MIN_PLAIN_TOTAL);
+  const spotNeeded = Math.max(0, neededTotal - MIN_PLAIN_TOTAL);
   const withSpare = MIN_PLAIN_TOTAL + (spotNeeded * zones.length) / others;
   const growth = Math.min(MAX_GROWTH, withSpare / (initial * zones.length));
   const steps = Math.max(0, Math.ceil((growth - 1) / GROWTH_STEP - ROUNDING_TOLERANCE));
   const perZone = Math.ceil(initial * (1 + steps * GROWTH_STEP) - ROUNDING_TOLERANCE);
-  return withinLimits(perZone, limits) * zones.length;
+  return clampToLimits(perZone, limits) * zones.length;
 }
 
 /** Plain servers kept per zone regardless of spot servers: few if spot servers are cheaper for surviving a loss. */
-function keptPlain(input: LossPlanInput, wantedInAll: number): ReadonlyMap<string, number> {
-  const { limits, zones, neededInAll } = input;
+function keptPlain(input: ZoneLossPlanInput, wantedTotal: number): ReadonlyMap<string, number> {
+  const { limits, zones, neededTotal } = input;
   const sparePrice = (limits.spotPrice * zones.length) / (zones.length - 1);
-  const count = sparePrice < 1 ? MIN_PLAIN_TOTAL : Math.max(MIN_PLAIN_TOTAL, neededInAll);
+  const count = sparePrice < 1 ? MIN_PLAIN_TOTAL : Math.max(MIN_PLAIN_TOTAL, neededTotal);
   const shares = sharesOf(input, zones, () => limits.max);
-  return distributeEvenly(Math.min(count, wantedInAll), shares);
+  return distributeEvenly(Math.min(count, wantedTotal), shares);
 }
 
 /**
@@ -119,7 +119,7 @@
  * servers available. For zones without, the target is the share that they would have if spot servers were available.
  */
 function spotTargets(
-  input: LossPlanInput,
+  input: ZoneLossPlanInput,
   total: number,
   kept: ReadonlyMap<string, number>,
 ): ReadonlyMap<string, number> {
@@ -160,7 +160,7 @@
 
 /** Removes surplus plain servers, the most expensive first, once the initial number of servers exists without them. */
 function plainTargets(
-  input: LossPlanInput,
+  input: ZoneLossPlanInput,
   minPlain: ReadonlyMap<string, number>,
 ): ReadonlyMap<string, number> {
   const { limits, zones } = input;
@@ -182,7 +182,7 @@
 }
 
 function sharesOf(
-  { limits }: Pick<LossPlanInput, 'limits'>,
+  { limits }: Pick<ZoneLossPlanInput, 'limits'>,
   zones: readonly ZoneSupply[],
   maxOf: (zone: ZoneSupply) => number,
 ): Share[] {
--- a/src/core/capacity/held-need.ts
+++ b/src/core/capacity/recent-peak-need.ts
@@ -12,12 +12,12 @@
 const HOLD_BOOTS = 5;
 
 /** The peak need within the last `HOLD_BOOTS` boot times. */
-export class HeldNeed {
+export class RecentPeakNeed {
   /** In order of time, each lower than the one before. */
   #peaks: TimedNeed[] = [];
 
   /** Records the current need and returns the peak. */
-  take(servers: number, bootMs: number, nowMs: number): number {
+  update(servers: number, bootMs: number, nowMs: number): number {
     const oldestMs = nowMs - HOLD_BOOTS * bootMs;
     this.#peaks = this.#peaks.filter((peak) => peak.servers > servers && peak.atMs >= oldestMs);
     this.#peaks.push({ servers, atMs: nowMs });
--- a/src/core/capacity/scaled-service.ts
+++ b/src/core/capacity/scaled-service.ts
@@ -9,13 +9,13 @@
   /** Servers that accept work, without those that are about to stop. */
   readonly zones: readonly ZoneCapacity[];
   /** The minimum number of servers with which the service keeps up with its work. */
-  readonly neededInAll: number;
+  readonly neededTotal: number;
   /** The number of servers with which a free one is found even when work arrives unevenly. */
-  readonly neededWithRoom: number;
+  readonly neededWithHeadroom: number;
 }
 
 /** The figures behind a plan that tolerates the loss of a zone. */
-export interface CapacityBelief {
+export interface CapacitySummary {
   readonly service: string;
   /** Servers that the work needs, with headroom for uneven arrivals. */
   readonly needed: number;
@@ -35,5 +35,5 @@
   readonly scaled: ScaledService;
   readonly targets: readonly ZoneCapacity[];
   /** Undefined if the plan does not tolerate the loss of a zone. */
-  readonly belief: CapacityBelief | undefined;
+  readonly summary: CapacitySummary | undefined;
 }
--- a/src/core/capacity/server-list-settling.ts
+++ b/src/core/capacity/server-list-settling.ts
@@ -18,7 +18,7 @@
    * @param bootMs how long the slowest server takes from its start until it is listed
    * @returns whether the list has settled, now or before
    */
-  take(listed: number, bootMs: number, nowMs: number): boolean {
+  update(listed: number, bootMs: number, nowMs: number): boolean {
     if (this.#isSettled) return true;
     if (listed !== this.#listed) this.#unchangedSinceMs = nowMs;
     this.#listed = listed;
--- a/src/core/capacity/spot-supply.ts
+++ b/src/core/capacity/spot-availability.ts
@@ -3,7 +3,7 @@
  * available there for a while. This is detected when most of them disappear together, before any order is refused. A
  * zone without available spot servers is asked again periodically, and counts as available once an order is accepted.
  */
-import type { OrderOutcome } from './order-book.js';
+import type { OrderOutcome } from './order-tracker.js';
 
 interface SpotCount {
   readonly servers: number;
@@ -23,7 +23,7 @@
 const MIN_RECLAIMED_SERVERS = 2;
 
 /** The availability of spot servers by zone; any string may identify a zone. */
-export class SpotSupply {
+export class SpotAvailability {
   readonly #zones = new Map<string, ZoneState>();
 
   hasSpot(zone: string): boolean {
@@ -35,7 +35,7 @@
    * @param ordered the number last ordered; servers beyond it are expected to disappear
    * @returns the number of reclaimed servers when a loss is first detected, else 0
    */
-  see(zone: string, servers: number, ordered: number, nowMs: number): number {
+  recordCount(zone: string, servers: number, ordered: number, nowMs: number): number {
     const state = this.#stateOf(zone);
     state.counts = state.counts.filter(({ atMs }) => nowMs - atMs <= LOSS_WINDOW_MS);
     const newest = state.counts.at(-1)?.servers;
@@ -54,7 +54,7 @@
   }
 
   /** Records the outcome of an order of spot servers in a zone. */
-  noteOrder(zone: string, outcome: OrderOutcome): void {
+  recordOrderOutcome(zone: string, outcome: OrderOutcome): void {
     const state = this.#stateOf(zone);
     switch (outcome) {
       case 'accepted':
--- a/src/core/common/jitter.ts
+++ b/src/core/common/jitter.ts
@@ -18,12 +18,12 @@
 /** Bounds of an exponential back-off. */
 export interface BackoffBounds {
   readonly firstMs: Milliseconds;
-  readonly mostMs: Milliseconds;
+  readonly maxMs: Milliseconds;
 }
 
 /** The wait before the next attempt: between half and all of a duration that doubles with each failure. */
 export function backoff(bounds: BackoffBounds, failures: number, entropy: number): Milliseconds {
   const doubled = bounds.firstMs * 2 ** Math.max(0, failures - 1);
-  const span = Math.min(bounds.mostMs, doubled);
+  const span = Math.min(bounds.maxMs, doubled);
   return jittered(span / 2, span, entropy);
 }
--- a/src/core/daemon/decision-log.ts
+++ b/src/core/daemon/decision-log.ts
@@ -35,7 +35,7 @@
     this.#forgetOldest();
   }
 
-  ended(notice: Extract<RequestNotice, { kind: 'request-ended' }>): void {
+  recordEnd(notice: Extract<RequestNotice, { kind: 'request-ended' }>): void {
     const { description } = notice;
     const decisions = this.#requests.get(description.id)?.decisions ?? [];
     this.#requests.set(description.id, { description, decisions, end: notice });
--- a/src/core/daemon/demand-meter.ts
+++ b/src/core/daemon/demand-meter.ts
@@ -30,7 +30,7 @@
    * Records a notice of the request table. An answered request counts for the pool of the engine
    * that its last attempt used. `poolOf` returns null for a backend that is not an engine.
    */
-  note(notice: RequestNotice, poolOf: (backend: BackendName) => PoolName | null): void {
+  recordNotice(notice: RequestNotice, poolOf: (backend: BackendName) => PoolName | null): void {
     const { id } = notice.description;
     if (notice.kind === 'attempt-started') {
       this.#lastBackends.set(id, notice.backend);
@@ -50,7 +50,7 @@
   }
 
   /** Returns the counts since the last call and resets them. */
-  take(): ReadonlyMap<PoolName, DemandCount> {
+  takeAndReset(): ReadonlyMap<PoolName, DemandCount> {
     const counts = this.#counts;
     this.#counts = new Map();
     return counts;
--- a/src/core/daemon/explain/explain-engine.ts
+++ b/src/core/daemon/explain/explain-engine.ts
@@ -55,8 +55,7 @@
   }
   if (machine.state === 'leaving') return 'the machine list says that it is leaving';
   if (report.leaving) return 'it says that it is leaving';
-  if (report.intake === 'closed')
-    return 'its controller has closed its intake for a change';
+  if (report.intake === 'closed') return 'its controller has closed its intake for a change';
   if (report.busy) return 'an order keeps it away';
   if (now >= view.grantedUntil) return 'its last report is too old to grant dispatch';
   return null;
--- a/src/core/daemon/pool-duty.ts
+++ b/src/core/daemon/pool-duty.ts
@@ -98,7 +98,7 @@
 }
 
 /** Whether the duty's lease has been released. */
-export function isGivenUp(duty: PoolDuty): boolean {
+export function isDutyReleased(duty: PoolDuty): boolean {
   return isReleased(duty.lease);
 }
 
--- a/src/core/daemon/role-planning.ts
+++ b/src/core/daemon/role-planning.ts
@@ -24,14 +24,14 @@
 
 export interface RolePlanning {
   /** Demand reported since the last evaluation, by pool; only of this daemon's candidate pools. */
-  readonly heard: ReadonlyMap<PoolName, DemandCount>;
+  readonly receivedDemand: ReadonlyMap<PoolName, DemandCount>;
   /** Planners of the pools whose lease this daemon holds. */
   readonly planners: ReadonlyMap<PoolName, RolePlannerState>;
   readonly nextAt: MonotonicMs;
 }
 
 export const INITIAL_ROLE_PLANNING: RolePlanning = {
-  heard: new Map(),
+  receivedDemand: new Map(),
   planners: new Map(),
   nextAt: PLANNING_INTERVAL_MS,
 };
@@ -43,13 +43,16 @@
 }
 
 /** Adds the demand that a daemon reported. */
-export function hearDemand(
+export function recordDemand(
   planning: RolePlanning,
   pool: PoolName,
   count: DemandCount,
 ): RolePlanning {
-  const known = planning.heard.get(pool) ?? NO_DEMAND;
-  return { ...planning, heard: new Map(planning.heard).set(pool, addDemand(known, count)) };
+  const known = planning.receivedDemand.get(pool) ?? NO_DEMAND;
+  return {
+    ...planning,
+    receivedDemand: new Map(planning.receivedDemand).set(pool, addDemand(known, count)),
+  };
 }
 
 /** Re-evaluates the plans of the held pools. Planners of other pools are dropped. */
@@ -63,7 +66,7 @@
   const effects: LogEffect[] = [];
   for (const { pool, engines } of held) {
     const before = planning.planners.get(pool) ?? initialRolePlannerState();
-    const count = planning.heard.get(pool) ?? NO_DEMAND;
+    const count = planning.receivedDemand.get(pool) ?? NO_DEMAND;
     const window = { kind: 'demand', windowMs: PLANNING_INTERVAL_MS, ...count } as const;
     const observed = stepRolePlanner(before, window, context);
     const operatorRoles = operatorRolesOf(document, engines);
@@ -74,7 +77,7 @@
     effects.push(...evaluated.effects.filter((effect) => effect.kind === 'log'));
   }
   const nextAt = context.now + PLANNING_INTERVAL_MS;
-  return { planning: { heard: new Map(), planners, nextAt }, effects };
+  return { planning: { receivedDemand: new Map(), planners, nextAt }, effects };
 }
 
 /** The planned roles of a pool's engines. Plans for an earlier boot of an engine are ignored. */
--- a/src/core/daemon/step.ts
+++ b/src/core/daemon/step.ts
@@ -20,17 +20,17 @@
 import type { TableResultEvent } from '../platform/table.js';
 import type { Machine } from '../registry/backend.js';
 import type { RequestTableEvent } from '../requests/index.js';
-import { candidatesOf, heldPools, poolInputs, poolsToServe } from './duties.js';
+import { candidatePoolsOf, candidatesOf, heldPools, poolInputs } from './duties.js';
 import type { DaemonEffect } from './effect.js';
 import type { DaemonEvent } from './event.js';
 import {
   initialPoolDuty,
-  isGivenUp,
+  isDutyReleased,
   type PoolDutyEvent,
   type PoolDutyOutput,
   stepPoolDuty,
 } from './pool-duty.js';
-import { evaluatePlans, hearDemand } from './role-planning.js';
+import { evaluatePlans, recordDemand } from './role-planning.js';
 import type { DaemonState } from './state.js';
 
 /** Shortest interval at which a daemon reads the machine list. */
@@ -179,7 +179,7 @@
 
   #stepTraffic(event: RequestTableEvent): void {
     this.effects.push(...this.state.traffic.step(event, this.#context));
-    for (const unknown of this.state.traffic.takeUnknownLives()) {
+    for (const unknown of this.state.traffic.takeUnknownIncarnations()) {
       this.#stepMembership({ kind: 'life-named', ...unknown });
     }
   }
@@ -258,7 +258,7 @@
 
   #recordDemand(message: PeerMessage): void {
     if (message.kind === 'demand' && this.state.candidatePools.has(message.pool)) {
-      const rolePlanning = hearDemand(this.state.rolePlanning, message.pool, message);
+      const rolePlanning = recordDemand(this.state.rolePlanning, message.pool, message);
       this.#change({ rolePlanning });
     }
   }
@@ -268,7 +268,7 @@
     if (this.#context.now < this.state.rolePlanning.nextAt) {
       return;
     }
-    for (const [pool, count] of this.state.traffic.demand.take()) {
+    for (const [pool, count] of this.state.traffic.demand.takeAndReset()) {
       this.#sendDemand({ kind: 'demand', pool, ...count });
     }
     const { document } = this.state.configuration.inForce ?? EMPTY_CONFIGURATION;
@@ -291,10 +291,10 @@
 
   /** Starts the duties of new candidate pools; drops released duties of pools no longer served. */
   #updateCandidacy(): void {
-    const candidatePools = poolsToServe(this.state);
+    const candidatePools = candidatePoolsOf(this.state);
     const duties = new Map(this.state.duties);
     for (const [pool, duty] of duties) {
-      if (!candidatePools.has(pool) && isGivenUp(duty)) {
+      if (!candidatePools.has(pool) && isDutyReleased(duty)) {
         duties.delete(pool);
       }
     }
@@ -333,7 +333,7 @@
     }
     const { requests } = this.state.traffic;
     const requestsFinished = requests.activeCount === 0 && requests.settlingCount === 0;
-    const dutiesReleased = [...this.state.duties.values()].every(isGivenUp);
+    const dutiesReleased = [...this.state.duties.values()].every(isDutyReleased);
     if (requestsFinished && dutiesReleased) {
       this.#change({ stopReady: true });
       this.effects.push({ kind: 'stop-ready' });
--- a/src/core/digest/exchange.ts
+++ b/src/core/digest/exchange.ts
@@ -1,7 +1,7 @@
 /** Exchange of engine interests and digests between daemons. */
 import type { BackendName, DaemonName } from '../common/identifiers.js';
 import type { MonotonicMs } from '../common/time.js';
-import { endpointOf, isOneGroup } from '../membership/index.js';
+import { endpointOf, isSingleProbeGroup } from '../membership/index.js';
 import {
   datagram,
   type Echo,
@@ -10,18 +10,18 @@
   type PeerReceivedEvent,
 } from '../peer/index.js';
 import { condense, expand } from './condense.js';
-import { askedAtTheEarliest } from './grant.js';
+import { earliestPollTime } from './grant.js';
 import {
   DIGEST_INTERVAL_MS,
   INTEREST_INTERVAL_MS,
   INTEREST_LIFETIME_MS,
   LARGE_FLEET_DIGEST_INTERVAL_MS,
   LARGE_FLEET_INTEREST_INTERVAL_MS,
+  MAX_DIGEST_REPORT_AGE_MS,
   MAX_ENGINES_PER_MESSAGE,
-  MAX_TOLD_AGE_MS,
 } from './settings.js';
 import type { DigestStep, Interest } from './state.js';
-import { takeReport } from './views.js';
+import { applyReport } from './views.js';
 
 /** Requests digests of the engines that this daemon uses from the daemons that watch them. */
 export function sendInterests(step: DigestStep): void {
@@ -40,23 +40,23 @@
       step.effects.push(datagram(endpoint, { kind: 'engine-interest', engines }));
     }
   }
-  const isSmall = isOneGroup(step.membership);
+  const isSmall = isSingleProbeGroup(step.membership);
   const interval = isSmall ? INTEREST_INTERVAL_MS : LARGE_FLEET_INTEREST_INTERVAL_MS;
   step.change({ nextInterestAt: step.now + interval });
 }
 
 /** Sends each interested daemon the digests of the engines that it named. */
 export function sendDigests(step: DigestStep): void {
-  const isSmall = isOneGroup(step.membership);
+  const isSmall = isSingleProbeGroup(step.membership);
   const interval = isSmall ? DIGEST_INTERVAL_MS : LARGE_FLEET_DIGEST_INTERVAL_MS;
   step.change({ nextDigestAt: step.now + interval });
   for (const [daemon, interest] of step.state.interests) {
     if (step.now >= interest.until) {
       const interests = new Map(step.state.interests);
       interests.delete(daemon);
-      const heard = new Map(step.state.heard);
-      heard.delete(daemon);
-      step.change({ interests, heard });
+      const lastMessages = new Map(step.state.lastMessages);
+      lastMessages.delete(daemon);
+      step.change({ interests, lastMessages: lastMessages });
     } else {
       sendDigestsTo(step, daemon, interest.engines);
     }
@@ -65,7 +65,7 @@
 
 function sendDigestsTo(step: DigestStep, daemon: DaemonName, engines: Interest['engines']): void {
   const endpoint = endpointOf(step.membership, daemon);
-  const last = step.state.heard.get(daemon);
+  const last = step.state.lastMessages.get(daemon);
   if (endpoint === null || last === undefined) {
     return;
   }
@@ -86,13 +86,13 @@
   engine: BackendName,
   receiverRevision: number | null,
 ): EngineDigest | null {
-  const own = step.state.own.get(engine);
+  const own = step.state.directReports.get(engine);
   const isWatched = step.state.views.get(engine)?.watcher === step.state.self;
   if (own === undefined || !isWatched) {
     return null;
   }
   const ageMs = step.now - own.askedAt;
-  return ageMs > MAX_TOLD_AGE_MS ? null : condense(own, ageMs, receiverRevision);
+  return ageMs > MAX_DIGEST_REPORT_AGE_MS ? null : condense(own, ageMs, receiverRevision);
 }
 
 /** Handles a message of another daemon. */
@@ -140,7 +140,7 @@
   }
   const report = expand(digest, known);
   if (report !== null) {
-    takeReport(step, report, askedAtTheEarliest(echo, ageMs));
+    applyReport(step, report, earliestPollTime(echo, ageMs));
   }
 }
 
@@ -159,7 +159,7 @@
  * replace it.
  */
 function recordLastMessage(step: DigestStep, { header }: PeerReceivedEvent): void {
-  const known = step.state.heard.get(header.sender);
+  const known = step.state.lastMessages.get(header.sender);
   const isOlderIncarnation = known !== undefined && known.incarnation > header.incarnation;
   const isSameIncarnation = known !== undefined && known.incarnation === header.incarnation;
   if (isOlderIncarnation || (isSameIncarnation && known.sentAt >= header.sentAt)) {
@@ -167,5 +167,5 @@
   }
   const { incarnation, sentAt } = header;
   const message = { incarnation, sentAt, receivedAt: step.now };
-  step.change({ heard: new Map(step.state.heard).set(header.sender, message) });
+  step.change({ lastMessages: new Map(step.state.lastMessages).set(header.sender, message) });
 }
--- a/src/core/digest/grant.ts
+++ b/src/core/digest/grant.ts
@@ -13,7 +13,7 @@
 import { GRANT_DRIFT_MARGIN } from '../registry/grant.js';
 
 /** The earliest time at which the engine can have been polled, by the receiver's clock. */
-export function askedAtTheEarliest(echo: Echo, reportAgeMs: Milliseconds): MonotonicMs {
+export function earliestPollTime(echo: Echo, reportAgeMs: Milliseconds): MonotonicMs {
   const span = echo.ageMs - reportAgeMs;
   return echo.sentAt + span - GRANT_DRIFT_MARGIN * Math.abs(span);
 }
--- a/src/core/digest/index.ts
+++ b/src/core/digest/index.ts
@@ -2,7 +2,7 @@
  * Distribution of engine reports: one daemon, the engine's watcher, polls each engine and sends
  * digests of its reports to the daemons that use the engine.
  */
-export { askedAtTheEarliest } from './grant.js';
+export { earliestPollTime } from './grant.js';
 export {
   createDigest,
   type DigestEffect,
--- a/src/core/digest/settings.ts
+++ b/src/core/digest/settings.ts
@@ -30,4 +30,4 @@
 /** Limit for engines in one message, so that it fits into a datagram. */
 export const MAX_ENGINES_PER_MESSAGE = 3;
 /** A report is sent in digests until the poll that returned it is older than this. */
-export const MAX_TOLD_AGE_MS: Milliseconds = 2_000;
+export const MAX_DIGEST_REPORT_AGE_MS: Milliseconds = 2_000;
--- a/src/core/digest/state.ts
+++ b/src/core/digest/state.ts
@@ -7,7 +7,7 @@
 import type { EngineMachine, EngineReport, EngineView } from '../registry/backend.js';
 
 /** The last report that this daemon received from the engine itself. */
-export interface OwnReport {
+export interface DirectReport {
   readonly report: EngineReport;
   /** The hash of the report's inventory. */
   readonly revision: number;
@@ -28,7 +28,7 @@
 }
 
 /** The last message from another daemon, which digests echo back to it. */
-export interface HeardMessage {
+export interface LastMessage {
   readonly incarnation: Incarnation;
   readonly sentAt: MonotonicMs;
   readonly receivedAt: MonotonicMs;
@@ -38,25 +38,25 @@
   readonly self: DaemonName;
   readonly engines: ReadonlyMap<BackendName, EngineMachine>;
   /** The number of changes of `engines` so far. */
-  readonly listing: number;
+  readonly listVersion: number;
   /** Identifies the inputs of the present assignment of engines. */
-  readonly assignedFor: string;
+  readonly assignmentKey: string;
   /** The pools that this daemon controls. It needs the reports of all their engines. */
-  readonly controlled: readonly PoolName[];
+  readonly controlledPools: readonly PoolName[];
   /** The engines that this daemon sends requests to or controls. */
   readonly used: ReadonlySet<BackendName>;
   /** The time until which other daemons have requested digests of an engine. */
   readonly wantedUntil: ReadonlyMap<BackendName, MonotonicMs>;
   /** The views of the engines that this daemon uses or watches. */
   readonly views: ReadonlyMap<BackendName, EngineView>;
-  readonly own: ReadonlyMap<BackendName, OwnReport>;
+  readonly directReports: ReadonlyMap<BackendName, DirectReport>;
   /** Inventories received from watchers, by engine. */
   readonly inventories: ReadonlyMap<BackendName, KnownInventory>;
   readonly interests: ReadonlyMap<DaemonName, Interest>;
-  readonly heard: ReadonlyMap<DaemonName, HeardMessage>;
+  readonly lastMessages: ReadonlyMap<DaemonName, LastMessage>;
   /** When each engine was last polled; entries of answered polls stay. */
-  readonly askedAt: ReadonlyMap<BackendName, MonotonicMs>;
-  readonly waiting: ReadonlySet<BackendName>;
+  readonly polledAt: ReadonlyMap<BackendName, MonotonicMs>;
+  readonly pendingPolls: ReadonlySet<BackendName>;
   readonly nextAssignmentAt: MonotonicMs;
   readonly nextDigestAt: MonotonicMs;
   readonly nextInterestAt: MonotonicMs;
@@ -103,18 +103,18 @@
   return {
     self,
     engines: new Map(),
-    listing: 0,
-    assignedFor: '',
-    controlled: [],
+    listVersion: 0,
+    assignmentKey: '',
+    controlledPools: [],
     used: new Set(),
     wantedUntil: new Map(),
     views: new Map(),
-    own: new Map(),
+    directReports: new Map(),
     inventories: new Map(),
     interests: new Map(),
-    heard: new Map(),
-    askedAt: new Map(),
-    waiting: new Set(),
+    lastMessages: new Map(),
+    polledAt: new Map(),
+    pendingPolls: new Set(),
     nextAssignmentAt: 0,
     nextDigestAt: 0,
     nextInterestAt: 0,
--- a/src/core/digest/views.ts
+++ b/src/core/digest/views.ts
@@ -5,7 +5,7 @@
 import type { MonotonicMs } from '../common/time.js';
 import {
   dutyCandidates,
-  isOneGroup,
+  isSingleProbeGroup,
   type WatcherCandidate,
   watcherOf,
 } from '../membership/index.js';
@@ -25,7 +25,7 @@
  */
 export function assignEngines(step: DigestStep): void {
   const key = assignmentKeyOf(step);
-  if (key === step.state.assignedFor) {
+  if (key === step.state.assignmentKey) {
     return;
   }
   const members = dutyCandidates(step.membership);
@@ -37,13 +37,13 @@
       views.set(machine.name, viewOf(step, machine, watcher));
     }
   }
-  step.change({ views, used, assignedFor: key });
+  step.change({ views, used, assignmentKey: key });
 }
 
 /** A key of the assignment's inputs: equal keys give an equal assignment. */
 function assignmentKeyOf(step: DigestStep): string {
   const names = dutyCandidates(step.membership).map((member) => member.name);
-  const { listing, controlled } = step.state;
+  const { listVersion: listing, controlledPools: controlled } = step.state;
   return `${listing} ${controlled.join(' ')} ${names.sort().join(' ')}`;
 }
 
@@ -56,12 +56,12 @@
   members: readonly WatcherCandidate[],
 ): readonly EngineMachine[] {
   const engines = [...step.state.engines.values()];
-  if (isOneGroup(step.membership)) {
+  if (isSingleProbeGroup(step.membership)) {
     return engines;
   }
   const otherZones = new Set(members.map((member) => member.zone));
   otherZones.delete(step.membership.self.zone);
-  const pools = new Set(step.state.controlled);
+  const pools = new Set(step.state.controlledPools);
   return engines.filter((engine) => !otherZones.has(engine.zone) || pools.has(poolOf(engine)));
 }
 
@@ -80,7 +80,7 @@
   members: readonly WatcherCandidate[],
 ): ReadonlySet<BackendName> {
   const { engines, self } = step.state;
-  if (isOneGroup(step.membership)) {
+  if (isSingleProbeGroup(step.membership)) {
     return new Set(engines.keys());
   }
   const { zone } = step.membership.self;
@@ -92,14 +92,14 @@
 
 /** A pool's controller needs the reports of all the pool's engines, in every zone. */
 function controlledEngines(step: DigestStep): readonly BackendName[] {
-  const pools = new Set(step.state.controlled);
+  const pools = new Set(step.state.controlledPools);
   return [...step.state.engines.values()]
     .filter((engine) => pools.has(poolOf(engine)))
     .map((engine) => engine.name);
 }
 
 /** Applies a report whose poll started no earlier than `askedAt` by this daemon's clock. */
-export function takeReport(step: DigestStep, report: EngineReport, askedAt: MonotonicMs): void {
+export function applyReport(step: DigestStep, report: EngineReport, askedAt: MonotonicMs): void {
   const view = step.state.views.get(report.engine);
   if (view === undefined || askedAt <= view.reportedAt || isOlder(report, view.report)) {
     return;
--- a/src/core/duty/record-lease.ts
+++ b/src/core/duty/record-lease.ts
@@ -114,7 +114,7 @@
    * Applies the outcome of a read or write of the record.
    * @param sentMs when the call was sent
    */
-  take(outcome: RecordOutcome<Content>, sentMs: number, nowMs: number): void {
+  applyOutcome(outcome: RecordOutcome<Content>, sentMs: number, nowMs: number): void {
     switch (outcome.kind) {
       case 'refused':
         return;
@@ -128,13 +128,13 @@
   }
 
   /** Records that a call with this fencing token was refused, because another daemon has used a higher one. */
-  noteDeposed(fence: number): void {
+  recordDeposed(fence: number): void {
     this.#deposedFence = fence;
     this.#isUncertain = true;
   }
 
   /** Requires that the record is read before it is used again. */
-  noteDoubt(): void {
+  requireRead(): void {
     this.#isUncertain = true;
   }
 
--- a/src/core/lease/observation.ts
+++ b/src/core/lease/observation.ts
@@ -22,7 +22,7 @@
  * Merges the rows of an answer into the observed state. A version that was seen before keeps the time when it was first
  * seen. In a new era of the store, only the highest epoch is kept.
  */
-export function absorbRows(
+export function applyRows(
   settings: LeaseSettings,
   known: ObservedLease | null,
   { rows, era = FIRST_ERA }: TableAnswer,
@@ -71,7 +71,7 @@
 }
 
 /** The time at which the lease lapses unless its row's version changes before. */
-export function standsStillUntil(settings: LeaseSettings, observed: ObservedLease): MonotonicMs {
+export function lapsesAt(settings: LeaseSettings, observed: ObservedLease): MonotonicMs {
   const durationMs = observed.row?.durationMs ?? settings.durationMs;
   return observed.firstSeenAt + durationMs + settings.marginMs;
 }
--- a/src/core/membership/gossip.ts
+++ b/src/core/membership/gossip.ts
@@ -1,7 +1,7 @@
 /** Selects the updates piggybacked on a message: least often sent first, within a size limit. */
 import type { MemberUpdate, ZoneHeartbeat } from '../peer/index.js';
 import { type Member, toUpdate } from './member.js';
-import { isOneGroup, probeGroup } from './queries.js';
+import { isSingleProbeGroup, probeGroup } from './queries.js';
 import { MAX_UPDATE_BYTES, RETRANSMIT_MULTIPLIER } from './settings.js';
 import type { MembershipStep } from './state.js';
 
@@ -13,7 +13,7 @@
  * so that the receiver can refute it (Lifeguard's buddy system); then queued gossip. Counts each
  * queued update as sent once more and removes it at the transmit limit.
  */
-export function takeUpdates(
+export function selectUpdates(
   step: MembershipStep,
   receiver: Member | null,
 ): readonly MemberUpdate[] {
@@ -74,7 +74,7 @@
 
 /** The heartbeats of all zones; none in a fleet that is not split by zone. */
 export function zoneHeartbeats(step: MembershipStep): readonly ZoneHeartbeat[] {
-  if (isOneGroup(step.state)) {
+  if (isSingleProbeGroup(step.state)) {
     return [];
   }
   return [...step.state.zones].map(([zone, view]) => ({ zone, heartbeat: view.heartbeat }));
--- a/src/core/membership/member.ts
+++ b/src/core/membership/member.ts
@@ -42,7 +42,7 @@
 }
 
 /** Whether both refer to the same incarnation of the same daemon. */
-export function sameLife(
+export function isSameIncarnation(
   one: { readonly name: DaemonName; readonly incarnation: Incarnation },
   other: { readonly name: DaemonName; readonly incarnation: Incarnation },
 ): boolean {
--- a/src/core/membership/merge.ts
+++ b/src/core/membership/merge.ts
@@ -3,7 +3,7 @@
 import { MEMBERSHIP_EVENTS } from '../logging/catalogue/membership.js';
 import { log } from '../logging/log-event.js';
 import type { MemberUpdate } from '../peer/index.js';
-import { isPresent, type Member, sameLife, supersedes } from './member.js';
+import { isPresent, isSameIncarnation, type Member, supersedes } from './member.js';
 import { MAX_LOCAL_HEALTH, SUSPICION_CONFIRMATIONS } from './settings.js';
 import { type MembershipStep, withEntry, withoutEntry } from './state.js';
 
@@ -35,7 +35,9 @@
 
 function isSameSuspicion(update: MemberUpdate, known: Member): boolean {
   return (
-    known.status === 'suspect' && sameLife(update, known) && update.refutation === known.refutation
+    known.status === 'suspect' &&
+    isSameIncarnation(update, known) &&
+    update.refutation === known.refutation
   );
 }
 
@@ -45,7 +47,7 @@
   update: MemberUpdate,
   propagation: Propagation,
 ): void {
-  const isKnownIncarnation = known !== undefined && sameLife(update, known);
+  const isKnownIncarnation = known !== undefined && isSameIncarnation(update, known);
   step.putMember({
     ...update,
     statusSince: step.now,
@@ -53,7 +55,7 @@
   });
   trackSuspicion(step, update);
   if (propagation === 'pass-on') {
-    step.passOn(update.name);
+    step.enqueueGossip(update.name);
   }
   logUpdate(step, known, update);
 }
@@ -86,7 +88,7 @@
   const member = step.state.members.get(update.name);
   if (member !== undefined) {
     step.putMember({ ...member, suspectedBy: by });
-    step.passOn(update.name);
+    step.enqueueGossip(update.name);
   }
 }
 
@@ -103,7 +105,7 @@
     return;
   }
   step.putMember({ ...self, refutation: update.refutation + 1, statusSince: step.now });
-  step.passOn(self.name);
+  step.enqueueGossip(self.name);
   step.change({ localHealth: Math.min(MAX_LOCAL_HEALTH, step.state.localHealth + 1) });
   const by = update.suspectedBy ?? 'unknown';
   step.effects.push(log(MEMBERSHIP_EVENTS.refuted, { status: update.status, by }));
@@ -111,7 +113,7 @@
 
 function logUpdate(step: MembershipStep, known: Member | undefined, update: MemberUpdate): void {
   const fields = { member: update.name, memberZone: update.zone, incarnation: update.incarnation };
-  const isNewIncarnation = known === undefined || !sameLife(update, known);
+  const isNewIncarnation = known === undefined || !isSameIncarnation(update, known);
   if (isNewIncarnation && isPresent(update)) {
     step.effects.push(log(MEMBERSHIP_EVENTS.joined, fields));
   }
--- a/src/core/membership/queries.ts
+++ b/src/core/membership/queries.ts
@@ -4,23 +4,28 @@
 import { hash32 } from '../peer/index.js';
 import type { Endpoint } from '../registry/backend.js';
 import { isPresent, type Member } from './member.js';
-import { JOIN_SETTLE_MS, LIST_SETTLE_MS, ONE_ZONE_LIMIT, ZONE_TIMEOUT_MS } from './settings.js';
+import {
+  JOIN_SETTLE_MS,
+  LIST_SETTLE_MS,
+  SINGLE_PROBE_GROUP_MAX_DAEMONS,
+  ZONE_TIMEOUT_MS,
+} from './settings.js';
 import type { MembershipState } from './state.js';
-import { factsOf } from './table.js';
+import { tableIndexOf } from './table.js';
 
 /**
  * Whether the fleet is small enough that all daemons probe one another across zones. Listed daemons
  * count too, so that a daemon that has just started does not mistake a large fleet for a small one.
  */
-export function isOneGroup(state: MembershipState): boolean {
-  const present = factsOf(state.members).present.length;
-  return Math.max(present, state.listed.length + 1) <= ONE_ZONE_LIMIT;
+export function isSingleProbeGroup(state: MembershipState): boolean {
+  const present = tableIndexOf(state.members).present.length;
+  return Math.max(present, state.listed.length + 1) <= SINGLE_PROBE_GROUP_MAX_DAEMONS;
 }
 
 /** The daemons that this one probes and gossips with, excluding itself. */
 export function probeGroup(state: MembershipState): readonly Member[] {
-  const { present, zones } = factsOf(state.members);
-  const group = isOneGroup(state) ? present : zones.get(state.self.zone)?.present;
+  const { present, zones } = tableIndexOf(state.members);
+  const group = isSingleProbeGroup(state) ? present : zones.get(state.self.zone)?.present;
   return (group ?? []).filter((member) => member.name !== state.self.name);
 }
 
@@ -29,24 +34,24 @@
  * fleet.
  */
 export function isZoneReachable(state: MembershipState, zone: ZoneName): boolean {
-  if (zone === state.self.zone || isOneGroup(state)) {
+  if (zone === state.self.zone || isSingleProbeGroup(state)) {
     return true;
   }
   const view = state.zones.get(zone);
-  return view !== undefined && state.observedAt - view.heardAt < ZONE_TIMEOUT_MS;
+  return view !== undefined && state.observedAt - view.advancedAt < ZONE_TIMEOUT_MS;
 }
 
 /**
  * Zones with members whose heartbeat has stopped: cut off or down, which can't be distinguished.
  */
 export function unreachableZones(state: MembershipState): readonly ZoneName[] {
-  const zones = [...factsOf(state.members).zones.keys()];
+  const zones = [...tableIndexOf(state.members).zones.keys()];
   return zones.filter((zone) => !isZoneReachable(state, zone)).sort();
 }
 
 /** The daemons that are alive and in a reachable zone, including this one. */
 export function aliveMembers(state: MembershipState): readonly Member[] {
-  const zones = [...factsOf(state.members).zones];
+  const zones = [...tableIndexOf(state.members).zones];
   return zones.flatMap(([zone, { alive }]) => (isZoneReachable(state, zone) ? alive : []));
 }
 
@@ -71,7 +76,7 @@
 }
 
 /** Whether this incarnation of the daemon, or a later one, is in the table. */
-export function knowsLife(
+export function knowsIncarnation(
   state: MembershipState,
   daemon: DaemonName,
   incarnation: Incarnation,
@@ -84,7 +89,7 @@
  * its leave, or it was declared dead. The last is an inference, not a proof: a daemon that is cut
  * off may still run.
  */
-export function isGone(
+export function hasIncarnationEnded(
   state: MembershipState,
   daemon: DaemonName,
   incarnation: Incarnation,
@@ -138,7 +143,7 @@
 
 /** The daemons of a zone that exchange summaries with other zones. */
 export function relaysOf(state: MembershipState, zone: ZoneName): readonly Member[] {
-  return factsOf(state.members).zones.get(zone)?.relays ?? [];
+  return tableIndexOf(state.members).zones.get(zone)?.relays ?? [];
 }
 
 /** The endpoint of a daemon's peer transport; null if the daemon is unknown, dead or has left. */
--- a/src/core/membership/settings.ts
+++ b/src/core/membership/settings.ts
@@ -10,7 +10,7 @@
 /** The shortest suspicion timeout, in probe intervals times log10 of the group's size. */
 export const SUSPICION_MULTIPLIER = 3;
 /** The suspicion timeout without confirmations by other daemons, as a multiple of the shortest. */
-export const LONE_SUSPICION_FACTOR = 3;
+export const UNCONFIRMED_SUSPICION_FACTOR = 3;
 /** Number of confirmations by other daemons at which the suspicion timeout is shortest. */
 export const SUSPICION_CONFIRMATIONS = 3;
 /**
@@ -23,7 +23,7 @@
 /** Approximate limit for the size of the updates in one message. */
 export const MAX_UPDATE_BYTES = 800;
 /** A fleet of at most this many daemons is one probe group across zones. */
-export const ONE_ZONE_LIMIT = 16;
+export const SINGLE_PROBE_GROUP_MAX_DAEMONS = 16;
 /** Number of daemons in a zone that exchange summaries with other zones. */
 export const RELAYS_PER_ZONE = 2;
 /** Interval at which a relay sends its summary to each other zone. */
@@ -41,11 +41,11 @@
 /** Number of daemons contacted at a time while no other daemon is known. */
 export const JOIN_CONTACTS = 3;
 /** How long the entry of a dead or departed daemon is kept. */
-export const GONE_RETENTION_MS: Milliseconds = 600_000;
+export const DEPARTED_RETENTION_MS: Milliseconds = 600_000;
 /** A longer gap between ticks counts as a pause of this process, by which timeouts are extended. */
-export const PAUSE_MS: Milliseconds = 1_500;
+export const PAUSE_THRESHOLD_MS: Milliseconds = 1_500;
 /** The updates of a larger table are not gossiped one by one: summaries spread them. */
-export const BULK_TABLE_UPDATES = 32;
+export const MAX_GOSSIPED_TABLE_UPDATES = 32;
 /** Number of daemons that are notified of a planned leave directly. */
 export const LEAVE_FANOUT = 16;
 /**
--- a/src/core/membership/table.ts
+++ b/src/core/membership/table.ts
@@ -21,16 +21,16 @@
   readonly hash: number;
 }
 
-export interface TableFacts {
+export interface TableIndex {
   readonly present: readonly Member[];
   /** Zones with at least one present member. */
   readonly zones: ReadonlyMap<ZoneName, ZoneMembers>;
 }
 
-const indexCache = new WeakMap<MemberTable, TableFacts>();
+const indexCache = new WeakMap<MemberTable, TableIndex>();
 
 /** The data derived from a table, from the cache if present. */
-export function factsOf(table: MemberTable): TableFacts {
+export function tableIndexOf(table: MemberTable): TableIndex {
   let index = indexCache.get(table);
   if (index === undefined) {
     index = buildTableIndex(table);
@@ -43,11 +43,11 @@
  * Drops the cached data of a table. Must be called after a table not shared yet was changed in
  * place.
  */
-export function forgetFacts(table: MemberTable): void {
+export function invalidateTableIndex(table: MemberTable): void {
   indexCache.delete(table);
 }
 
-function buildTableIndex(table: MemberTable): TableFacts {
+function buildTableIndex(table: MemberTable): TableIndex {
   const present = [...table.values()].filter(isPresent);
   const byZone = new Map<ZoneName, Member[]>();
   for (const member of present) {
--- a/src/core/membership/zones.ts
+++ b/src/core/membership/zones.ts
@@ -10,16 +10,16 @@
 import type { Endpoint } from '../registry/backend.js';
 import { isPresent, type Member, toUpdate } from './member.js';
 import { mergeUpdates } from './merge.js';
-import { isOneGroup, isZoneReachable, probeGroup, relaysOf } from './queries.js';
+import { isSingleProbeGroup, isZoneReachable, probeGroup, relaysOf } from './queries.js';
 import {
-  BULK_TABLE_UPDATES,
-  GONE_RETENTION_MS,
+  DEPARTED_RETENTION_MS,
+  MAX_GOSSIPED_TABLE_UPDATES,
   RELAY_INTERVAL_MS,
   SUMMARY_INTERVAL_MS,
   TABLE_INTERVAL_MS,
 } from './settings.js';
 import { type MembershipState, type MembershipStep, withEntry } from './state.js';
-import { factsOf } from './table.js';
+import { tableIndexOf } from './table.js';
 
 /** Sends summaries when due: as a relay to other zones, and to a random member of the group. */
 export function exchangeSummaries(step: MembershipStep): void {
@@ -41,7 +41,7 @@
 function sendRelaySummaries(step: MembershipStep): void {
   const { state } = step;
   const isRelay = relaysOf(state, state.self.zone).some((relay) => relay.name === state.self.name);
-  if (isOneGroup(state) || !isRelay) {
+  if (isSingleProbeGroup(state) || !isRelay) {
     return;
   }
   recordHeartbeat(step, state.self.zone, (state.zones.get(state.self.zone)?.heartbeat ?? 0) + 1);
@@ -75,7 +75,7 @@
 }
 
 function summarize(state: MembershipState): readonly ZoneSummary[] {
-  return [...factsOf(state.members).zones].map(([zone, { hash }]) => ({
+  return [...tableIndexOf(state.members).zones].map(([zone, { hash }]) => ({
     zone,
     hash,
     heartbeat: state.zones.get(zone)?.heartbeat ?? 0,
@@ -90,7 +90,7 @@
   replyTo: Endpoint,
   theirs: readonly ZoneSummary[],
 ): void {
-  hearZones(step, theirs);
+  recordHeartbeats(step, theirs);
   const own = new Map(summarize(step.state).map((summary) => [summary.zone, summary.hash]));
   const differing = theirs
     .filter((summary) => own.get(summary.zone) !== summary.hash)
@@ -127,14 +127,14 @@
     readonly answerWanted: boolean;
   },
 ): void {
-  const isBulk = table.members.length > BULK_TABLE_UPDATES;
+  const isBulk = table.members.length > MAX_GOSSIPED_TABLE_UPDATES;
   mergeUpdates(step, table.members, isBulk ? 'keep' : 'pass-on');
   if (table.answerWanted) {
     sendTable(step, table.replyTo, table.zones, false);
   }
 }
 
-export function hearZones(step: MembershipStep, heartbeats: readonly ZoneHeartbeat[]): void {
+export function recordHeartbeats(step: MembershipStep, heartbeats: readonly ZoneHeartbeat[]): void {
   for (const { zone, heartbeat } of heartbeats) {
     recordHeartbeat(step, zone, heartbeat);
   }
@@ -143,7 +143,7 @@
 function recordHeartbeat(step: MembershipStep, zone: ZoneName, heartbeat: number): void {
   const known = step.state.zones.get(zone);
   if (known === undefined || heartbeat > known.heartbeat) {
-    const view = { heartbeat, heardAt: step.now };
+    const view = { heartbeat, advancedAt: step.now };
     step.change({ zones: withEntry(step.state.zones, zone, view) });
   }
 }
@@ -153,7 +153,7 @@
     (member) =>
       !isPresent(member) &&
       member.name !== step.state.self.name &&
-      step.now - member.statusSince >= GONE_RETENTION_MS,
+      step.now - member.statusSince >= DEPARTED_RETENTION_MS,
   );
   if (departed.length === 0) {
     return;
--- a/src/core/tenant-usage/report-duty.ts
+++ b/src/core/tenant-usage/report-duty.ts
@@ -18,7 +18,7 @@
 }
 
 /** The current time, and the progress reported by other daemons. */
-export interface UsageMoment {
+export interface UsageDutyInput {
   /** Monotonic clock. */
   readonly nowMs: number;
   /** The newest window that ended long enough ago for this daemon to report it if no other daemon has. */
@@ -69,7 +69,7 @@
    * Decides the next action.
    * @param collected the counts that were requested by `collect`; undefined until they have arrived
    */
-  next(moment: UsageMoment, collected: CollectedCounts | undefined): UsageAction {
+  next(moment: UsageDutyInput, collected: CollectedCounts | undefined): UsageAction {
     const { dueWindow, nowMs } = moment;
     this.#reportedWindow = Math.max(this.#reportedWindow, moment.reportedByOther);
     if (this.#reportedWindow >= dueWindow) return { kind: 'none' };
@@ -83,17 +83,17 @@
    * Applies the outcome of a read or write of the record.
    * @param sentMs when the call was sent
    */
-  takeRecord(outcome: RecordOutcome<UsageRecord>, sentMs: number, nowMs: number): void {
-    this.#lease.take(outcome, sentMs, nowMs);
+  applyRecord(outcome: RecordOutcome<UsageRecord>, sentMs: number, nowMs: number): void {
+    this.#lease.applyOutcome(outcome, sentMs, nowMs);
   }
 
-  takeReport(outcome: ReportOutcome, record: UsageRecord): void {
+  recordReportOutcome(outcome: ReportOutcome, record: UsageRecord): void {
     switch (outcome) {
       case 'accepted':
         this.#reportedWindow = Math.max(this.#reportedWindow, record.window);
         return;
       case 'deposed':
-        this.#lease.noteDeposed(record.fence);
+        this.#lease.recordDeposed(record.fence);
         return;
       case 'unknown':
         return;
@@ -102,7 +102,7 @@
 
   #nextAsHolder(
     { record, version }: SeenRecord<UsageRecord>,
-    moment: UsageMoment,
+    moment: UsageDutyInput,
     collected: CollectedCounts | undefined,
   ): UsageAction {
     const isUnreported =
--- a/src/core/tenant-usage/run-collection.ts
+++ b/src/core/tenant-usage/run-collection.ts
@@ -20,7 +20,7 @@
 const MAX_ENTRIES_PER_PART = 60;
 
 /** Splits a daemon's counts into parts. There is at least one, so that a daemon without counts also answers. */
-export function partsOf(
+export function splitIntoParts(
   counts: TenantCounts,
   head: Pick<UsagePart, 'daemon' | 'incarnation' | 'window'>,
 ): readonly UsagePart[] {
@@ -46,7 +46,7 @@
     this.window = window;
   }
 
-  take(part: UsagePart): void {
+  addPart(part: UsagePart): void {
     if (part.window !== this.window) return;
     const key = `${part.daemon} ${part.incarnation}`;
     const known = this.#received.get(key) ?? new Map<number, UsagePart>();
--- a/src/daemon/operator-backend.ts
+++ b/src/daemon/operator-backend.ts
@@ -64,7 +64,7 @@
   }
 
   /** Resolves the pending call of a submitted change with its outcome. */
-  receiveAnswer(effect: ChangeAnswerEffect): void {
+  resolveChange(effect: ChangeAnswerEffect): void {
     this.#pendingChanges.get(effect.token)?.(effect.outcome);
     this.#pendingChanges.delete(effect.token);
   }
--- a/src/shell/engine/reachability.ts
+++ b/src/shell/engine/reachability.ts
@@ -15,7 +15,7 @@
   readonly #silent = new Map<BackendName, Exclude<PollOutcome['kind'], 'reported'>>();
 
   /** Records the outcome of a poll; returns the line to log, or null if the state has not changed. */
-  observe(engine: BackendName, outcome: PollOutcome): LogEffect | null {
+  recordPoll(engine: BackendName, outcome: PollOutcome): LogEffect | null {
     const previous = this.#silent.get(engine) ?? 'reported';
     if (previous === outcome.kind) return null;
     if (outcome.kind === 'reported') this.#silent.delete(engine);
--- a/src/shell/http/active-request.ts
+++ b/src/shell/http/active-request.ts
@@ -51,10 +51,10 @@
   /** Shared by all streams. Empty between two turns of the event loop. */
   readonly eventBuffer: EventBuffer;
   now(): MonotonicMs;
-  attemptEvent(request: ActiveRequest, event: AttemptEvent): void;
+  onAttemptEvent(request: ActiveRequest, event: AttemptEvent): void;
   /** Called once the response is closed and no attempt runs, so that the request can be removed. */
-  released(request: ActiveRequest): void;
-  callerGone(request: ActiveRequest): void;
+  onReleased(request: ActiveRequest): void;
+  onCallerGone(request: ActiveRequest): void;
 }
 
 /** A request, from its body's arrival until its response is closed and its last attempt ended. */
@@ -118,10 +118,10 @@
   }
 
   /** Reports the end of the current attempt to the core and clears it. */
-  attemptOver(attempt: RunningAttempt, event: AttemptEvent): void {
+  onAttemptEnded(attempt: RunningAttempt, event: AttemptEvent): void {
     if (this.attempt !== attempt) return;
     this.attempt = null;
-    this.host.attemptEvent(this, event);
+    this.host.onAttemptEvent(this, event);
     this.#releaseIfEnded();
   }
 
@@ -183,7 +183,7 @@
   }
 
   /** Closes the caller's connection at once. */
-  cut(): void {
+  closeConnection(): void {
     this.response.destroy();
   }
 
@@ -195,7 +195,7 @@
   readonly #onClose = (): void => {
     this.#responseClosed = true;
     this.pausedSince = null;
-    if (!this.#answered) this.host.callerGone(this);
+    if (!this.#answered) this.host.onCallerGone(this);
     this.attempt?.resume();
     this.#releaseIfEnded();
   };
@@ -206,7 +206,7 @@
   };
 
   #releaseIfEnded(): void {
-    if (this.#responseClosed && this.attempt === null) this.host.released(this);
+    if (this.#responseClosed && this.attempt === null) this.host.onReleased(this);
   }
 }
 
--- a/src/shell/http/backend-attempt.ts
+++ b/src/shell/http/backend-attempt.ts
@@ -7,7 +7,7 @@
 import { GRANT_LAPSED, type RequestEffect } from '../../core/requests/index.js';
 import type { ActiveRequest } from './active-request.js';
 import { EngineRefusal, isRefusalStatus } from './engine-refusal.js';
-import { single } from './headers.js';
+import { singleValue } from './headers.js';
 
 /** The core's order to send a request to one backend. */
 export type DispatchEffect = Extract<RequestEffect, { kind: 'dispatch' }>;
@@ -75,7 +75,7 @@
     const hasStarted = this.controller !== null;
     this.controller = controller;
     if (this.#ended) controller.abort(CANCELLED);
-    else if (hasStarted) this.broken('sent-twice');
+    else if (hasStarted) this.abortAsBroken('sent-twice');
     else if (this.#hasGrantLapsed()) this.#abortBeforeSend(controller);
   }
 
@@ -86,7 +86,7 @@
   ): void {
     if (this.#ended || status < 200) return;
     if (this.request.description.target.kind === 'web') {
-      this.answerBegins(status, headers);
+      this.onAnswerStart(status, headers);
       return;
     }
     const attemptHeader = headers['x-threadfork-attempt'];
@@ -96,23 +96,23 @@
     ) {
       this.refusal = new EngineRefusal(status, headers);
     } else if (attemptHeader !== this.effect.attempt) {
-      this.broken('foreign-answer');
+      this.abortAsBroken('foreign-answer');
     } else if (status === 200 || REQUEST_ERROR_STATUSES.has(status)) {
-      this.answerBegins(status, headers);
+      this.onAnswerStart(status, headers);
     } else {
-      this.broken(`status-${status}`);
+      this.abortAsBroken(`status-${status}`);
     }
   }
 
   onResponseData(_controller: Dispatcher.DispatchController, chunk: Buffer): void {
     if (this.#ended) return;
-    if (this.refusal === null) this.answerData(chunk);
-    else if (!this.refusal.add(chunk)) this.broken('refusal-too-large');
+    if (this.refusal === null) this.onAnswerData(chunk);
+    else if (!this.refusal.add(chunk)) this.abortAsBroken('refusal-too-large');
   }
 
   onResponseEnd(): void {
     if (this.#ended) return;
-    if (this.refusal === null) this.answerEnds();
+    if (this.refusal === null) this.onAnswerEnd();
     else this.#reportRefused(this.refusal);
   }
 
@@ -127,24 +127,24 @@
   }
 
   /** Called with the head of an answer that is to be forwarded to the caller. */
-  protected abstract answerBegins(status: number, headers: IncomingHttpHeaders): void;
+  protected abstract onAnswerStart(status: number, headers: IncomingHttpHeaders): void;
   /** Called with each chunk of that answer's body. */
-  protected abstract answerData(chunk: Buffer): void;
+  protected abstract onAnswerData(chunk: Buffer): void;
   /** Called when the backend has ended that answer. */
-  protected abstract answerEnds(): void;
+  protected abstract onAnswerEnd(): void;
 
   protected get over(): boolean {
     return this.#ended;
   }
 
   /** Reports the attempt's end; later callbacks of undici are ignored. */
-  protected finish(event: Parameters<ActiveRequest['attemptOver']>[1]): void {
+  protected finish(event: Parameters<ActiveRequest['onAttemptEnded']>[1]): void {
     this.#ended = true;
-    this.request.attemptOver(this, event);
+    this.request.onAttemptEnded(this, event);
   }
 
   /** Reports the attempt as broken and closes its connection, since its answer can't be used. */
-  protected broken(reason: string): void {
+  protected abortAsBroken(reason: string): void {
     const controller = this.controller;
     this.#reportBroken(reason);
     controller?.abort(PROTOCOL_VIOLATION);
@@ -214,6 +214,6 @@
 
 /** The Content-Length of a body, or null when it is absent. */
 export function contentLengthOf(headers: IncomingHttpHeaders): number | null {
-  const text = single(headers['content-length']);
+  const text = singleValue(headers['content-length']);
   return text === undefined ? null : Number(text);
 }
--- a/src/shell/http/body-reader.ts
+++ b/src/shell/http/body-reader.ts
@@ -17,7 +17,7 @@
   }
 
   /** Reserves bytes; false when the total would exceed the limit. */
-  take(bytes: number): boolean {
+  tryReserve(bytes: number): boolean {
     if (this.#heldBytes + bytes > this.#limitBytes) return false;
     this.#heldBytes += bytes;
     return true;
@@ -79,7 +79,7 @@
       this.#finish({ kind: 'refused', fault: tooLarge(this.maxBytes) });
       return;
     }
-    if (!this.budget.take(chunk.length)) {
+    if (!this.budget.tryReserve(chunk.length)) {
       this.#finish({ kind: 'refused', fault: TOO_MANY_BODIES });
       return;
     }
--- a/src/shell/http/caller-connections.ts
+++ b/src/shell/http/caller-connections.ts
@@ -10,19 +10,19 @@
   #closing = false;
 
   /** Tracks a new connection until it closes. */
-  opened(socket: Socket): void {
+  track(socket: Socket): void {
     this.#requestCounts.set(socket, 0);
     socket.once('close', () => this.#onClosed(socket));
   }
 
   /** Resolves when no connection is open. */
-  noneLeft(): Promise<void> {
+  allClosed(): Promise<void> {
     if (this.#requestCounts.size === 0) return Promise.resolve();
     return new Promise((resolve) => this.#allClosedCallbacks.push(resolve));
   }
 
   /** Counts a request of a connection until its response is closed. */
-  requestBegan(socket: Socket, response: ServerResponse): void {
+  trackRequest(socket: Socket, response: ServerResponse): void {
     this.#requestCounts.set(socket, (this.#requestCounts.get(socket) ?? 0) + 1);
     response.once('close', () => this.#onRequestEnded(socket));
   }
--- a/src/shell/http/caller-routes.ts
+++ b/src/shell/http/caller-routes.ts
@@ -8,16 +8,16 @@
 import { type Caller, identifyCaller, NOT_CONFIGURED } from './caller-options.js';
 import type { ConfigurationIndex } from './configuration-index.js';
 import { refuseEarly } from './early-refusal.js';
-import {
-  type Arrival,
-  type Intake,
-  MODEL_PATHS,
-  takeModelRequest,
-  takeWebRequest,
-} from './intake.js';
 import type { HttpLimits } from './limits.js';
 import type { CompletionShape } from './model-call.js';
 import { answerPage, METHOD_NOT_ALLOWED, type PageSources, UNKNOWN_ROUTE } from './pages.js';
+import {
+  type Arrival,
+  MODEL_PATHS,
+  type PreparedRequest,
+  prepareModelRequest,
+  prepareWebRequest,
+} from './request-preparation.js';
 
 const ABSOLUTE_FORM = /^https?:\/\/[^/?]*/i;
 
@@ -31,10 +31,10 @@
   /** The index of the configuration that is in force now. */
   index(): ConfigurationIndex;
   /** Starts a request. Its body stays reserved in `bodies` until the request is released. */
-  begin(preparedRequest: Intake, response: ServerResponse): void;
+  startRequest(preparedRequest: PreparedRequest, response: ServerResponse): void;
 }
 
-type TakeIn = (arrival: Arrival, caller: Caller) => Result<Intake, Fault>;
+type PrepareRequest = (arrival: Arrival, caller: Caller) => Result<PreparedRequest, Fault>;
 
 /** The routes of one server. */
 export class CallerRoutes {
@@ -69,7 +69,7 @@
     }
     const caller = identifyCaller(this.#host.index(), request.headers, false);
     this.#readAndPrepare(request, response, path, caller, (arrival, identified) =>
-      takeModelRequest(arrival, shape, identified, this.#host.limits.maxOutputTokens),
+      prepareModelRequest(arrival, shape, identified, this.#host.limits.maxOutputTokens),
     );
   }
 
@@ -85,7 +85,7 @@
     }
     const caller = identifyCaller(index, request.headers, true);
     this.#readAndPrepare(request, response, path, caller, (arrival, identified) =>
-      takeWebRequest(arrival, route, identified),
+      prepareWebRequest(arrival, route, identified),
     );
   }
 
@@ -94,7 +94,7 @@
     response: ServerResponse,
     path: string,
     caller: Result<Caller, Fault>,
-    prepare: TakeIn,
+    prepare: PrepareRequest,
   ): void {
     if (caller.isErr()) {
       refuseEarly(request, response, caller.error);
@@ -114,7 +114,7 @@
     path: string,
     body: Buffer,
     caller: Caller,
-    prepare: TakeIn,
+    prepare: PrepareRequest,
   ): void {
     const host = this.#host;
     const id = host.nextId();
@@ -123,7 +123,7 @@
       caller,
     );
     if (prepared.isOk()) {
-      host.begin(prepared.value, response);
+      host.startRequest(prepared.value, response);
       return;
     }
     host.bodies.release(body.length);
--- a/src/shell/http/caller-server.ts
+++ b/src/shell/http/caller-server.ts
@@ -19,11 +19,11 @@
 import { answerClientError, type ClientError } from './client-error.js';
 import { ConfigurationIndex } from './configuration-index.js';
 import { EventBuffer } from './event-buffer.js';
-import type { Intake } from './intake.js';
 import type { HttpLimits } from './limits.js';
 import type { PageSources } from './pages.js';
+import { PassThroughAttempt } from './pass-through-attempt.js';
+import type { PreparedRequest } from './request-preparation.js';
 import { StreamAttempt } from './stream-attempt.js';
-import { WholeAttempt } from './whole-attempt.js';
 
 /** Events that the server emits to the core. */
 export type CallerEvent =
@@ -101,13 +101,13 @@
         noDelay: true,
       },
       (request, response) => {
-        this.#connections.requestBegan(request.socket, response);
+        this.#connections.trackRequest(request.socket, response);
         if (this.#stopping) response.shouldKeepAlive = false;
         this.#routes.handle(request, response);
       },
     );
     this.#server.maxConnections = limits.maxConnections;
-    this.#server.on('connection', (socket: Socket) => this.#connections.opened(socket));
+    this.#server.on('connection', (socket: Socket) => this.#connections.track(socket));
     this.#server.on('clientError', (error: ClientError, socket) =>
       answerClientError(error, socket as Socket),
     );
@@ -187,8 +187,8 @@
   }
 
   /** Resolves when no caller connection is open. After `stopAccepting` no new one can be opened. */
-  connectionsEnded(): Promise<void> {
-    return this.#connections.noneLeft();
+  callerConnectionsClosed(): Promise<void> {
+    return this.#connections.allClosed();
   }
 
   /** Closes the server and all connections to callers and backends at once. */
@@ -206,17 +206,17 @@
   }
 
   /** Reports an event of an attempt to the core. */
-  attemptEvent(request: ActiveRequest, event: AttemptEvent): void {
+  onAttemptEvent(request: ActiveRequest, event: AttemptEvent): void {
     this.#options.emit({ kind: 'attempt', request: request.description.id, event });
   }
 
   /** Reports to the core that a caller disconnected before its answer was complete. */
-  callerGone(request: ActiveRequest): void {
+  onCallerGone(request: ActiveRequest): void {
     this.#options.emit({ kind: 'caller-gone', request: request.description.id });
   }
 
   /** Removes a request and releases its body. */
-  released(request: ActiveRequest): void {
+  onReleased(request: ActiveRequest): void {
     if (!this.#requests.delete(request.description.id)) return;
     this.bodies.release(request.heldBytes);
   }
@@ -241,7 +241,7 @@
   }
 
   /** Registers a request and reports its arrival to the core. */
-  begin(preparedRequest: Intake, response: ServerResponse): void {
+  startRequest(preparedRequest: PreparedRequest, response: ServerResponse): void {
     const { description, call, plan } = preparedRequest;
     const active = new ActiveRequest(this, description, response, call, plan);
     this.#requests.set(description.id, active);
@@ -267,7 +267,8 @@
     const now = this.now();
     for (const request of this.#requests.values()) {
       const since = request.pausedSince;
-      if (since !== null && now - since >= this.limits.callerStallTimeoutMs) request.cut();
+      if (since !== null && now - since >= this.limits.callerStallTimeoutMs)
+        request.closeConnection();
     }
     this.#pools.sweep(now);
   }
@@ -275,6 +276,6 @@
 
 function newAttempt(request: ActiveRequest, effect: DispatchEffect): BackendAttempt {
   const head = request.plan.answerHead;
-  if (head === null) return new WholeAttempt(request, effect);
+  if (head === null) return new PassThroughAttempt(request, effect);
   return new StreamAttempt(request, effect, head);
 }
--- a/src/shell/http/headers.ts
+++ b/src/shell/http/headers.ts
@@ -80,7 +80,7 @@
 }
 
 /** The value of a header, or undefined when it is absent or occurs more than once. */
-export function single(value: string | string[] | undefined): string | undefined {
+export function singleValue(value: string | string[] | undefined): string | undefined {
   return typeof value === 'string' ? value : undefined;
 }
 
--- a/src/shell/http/whole-attempt.ts
+++ b/src/shell/http/pass-through-attempt.ts
@@ -19,16 +19,16 @@
 const BODILESS_STATUSES: ReadonlySet<number> = new Set([204, 304]);
 
 /** An attempt whose answer is forwarded unchanged. */
-export class WholeAttempt extends BackendAttempt {
+export class PassThroughAttempt extends BackendAttempt {
   #start: AnswerStart | null = null;
   #chunks: Buffer[] | null = null;
   #receivedBytes = 0;
   #lastChunk: Buffer | null = null;
 
-  protected override answerBegins(status: number, headers: IncomingHttpHeaders): void {
+  protected override onAnswerStart(status: number, headers: IncomingHttpHeaders): void {
     const length = contentLengthOf(headers);
     if (length === null && !this.#isLengthOptional(status, headers)) {
-      this.broken('no-length');
+      this.abortAsBroken('no-length');
       return;
     }
     this.#start = { status, headers: this.#callerHeaders(headers, length), length };
@@ -36,17 +36,17 @@
     else this.#forwardHead(this.#start);
   }
 
-  protected override answerData(chunk: Buffer): void {
+  protected override onAnswerData(chunk: Buffer): void {
     this.#receivedBytes += chunk.length;
     this.#lastChunk = chunk;
     if (this.#chunks !== null) this.#chunks.push(chunk);
     else this.request.write(chunk);
   }
 
-  protected override answerEnds(): void {
+  protected override onAnswerEnd(): void {
     const start = this.#start;
     if (start === null || !this.#isComplete(start)) {
-      this.broken('wrong-length');
+      this.abortAsBroken('wrong-length');
       return;
     }
     if (this.#chunks !== null) {
@@ -63,7 +63,7 @@
     const isModel = this.request.description.target.kind === 'model';
     const usage = isModel ? readUsage(body) : null;
     if (isModel && start.status === 200 && (usage === null || !isJson(body))) {
-      this.broken('malformed-answer');
+      this.abortAsBroken('malformed-answer');
       return;
     }
     this.request.writeHead(start.status, start.headers);
@@ -73,7 +73,7 @@
 
   #forwardHead(start: AnswerStart): void {
     this.request.writeHead(start.status, start.headers);
-    this.request.host.attemptEvent(this.request, {
+    this.request.host.onAttemptEvent(this.request, {
       kind: 'first-byte',
       attempt: this.effect.attempt,
       status: start.status,
--- a/src/shell/http/intake.ts
+++ b/src/shell/http/request-preparation.ts
@@ -31,7 +31,7 @@
 }
 
 /** A request that is ready to be passed to the core. */
-export interface Intake {
+export interface PreparedRequest {
   readonly description: RequestDescription;
   readonly call: BackendCall;
   readonly plan: AnswerPlan;
@@ -40,16 +40,16 @@
 /** The prompt blocks hashed for prefix affinity; hashing more costs more than it gains. */
 const MAX_PREFIX_BLOCKS = 32;
 const REPEATABLE_METHODS: ReadonlySet<string> = new Set(['GET', 'HEAD']);
-const WHOLE_PLAN: AnswerPlan = { answerHead: null, includeUsage: false };
+const PASS_THROUGH_PLAN: AnswerPlan = { answerHead: null, includeUsage: false };
 const MODEL_HEADERS = ['content-type', 'application/json'] as const;
 
 /** Prepares a completion or chat completion request. */
-export function takeModelRequest(
+export function prepareModelRequest(
   arrival: Arrival,
   shape: CompletionShape,
   caller: Caller,
   maxOutputTokens: number,
-): Result<Intake, Fault> {
+): Result<PreparedRequest, Fault> {
   const { body, index, path } = arrival;
   const options = readCallerOptions(index, arrival.request.headers, caller);
   if (options.isErr()) return err(options.error);
@@ -80,16 +80,16 @@
   };
   const plan: AnswerPlan = call.streamed
     ? { answerHead: answerHead(arrival.id, call.modelName, shape), includeUsage: call.includeUsage }
-    : WHOLE_PLAN;
+    : PASS_THROUGH_PLAN;
   return ok({ description, call: { method: 'POST', path, body, headers: MODEL_HEADERS }, plan });
 }
 
 /** Prepares a request to a web service. */
-export function takeWebRequest(
+export function prepareWebRequest(
   arrival: Arrival,
   route: RouteConfiguration,
   caller: Caller,
-): Result<Intake, Fault> {
+): Result<PreparedRequest, Fault> {
   const { request, body, index } = arrival;
   const options = readCallerOptions(index, request.headers, caller);
   if (options.isErr()) return err(options.error);
@@ -110,11 +110,15 @@
   };
   const headers = requestHeadersToBackend(request.rawHeaders, request.headers, {
     callerAddress: request.socket.remoteAddress ?? '',
-    stripAuthorization: caller.byKey,
+    stripAuthorization: caller.identifiedByKey,
   });
   const bodyToSend =
     body.length === 0 && request.headers['content-length'] === undefined ? null : body;
-  return ok({ description, call: { method, path, body: bodyToSend, headers }, plan: WHOLE_PLAN });
+  return ok({
+    description,
+    call: { method, path, body: bodyToSend, headers },
+    plan: PASS_THROUGH_PLAN,
+  });
 }
 
 function answerHead(
--- a/src/shell/metrics/fleet-gauges.ts
+++ b/src/shell/metrics/fleet-gauges.ts
@@ -91,7 +91,7 @@
   }
 
   /** Sets the gauges from a sample. */
-  show(sample: FleetSample): void {
+  update(sample: FleetSample): void {
     for (const { key, gauge } of this.#numberGauges) gauge.set(sample[key]);
     this.#updateEngines(sample);
     this.#updateReportAges(sample);
--- a/src/shell/metrics/metrics.ts
+++ b/src/shell/metrics/metrics.ts
@@ -21,15 +21,15 @@
 /** Records events of a daemon and exports them as metrics. */
 export interface Metrics {
   /** Records an event of an attempt, as reported by the HTTP server. */
-  attemptEvent(request: RequestId, event: AttemptEvent, now: MonotonicMs): void;
+  recordAttemptEvent(request: RequestId, event: AttemptEvent, now: MonotonicMs): void;
   /** Records a notice of the request table. */
-  requestNotice(notice: RequestNotice, now: MonotonicMs): void;
+  recordRequestNotice(notice: RequestNotice, now: MonotonicMs): void;
   /** Records a fault that was answered to a caller. */
-  fault(fault: Fault): void;
+  recordFault(fault: Fault): void;
   /** Records a call to the platform's table service. */
-  tableCall(call: TableCall, result: TableResult): void;
+  recordTableCall(call: TableCall, result: TableResult): void;
   /** Records an order to an engine. Role changes have the label `action="set-role"`. */
-  order(order: Order, answer: OrderAnswer): void;
+  recordOrder(order: Order, answer: OrderAnswer): void;
   /** All metrics as text. */
   text(): Promise<string>;
 }
@@ -53,15 +53,15 @@
     registers: [registry],
   });
   return {
-    attemptEvent: (request, event, now) => requests.attemptEvent(request, event, now),
-    requestNotice: (notice, now) => requests.notice(notice, now),
-    fault: (fault) => requests.fault(fault),
-    tableCall: (call, result) => tableCalls.inc({ call: call.kind, result: result.kind }),
-    order: (order, answer) =>
+    recordAttemptEvent: (request, event, now) => requests.recordAttemptEvent(request, event, now),
+    recordRequestNotice: (notice, now) => requests.recordNotice(notice, now),
+    recordFault: (fault) => requests.recordFault(fault),
+    recordTableCall: (call, result) => tableCalls.inc({ call: call.kind, result: result.kind }),
+    recordOrder: (order, answer) =>
       orders.inc({ action: order.action.kind, answer: answerLabel(answer) }),
     text: () => {
       const sample = options.sample();
-      if (sample !== null) gauges.show(sample);
+      if (sample !== null) gauges.update(sample);
       return registry.metrics();
     },
   };
--- a/src/shell/platform/exchange.ts
+++ b/src/shell/platform/http-connection-pool.ts
@@ -39,7 +39,7 @@
 }
 
 /** A pool of connections to one address. */
-export class PlatformConnections {
+export class HttpConnectionPool {
   private readonly pool: Pool;
 
   constructor(private readonly options: ExchangeOptions) {
--- a/src/shell/platform/retry-after.ts
+++ b/src/shell/platform/retry-after.ts
@@ -1,6 +1,6 @@
 /** Reads the delay before a retry from the platform's answer. */
 import type { Milliseconds } from '../../core/common/time.js';
-import type { Exchange } from './exchange.js';
+import type { Exchange } from './http-connection-pool.js';
 
 /** Delay before a retry if the platform's answer does not contain one. */
 export const DEFAULT_RETRY_AFTER_MS = 500;
--- a/src/shell/settings/keys.ts
+++ b/src/shell/settings/keys.ts
@@ -51,7 +51,7 @@
 }
 
 /** The keys allowed in the mapping at a path; empty if there is no mapping at the path. */
-export function namesAt(path: readonly PropertyKey[]): readonly string[] {
+export function keyNamesAt(path: readonly PropertyKey[]): readonly string[] {
   const node = path.reduce<SchemaNode | undefined>(
     (parent, segment) =>
       typeof segment === 'number' ? parent?.items : parent?.properties?.[String(segment)],
--- a/test/capacity/plan-capacity.test.ts
+++ b/test/capacity/plan-capacity.test.ts
@@ -24,7 +24,7 @@
 }
 
 function plan(fields: Partial<CapacityInput> & Pick<CapacityInput, 'zones'>) {
-  return planCapacity({ limits: LIMITS, wantedPerZone: 12, neededInAll: 0, ...fields });
+  return planCapacity({ limits: LIMITS, wantedPerZone: 12, neededTotal: 0, ...fields });
 }
 
 test('spot servers are ordered in addition to plain servers, which stay until the spot servers have come', () => {
@@ -34,12 +34,12 @@
 
 test('reclaimed spot servers are ordered again, not replaced by plain ones, while the other servers suffice', () => {
   const after = zones([1, 0], [1, 11]);
-  assert.deepEqual(plan({ zones: after, neededInAll: 10 }), zones([1, 11], [1, 11]));
+  assert.deepEqual(plan({ zones: after, neededTotal: 10 }), zones([1, 11], [1, 11]));
 });
 
 test('reclaimed spot servers are replaced by plain ones if the other servers do not suffice', () => {
   const after = zones([1, 0], [1, 11]);
-  assert.deepEqual(plan({ zones: after, neededInAll: 20 }), zones([12, 11], [1, 11]));
+  assert.deepEqual(plan({ zones: after, neededTotal: 20 }), zones([12, 11], [1, 11]));
 });
 
 test('no spot servers are ordered if they are not cheaper', () => {
@@ -57,7 +57,7 @@
       count,
       (counts, wanted, needed) => {
         const now = zones(...counts);
-        const targets = plan({ zones: now, wantedPerZone: wanted, neededInAll: needed });
+        const targets = plan({ zones: now, wantedPerZone: wanted, neededTotal: needed });
         for (const { plain, spot } of targets) {
           assert.ok(plain + spot <= LIMITS.max, `${plain} and ${spot}`);
           assert.ok(plain >= LIMITS.min);
--- a/test/capacity/spot-supply.test.ts
+++ b/test/capacity/spot-availability.test.ts
@@ -1,12 +1,12 @@
 /** When a zone counts as having no spot servers available. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
-import { SpotSupply } from '../../src/core/capacity/index.js';
+import { SpotAvailability } from '../../src/core/capacity/index.js';
 
 /** The losses detected in a sequence of server counts of one zone, `gapMs` apart. */
 function lossesOf(counts: readonly number[], gapMs: number, ordered: number): readonly number[] {
-  const supply = new SpotSupply();
-  return counts.map((servers, index) => supply.see('a', servers, ordered, index * gapMs));
+  const supply = new SpotAvailability();
+  return counts.map((servers, index) => supply.recordCount('a', servers, ordered, index * gapMs));
 }
 
 test('a loss of most servers of a zone, at once or within seconds, counts as reclaimed', () => {
@@ -21,16 +21,16 @@
 });
 
 test('a zone counts as having spot servers again once an order is accepted or servers have come', () => {
-  const supply = new SpotSupply();
-  supply.noteOrder('a', 'conflict');
+  const supply = new SpotAvailability();
+  supply.recordOrderOutcome('a', 'conflict');
   assert.equal(supply.hasSpot('a'), false);
-  supply.noteOrder('a', 'unknown');
+  supply.recordOrderOutcome('a', 'unknown');
   assert.equal(supply.hasSpot('a'), false);
-  supply.noteOrder('a', 'accepted');
+  supply.recordOrderOutcome('a', 'accepted');
   assert.equal(supply.hasSpot('a'), true);
-  supply.see('b', 8, 8, 0);
-  supply.see('b', 0, 8, 200);
+  supply.recordCount('b', 8, 8, 0);
+  supply.recordCount('b', 0, 8, 200);
   assert.equal(supply.hasSpot('b'), false);
-  supply.see('b', 3, 8, 400);
+  supply.recordCount('b', 3, 8, 400);
   assert.equal(supply.hasSpot('b'), true);
 });
--- a/test/capacity/bearing-loss.test.ts
+++ b/test/capacity/zone-loss.test.ts
@@ -176,11 +176,11 @@
 
 test('more work adds servers beyond the initial number, which are removed only after a lasting decrease', () => {
   const { platform, daemons } = settledFleet();
-  platform.neededWithRoom = 36;
+  platform.neededWithHeadroom = 36;
   runFor(platform, daemons, 2 * BOOT_MS);
   const ready = platform.ready;
   assert.ok(ready >= 51, `${ready} servers`);
-  platform.neededWithRoom = 20;
+  platform.neededWithHeadroom = 20;
   runFor(platform, daemons, 4 * BOOT_MS);
   assert.equal(platform.ready, ready);
   runFor(platform, daemons, 12 * BOOT_MS);
@@ -191,17 +191,17 @@
   const { platform, daemons } = settledFleet(0);
   assert.equal(platform.ready, 1.5 * INITIAL_SERVERS);
   assert.equal(platform.countOf('plain'), 2);
-  platform.neededWithRoom = 20;
+  platform.neededWithHeadroom = 20;
   runFor(platform, daemons, 20 * BOOT_MS);
   assert.equal(platform.ready, INITIAL_SERVERS);
-  platform.neededWithRoom = 0;
+  platform.neededWithHeadroom = 0;
   runFor(platform, daemons, 20 * BOOT_MS);
   assert.equal(platform.ready, INITIAL_SERVERS, 'the need stays known while there is no work');
 });
 
 test('implausibly high demand raises the number of servers only up to the growth limit', () => {
   const { platform, daemons } = settledFleet();
-  platform.neededWithRoom = 1_000;
+  platform.neededWithHeadroom = 1_000;
   runFor(platform, daemons, 4 * BOOT_MS);
   assert.equal(platform.ready, 1.5 * INITIAL_SERVERS);
 });
@@ -227,12 +227,12 @@
   const daemons = [new SpotDaemon(platform, 'x')];
   runFor(platform, daemons, 60_000);
   assert.deepEqual(platform.receivedOrders, []);
-  assert.deepEqual(daemons[0]?.duty.beliefs, []);
+  assert.deepEqual(daemons[0]?.duty.summaries, []);
 });
 
 test('plain servers added while no zone has spot servers leave room to order spot servers later', () => {
   const { platform, daemons } = settledFleet();
-  platform.neededWithRoom = 100;
+  platform.neededWithHeadroom = 100;
   for (const zone of ['a', 'b', 'c']) platform.reclaim(zone, 10 * UNAVAILABLE_MS);
   runFor(platform, daemons, 4 * BOOT_MS);
   for (const zone of ['a', 'b', 'c']) assert.ok(platform.count(zone, 'plain') <= 38);
--- a/test/http/bad-input.test.ts
+++ b/test/http/bad-input.test.ts
@@ -7,6 +7,7 @@
   attemptOf,
   type Backend,
   call,
+  completionJson,
   type Harness,
   KEY,
   rawCall,
@@ -14,7 +15,6 @@
   startRawBackend,
   streamHead,
   tokenFrame,
-  wholeAnswer,
 } from './support.js';
 
 const LIMITS = {
@@ -273,7 +273,7 @@
 });
 
 test('the connection of a caller that pipelines requests without reading is closed', async (t) => {
-  const body = wholeAnswer('x'.repeat(60_000));
+  const body = completionJson('x'.repeat(60_000));
   onEngineRequest = (socket, text) =>
     socket.write(
       `HTTP/1.1 200 OK\r\nx-threadfork-attempt: ${attemptOf(text)}\r\ncontent-length: ${body.length}\r\n\r\n${body}`,
--- a/test/http/hostile-backends.test.ts
+++ b/test/http/hostile-backends.test.ts
@@ -6,6 +6,7 @@
   type Answer,
   attemptOf,
   call,
+  completionJson,
   dataOf,
   endFrames,
   type Harness,
@@ -15,7 +16,6 @@
   streamedText,
   streamHead,
   tokenFrame,
-  wholeAnswer,
 } from './support.js';
 
 const LIMITS = { backendStallTimeoutMs: 100, backendHeadersTimeoutMs: 100, maxFrameBytes: 2_000 };
@@ -30,7 +30,7 @@
 function serveCorrectly(socket: Socket, text: string): void {
   const attempt = attemptOf(text);
   if (!text.includes('"stream":true')) {
-    socket.end(completionResponse(attempt, wholeAnswer('whole')));
+    socket.end(completionResponse(attempt, completionJson('whole')));
     return;
   }
   socket.write(streamHead(attempt));
@@ -203,14 +203,14 @@
   }
 }
 
-const LARGE_COMPLETION = wholeAnswer('x'.repeat(200_000));
+const LARGE_COMPLETION = completionJson('x'.repeat(200_000));
 
 const COMPLETION_SCRIPTS: readonly (readonly [name: string, reason: string, script: Script])[] = [
   [
     'an early close',
     'UND_ERR_SOCKET',
     (socket, attempt) =>
-      socket.end(completionResponse(attempt, wholeAnswer('cut').slice(0, 50), 400)),
+      socket.end(completionResponse(attempt, completionJson('cut').slice(0, 50), 400)),
   ],
   [
     'a stall',
@@ -221,7 +221,9 @@
     'no content length',
     'no-length',
     (socket, attempt) =>
-      socket.end(`HTTP/1.1 200 OK\r\nx-threadfork-attempt: ${attempt}\r\n\r\n${wholeAnswer('x')}`),
+      socket.end(
+        `HTTP/1.1 200 OK\r\nx-threadfork-attempt: ${attempt}\r\n\r\n${completionJson('x')}`,
+      ),
   ],
   [
     'an answer that is not JSON',
@@ -232,14 +234,14 @@
     'a content length that is too small',
     'malformed-answer',
     (socket, attempt) => {
-      const body = wholeAnswer('cut');
+      const body = completionJson('cut');
       socket.end(completionResponse(attempt, body, body.length - 2));
     },
   ],
   [
     "another attempt's answer",
     'foreign-answer',
-    (socket) => socket.end(completionResponse('d9-1-1.1', wholeAnswer('FOREIGN'))),
+    (socket) => socket.end(completionResponse('d9-1-1.1', completionJson('FOREIGN'))),
   ],
   [
     'two content lengths',
@@ -256,7 +258,7 @@
     test(`unstreamed, ${name}: the caller gets the answer of a healthy engine`, async (t) => {
       const harness = await startPair(t, script);
       const answer = await call(harness.port, '/v1/completions', { body: COMPLETION });
-      assert.equal(answer.body, wholeAnswer('whole'));
+      assert.equal(answer.body, completionJson('whole'));
       assert.deepEqual(brokenReasons(harness), [reason]);
     });
 
@@ -300,7 +302,7 @@
 }
 
 test('bytes beyond the Content-Length are not forwarded', async (t) => {
-  const body = wholeAnswer('right');
+  const body = completionJson('right');
   const harness = await startPair(t, (socket, attempt) =>
     socket.end(`${completionResponse(attempt, body)}MORE`),
   );
@@ -316,7 +318,7 @@
     );
   const pair = await startPair(t, script);
   const answer = await call(pair.port, '/v1/completions', { body: COMPLETION });
-  assert.equal(answer.body, wholeAnswer('whole'));
+  assert.equal(answer.body, completionJson('whole'));
   const alone = await startPair(t, script, false);
   const refused = await call(alone.port, '/v1/completions', { body: COMPLETION });
   assert.equal(refused.status, 503);
--- a/test/membership/fleets.ts
+++ b/test/membership/fleets.ts
@@ -11,13 +11,13 @@
 export function startFleet(options: Partial<FleetOptions>): FleetSimulation {
   const fleet = new FleetSimulation({ seed: 1, daemons: 6, zones: 3, ...options });
   fleet.startAll();
-  const joined = fleet.runUntil(() => allKnowAll(fleet), JOIN_LIMIT_MS);
+  const joined = fleet.runUntil(() => hasConverged(fleet), JOIN_LIMIT_MS);
   assert.notEqual(joined, null, 'the daemons did not discover each other in time');
   return fleet;
 }
 
 /** Whether every running daemon considers as many daemons alive as are running. */
-export function allKnowAll(fleet: FleetSimulation): boolean {
+export function hasConverged(fleet: FleetSimulation): boolean {
   const running = fleet.running.length;
   return fleet.running.every((daemon) => aliveMembers(daemon.membership).length === running);
 }
