--- a/soak/address-block.ts
+++ b/soak/address-block.ts
@@ -2,7 +2,7 @@
 import { createServer, type Server } from 'node:net';
 
 const FIRST_BLOCK = 16;
-const BLOCKS = 200;
+const BLOCK_COUNT = 200;
 /** Bound at the block's own address for as long as a run has the block. */
 const CLAIM_PORT = 8_143;
 
@@ -18,8 +18,8 @@
 
   /** Takes the first block that no other run has. */
   static async claim(): Promise<AddressBlock> {
-    for (let place = 0; place < BLOCKS; place += 1) {
-      const block = FIRST_BLOCK + ((process.pid + place) % BLOCKS);
+    for (let offset = 0; offset < BLOCK_COUNT; offset += 1) {
+      const block = FIRST_BLOCK + ((process.pid + offset) % BLOCK_COUNT);
       const claim = await listenAt(`127.${block}.0.1`);
       if (claim !== undefined) return new AddressBlock(block, claim);
     }
--- a/soak/bundle.ts
+++ b/soak/bundle.ts
@@ -21,12 +21,12 @@
     target: 'node20',
     format: 'cjs',
     logLevel: 'warning',
-    plugins: mutation === undefined ? [] : [replacing(mutation)],
+    plugins: mutation === undefined ? [] : [mutationPlugin(mutation)],
   });
   return outfile;
 }
 
-function replacing({ name, file, text, replacement }: Mutation): Plugin {
+function mutationPlugin({ name, file, text, replacement }: Mutation): Plugin {
   const path = resolve(PROJECT_ROOT, file);
   const source = readFileSync(path, 'utf8');
   if (source.split(text).length !== 2) {
--- a/soak/callers.ts
+++ b/soak/callers.ts
@@ -13,14 +13,14 @@
 export const HOST = 'soak.example';
 const TICK_MS = 5;
 /** Kept open to each daemon while idle. */
-const FREE_CONNECTIONS = 32;
-const READINESS_GAP_MS = 100;
+const MAX_FREE_CONNECTIONS = 32;
+const READINESS_POLL_INTERVAL_MS = 100;
 /** A caller whose daemon took no connection tries another so soon, until its deadline. */
-const RECONNECT_GAP_MS = 100;
+const RECONNECT_DELAY_MS = 100;
 /** A refused caller without a usable `Retry-After` comes back after this. */
 const RETRY_AFTER_MS = 200;
 const CONNECT_TIMEOUT_MS = 1_000;
-const LEAVE_AFTER_MS = 40;
+const EARLY_LEAVE_AFTER_MS = 40;
 /** Some callers leave at any time, so that what is done for them is seen in calm times too. */
 export const USUAL_LEAVING_SHARE = 0.05;
 const BODY = 'what does this label say?';
@@ -44,7 +44,7 @@
 }
 
 /** What a caller wants, over all its calls for it. */
-interface Wish
+interface CallSpec
   extends Pick<
     CallRecord,
     'requestClass' | 'apiKey' | 'tenant' | 'body' | 'outputTokens' | 'deadlineMs'
@@ -58,9 +58,9 @@
   readonly #agents = new Map<string, http.Agent>();
   #ready: readonly GatewayProcess[] = [];
   #tick: NodeJS.Timeout | undefined;
-  #look: NodeJS.Timeout | undefined;
+  #readinessPoll: NodeJS.Timeout | undefined;
   #lastMs = 0;
-  #owed = 0;
+  #dueCalls = 0;
   #sent = 0;
   #isSending = false;
   #crashing = 0;
@@ -78,13 +78,13 @@
     this.#isSending = true;
     this.#lastMs = performance.now();
     this.#tick = setInterval(() => this.#sendDue(), TICK_MS);
-    const look = async () => {
+    const pollReadiness = async () => {
       const { daemons } = this.#options;
       const ready = await Promise.all(daemons.map((daemon) => daemon.isReady()));
       this.#ready = daemons.filter((_, index) => ready[index]);
-      this.#look = setTimeout(() => void look(), READINESS_GAP_MS);
+      this.#readinessPoll = setTimeout(() => void pollReadiness(), READINESS_POLL_INTERVAL_MS);
     };
-    void look();
+    void pollReadiness();
   }
 
   /** Begins to send a piece of work that ends servers, at any daemon, until all sending ends. */
@@ -93,7 +93,7 @@
     const [owner] = keys;
     if (owner === undefined || !this.#isSending) return;
     this.#crashing += 1;
-    const wish = {
+    const spec = {
       requestClass: pickByShare(classes, work.classDraw),
       apiKey: owner.key,
       tenant: owner.tenant,
@@ -101,7 +101,7 @@
       outputTokens: SHORT_TOKENS,
       isRetry: false,
     };
-    const send = () => this.#send({ ...wish, deadlineMs: performance.now() + DEADLINE_MS });
+    const send = () => this.#send({ ...spec, deadlineMs: performance.now() + DEADLINE_MS });
     this.#repeats.push(setInterval(send, work.gapMs));
   }
 
@@ -109,7 +109,7 @@
     this.#isSending = false;
     for (const repeat of this.#repeats) clearInterval(repeat);
     clearInterval(this.#tick);
-    clearTimeout(this.#look);
+    clearTimeout(this.#readinessPoll);
   }
 
   close(): void {
@@ -120,9 +120,9 @@
   #sendDue(): void {
     const nowMs = performance.now();
     const { requestsPerSecond } = this.#options;
-    this.#owed += ((nowMs - this.#lastMs) / 1_000) * requestsPerSecond * this.factor;
+    this.#dueCalls += ((nowMs - this.#lastMs) / 1_000) * requestsPerSecond * this.factor;
     this.#lastMs = nowMs;
-    for (; this.#owed >= 1; this.#owed -= 1) this.#sendOne();
+    for (; this.#dueCalls >= 1; this.#dueCalls -= 1) this.#sendOne();
   }
 
   #sendOne(): void {
@@ -139,11 +139,11 @@
     });
   }
 
-  #send(wish: Wish): void {
+  #send(spec: CallSpec): void {
     const daemon = this.#chooseDaemon();
     if (daemon === undefined) return;
     this.#sent += 1;
-    const { isRetry: _, ...fields } = wish;
+    const { isRetry: _, ...fields } = spec;
     const call: CallRecord = {
       ...fields,
       id: `r${this.#sent}`,
@@ -156,26 +156,26 @@
     };
     this.#options.calls.set(call.id, call);
     const leavesEarly = this.#options.random() < this.leavingShare;
-    const noteEnd = (end: CallEnd) => this.#retry(wish, end);
-    sendCall({ call, daemon, agent: this.#agentOf(daemon), leavesEarly, noteEnd });
+    const onEnd = (end: CallEnd) => this.#retry(spec, end);
+    sendCall({ call, daemon, agent: this.#agentOf(daemon), leavesEarly, onEnd });
   }
 
   /** A caller comes back once after a refusal, and until its deadline when nothing took its connection. */
-  #retry(wish: Wish, end: CallEnd): void {
-    const afterMs = retryAfterMs(wish, end);
-    if (afterMs === undefined || performance.now() + afterMs > wish.deadlineMs) return;
-    const isRetry = wish.isRetry || end.kind === 'answered';
+  #retry(spec: CallSpec, end: CallEnd): void {
+    const afterMs = retryAfterMs(spec, end);
+    if (afterMs === undefined || performance.now() + afterMs > spec.deadlineMs) return;
+    const isRetry = spec.isRetry || end.kind === 'answered';
     setTimeout(() => {
-      if (this.#isSending) this.#send({ ...wish, isRetry });
+      if (this.#isSending) this.#send({ ...spec, isRetry });
     }, afterMs);
   }
 
   /** Any that has an open connection, or else one that is ready. */
   #chooseDaemon(): GatewayProcess | undefined {
     const { daemons, random } = this.#options;
-    const any = daemons[Math.floor(random() * daemons.length)];
-    if (any?.isRunning && this.#hasOpenConnection(any)) return any;
-    return this.#ready[Math.floor(random() * this.#ready.length)] ?? any;
+    const candidate = daemons[Math.floor(random() * daemons.length)];
+    if (candidate?.isRunning && this.#hasOpenConnection(candidate)) return candidate;
+    return this.#ready[Math.floor(random() * this.#ready.length)] ?? candidate;
   }
 
   #hasOpenConnection(daemon: GatewayProcess): boolean {
@@ -186,17 +186,17 @@
   #agentOf({ name }: GatewayProcess): http.Agent {
     const known = this.#agents.get(name);
     if (known !== undefined) return known;
-    const agent = new http.Agent({ keepAlive: true, maxFreeSockets: FREE_CONNECTIONS });
+    const agent = new http.Agent({ keepAlive: true, maxFreeSockets: MAX_FREE_CONNECTIONS });
     this.#agents.set(name, agent);
     return agent;
   }
 }
 
 function pickByShare(classes: readonly RequestClass[], draw: number): RequestClass {
-  let rest = draw;
+  let remaining = draw;
   for (const requestClass of classes) {
-    rest -= requestClass.share;
-    if (rest < 0) return requestClass;
+    remaining -= requestClass.share;
+    if (remaining < 0) return requestClass;
   }
   const last = classes.at(-1);
   if (last === undefined) throw new Error('a run needs a class of requests');
@@ -204,21 +204,21 @@
 }
 
 /** After how long a caller comes back; undefined where it does not. */
-function retryAfterMs(wish: Wish, end: CallEnd): number | undefined {
-  if (end.kind === 'not-connected') return RECONNECT_GAP_MS;
-  if (end.kind !== 'answered' || end.status !== 503 || wish.isRetry) return undefined;
+function retryAfterMs(spec: CallSpec, end: CallEnd): number | undefined {
+  if (end.kind === 'not-connected') return RECONNECT_DELAY_MS;
+  if (end.kind !== 'answered' || end.status !== 503 || spec.isRetry) return undefined;
   return end.retryAfterMs ?? RETRY_AFTER_MS;
 }
 
-interface Sending {
+interface SendOptions {
   readonly call: CallRecord;
   readonly daemon: GatewayProcess;
   readonly agent: http.Agent;
   readonly leavesEarly: boolean;
-  readonly noteEnd: (end: CallEnd) => void;
+  readonly onEnd: (end: CallEnd) => void;
 }
 
-function sendCall({ call, daemon, agent, leavesEarly, noteEnd }: Sending): void {
+function sendCall({ call, daemon, agent, leavesEarly, onEnd }: SendOptions): void {
   const request = http.request({
     host: daemon.host,
     port: daemon.port,
@@ -236,7 +236,7 @@
     call.endedMs = performance.now();
     clearTimeout(deadline);
     clearTimeout(connecting);
-    noteEnd(how);
+    onEnd(how);
   };
   const leave = (isEarly: boolean) => {
     end({ kind: 'left', isEarly });
@@ -244,7 +244,7 @@
   };
   const deadline = setTimeout(
     () => leave(leavesEarly),
-    leavesEarly ? LEAVE_AFTER_MS : call.deadlineMs - call.sentMs,
+    leavesEarly ? EARLY_LEAVE_AFTER_MS : call.deadlineMs - call.sentMs,
   );
   const connecting = setTimeout(() => {
     if (!isConnected) request.destroy(new Error('no connection in time'));
@@ -255,7 +255,7 @@
   });
   request.on('response', (message) => {
     hasHead = true;
-    collect(message, end);
+    collectAnswer(message, end);
   });
   request.on('error', (error) => (reason = error.message));
   request.on('close', () => {
@@ -279,7 +279,7 @@
   };
 }
 
-function collect(message: IncomingMessage, end: (how: CallEnd) => void): void {
+function collectAnswer(message: IncomingMessage, end: (how: CallEnd) => void): void {
   const chunks: Buffer[] = [];
   const stamp = message.headers[WIRE.stamp];
   const seconds = Number(message.headers['retry-after']);
--- a/soak/configuration.ts
+++ b/soak/configuration.ts
@@ -44,8 +44,8 @@
   budgetWindowMs: 10_000,
 };
 /** As the users set it: 54 for 7 daemons, 158 for 59, 430 for 195. */
-const SLACK_OF_DAEMON = 2.2;
-const LEAST_SLACK = 50;
+const SLACK_PER_DAEMON = 2.2;
+const MIN_SLACK = 50;
 
 /** A route that comes and goes; callers send nothing there, daemons are asked whether they have it. */
 interface AddedRoute {
@@ -57,7 +57,7 @@
 
 /** The bounds that a fleet of so many daemons is set to and judged by. */
 export function boundsOf(daemons: number): SoakBounds {
-  return { ...BOUNDS, budgetSlack: Math.max(LEAST_SLACK, daemons * SLACK_OF_DAEMON) };
+  return { ...BOUNDS, budgetSlack: Math.max(MIN_SLACK, daemons * SLACK_PER_DAEMON) };
 }
 
 /** Writes versions of the configuration to the store. */
--- a/soak/fault-injector.ts
+++ b/soak/fault-injector.ts
@@ -15,7 +15,7 @@
 
 /** From a daemon's new start until its listeners have been up for a while, on a machine that is busy. */
 const START_MS = 3_000;
-const THAW_MS = 1_000;
+const RESUME_MS = 1_000;
 const RESTART_MS = 2_500;
 /** Every so many servers that end under a request are back at once. */
 const QUICK_RESTART_EVERY = 3;
@@ -35,7 +35,7 @@
 }
 
 /** Servers that do wrong with a part of the requests. */
-interface SpoiltServers extends Omit<Extract<Fault, { kind: 'servers' }>, 'kind'> {
+interface ServersFault extends Omit<Extract<Fault, { kind: 'servers' }>, 'kind'> {
   /** What they ask for, where they ask for rest. */
   readonly restMs?: number;
 }
@@ -47,7 +47,7 @@
   readonly limits: LimitNotice[] = [];
   readonly #world: SoakWorld;
   #isEnded = false;
-  #endings = 0;
+  #crashesUnderRequests = 0;
 
   constructor(world: SoakWorld) {
     this.#world = world;
@@ -102,13 +102,13 @@
         this.#world.store.forget();
         return;
       case 'store-stale':
-        return this.#makeStale(fault);
+        return this.#serveStaleReads(fault);
       case 'store-copy':
         return this.#restoreStore(fault);
       case 'entries-lapse':
-        return this.#lapse(fault.forMs);
+        return this.#lapseEntries(fault.forMs);
       case 'servers':
-        return this.#spoilServers(fault);
+        return this.#injectServersFault(fault);
       case 'crash':
         await Promise.all(
           this.#serversAt(fault.servers).map((s) => this.#crash(s, fault.downMs, 'other')),
@@ -125,7 +125,7 @@
         this.#world.pool.unlistStrays();
         return;
       case 'rests':
-        return this.#spoilServers({ ...fault, how: 'ask-for-rest' });
+        return this.#injectServersFault({ ...fault, how: 'ask-for-rest' });
       case 'limits':
         await Promise.all(this.#serversAt(fault.servers).map((s) => this.#limit(s, fault)));
         return;
@@ -178,10 +178,10 @@
       daemon.signal('SIGKILL');
     }
     await pause(downMs);
-    for (const daemon of daemons) this.#startAgain(daemon);
+    for (const daemon of daemons) this.#restart(daemon);
   }
 
-  #startAgain(daemon: GatewayProcess): void {
+  #restart(daemon: GatewayProcess): void {
     if (!this.#isEnded) daemon.start();
   }
 
@@ -190,19 +190,19 @@
       if (!daemon.isRunning || daemon.isFrozen || daemon.isStopping) continue;
       this.#disturb('daemon', daemon.name, this.#world.bounds.graceMs + START_MS, true);
       daemon.signal('SIGTERM');
-      const overdue = setTimeout(() => daemon.signal('SIGKILL'), this.#world.bounds.graceMs);
+      const killTimer = setTimeout(() => daemon.signal('SIGKILL'), this.#world.bounds.graceMs);
       void daemon
         .ended()
-        .then(() => clearTimeout(overdue))
+        .then(() => clearTimeout(killTimer))
         .then(() => pause(ROLLING_START_MS))
-        .then(() => this.#startAgain(daemon));
+        .then(() => this.#restart(daemon));
       await pause(gapMs);
     }
   }
 
   async #freeze(daemons: readonly GatewayProcess[], forMs: number): Promise<void> {
     for (const daemon of daemons) {
-      this.#disturb('daemon', daemon.name, forMs + THAW_MS);
+      this.#disturb('daemon', daemon.name, forMs + RESUME_MS);
       this.#disturb('frozen', daemon.name, forMs);
       daemon.signal('SIGSTOP');
     }
@@ -212,14 +212,14 @@
 
   async #refuseDaemons(fault: Extract<Fault, { kind: 'store-refuses' }>): Promise<void> {
     const daemons = this.#daemonsAt(fault.daemons);
-    const doors = daemons.flatMap(({ name }) => this.#world.doorOf.get(name) ?? []);
+    const endpoints = daemons.flatMap(({ name }) => this.#world.doorOf.get(name) ?? []);
     for (const { name } of daemons) this.#disturb('daemon', name, fault.forMs);
-    for (const door of doors) door.refusal = fault.how;
+    for (const endpoint of endpoints) endpoint.refusal = fault.how;
     await pause(fault.forMs);
-    for (const door of doors) door.refusal = undefined;
+    for (const endpoint of endpoints) endpoint.refusal = undefined;
   }
 
-  async #makeStale({
+  async #serveStaleReads({
     behindMs,
     isUnderNewest,
     forMs,
@@ -258,7 +258,7 @@
     }
   }
 
-  async #lapse(forMs: number): Promise<void> {
+  async #lapseEntries(forMs: number): Promise<void> {
     this.#disturb('store', '', forMs);
     for (const { server } of this.#world.pool.servers) this.#world.pool.unlist(server.id);
     await pause(forMs);
@@ -266,7 +266,7 @@
       if (listed.server.isUp) this.#world.pool.list(listed);
   }
 
-  async #spoilServers(fault: SpoiltServers): Promise<void> {
+  async #injectServersFault(fault: ServersFault): Promise<void> {
     const servers = this.#serversAt(fault.servers).map(({ server }) => server);
     for (const server of servers) {
       server.fault = { how: fault.how, share: fault.share, restMs: fault.restMs ?? 0 };
@@ -309,8 +309,8 @@
   endServer(serverId: string): void {
     const listed = this.#world.pool.servers.find(({ server }) => server.id === serverId);
     if (listed === undefined) return;
-    this.#endings += 1;
-    const downMs = this.#endings % QUICK_RESTART_EVERY === 0 ? 0 : RESTART_MS;
+    this.#crashesUnderRequests += 1;
+    const downMs = this.#crashesUnderRequests % QUICK_RESTART_EVERY === 0 ? 0 : RESTART_MS;
     void this.#crash(listed, downMs, 'same');
   }
 
@@ -321,20 +321,20 @@
   ): Promise<void> {
     if (!server.isUp || server.limit !== undefined) return;
     const { id: serverId, service, bornMs } = server;
-    const isSameLife = () => server.isUp && server.bornMs === bornMs;
+    const isSameBoot = () => server.isUp && server.bornMs === bornMs;
     const fromMs = performance.now();
     const changes = [{ atMs: fromMs, perSecond }];
     const notice: LimitNotice = { serverId, service, fromMs, toMs: fromMs + forMs, changes };
     this.limits.push(notice);
     server.limit = perSecond;
     await pause(forMs / 2);
-    if (isSameLife() && laterPerSecond !== perSecond) {
+    if (isSameBoot() && laterPerSecond !== perSecond) {
       server.limit = laterPerSecond;
       changes.push({ atMs: performance.now(), perSecond: laterPerSecond });
     }
     await pause(forMs / 2);
     notice.toMs = performance.now();
-    if (isSameLife()) server.limit = undefined;
+    if (isSameBoot()) server.limit = undefined;
   }
 
   /** The server says that it leaves, at times only in its answers at first, serves on for a while, and comes back as another. */
--- a/soak/judge-limits.ts
+++ b/soak/judge-limits.ts
@@ -6,18 +6,18 @@
  */
 import type { Arrival, CallRecord, LimitNotice, RunRecord, Scope } from './record.js';
 
-const SPAN_MS = 4_000;
-const FACTOR = 1.5;
-const SLACK = 5;
+const WINDOW_MS = 4_000;
+const LIMIT_FACTOR = 1.5;
+const LIMIT_SLACK = 5;
 /** From an answer that its daemon passed on until that daemon counts. */
-const HEARD_AFTER_MS = 500;
+const LIMIT_LEARN_MS = 500;
 /** Until daemons have taken in what was sent before the limit, and a take-over between them is over. */
-const USED_AFTER_MS = 11_000;
+const USE_JUDGED_AFTER_MS = 11_000;
 /** Under want of servers, the part of a limit that is used at least. */
-const USED_SHARE = 0.25;
+const MIN_USED_SHARE = 0.25;
 /** Refusals a second and server that show want. */
-const WANT_PER_SECOND = 2;
-const LEAST_USED_SPAN_MS = 4_000;
+const SHORTAGE_REFUSALS_PER_SECOND = 2;
+const MIN_USE_SPAN_MS = 4_000;
 const MILLISECONDS_PER_SECOND = 1_000;
 
 interface ArrivalAt {
@@ -59,20 +59,20 @@
 }
 
 /** When each life of a daemon first passed on an answer with the limit. */
-function heardMsOf(arrivals: readonly ArrivalAt[]): ReadonlyMap<string, number> {
-  const heard = new Map<string, number>();
+function limitKnownMsByIncarnation(arrivals: readonly ArrivalAt[]): ReadonlyMap<string, number> {
+  const knownMs = new Map<string, number>();
   for (const { call, arrival } of arrivals) {
     const { end, endedMs } = call;
-    const isPassedOn =
+    const isForwarded =
       arrival.namedLimit && end?.kind === 'answered' && end.stamp === arrival.stamp;
-    if (!isPassedOn || arrival.stamp === undefined || endedMs === undefined) continue;
-    const life = lifeOf(call);
-    heard.set(life, Math.min(endedMs, heard.get(life) ?? endedMs));
+    if (!isForwarded || arrival.stamp === undefined || endedMs === undefined) continue;
+    const life = incarnationOf(call);
+    knownMs.set(life, Math.min(endedMs, knownMs.get(life) ?? endedMs));
   }
-  return heard;
+  return knownMs;
 }
 
-function lifeOf({ daemon, life }: CallRecord): string {
+function incarnationOf({ daemon, life }: CallRecord): string {
   return `${daemon} ${life}`;
 }
 
@@ -83,25 +83,26 @@
   isDisturbed: IsDisturbed,
 ): LimitFault | undefined {
   const firstNamed = arrivals.find(
-    ({ arrival }) => arrival.namedLimit && arrival.atMs >= notice.fromMs - SPAN_MS,
+    ({ arrival }) => arrival.namedLimit && arrival.atMs >= notice.fromMs - WINDOW_MS,
   );
   if (firstNamed === undefined) return undefined;
   const fromMs = Math.max(notice.fromMs, firstNamed.arrival.atMs) + run.bounds.contactMs;
-  const heard = heardMsOf(
-    arrivals.filter(({ arrival }) => arrival.atMs >= notice.fromMs - SPAN_MS),
+  const knownMs = limitKnownMsByIncarnation(
+    arrivals.filter(({ arrival }) => arrival.atMs >= notice.fromMs - WINDOW_MS),
   );
   for (const { arrival: last } of arrivals) {
     if (last.atMs < fromMs || last.atMs > notice.toMs) continue;
-    const span = { fromMs: last.atMs - SPAN_MS, toMs: last.atMs };
+    const span = { fromMs: last.atMs - WINDOW_MS, toMs: last.atMs };
     if (isDisturbed('stand-ins', '', span) || isDisturbed('server', notice.serverId, span))
       continue;
     const counted = arrivals.filter(({ call, arrival }) => {
-      const heardMs = heard.get(lifeOf(call)) ?? Number.POSITIVE_INFINITY;
+      const knownSinceMs = knownMs.get(incarnationOf(call)) ?? Number.POSITIVE_INFINITY;
       const isWithin = arrival.atMs > span.fromMs && arrival.atMs <= span.toMs;
-      const hasHeard = heardMs + HEARD_AFTER_MS <= last.atMs;
-      return isWithin && hasHeard && !isDisturbed('daemon', call.daemon, span);
+      const isLimitKnown = knownSinceMs + LIMIT_LEARN_MS <= last.atMs;
+      return isWithin && isLimitKnown && !isDisturbed('daemon', call.daemon, span);
     });
-    const allowed = FACTOR * highestIn(notice, span) * (SPAN_MS / MILLISECONDS_PER_SECOND) + SLACK;
+    const allowed =
+      LIMIT_FACTOR * highestIn(notice, span) * (WINDOW_MS / MILLISECONDS_PER_SECOND) + LIMIT_SLACK;
     if (counted.length <= allowed) continue;
     const detail = `${notice.serverId} got ${counted.length} requests in 4 s, ${allowed.toFixed(1)} allowed`;
     return { atMs: last.atMs, detail };
@@ -124,10 +125,10 @@
   run: RunRecord,
   isDisturbed: IsDisturbed,
 ): LimitFault | undefined {
-  const fromMs = notice.fromMs + USED_AFTER_MS;
+  const fromMs = notice.fromMs + USE_JUDGED_AFTER_MS;
   const span = { fromMs, toMs: notice.toMs };
   const seconds = (notice.toMs - fromMs) / MILLISECONDS_PER_SECOND;
-  if (notice.toMs - fromMs < LEAST_USED_SPAN_MS) return undefined;
+  if (notice.toMs - fromMs < MIN_USE_SPAN_MS) return undefined;
   const daemons = [...new Set(calls.map(({ daemon }) => daemon))];
   const isCalm =
     !isDisturbed('stand-ins', '', span) &&
@@ -144,10 +145,10 @@
     run.configurations.some(({ serviceOf }) => serviceOf.get(requestClass.name) === notice.service),
   );
   const servers = new Set(run.limits.map(({ serverId }) => serverId)).size;
-  if (ofService.length < WANT_PER_SECOND * seconds * servers) return undefined;
+  if (ofService.length < SHORTAGE_REFUSALS_PER_SECOND * seconds * servers) return undefined;
   const lowest = Math.min(...notice.changes.map(({ perSecond }) => perSecond));
   const used = arrivals.filter(({ arrival }) => isWithin(arrival.atMs)).length;
-  if (used >= USED_SHARE * lowest * seconds) return undefined;
+  if (used >= MIN_USED_SHARE * lowest * seconds) return undefined;
   const detail = `${notice.serverId} got ${used} requests in ${seconds.toFixed(1)} s at ${lowest} a second, while ${ofService.length} were refused`;
   return { atMs: fromMs, detail };
 }
--- a/soak/judge-routes.ts
+++ b/soak/judge-routes.ts
@@ -28,10 +28,10 @@
   return ordered.flatMap((probe): readonly RouteFault[] => {
     const { daemon, life, sentMs, endedMs } = probe;
     const written = configurations.filter(({ ackMs }) => ackMs <= endedMs);
-    const fitting = written.filter((version) => fits(version, probe));
+    const consistent = written.filter((version) => isConsistent(version, probe));
     const settledMs = sentMs - bounds.configApplyMs - TRANSIT_MS;
     const least = written.filter(({ ackMs }) => ackMs <= settledMs).at(-1)?.version ?? 0;
-    const isLate = !fitting.some(({ version }) => version >= least);
+    const isLate = !consistent.some(({ version }) => version >= least);
     if (isLate && isInTouch(daemon, sentMs, endedMs)) {
       return [faultOf(probe, `as only versions before ${least} allow`)];
     }
@@ -39,7 +39,7 @@
     const seen = seenOf.get(key);
     const seenVersion =
       seen === undefined || seen.atMs > sentMs - ROLLBACK_SLACK_MS ? 0 : seen.version;
-    const oldest = fitting.find(({ version }) => version >= seenVersion);
+    const oldest = consistent.find(({ version }) => version >= seenVersion);
     if (oldest === undefined) {
       return [faultOf(probe, `having gone by version ${seenVersion} or newer before`)];
     }
@@ -50,11 +50,14 @@
   });
 }
 
-function fits({ addedRoutes }: ConfigurationVersion, { path, isThere }: RouteProbe): boolean {
+function isConsistent(
+  { addedRoutes }: ConfigurationVersion,
+  { path, isThere }: RouteProbe,
+): boolean {
   return addedRoutes.has(path) === isThere;
 }
 
 function faultOf({ daemon, path, isThere, sentMs }: RouteProbe, how: string): RouteFault {
-  const said = isThere ? 'served' : 'knew no route for';
-  return { atMs: sentMs, detail: `${daemon} ${said} ${path} ${how}` };
+  const observed = isThere ? 'served' : 'knew no route for';
+  return { atMs: sentMs, detail: `${daemon} ${observed} ${path} ${how}` };
 }
--- a/soak/link-proxy.ts
+++ b/soak/link-proxy.ts
@@ -5,27 +5,27 @@
 
 const DELAY_MS = 150;
 
-interface Pair {
+interface ConnectionPair {
   readonly daemon: Socket;
   readonly server: Socket;
   isSilent: boolean;
 }
 
-interface Delayed {
+interface DelayedStep {
   readonly dueMs: number;
-  readonly pass: () => void;
+  readonly forward: () => void;
 }
 
 /** One way of a connection: what is delayed holds back what comes after it, its end included. */
-class Lane {
-  #queue: Delayed[] = [];
+class DelayQueue {
+  #queue: DelayedStep[] = [];
 
-  pass(delayMs: number, pass: () => void): void {
+  forward(delayMs: number, forward: () => void): void {
     if (delayMs === 0 && this.#queue.length === 0) {
-      pass();
+      forward();
       return;
     }
-    this.#queue.push({ dueMs: performance.now() + delayMs, pass });
+    this.#queue.push({ dueMs: performance.now() + delayMs, forward });
     if (this.#queue.length === 1) this.#waitForHead();
   }
 
@@ -35,7 +35,7 @@
     setTimeout(
       () => {
         this.#queue.shift();
-        head.pass();
+        head.forward();
         this.#waitForHead();
       },
       Math.max(0, head.dueMs - performance.now()),
@@ -46,8 +46,8 @@
 /** A link; its address is the one that the server is listed under. */
 export class LinkProxy {
   readonly #targetPort: () => number;
-  readonly #pairs = new Set<Pair>();
-  readonly #proxy: Server = createServer((socket) => this.#join(socket));
+  readonly #pairs = new Set<ConnectionPair>();
+  readonly #proxy: Server = createServer((socket) => this.#accept(socket));
   #fault: LinkFault | undefined;
   #port = 0;
 
@@ -95,28 +95,33 @@
     this.#pairs.clear();
   }
 
-  #join(daemon: Socket): void {
+  #accept(daemon: Socket): void {
     const server = connect(this.#targetPort(), '127.0.0.1');
-    const pair: Pair = { daemon, server, isSilent: false };
+    const pair: ConnectionPair = { daemon, server, isSilent: false };
     this.#pairs.add(pair);
     daemon.setNoDelay(true);
     server.setNoDelay(true);
-    this.#passOn(pair, daemon, server, 'to-server');
-    this.#passOn(pair, server, daemon, 'to-daemon');
+    this.#relay(pair, daemon, server, 'to-server');
+    this.#relay(pair, server, daemon, 'to-daemon');
   }
 
-  #passOn(pair: Pair, from: Socket, to: Socket, way: 'to-server' | 'to-daemon'): void {
-    const lane = new Lane();
+  #relay(
+    pair: ConnectionPair,
+    from: Socket,
+    to: Socket,
+    direction: 'to-server' | 'to-daemon',
+  ): void {
+    const queue = new DelayQueue();
     from.on('data', (bytes) => {
-      if (this.#fault === 'one-way' && way === 'to-daemon') pair.isSilent = true;
+      if (this.#fault === 'one-way' && direction === 'to-daemon') pair.isSilent = true;
       if (pair.isSilent) return;
-      lane.pass(this.#delayMs, () => write(to, bytes));
+      queue.forward(this.#delayMs, () => write(to, bytes));
     });
     from.on('error', () => to.destroy());
     from.on('close', () => {
       this.#pairs.delete(pair);
       // A silent connection tells neither side that the other is gone.
-      if (!pair.isSilent) lane.pass(this.#delayMs, () => to.destroySoon());
+      if (!pair.isSilent) queue.forward(this.#delayMs, () => to.destroySoon());
     });
   }
 
--- a/soak/main.ts
+++ b/soak/main.ts
@@ -18,10 +18,10 @@
 const EXIT_INTERRUPTED = 130;
 const REQUESTS_PER_DAEMON = 8;
 /** Violations of a run that are printed. */
-const MOST_SHOWN = 12;
+const MAX_VIOLATIONS_SHOWN = 12;
 
 /** The command line, checked. */
-interface Wishes {
+interface SoakOptions {
   readonly firstSeed: number;
   readonly seeds: number;
   readonly size: SoakSize;
@@ -63,21 +63,21 @@
   without = Option.String('--without', { description: 'a protection to take away' });
 
   override async execute(): Promise<number> {
-    const wishes = this.#wishes();
+    const options = this.#options();
     let broken = 0;
-    for (let seed = wishes.firstSeed; seed < wishes.firstSeed + wishes.seeds; seed += 1) {
-      const plan = wishes.planOf(seed, wishes.size);
+    for (let seed = options.firstSeed; seed < options.firstSeed + options.seeds; seed += 1) {
+      const plan = options.planOf(seed, options.size);
       for (const { atMs, fault } of plan.faults) {
         this.context.stdout.write(`# ${seed} ${atMs} ms ${JSON.stringify(fault)}\n`);
       }
-      const result = await runSoak(plan, wishes.programs);
+      const result = await runSoak(plan, options.programs);
       this.context.stdout.write(reportOf(seed, result));
       if (result.violations.length > 0) broken += 1;
     }
     return broken > 0 ? EXIT_BROKEN : 0;
   }
 
-  #wishes(): Wishes {
+  #options(): SoakOptions {
     const mutation = MUTATIONS.find(({ name }) => name === this.without);
     if (this.without !== undefined && mutation === undefined) {
       const names = MUTATIONS.map(({ name }) => name).join(', ');
@@ -132,7 +132,7 @@
         `  repeats of ${service} in the worst window: ${repeats} of ${Math.floor(allowed)}`,
     ),
     ...violations
-      .slice(0, MOST_SHOWN)
+      .slice(0, MAX_VIOLATIONS_SHOWN)
       .map(
         ({ promise, atMs, detail }) => `  BROKEN ${promise} at ${Math.round(atMs)} ms: ${detail}`,
       ),
--- a/soak/model-server.ts
+++ b/soak/model-server.ts
@@ -12,17 +12,17 @@
 import { WIRE } from './wire.js';
 
 const WEB_WORK_MS = 15;
-const READ_MS = 12;
+const PREFILL_MS = 12;
 /** An engine that generates reads at half the pace. */
-const SLOW_READ_MS = 24;
+const SLOW_PREFILL_MS = 24;
 const STAGE_SWITCH_MS = 800;
 const ORDER_DELAY_MS = 2_500;
 /** With fewer slots than this work takes longer. */
-const SHORT_OF_SLOTS = 6;
-const SPOILT_LOAD_SHARE = 0.1;
+const FULL_SPEED_SLOTS = 6;
+const MALFORMED_LOAD_SHARE = 0.1;
 /** Answers whose word on leaving, on rest, or on a limit is none. */
-const SPOILT_WORD_SHARE = 0.02;
-const SPOILT_WORDS = [
+const MALFORMED_HEADER_SHARE = 0.02;
+const MALFORMED_HEADERS = [
   { [WIRE.leaving]: '0' },
   { [WIRE.leaving]: '' },
   { [WIRE.leaving]: 'true' },
@@ -36,12 +36,12 @@
   { [WIRE.limit]: '9'.repeat(400) },
 ] as const;
 const MILLISECONDS_PER_SECOND = 1_000;
-const LONGEST_NEWS_WAIT_MS = 1_000;
+const MAX_EVENTS_WAIT_MS = 1_000;
 const KEEP_ALIVE_MS = 5_000;
 /** From the begin of a run that ends its server to that end. */
-const ENDS_AFTER_MS = 60;
+const CRASH_AFTER_MS = 60;
 /** The end of an answer that a faulty server never sends. */
-const BROKEN_SHARE = 0.5;
+const SENT_SHARE_BEFORE_BREAK = 0.5;
 
 export type Stage = 'prefill' | 'decode';
 
@@ -76,7 +76,7 @@
   readonly noteStage: () => void;
 }
 
-interface OwnFault {
+interface ActiveFault {
   readonly how: ServerFault;
   readonly share: number;
   /** For how long daemons that are turned away are asked to send nothing. */
@@ -107,7 +107,7 @@
   #highestFence = 0;
   #orders = 0;
   #runs = 0;
-  fault: OwnFault | undefined;
+  fault: ActiveFault | undefined;
   /** Whether it says in each answer that it leaves; until its next start. */
   isLeaving = false;
   /** The requests a second that it names in each answer; undefined where it names no limit, as after a start. */
@@ -183,12 +183,12 @@
     const path = request.url ?? '/';
     if (path === PATHS.report) return this.#report(response);
     if (path === PATHS.order) return this.#order(body, response);
-    if (path.startsWith(PATHS.kvEvents)) return this.#news(response);
+    if (path.startsWith(PATHS.kvEvents)) return this.#cacheEvents(response);
     if (path.startsWith(PATHS.kvHandle)) return this.#freeHandle(path, response);
-    this.#takeRequest(request, body, response, atMs);
+    this.#handleRequest(request, body, response, atMs);
   }
 
-  #takeRequest(
+  #handleRequest(
     request: IncomingMessage,
     body: string,
     response: ServerResponse,
@@ -215,11 +215,11 @@
     if (refusal !== undefined) {
       arrival.endedMs = atMs;
       if (refusal === 'rest') arrival.restAskedMs = this.fault?.restMs;
-      const rest = restHeader(arrival.restAskedMs);
+      const backOff = backOffHeader(arrival.restAskedMs);
       const leaving = this.#leavingHeader();
       const limit = refusal === 421 ? {} : this.#limitHeader();
-      const said = { ...this.#loadHeader(), ...leaving, ...limit, ...rest };
-      const head = { ...idOf(request), ...said, [WIRE.notExecuted]: '1' };
+      const reported = { ...this.#loadHeader(), ...leaving, ...limit, ...backOff };
+      const head = { ...attemptIdHeader(request), ...reported, [WIRE.notExecuted]: '1' };
       response.writeHead(refusal === 'rest' ? 503 : refusal, head).end();
       return;
     }
@@ -232,8 +232,8 @@
       if (this.#bornMs === bornMs) this.#running = Math.max(0, this.#running - 1);
     };
     response.once('close', end);
-    if (arrival.step === 'prefill') this.#read(request, response, end);
-    else if (body.startsWith(CRASHING_MARK)) this.#endUnder(request, response, arrival);
+    if (arrival.step === 'prefill') this.#prefill(request, response, end);
+    else if (body.startsWith(CRASHING_MARK)) this.#crashDuring(request, response, arrival);
     else this.#run(request, response, arrival, end);
   }
 
@@ -245,23 +245,23 @@
     if (this.#stage !== undefined && (arrival.step === 'prefill') !== (this.#stage === 'prefill')) {
       return 421;
     }
-    if (this.#strikes('ask-for-rest')) return 'rest';
-    if (this.#strikes('turn-away') || this.#running >= this.slots) return 503;
+    if (this.#shouldInject('ask-for-rest')) return 'rest';
+    if (this.#shouldInject('turn-away') || this.#running >= this.slots) return 503;
     const source = headers[WIRE.kvSource];
     if (typeof source !== 'string') return undefined;
     const handle = source.slice(source.indexOf('/') + 1);
-    const readFor = this.#options.handles.get(handle);
+    const prefilledFor = this.#options.handles.get(handle);
     this.#options.handles.delete(handle);
-    if (readFor === undefined) return 503;
-    if (readFor !== headers[WIRE.attemptId]) arrival.problem = "another request's memory";
+    if (prefilledFor === undefined) return 503;
+    if (prefilledFor !== headers[WIRE.attemptId]) arrival.problem = "another request's memory";
     return undefined;
   }
 
-  #strikes(how: ServerFault): boolean {
+  #shouldInject(how: ServerFault): boolean {
     return this.fault?.how === how && this.#options.random() < this.fault.share;
   }
 
-  #read(request: IncomingMessage, response: ServerResponse, end: () => void): void {
+  #prefill(request: IncomingMessage, response: ServerResponse, end: () => void): void {
     setTimeout(() => {
       if (response.destroyed) return;
       end();
@@ -269,8 +269,10 @@
       this.#options.handles.set(kvHandle, String(request.headers[WIRE.attemptId]));
       this.#ownHandles.add(kvHandle);
       const body = JSON.stringify({ kvHandle, tokens: 10, version: 1 });
-      response.writeHead(200, { ...idOf(request), ...this.#word() }).end(body);
-    }, READ_MS * this.#options.pace);
+      response
+        .writeHead(200, { ...attemptIdHeader(request), ...this.#availabilityHeaders() })
+        .end(body);
+    }, PREFILL_MS * this.#options.pace);
   }
 
   #run(
@@ -279,34 +281,42 @@
     arrival: Arrival,
     end: () => void,
   ): void {
-    if (this.#strikes('lose-answer')) {
+    if (this.#shouldInject('lose-answer')) {
       arrival.isServersFault = true;
       setTimeout(() => response.destroy(), this.#webWorkMs);
       return;
     }
     this.#runs += 1;
     const stamp = `${this.#id}.${this.#runs}`;
-    if (this.#strikes('fail')) {
+    if (this.#shouldInject('fail')) {
       setTimeout(() => {
         if (response.destroyed) return;
         end();
         arrival.stamp = stamp;
-        const head = { ...idOf(request), ...this.#word(), [WIRE.stamp]: stamp };
+        const head = {
+          ...attemptIdHeader(request),
+          ...this.#availabilityHeaders(),
+          [WIRE.stamp]: stamp,
+        };
         response.writeHead(500, head).end('failed');
       }, this.#webWorkMs);
       return;
     }
-    if (this.#stage === undefined) this.#answerWhole(request, response, arrival, stamp, end);
+    if (this.#stage === undefined) this.#answerComplete(request, response, arrival, stamp, end);
     else this.#stream(request, response, arrival, stamp, end);
   }
 
   /** Begins to answer as always, and ends with all that it runs. */
-  #endUnder(request: IncomingMessage, response: ServerResponse, arrival: Arrival): void {
+  #crashDuring(request: IncomingMessage, response: ServerResponse, arrival: Arrival): void {
     const ownId = this.#id;
     const bornMs = this.#bornMs;
     if (this.#stage !== undefined) {
       const type = { 'Content-Type': 'text/event-stream' };
-      response.writeHead(200, { ...idOf(request), [WIRE.stamp]: `${ownId}.ends`, ...type });
+      response.writeHead(200, {
+        ...attemptIdHeader(request),
+        [WIRE.stamp]: `${ownId}.ends`,
+        ...type,
+      });
       response.write('id: 1\nda');
     }
     setTimeout(() => {
@@ -315,29 +325,33 @@
       arrival.hasEndedServer = true;
       arrival.isServersFault = true;
       this.#options.observer.ends(ownId);
-    }, ENDS_AFTER_MS);
+    }, CRASH_AFTER_MS);
   }
 
-  #answerWhole(
+  #answerComplete(
     request: IncomingMessage,
     response: ServerResponse,
     arrival: Arrival,
     stamp: string,
     end: () => void,
   ): void {
-    const breaksOff = this.#strikes('break-off');
-    const sendsTwice = this.#strikes('answer-twice');
+    const breaksOff = this.#shouldInject('break-off');
+    const sendsTwice = this.#shouldInject('answer-twice');
     setTimeout(() => {
       if (response.destroyed) return;
       arrival.stamp = stamp;
       const body = wholeBody(String(request.headers[WIRE.attemptId]), stamp);
-      const head = { ...idOf(request), [WIRE.stamp]: stamp, 'Content-Length': body.length };
+      const head = {
+        ...attemptIdHeader(request),
+        [WIRE.stamp]: stamp,
+        'Content-Length': body.length,
+      };
       arrival.saidLeaving = this.isLeaving;
       arrival.namedLimit = this.limit !== undefined;
-      response.writeHead(200, { ...head, ...this.#word(), ...this.#loadHeader() });
+      response.writeHead(200, { ...head, ...this.#availabilityHeaders(), ...this.#loadHeader() });
       if (breaksOff) {
         arrival.isServersFault = true;
-        response.write(body.slice(0, Math.floor(body.length * BROKEN_SHARE)), () =>
+        response.write(body.slice(0, Math.floor(body.length * SENT_SHARE_BEFORE_BREAK)), () =>
           response.destroy(),
         );
         return;
@@ -351,15 +365,15 @@
   /** Work takes longest where there are few slots, so that they are short. */
   get #webWorkMs(): number {
     const { slots, pace } = this.#options;
-    return WEB_WORK_MS * pace * Math.max(1, SHORT_OF_SLOTS / slots);
+    return WEB_WORK_MS * pace * Math.max(1, FULL_SPEED_SLOTS / slots);
   }
 
   /** What a web server says of its load; now and then nothing that can be read. */
   #loadHeader(): Record<string, string> {
     if (this.#stage !== undefined) return {};
-    const isSpoilt = this.#options.random() < SPOILT_LOAD_SHARE;
+    const isMalformed = this.#options.random() < MALFORMED_LOAD_SHARE;
     const load = `${this.#running},0,${this.slots},${Math.round(100 * this.#options.pace)}`;
-    return { [WIRE.load]: isSpoilt ? `${load},many` : load };
+    return { [WIRE.load]: isMalformed ? `${load},many` : load };
   }
 
   #stream(
@@ -372,10 +386,10 @@
     const id = String(request.headers[WIRE.attemptId]);
     const events = Number(String(request.headers[WIRE.tokenCount]).split(',')[1]) || 1;
     const first = Number(request.headers[WIRE.lastEventId] ?? 0) + 1;
-    const breaksAt = this.#strikes('break-off')
-      ? first + Math.floor((events - first + 1) * BROKEN_SHARE)
+    const breaksAt = this.#shouldInject('break-off')
+      ? first + Math.floor((events - first + 1) * SENT_SHARE_BEFORE_BREAK)
       : Number.POSITIVE_INFINITY;
-    const hasMemory = request.headers[WIRE.kvSource] !== undefined;
+    const hasKvSource = request.headers[WIRE.kvSource] !== undefined;
     let next = first;
     const sendNext = () => {
       if (response.destroyed) return;
@@ -383,8 +397,8 @@
         arrival.stamp = stamp;
         arrival.saidLeaving = this.isLeaving;
         arrival.namedLimit = this.limit !== undefined;
-        const type = { 'Content-Type': 'text/event-stream', ...this.#word() };
-        response.writeHead(200, { ...idOf(request), [WIRE.stamp]: stamp, ...type });
+        const type = { 'Content-Type': 'text/event-stream', ...this.#availabilityHeaders() };
+        response.writeHead(200, { ...attemptIdHeader(request), [WIRE.stamp]: stamp, ...type });
       }
       if (next >= breaksAt) {
         arrival.isServersFault = true;
@@ -400,7 +414,7 @@
       next += 1;
       setTimeout(sendNext, EVENT_GAP_MS);
     };
-    setTimeout(sendNext, hasMemory ? EVENT_GAP_MS : SLOW_READ_MS * this.#options.pace);
+    setTimeout(sendNext, hasKvSource ? EVENT_GAP_MS : SLOW_PREFILL_MS * this.#options.pace);
   }
 
   #report(response: ServerResponse): void {
@@ -411,25 +425,25 @@
       running: this.#running,
       born: this.#bornMs,
     };
-    const head = { 'Content-Type': 'application/json', ...this.#word() };
+    const head = { 'Content-Type': 'application/json', ...this.#availabilityHeaders() };
     response.writeHead(200, head).end(JSON.stringify(report));
   }
 
   #order(body: string, response: ServerResponse): void {
     const order = JSON.parse(body) as StageOrderBody;
-    if (this.#strikes('delay-orders')) {
-      const ordered = this.#bornMs;
+    if (this.#shouldInject('delay-orders')) {
+      const orderedAtBootMs = this.#bornMs;
       setTimeout(() => {
-        if (this.#bornMs === ordered && this.isUp) this.#carryOut(order);
+        if (this.#bornMs === orderedAtBootMs && this.isUp) this.#executeOrder(order);
       }, ORDER_DELAY_MS);
       response.destroy();
       return;
     }
-    response.writeHead(this.#carryOut(order) ? 202 : 409, this.#word()).end();
+    response.writeHead(this.#executeOrder(order) ? 202 : 409, this.#availabilityHeaders()).end();
   }
 
   /** @returns whether the order's fence allows it */
-  #carryOut(order: StageOrderBody): boolean {
+  #executeOrder(order: StageOrderBody): boolean {
     const { holder, fence } = order;
     this.#options.observer.ordered({
       serverId: this.#id,
@@ -442,9 +456,9 @@
     this.#orders += 1;
     if (order.stage === this.#stage) return true;
     this.#isSwitching = true;
-    const ordered = this.#bornMs;
+    const orderedAtBootMs = this.#bornMs;
     setTimeout(() => {
-      if (this.#bornMs !== ordered || !this.isUp) return;
+      if (this.#bornMs !== orderedAtBootMs || !this.isUp) return;
       this.#isSwitching = false;
       this.#stage = order.stage;
       this.#options.noteStage();
@@ -452,7 +466,7 @@
     return true;
   }
 
-  #news(response: ServerResponse): void {
+  #cacheEvents(response: ServerResponse): void {
     const answer = JSON.stringify({
       epoch: `${this.#id} ${this.#bornMs}`,
       nextToken: 0,
@@ -462,16 +476,16 @@
     const timer = setTimeout(
       () =>
         response
-          .writeHead(200, { 'Content-Type': 'application/json', ...this.#word() })
+          .writeHead(200, { 'Content-Type': 'application/json', ...this.#availabilityHeaders() })
           .end(answer),
-      LONGEST_NEWS_WAIT_MS,
+      MAX_EVENTS_WAIT_MS,
     );
     response.once('close', () => clearTimeout(timer));
   }
 
   #freeHandle(path: string, response: ServerResponse): void {
     this.#options.handles.delete(path.slice(PATHS.kvHandle.length));
-    response.writeHead(200, this.#word()).end();
+    response.writeHead(200, this.#availabilityHeaders()).end();
   }
 
   #leavingHeader(): Record<string, string> {
@@ -483,20 +497,20 @@
   }
 
   /** What each answer says of its server: that it leaves, its limit, or now and then what is no word. */
-  #word(): Record<string, string> {
+  #availabilityHeaders(): Record<string, string> {
     if (this.isLeaving || this.limit !== undefined) {
       return { ...this.#leavingHeader(), ...this.#limitHeader() };
     }
-    if (this.#options.random() >= SPOILT_WORD_SHARE) return {};
-    return SPOILT_WORDS[Math.floor(this.#options.random() * SPOILT_WORDS.length)] ?? {};
+    if (this.#options.random() >= MALFORMED_HEADER_SHARE) return {};
+    return MALFORMED_HEADERS[Math.floor(this.#options.random() * MALFORMED_HEADERS.length)] ?? {};
   }
 }
 
-function restHeader(restMs: number | undefined): Record<string, string> {
+function backOffHeader(restMs: number | undefined): Record<string, string> {
   return restMs === undefined ? {} : { 'Retry-After': String(restMs / MILLISECONDS_PER_SECOND) };
 }
 
-function idOf(request: IncomingMessage): Record<string, string> {
+function attemptIdHeader(request: IncomingMessage): Record<string, string> {
   return { 'X-Attempt-Id': String(request.headers[WIRE.attemptId]) };
 }
 
--- a/soak/mutations.ts
+++ b/soak/mutations.ts
@@ -82,8 +82,8 @@
     name: 'asked-rests',
     promise: 'BUDGET',
     file: 'src/core/gateway/server-availability.ts',
-    text: 'if (askedMs > 0) {',
-    replacement: 'if (askedMs > 1e9) {',
+    text: 'if (requestedMs > 0) {',
+    replacement: 'if (requestedMs > 1e9) {',
   },
   {
     name: 'server-limits',
@@ -110,7 +110,7 @@
     name: 'eras',
     promise: 'CONFIG',
     file: 'platform/store-client.ts',
-    text: 'Number(told) : FIRST_ERA;',
+    text: 'Number(header) : FIRST_ERA;',
     replacement: 'FIRST_ERA : FIRST_ERA;',
   },
   {
@@ -145,7 +145,7 @@
     name: 'graceful-stop',
     promise: 'LOST',
     file: 'src/shell/gateway/gateway.ts',
-    text: 'await delay(timers, Math.min(LOOK_AWAY_MS, graceMs / 2));',
+    text: 'await delay(timers, Math.min(NOT_READY_NOTICE_MS, graceMs / 2));',
     replacement: 'this.abort();',
   },
   {
--- a/soak/oracle.ts
+++ b/soak/oracle.ts
@@ -38,24 +38,24 @@
 const NOT_RUN_STATUSES: ReadonlySet<number> = new Set([408, 421, 429, 503]);
 /** Work may go on for so long after its caller has left. */
 const GONE_SLACK_MS = 500;
-const GONE_MOST_ARRIVALS = 3;
-const GONE_LEAST_WORKED_ON = 3;
-const GONE_MOST_SHARE = 0.25;
+const GONE_MAX_ARRIVALS = 3;
+const GONE_MIN_WORKED_ON = 3;
+const GONE_MAX_SHARE = 0.25;
 /** The last stretch of a run is calm; a quarter of its requests has to be served. */
 const RECOVER_SPAN_MS = 4_000;
-const RECOVER_LEAST_SHARE = 0.25;
+const RECOVER_MIN_SHARE = 0.25;
 /** A request on the way when something is acknowledged, and the first look at it by a loaded machine. */
 const TRANSIT_MS = 500;
 /** Cases that are named in a violation's detail. */
-const SHOWN = 5;
+const MAX_CASES_SHOWN = 5;
 /** A few requests may cross the moment that a daemon's process is given up by its caller. */
-const LOST_MOST = 3;
+const LOST_MAX = 3;
 /** From a server's refusal until its daemon has to have heard of the rest that it asks for. */
-const REST_GRACE_MS = 500;
-const REST_MOST_ARRIVALS = 2;
+const BACK_OFF_GRACE_MS = 500;
+const BACK_OFF_MAX_ARRIVALS = 2;
 /** Servers that may end under one request, and sends of it from then on. */
-const MOST_CRASHES = 3;
-const MOST_SENT_AFTER = 3;
+const MAX_CRASHES = 3;
+const MAX_SENT_AFTER_CRASHES = 3;
 
 /** All promises that a run has broken. */
 export function judge(run: RunRecord): readonly Violation[] {
@@ -65,7 +65,7 @@
     ...calls.flatMap((call) => judgeCall(call, run)),
     ...judgeLost(calls, run),
     ...judgeLeavingAnswers(calls, run),
-    ...judgeRests(calls, run),
+    ...judgeBackOffs(calls, run),
     ...judgeLimits(calls, run),
     ...judgeRoutes(run),
     ...judgeBudget(calls, run),
@@ -96,90 +96,97 @@
 
 function judgeCall(call: CallRecord, run: RunRecord): readonly Violation[] {
   const violations: Violation[] = [];
-  const note = (promise: PromiseName, detail: string) =>
+  const addViolation = (promise: PromiseName, detail: string) =>
     violations.push({ promise, atMs: call.sentMs, detail: `${call.id} ${detail}` });
   const runs = call.arrivals.filter(({ step, isTaken }) => step === 'run' && isTaken);
   if (call.requestClass.kind === 'non-idempotent' && runs.length > 1) {
-    note('TWICE', `ran at ${runs.map(({ serverId }) => serverId).join(' and ')}`);
+    addViolation('TWICE', `ran at ${runs.map(({ serverId }) => serverId).join(' and ')}`);
   }
   if (runs.length > call.requestClass.attempts) {
-    note('BUDGET', `ran ${runs.length} times, ${call.requestClass.attempts} allowed`);
+    addViolation('BUDGET', `ran ${runs.length} times, ${call.requestClass.attempts} allowed`);
   }
   for (const { problem, serverId } of call.arrivals) {
     if (problem !== '')
-      note(problem.includes('memory') ? 'MIXED' : 'UNASKED', `${serverId}: ${problem}`);
+      addViolation(problem.includes('memory') ? 'MIXED' : 'UNASKED', `${serverId}: ${problem}`);
   }
   const { end } = call;
   if (end?.kind === 'answered') {
-    judgeAnswer(call, end, runs, note);
+    judgeAnswer(call, end, runs, addViolation);
     if (call.requestClass.kind !== 'idempotent' && runs.length > 0 && isRefusal(end)) {
-      note('REFUSED', `ran at ${runs[0]?.serverId} and was answered ${end.status}`);
+      addViolation('REFUSED', `ran at ${runs[0]?.serverId} and was answered ${end.status}`);
     }
   }
-  judgeVersions(call, run, note);
-  judgeDrain(call, run, note);
+  judgeVersions(call, run, addViolation);
+  judgeDrain(call, run, addViolation);
   return violations;
 }
 
 type Answered = Extract<NonNullable<CallRecord['end']>, { kind: 'answered' }>;
-type Note = (promise: PromiseName, detail: string) => void;
+type AddViolation = (promise: PromiseName, detail: string) => void;
 
 function isRefusal({ status, stamp }: Answered): boolean {
   return NOT_RUN_STATUSES.has(status) && stamp === undefined;
 }
 
-function judgeAnswer(call: CallRecord, end: Answered, runs: readonly Arrival[], note: Note): void {
+function judgeAnswer(
+  call: CallRecord,
+  end: Answered,
+  runs: readonly Arrival[],
+  addViolation: AddViolation,
+): void {
   if (end.status < 200 || end.status >= 300 || !end.isWhole) return;
   if (end.stamp === undefined) {
-    note('MIXED', 'a success without a stamp');
+    addViolation('MIXED', 'a success without a stamp');
     return;
   }
   if (!runs.some(({ stamp }) => stamp === end.stamp)) {
-    note('MIXED', `the stamp ${end.stamp} of no run of it`);
+    addViolation('MIXED', `the stamp ${end.stamp} of no run of it`);
     return;
   }
   if (call.requestClass.kind !== 'streaming') {
-    if (end.body !== wholeBody(call.id, end.stamp)) note('MIXED', 'not the whole body');
+    if (end.body !== wholeBody(call.id, end.stamp)) addViolation('MIXED', 'not the whole body');
     return;
   }
   let expected = '';
   for (let event = 1; event <= call.outputTokens; event += 1) {
     expected += eventText(call.id, event, call.outputTokens);
   }
-  if (end.body !== expected) note('ORDER', 'a stream that ended as whole lacks or repeats pieces');
+  if (end.body !== expected)
+    addViolation('ORDER', 'a stream that ended as whole lacks or repeats pieces');
 }
 
 /** Services and keys: never what no version allowed; in touch, soon after a version, nothing older. */
-function judgeVersions(call: CallRecord, run: RunRecord, note: Note): void {
+function judgeVersions(call: CallRecord, run: RunRecord, addViolation: AddViolation): void {
   const { requestClass, apiKey, daemon } = call;
   for (const arrival of call.arrivals) {
     if (!arrival.isTaken) continue;
     const ofAll = run.configurations.map(({ serviceOf }) => serviceOf.get(requestClass.name));
-    if (!ofAll.includes(arrival.service)) note('ROUTE', `ran at service ${arrival.service}`);
+    if (!ofAll.includes(arrival.service))
+      addViolation('ROUTE', `ran at service ${arrival.service}`);
     if (!run.configurations.some(({ tenantOfKey }) => tenantOfKey.has(apiKey))) {
-      note('ROUTE', 'ran with a key that no version knows');
+      addViolation('ROUTE', 'ran with a key that no version knows');
     }
     const settledMs = call.sentMs - run.bounds.configApplyMs - TRANSIT_MS;
     const newest = run.configurations.filter(({ ackMs }) => ackMs <= settledMs).at(-1);
     if (newest === undefined || !isInTouch(run, daemon, call.sentMs, arrival.atMs)) continue;
-    const mayBe = run.configurations.filter(({ version }) => version >= newest.version);
-    if (!mayBe.some(({ serviceOf }) => serviceOf.get(requestClass.name) === arrival.service)) {
-      note('CONFIG', `ran at ${arrival.service}, as before version ${newest.version}`);
+    const acceptable = run.configurations.filter(({ version }) => version >= newest.version);
+    if (!acceptable.some(({ serviceOf }) => serviceOf.get(requestClass.name) === arrival.service)) {
+      addViolation('CONFIG', `ran at ${arrival.service}, as before version ${newest.version}`);
     }
-    if (!mayBe.some(({ tenantOfKey }) => tenantOfKey.has(apiKey))) {
-      note('CONFIG', `ran with a key that version ${newest.version} took away`);
+    if (!acceptable.some(({ tenantOfKey }) => tenantOfKey.has(apiKey))) {
+      addViolation('CONFIG', `ran with a key that version ${newest.version} took away`);
     }
   }
 }
 
-function judgeDrain(call: CallRecord, run: RunRecord, note: Note): void {
+function judgeDrain(call: CallRecord, run: RunRecord, addViolation: AddViolation): void {
   for (const { serverId, atMs } of call.arrivals) {
     const notice = run.drains.find((drain) => drain.serverId === serverId);
     if (notice === undefined || atMs <= notice.ackMs + run.bounds.drainMs + TRANSIT_MS) continue;
     // One that was out of touch as the server said so knows it once it is back.
     const knownFromMs = Math.max(notice.ackMs, atMs - run.bounds.drainMs - TRANSIT_MS);
     if (!isInTouch(run, call.daemon, knownFromMs, atMs)) continue;
-    note(
+    addViolation(
       'DRAIN',
       `sent to ${serverId} ${Math.round(atMs - notice.ackMs)} ms after it said that it leaves`,
     );
@@ -193,20 +200,20 @@
 
 /** A daemon that has passed on an answer that says that its server leaves knows it, in touch or not. */
 function judgeLeavingAnswers(calls: readonly CallRecord[], run: RunRecord): readonly Violation[] {
-  const toldMs = new Map<string, number>();
+  const knownSinceMs = new Map<string, number>();
   for (const call of calls) {
     const { end, endedMs = run.endMs } = call;
-    const passedOn = call.arrivals.find(
+    const forwarded = call.arrivals.find(
       ({ saidLeaving, stamp }) =>
         saidLeaving && end?.kind === 'answered' && stamp !== undefined && stamp === end.stamp,
     );
-    if (passedOn === undefined) continue;
-    const pair = pairOf(call, passedOn);
-    toldMs.set(pair, Math.min(endedMs, toldMs.get(pair) ?? endedMs));
+    if (forwarded === undefined) continue;
+    const pair = pairOf(call, forwarded);
+    knownSinceMs.set(pair, Math.min(endedMs, knownSinceMs.get(pair) ?? endedMs));
   }
   return calls.flatMap((call) =>
     call.arrivals.flatMap((arrival): readonly Violation[] => {
-      const fromMs = toldMs.get(pairOf(call, arrival));
+      const fromMs = knownSinceMs.get(pairOf(call, arrival));
       if (fromMs === undefined || call.sentMs <= fromMs + run.bounds.drainMs) return [];
       const span = { fromMs, toMs: arrival.atMs };
       if (isDisturbed(run, { scope: 'frozen', name: call.daemon, ...span })) return [];
@@ -219,7 +226,7 @@
 }
 
 /** A server that has asked a daemon for rest gets next to nothing from it until the rest is over. */
-function judgeRests(calls: readonly CallRecord[], run: RunRecord): readonly Violation[] {
+function judgeBackOffs(calls: readonly CallRecord[], run: RunRecord): readonly Violation[] {
   const arrivalsOf = new Map<string, Arrival[]>();
   for (const call of calls) {
     for (const arrival of call.arrivals) {
@@ -230,13 +237,13 @@
     }
   }
   return calls.flatMap((call) =>
-    call.arrivals.flatMap((asked): readonly Violation[] => {
-      const { restAskedMs, atMs, serverId } = asked;
+    call.arrivals.flatMap((refused): readonly Violation[] => {
+      const { restAskedMs, atMs, serverId } = refused;
       if (restAskedMs === undefined) return [];
-      const span = { fromMs: atMs + REST_GRACE_MS, toMs: atMs + restAskedMs };
+      const span = { fromMs: atMs + BACK_OFF_GRACE_MS, toMs: atMs + restAskedMs };
       const isWithin = (arrival: Arrival) => arrival.atMs > span.fromMs && arrival.atMs < span.toMs;
-      const during = (arrivalsOf.get(pairOf(call, asked)) ?? []).filter(isWithin);
-      if (during.length <= REST_MOST_ARRIVALS) return [];
+      const during = (arrivalsOf.get(pairOf(call, refused)) ?? []).filter(isWithin);
+      if (during.length <= BACK_OFF_MAX_ARRIVALS) return [];
       // Where the link to the server holds back what it sends, no daemon hears that it asks.
       const excuses = [
         { scope: 'daemon', name: call.daemon },
@@ -244,8 +251,8 @@
         { scope: 'stand-ins', name: '' },
       ] as const;
       if (excuses.some((excuse) => isDisturbed(run, { ...excuse, ...span }))) return [];
-      const asking = `${serverId} asked ${call.daemon} for ${restAskedMs} ms of rest by ${call.id}`;
-      const detail = `${asking} (${call.end?.kind ?? 'open'}) and got ${during.length} requests`;
+      const backOff = `${serverId} asked ${call.daemon} for ${restAskedMs} ms of rest by ${call.id}`;
+      const detail = `${backOff} (${call.end?.kind ?? 'open'}) and got ${during.length} requests`;
       return [{ promise: 'BUDGET', atMs, detail }];
     }),
   );
@@ -265,9 +272,9 @@
 
 function judgeLost(calls: readonly CallRecord[], run: RunRecord): readonly Violation[] {
   const lost = calls.filter((call) => isLost(call, run));
-  if (lost.length <= LOST_MOST) return [];
+  if (lost.length <= LOST_MAX) return [];
   const detail = `${lost.length} requests were read and closed without an answer: ${lost
-    .slice(0, SHOWN)
+    .slice(0, MAX_CASES_SHOWN)
     .map(({ id, daemon }) => `${id} at ${daemon}`)
     .join(', ')}`;
   return [{ promise: 'LOST', atMs: lost[0]?.sentMs ?? 0, detail }];
@@ -298,8 +305,8 @@
 /** Arrivals beyond the first of each request; the first reading that a server takes up is none. */
 export function repeatsOf({ arrivals }: Pick<CallRecord, 'arrivals'>): readonly Arrival[] {
   const ordered = [...arrivals].sort((left, right) => left.atMs - right.atMs);
-  const freeReading = ordered.find(({ step, isTaken }) => step === 'prefill' && isTaken);
-  return ordered.filter((arrival) => arrival !== freeReading).slice(1);
+  const firstPrefill = ordered.find(({ step, isTaken }) => step === 'prefill' && isTaken);
+  return ordered.filter((arrival) => arrival !== firstPrefill).slice(1);
 }
 
 /** The window of a service that is furthest over the bound on repeats, or nearest to it. */
@@ -377,12 +384,12 @@
     if (open.some(({ endedMs: ended }) => ended === undefined || ended > limitMs)) workedOn += 1;
   }
   const violations: Violation[] = [];
-  if (late.length > GONE_MOST_ARRIVALS) {
-    const some = late.slice(0, SHOWN).join(', ');
+  if (late.length > GONE_MAX_ARRIVALS) {
+    const some = late.slice(0, MAX_CASES_SHOWN).join(', ');
     const detail = `${late.length} arrivals after their caller left: ${some}`;
     violations.push({ promise: 'GONE', atMs: 0, detail });
   }
-  if (workedOn > GONE_LEAST_WORKED_ON && workedOn > GONE_MOST_SHARE * lasting) {
+  if (workedOn > GONE_MIN_WORKED_ON && workedOn > GONE_MAX_SHARE * lasting) {
     const detail = `${workedOn} of ${lasting} requests were worked on after their caller left`;
     violations.push({ promise: 'GONE', atMs: 0, detail });
   }
@@ -459,15 +466,17 @@
     const endedMs = arrivals
       .filter(({ hasEndedServer }) => hasEndedServer)
       .map((arrival) => arrival.endedMs ?? run.endMs)
-      .sort((left, right) => left - right)[MOST_CRASHES - 1];
+      .sort((left, right) => left - right)[MAX_CRASHES - 1];
     if (endedMs === undefined) return [];
     const late = arrivals.filter(
       ({ atMs, call }) =>
         atMs > endedMs + run.bounds.contactMs && isInTouch(run, call.daemon, atMs, atMs),
     );
-    if (late.length <= MOST_SENT_AFTER) return [];
-    const where = late.slice(0, SHOWN).map(({ call, serverId }) => `${call.daemon} to ${serverId}`);
-    const detail = `sent ${late.length} times after ${MOST_CRASHES} servers had ended under it: ${where.join(', ')}`;
+    if (late.length <= MAX_SENT_AFTER_CRASHES) return [];
+    const where = late
+      .slice(0, MAX_CASES_SHOWN)
+      .map(({ call, serverId }) => `${call.daemon} to ${serverId}`);
+    const detail = `sent ${late.length} times after ${MAX_CRASHES} servers had ended under it: ${where.join(', ')}`;
     return [{ promise: 'CRASHES', atMs: endedMs, detail }];
   });
 }
@@ -482,7 +491,7 @@
       known?.has(apiKey),
   );
   const served = atEnd.filter(({ end }) => end?.kind === 'answered' && end.status === 200).length;
-  if (served >= RECOVER_LEAST_SHARE * atEnd.length) return [];
+  if (served >= RECOVER_MIN_SHARE * atEnd.length) return [];
   const detail = `${served} of ${atEnd.length} requests served at the calm end`;
   return [{ promise: 'RECOVER', atMs: run.endMs, detail }];
 }
--- a/soak/plan.ts
+++ b/soak/plan.ts
@@ -180,55 +180,55 @@
 const FIRST_FAULT_MS = 2_000;
 /** The last stretch is calm, so that the fleet has to be well again at its end. */
 const CALM_END_MS = 8_000;
-const MOST_GAP_MS = 2_400;
+const MAX_GAP_MS = 2_400;
 /** After so long without a pause faults pause: promises that hold in calm times have to be seen in some. */
-const TROUBLE_MS = 9_000;
-const PAUSE_MS = 10_000;
+const MAX_FAULT_STRETCH_MS = 9_000;
+const CALM_STRETCH_MS = 10_000;
 /** By then daemons are in touch again; planned work comes, so that it is seen in calm times too. */
-const PLANNED_WORK_MS = 3_500;
+const PLANNED_WORK_DELAY_MS = 3_500;
 const CRASHING_SALT = 0x5eed;
 const RESTARTS_SALT = 0x11fe;
 const SERVERS_SALT = 0x5107;
-const WORDS_SALT = 0x4057;
+const SIGNALS_SALT = 0x4057;
 const LIMITS_SALT = 0x1137;
 const COPIES_SALT = 0xc0b1;
 const ROUTES_SALT = 0x2077;
 const ROUTE_CHANGES = ['add-route', 'add-route', 'drop-route', 'time-route'] as const;
 /** Changes come around the end of what strikes the store, in series. */
-const MOST_CHANGES_AT_END = 3;
+const MAX_CHANGES_AT_END = 3;
 /** From when held calls hear nothing until the history is lost. */
 export const STALE_GAP_MS = 1_000;
 const EARLIEST_CHANGE_MS = -400;
 const LATEST_CHANGE_MS = 900;
-const LEAST_ROUTE_GAP_MS = 2_000;
-const MOST_ROUTE_GAP_MS = 6_000;
-const LEAST_COPY_GAP_MS = 6_000;
-const MOST_COPY_GAP_MS = 16_000;
+const MIN_ROUTE_GAP_MS = 2_000;
+const MAX_ROUTE_GAP_MS = 6_000;
+const MIN_COPY_GAP_MS = 6_000;
+const MAX_COPY_GAP_MS = 16_000;
 /** From the last change before the store is away, which the copy lacks, until daemons have it. */
 export const COPY_LEAD_MS = 700;
 /** The chance that a return from a copy is followed by another one. */
 const COPY_AGAIN_CHANCE = 0.25;
-const LEAST_LIMIT_GAP_MS = 5_000;
-const MOST_LIMIT_GAP_MS = 12_000;
+const MIN_LIMIT_GAP_MS = 5_000;
+const MAX_LIMIT_GAP_MS = 12_000;
 const LIMITS_PER_SECOND = [0, 0.2, 0.5, 1, 1.2, 2, 3.8, 5, 12, 1_000] as const;
 /** From the begin of a limit until it is judged, daemons need some seconds. */
-const LEAST_LIMITED_MS = 4_000;
-const MOST_LIMITED_MS = 20_000;
-const LEAST_WORD_GAP_MS = 3_000;
-const MOST_WORD_GAP_MS = 8_000;
-const LEAST_RESTART_GAP_MS = 4_000;
-const MOST_RESTART_GAP_MS = 9_000;
+const MIN_LIMITED_MS = 4_000;
+const MAX_LIMITED_MS = 20_000;
+const MIN_SIGNAL_GAP_MS = 3_000;
+const MAX_SIGNAL_GAP_MS = 8_000;
+const MIN_RESTART_GAP_MS = 4_000;
+const MAX_RESTART_GAP_MS = 9_000;
 const PACES = [0.6, 1, 1, 1.5, 2.5] as const;
 const WEB_SLOTS = [2, 3, 6, 24] as const;
-const MOST_CRASHING = 2;
-const LEAST_CRASHING_GAP_MS = 80;
-const MOST_CRASHING_GAP_MS = 600;
+const MAX_CRASHING = 2;
+const MIN_CRASHING_GAP_MS = 80;
+const MAX_CRASHING_GAP_MS = 600;
 /** The chance that a fault is followed at once by another one on top. */
 const SERIES_CHANCE = 0.35;
 const SERIES_GAP_MS = 300;
 
 /** Draws from a seed. */
-class Dice {
+class SeededRandom {
   readonly #generator: RandomGenerator;
 
   constructor(seed: number) {
@@ -252,7 +252,7 @@
   }
 
   /** At least one index below a number. */
-  some(count: number, share: number): readonly number[] {
+  subset(count: number, share: number): readonly number[] {
     const wanted = Math.max(1, Math.round(count * share));
     const indexes = Array.from({ length: count }, (_, index) => index);
     while (indexes.length > wanted) indexes.splice(this.whole(0, indexes.length - 1), 1);
@@ -260,7 +260,7 @@
   }
 }
 
-type Draw = (dice: Dice, size: SoakSize) => Fault;
+type Draw = (random: SeededRandom, size: SoakSize) => Fault;
 
 const STORE_REFUSALS = ['unavailable', 'too-many', 'reset', 'silent'] as const;
 const SERVER_FAULTS = [
@@ -276,114 +276,120 @@
 const CHANGES = ['move-route', 'revoke-key', 'idle'] as const;
 
 const DRAWS: readonly [Draw, ...Draw[]] = [
-  (dice, { daemons }) => ({
+  (random, { daemons }) => ({
     kind: 'kill',
-    daemons: dice.some(daemons, dice.pick([0.1, 0.3, 0.6, 1])),
-    downMs: dice.between(300, 1_500),
+    daemons: random.subset(daemons, random.pick([0.1, 0.3, 0.6, 1])),
+    downMs: random.between(300, 1_500),
   }),
-  (dice, { daemons }) => ({
+  (random, { daemons }) => ({
     kind: 'stop',
-    daemons: dice.some(daemons, dice.pick([0.1, 0.4])),
-    gapMs: dice.between(0, 800),
+    daemons: random.subset(daemons, random.pick([0.1, 0.4])),
+    gapMs: random.between(0, 800),
   }),
-  (dice, { daemons }) => ({
+  (random, { daemons }) => ({
     kind: 'freeze',
-    daemons: dice.some(daemons, dice.pick([0.1, 0.3])),
-    forMs: dice.between(200, 4_000),
+    daemons: random.subset(daemons, random.pick([0.1, 0.3])),
+    forMs: random.between(200, 4_000),
   }),
-  (dice, { daemons }) => ({ kind: 'reload', daemons: dice.some(daemons, 0.5) }),
-  (dice) => ({
+  (random, { daemons }) => ({ kind: 'reload', daemons: random.subset(daemons, 0.5) }),
+  (random) => ({
     kind: 'store-slow',
-    delayMs: dice.between(20, 800),
-    forMs: dice.between(1_000, 6_000),
+    delayMs: random.between(20, 800),
+    forMs: random.between(1_000, 6_000),
   }),
-  (dice) => ({
+  (random) => ({
     kind: 'store-down',
-    how: dice.pick(STORE_REFUSALS),
-    forMs: dice.between(500, 6_000),
+    how: random.pick(STORE_REFUSALS),
+    forMs: random.between(500, 6_000),
   }),
-  (dice, { daemons }) => ({
+  (random, { daemons }) => ({
     kind: 'store-refuses',
-    daemons: dice.some(daemons, 0.4),
-    how: dice.pick(STORE_REFUSALS),
-    forMs: dice.between(500, 6_000),
+    daemons: random.subset(daemons, 0.4),
+    how: random.pick(STORE_REFUSALS),
+    forMs: random.between(500, 6_000),
   }),
-  (dice) => ({
+  (random) => ({
     kind: 'store-loses-answers',
-    share: dice.between(0.1, 0.6),
-    forMs: dice.between(500, 5_000),
+    share: random.between(0.1, 0.6),
+    forMs: random.between(500, 5_000),
   }),
-  (dice) => ({
+  (random) => ({
     kind: 'store-writes-late',
-    share: dice.between(0.1, 0.6),
-    forMs: dice.between(500, 5_000),
+    share: random.between(0.1, 0.6),
+    forMs: random.between(500, 5_000),
   }),
   () => ({ kind: 'store-forgets' }),
-  (dice) => ({ kind: 'entries-lapse', forMs: dice.between(300, 1_800) }),
-  (dice, { engines, webServers }) => ({
+  (random) => ({ kind: 'entries-lapse', forMs: random.between(300, 1_800) }),
+  (random, { engines, webServers }) => ({
     kind: 'servers',
-    how: dice.pick(SERVER_FAULTS),
-    servers: dice.some(engines + webServers, dice.between(0.2, 0.9)),
-    share: dice.between(0.05, 0.9),
-    forMs: dice.between(1_000, 8_000),
+    how: random.pick(SERVER_FAULTS),
+    servers: random.subset(engines + webServers, random.between(0.2, 0.9)),
+    share: random.between(0.05, 0.9),
+    forMs: random.between(1_000, 8_000),
   }),
-  (dice, { engines, webServers }) => ({
+  (random, { engines, webServers }) => ({
     kind: 'crash',
-    servers: dice.some(engines + webServers, dice.between(0.1, 0.4)),
-    downMs: dice.between(500, 3_000),
+    servers: random.subset(engines + webServers, random.between(0.1, 0.4)),
+    downMs: random.between(500, 3_000),
   }),
   drawDrain,
-  (dice, { engines, webServers }) => ({
+  (random, { engines, webServers }) => ({
     kind: 'link',
-    how: dice.pick(LINK_FAULTS),
-    servers: dice.some(engines + webServers, dice.between(0.1, 0.5)),
-    forMs: dice.between(300, 4_000),
+    how: random.pick(LINK_FAULTS),
+    servers: random.subset(engines + webServers, random.between(0.1, 0.5)),
+    forMs: random.between(300, 4_000),
   }),
-  (dice) => ({
+  (random) => ({
     kind: 'duties',
-    how: dice.pick(DUTY_FAULTS),
-    forMs: dice.between(1_000, 8_000),
+    how: random.pick(DUTY_FAULTS),
+    forMs: random.between(1_000, 8_000),
   }),
   drawChange,
-  (dice) => ({ kind: 'burst', factor: dice.between(1.5, 2.5), forMs: dice.between(1_000, 5_000) }),
-  (dice) => ({
+  (random) => ({
+    kind: 'burst',
+    factor: random.between(1.5, 2.5),
+    forMs: random.between(1_000, 5_000),
+  }),
+  (random) => ({
     kind: 'callers-leave',
-    share: dice.between(0.1, 0.6),
-    forMs: dice.between(1_000, 5_000),
+    share: random.between(0.1, 0.6),
+    forMs: random.between(1_000, 5_000),
   }),
 ];
 
 function drawDrain(
-  dice: Dice,
+  random: SeededRandom,
   { engines, webServers }: SoakSize,
 ): Extract<Fault, { kind: 'drain' }> {
-  return { kind: 'drain', server: dice.whole(0, engines + webServers - 1), listedAfterMs: 0 };
+  return { kind: 'drain', server: random.whole(0, engines + webServers - 1), listedAfterMs: 0 };
 }
 
-function drawChange(dice: Dice): Fault {
-  return { kind: 'change', change: dice.pick(CHANGES) };
+function drawChange(random: SeededRandom): Fault {
+  return { kind: 'change', change: random.pick(CHANGES) };
 }
 
 /** The plan of a seed. */
 export function planSoak(seed: number, size: SoakSize): SoakPlan {
-  const dice = new Dice(seed);
+  const random = new SeededRandom(seed);
   const faults: TimedFault[] = [];
   const endMs = size.seconds * 1_000 - CALM_END_MS;
   let atMs = FIRST_FAULT_MS;
-  let troubleFromMs = atMs;
+  let faultsSinceMs = atMs;
   while (atMs < endMs) {
-    if (atMs - troubleFromMs > TROUBLE_MS) {
-      const plannedMs = Math.round(atMs + PLANNED_WORK_MS);
-      for (const fault of [drawDrain(dice, size), drawChange(dice)]) {
+    if (atMs - faultsSinceMs > MAX_FAULT_STRETCH_MS) {
+      const plannedMs = Math.round(atMs + PLANNED_WORK_DELAY_MS);
+      for (const fault of [drawDrain(random, size), drawChange(random)]) {
         if (plannedMs < endMs) faults.push({ atMs: plannedMs, fault });
       }
-      atMs += PAUSE_MS;
-      troubleFromMs = atMs;
+      atMs += CALM_STRETCH_MS;
+      faultsSinceMs = atMs;
       continue;
     }
-    const draw = dice.pick(DRAWS);
-    faults.push({ atMs: Math.round(atMs), fault: draw(dice, size) });
-    atMs += dice.chance(SERIES_CHANCE) ? SERIES_GAP_MS : dice.between(SERIES_GAP_MS, MOST_GAP_MS);
+    const draw = random.pick(DRAWS);
+    faults.push({ atMs: Math.round(atMs), fault: draw(random, size) });
+    atMs += random.chance(SERIES_CHANCE)
+      ? SERIES_GAP_MS
+      : random.between(SERIES_GAP_MS, MAX_GAP_MS);
   }
   const restarts = drawRestarts(seed, size, endMs);
   return {
@@ -393,7 +399,7 @@
     faults: [
       ...faults,
       ...restarts,
-      ...drawWords(seed, size, endMs),
+      ...drawServerSignals(seed, size, endMs),
       ...drawLimits(seed, size, endMs),
       ...drawRouteChanges(seed, faults, endMs),
       ...drawCopies(seed, endMs),
@@ -404,89 +410,89 @@
 
 /** Drawn apart, so that the other faults of a seed stay the same. */
 function drawRestarts(seed: number, size: SoakSize, endMs: number): readonly TimedFault[] {
-  const dice = new Dice(seed ^ RESTARTS_SALT);
+  const random = new SeededRandom(seed ^ RESTARTS_SALT);
   const restarts: TimedFault[] = [];
-  let atMs = FIRST_FAULT_MS + dice.between(0, MOST_RESTART_GAP_MS);
+  let atMs = FIRST_FAULT_MS + random.between(0, MAX_RESTART_GAP_MS);
   while (atMs < endMs) {
-    restarts.push({ atMs: Math.round(atMs), fault: drawRestart(dice, size) });
-    atMs += dice.between(LEAST_RESTART_GAP_MS, MOST_RESTART_GAP_MS);
+    restarts.push({ atMs: Math.round(atMs), fault: drawRestart(random, size) });
+    atMs += random.between(MIN_RESTART_GAP_MS, MAX_RESTART_GAP_MS);
   }
   return restarts;
 }
 
-function drawRestart(dice: Dice, { engines, webServers }: SoakSize): Fault {
-  if (dice.chance(0.25)) return { kind: 'stray-rows', forMs: dice.between(500, 4_000) };
-  const servers = dice.some(engines + webServers, dice.between(0.05, 0.3));
-  return { kind: 'restart', servers, downMs: dice.pick([0, 30, 300, 5_000]) };
+function drawRestart(random: SeededRandom, { engines, webServers }: SoakSize): Fault {
+  if (random.chance(0.25)) return { kind: 'stray-rows', forMs: random.between(500, 4_000) };
+  const servers = random.subset(engines + webServers, random.between(0.05, 0.3));
+  return { kind: 'restart', servers, downMs: random.pick([0, 30, 300, 5_000]) };
 }
 
 /** Servers that say in their answers that they leave, or want rest; drawn apart as well. */
-function drawWords(seed: number, size: SoakSize, endMs: number): readonly TimedFault[] {
-  const dice = new Dice(seed ^ WORDS_SALT);
-  const words: TimedFault[] = [];
-  let atMs = FIRST_FAULT_MS + dice.between(0, MOST_WORD_GAP_MS);
+function drawServerSignals(seed: number, size: SoakSize, endMs: number): readonly TimedFault[] {
+  const random = new SeededRandom(seed ^ SIGNALS_SALT);
+  const signals: TimedFault[] = [];
+  let atMs = FIRST_FAULT_MS + random.between(0, MAX_SIGNAL_GAP_MS);
   while (atMs < endMs) {
-    words.push({ atMs: Math.round(atMs), fault: drawWord(dice, size) });
-    atMs += dice.between(LEAST_WORD_GAP_MS, MOST_WORD_GAP_MS);
+    signals.push({ atMs: Math.round(atMs), fault: drawServerSignal(random, size) });
+    atMs += random.between(MIN_SIGNAL_GAP_MS, MAX_SIGNAL_GAP_MS);
   }
-  return words;
+  return signals;
 }
 
-function drawWord(dice: Dice, size: SoakSize): Fault {
-  if (dice.chance(0.4)) {
-    return { ...drawDrain(dice, size), listedAfterMs: dice.between(1_000, 8_000) };
+function drawServerSignal(random: SeededRandom, size: SoakSize): Fault {
+  if (random.chance(0.4)) {
+    return { ...drawDrain(random, size), listedAfterMs: random.between(1_000, 8_000) };
   }
   return {
     kind: 'rests',
-    servers: dice.some(size.engines + size.webServers, dice.pick([0.2, 0.5, 1])),
-    share: dice.pick([0.3, 1]),
-    restMs: dice.pick([1_000, 2_500, 3_000]),
-    forMs: dice.between(1_000, 5_000),
+    servers: random.subset(size.engines + size.webServers, random.pick([0.2, 0.5, 1])),
+    share: random.pick([0.3, 1]),
+    restMs: random.pick([1_000, 2_500, 3_000]),
+    forMs: random.between(1_000, 5_000),
   };
 }
 
 /** Servers that name a limit of requests a second; drawn apart as well. */
 function drawLimits(seed: number, size: SoakSize, endMs: number): readonly TimedFault[] {
-  const dice = new Dice(seed ^ LIMITS_SALT);
+  const random = new SeededRandom(seed ^ LIMITS_SALT);
   const limits: TimedFault[] = [];
-  let atMs = FIRST_FAULT_MS + dice.between(0, MOST_LIMIT_GAP_MS);
+  let atMs = FIRST_FAULT_MS + random.between(0, MAX_LIMIT_GAP_MS);
   while (atMs < endMs) {
-    const perSecond = dice.pick(LIMITS_PER_SECOND);
-    const laterPerSecond = dice.chance(0.4) ? dice.pick(LIMITS_PER_SECOND) : perSecond;
-    const servers = dice.some(size.engines + size.webServers, dice.pick([0.1, 0.3, 0.6, 1]));
-    const forMs = Math.min(endMs - atMs, dice.between(LEAST_LIMITED_MS, MOST_LIMITED_MS));
+    const perSecond = random.pick(LIMITS_PER_SECOND);
+    const laterPerSecond = random.chance(0.4) ? random.pick(LIMITS_PER_SECOND) : perSecond;
+    const servers = random.subset(size.engines + size.webServers, random.pick([0.1, 0.3, 0.6, 1]));
+    const forMs = Math.min(endMs - atMs, random.between(MIN_LIMITED_MS, MAX_LIMITED_MS));
     const fault: Fault = { kind: 'limits', servers, perSecond, laterPerSecond, forMs };
     limits.push({ atMs: Math.round(atMs), fault });
-    atMs += dice.between(LEAST_LIMIT_GAP_MS, MOST_LIMIT_GAP_MS);
+    atMs += random.between(MIN_LIMIT_GAP_MS, MAX_LIMIT_GAP_MS);
   }
   return limits;
 }
 
 /** Returns of the store from older copies, with changes around them; drawn apart as well. */
 function drawCopies(seed: number, endMs: number): readonly TimedFault[] {
-  const dice = new Dice(seed ^ COPIES_SALT);
+  const random = new SeededRandom(seed ^ COPIES_SALT);
   const copies: TimedFault[] = [];
-  let atMs = FIRST_FAULT_MS + dice.between(0, MOST_COPY_GAP_MS);
+  let atMs = FIRST_FAULT_MS + random.between(0, MAX_COPY_GAP_MS);
   while (atMs < endMs) {
-    const fault = drawCopy(dice);
+    const fault = drawCopy(random);
     copies.push({ atMs: Math.round(atMs), fault });
-    const gapMs = dice.chance(COPY_AGAIN_CHANCE)
-      ? dice.between(0, SERIES_GAP_MS)
-      : dice.between(LEAST_COPY_GAP_MS, MOST_COPY_GAP_MS);
+    const gapMs = random.chance(COPY_AGAIN_CHANCE)
+      ? random.between(0, SERIES_GAP_MS)
+      : random.between(MIN_COPY_GAP_MS, MAX_COPY_GAP_MS);
     atMs = endOf({ atMs, fault }) + gapMs;
   }
-  return [...copies, ...drawChanges(dice, timesAtEnds(dice, copies), endMs)];
+  return [...copies, ...drawChanges(random, timesAroundEnds(random, copies), endMs)];
 }
 
-function drawCopy(dice: Dice): Extract<Fault, { kind: 'store-copy' }> {
+function drawCopy(random: SeededRandom): Extract<Fault, { kind: 'store-copy' }> {
   return {
     kind: 'store-copy',
-    how: dice.pick(STORE_REFUSALS),
-    forMs: dice.pick([50, 300, 1_000, 2_500]),
-    behindMs: dice.between(COPY_LEAD_MS, 6_000),
-    lostRevisions: dice.pick([0, 3, 60, 100_000]),
-    keepsHeldCalls: dice.chance(0.3),
-    rewriteMs: dice.pick([0, 300, 1_000]),
+    how: random.pick(STORE_REFUSALS),
+    forMs: random.pick([50, 300, 1_000, 2_500]),
+    behindMs: random.between(COPY_LEAD_MS, 6_000),
+    lostRevisions: random.pick([0, 3, 60, 100_000]),
+    keepsHeldCalls: random.chance(0.3),
+    rewriteMs: random.pick([0, 300, 1_000]),
   };
 }
 
@@ -496,13 +502,13 @@
   faults: readonly TimedFault[],
   endMs: number,
 ): readonly TimedFault[] {
-  const dice = new Dice(seed ^ ROUTES_SALT);
+  const random = new SeededRandom(seed ^ ROUTES_SALT);
   const times: number[] = [];
   for (let atMs = FIRST_FAULT_MS; atMs < endMs; ) {
     times.push(atMs);
-    atMs += dice.between(LEAST_ROUTE_GAP_MS, MOST_ROUTE_GAP_MS);
+    atMs += random.between(MIN_ROUTE_GAP_MS, MAX_ROUTE_GAP_MS);
   }
-  return drawChanges(dice, [...times, ...timesAtEnds(dice, faults)], endMs);
+  return drawChanges(random, [...times, ...timesAroundEnds(random, faults)], endMs);
 }
 
 function endOf({ atMs, fault }: TimedFault): number {
@@ -511,22 +517,26 @@
 }
 
 /** In series around the end of each fault of the store. */
-function timesAtEnds(dice: Dice, faults: readonly TimedFault[]): readonly number[] {
+function timesAroundEnds(random: SeededRandom, faults: readonly TimedFault[]): readonly number[] {
   return faults.flatMap(({ atMs, fault }) => {
     if (!fault.kind.startsWith('store-')) return [];
     const endMs = endOf({ atMs, fault });
-    const count = dice.whole(1, MOST_CHANGES_AT_END);
+    const count = random.whole(1, MAX_CHANGES_AT_END);
     return Array.from(
       { length: count },
-      () => endMs + dice.between(EARLIEST_CHANGE_MS, LATEST_CHANGE_MS),
+      () => endMs + random.between(EARLIEST_CHANGE_MS, LATEST_CHANGE_MS),
     );
   });
 }
 
-function drawChanges(dice: Dice, times: readonly number[], endMs: number): readonly TimedFault[] {
+function drawChanges(
+  random: SeededRandom,
+  times: readonly number[],
+  endMs: number,
+): readonly TimedFault[] {
   const within = times.filter((atMs) => atMs < endMs);
   return within.map((atMs) => {
-    const fault: Fault = { kind: 'change', change: dice.pick(ROUTE_CHANGES) };
+    const fault: Fault = { kind: 'change', change: random.pick(ROUTE_CHANGES) };
     return { atMs: Math.round(atMs), fault };
   });
 }
@@ -542,35 +552,35 @@
 
 /** Drawn apart as well. */
 function drawServers(seed: number, { engines, webServers }: SoakSize): ServerTraits {
-  const dice = new Dice(seed ^ SERVERS_SALT);
-  const paces = Array.from({ length: engines + webServers }, () => dice.pick(PACES));
-  return { webSlots: dice.pick(WEB_SLOTS), paces };
+  const random = new SeededRandom(seed ^ SERVERS_SALT);
+  const paces = Array.from({ length: engines + webServers }, () => random.pick(PACES));
+  return { webSlots: random.pick(WEB_SLOTS), paces };
 }
 
 /** Drawn apart, so that the faults of a seed stay the same. */
 function drawCrashing(seed: number, endMs: number): readonly CrashingWork[] {
-  const dice = new Dice(seed ^ CRASHING_SALT);
-  return Array.from({ length: dice.whole(1, MOST_CRASHING) }, () => ({
-    fromMs: Math.round(dice.between(FIRST_FAULT_MS, endMs)),
-    gapMs: Math.round(dice.between(LEAST_CRASHING_GAP_MS, MOST_CRASHING_GAP_MS)),
-    classDraw: dice.between(0, 1),
+  const random = new SeededRandom(seed ^ CRASHING_SALT);
+  return Array.from({ length: random.whole(1, MAX_CRASHING) }, () => ({
+    fromMs: Math.round(random.between(FIRST_FAULT_MS, endMs)),
+    gapMs: Math.round(random.between(MIN_CRASHING_GAP_MS, MAX_CRASHING_GAP_MS)),
+    classDraw: random.between(0, 1),
   }));
 }
 
 /** The first numbers of small seeds are much alike. */
 const SKIPPED_DRAWS = 16;
-const LEAST_STALE_MS = 2_000;
-const MOST_STALE_MS = 8_000;
-const LEAST_OUTAGE_MS = 15_000;
-const MOST_OUTAGE_MS = 60_000;
-const LEAST_CALM_MS = 7_000;
-const MOST_CALM_MS = 10_000;
+const MIN_STALE_MS = 2_000;
+const MAX_STALE_MS = 8_000;
+const MIN_OUTAGE_MS = 15_000;
+const MAX_OUTAGE_MS = 60_000;
+const MIN_CALM_MS = 7_000;
+const MAX_CALM_MS = 10_000;
 
 /** No older than the traffic, as the store was empty once. */
-function drawStale(dice: Dice, atMs: number): Extract<Fault, { kind: 'store-stale' }> {
-  const behindMs = Math.min(atMs, dice.between(LEAST_STALE_MS, MOST_STALE_MS));
-  const forMs = behindMs + dice.between(0, LEAST_STALE_MS);
-  return { kind: 'store-stale', behindMs, isUnderNewest: dice.chance(0.5), forMs };
+function drawStale(random: SeededRandom, atMs: number): Extract<Fault, { kind: 'store-stale' }> {
+  const behindMs = Math.min(atMs, random.between(MIN_STALE_MS, MAX_STALE_MS));
+  const forMs = behindMs + random.between(0, MIN_STALE_MS);
+  return { kind: 'store-stale', behindMs, isUnderNewest: random.chance(0.5), forMs };
 }
 
 /**
@@ -578,30 +588,30 @@
  * moment; the configuration changes around it.
  */
 export function planOutages(seed: number, size: SoakSize): SoakPlan {
-  const dice = new Dice(seed);
-  for (let draw = 0; draw < SKIPPED_DRAWS; draw += 1) dice.between(0, 1);
+  const random = new SeededRandom(seed);
+  for (let draw = 0; draw < SKIPPED_DRAWS; draw += 1) random.between(0, 1);
   const endMs = size.seconds * 1_000 - CALM_END_MS;
   const faults: TimedFault[] = [];
-  for (let atMs = FIRST_FAULT_MS; endMs - atMs >= LEAST_OUTAGE_MS; ) {
-    if (dice.chance(0.3)) {
-      const fault = drawStale(dice, atMs);
+  for (let atMs = FIRST_FAULT_MS; endMs - atMs >= MIN_OUTAGE_MS; ) {
+    if (random.chance(0.3)) {
+      const fault = drawStale(random, atMs);
       faults.push({ atMs: Math.round(atMs), fault });
-      atMs += fault.forMs + dice.between(LEAST_CALM_MS, MOST_CALM_MS);
+      atMs += fault.forMs + random.between(MIN_CALM_MS, MAX_CALM_MS);
       continue;
     }
-    const forMs = dice.between(LEAST_OUTAGE_MS, Math.min(MOST_OUTAGE_MS, endMs - atMs));
-    const how = dice.pick(STORE_REFUSALS);
-    const daemons = dice.some(size.daemons, dice.pick([0.5, 0.9, 1]));
-    const fault: Fault = dice.chance(0.4)
+    const forMs = random.between(MIN_OUTAGE_MS, Math.min(MAX_OUTAGE_MS, endMs - atMs));
+    const how = random.pick(STORE_REFUSALS);
+    const daemons = random.subset(size.daemons, random.pick([0.5, 0.9, 1]));
+    const fault: Fault = random.chance(0.4)
       ? { kind: 'store-down', how, forMs }
       : { kind: 'store-refuses', daemons, how, forMs };
     faults.push({ atMs: Math.round(atMs), fault });
-    atMs += forMs + dice.between(LEAST_CALM_MS, MOST_CALM_MS);
+    atMs += forMs + random.between(MIN_CALM_MS, MAX_CALM_MS);
   }
   // What is missed while reads are stale shows only where no other change follows soon.
   const outages = faults.filter(({ fault }) => fault.kind !== 'store-stale');
   const changes = [
-    ...drawChanges(dice, timesAtEnds(dice, outages), size.seconds * 1_000),
+    ...drawChanges(random, timesAroundEnds(random, outages), size.seconds * 1_000),
     ...changesInGaps(faults),
   ];
   const servers = { webSlots: PLAIN_SLOTS, paces: [] };
@@ -613,29 +623,29 @@
  * servers leave before and after, and some daemons start anew as it returns.
  */
 export function planCopies(seed: number, size: SoakSize): SoakPlan {
-  const dice = new Dice(seed);
-  for (let draw = 0; draw < SKIPPED_DRAWS; draw += 1) dice.between(0, 1);
+  const random = new SeededRandom(seed);
+  for (let draw = 0; draw < SKIPPED_DRAWS; draw += 1) random.between(0, 1);
   const endMs = size.seconds * 1_000 - CALM_END_MS;
   const faults: TimedFault[] = [];
   const copies: TimedFault[] = [];
   const add = (atMs: number, fault: Fault) => faults.push({ atMs: Math.round(atMs), fault });
   for (let atMs = 2 * FIRST_FAULT_MS; atMs < endMs; ) {
-    const copy = drawCopy(dice);
+    const copy = drawCopy(random);
     copies.push({ atMs: Math.round(atMs), fault: copy });
     const returnMs = endOf({ atMs, fault: copy });
-    add(atMs - dice.between(0, copy.behindMs), drawChange(dice));
-    add(atMs - dice.between(0, copy.behindMs), drawDrain(dice, size));
-    add(returnMs + dice.between(0, LEAST_COPY_GAP_MS), drawDrain(dice, size));
-    if (dice.chance(0.4)) {
-      const daemons = dice.some(size.daemons, dice.pick([0.1, 0.3]));
-      const downMs = dice.between(100, LEAST_OUTAGE_MS / 10);
-      add(returnMs - dice.between(0, downMs), { kind: 'kill', daemons, downMs });
+    add(atMs - random.between(0, copy.behindMs), drawChange(random));
+    add(atMs - random.between(0, copy.behindMs), drawDrain(random, size));
+    add(returnMs + random.between(0, MIN_COPY_GAP_MS), drawDrain(random, size));
+    if (random.chance(0.4)) {
+      const daemons = random.subset(size.daemons, random.pick([0.1, 0.3]));
+      const downMs = random.between(100, MIN_OUTAGE_MS / 10);
+      add(returnMs - random.between(0, downMs), { kind: 'kill', daemons, downMs });
     }
-    const isAgain = dice.chance(COPY_AGAIN_CHANCE);
-    atMs = returnMs + (isAgain ? SERIES_GAP_MS : dice.between(LEAST_CALM_MS, MOST_CALM_MS));
+    const isAgain = random.chance(COPY_AGAIN_CHANCE);
+    atMs = returnMs + (isAgain ? SERIES_GAP_MS : random.between(MIN_CALM_MS, MAX_CALM_MS));
   }
-  const times = copies.flatMap(({ atMs }) => atMs + dice.between(0, MOST_CALM_MS));
-  const changes = drawChanges(dice, [...timesAtEnds(dice, copies), ...times], endMs);
+  const times = copies.flatMap(({ atMs }) => atMs + random.between(0, MAX_CALM_MS));
+  const changes = drawChanges(random, [...timesAroundEnds(random, copies), ...times], endMs);
   const servers = { webSlots: PLAIN_SLOTS, paces: [] };
   return { seed, size, servers, faults: [...faults, ...copies, ...changes], crashing: [] };
 }
@@ -645,23 +655,23 @@
  * the store loses its history; once all have started again the store comes back from an older copy.
  */
 export function planUpgrade(seed: number, size: SoakSize): SoakPlan {
-  const dice = new Dice(seed);
-  for (let draw = 0; draw < SKIPPED_DRAWS; draw += 1) dice.between(0, 1);
+  const random = new SeededRandom(seed);
+  for (let draw = 0; draw < SKIPPED_DRAWS; draw += 1) random.between(0, 1);
   const faults: TimedFault[] = [];
   const add = (atMs: number, fault: Fault) => faults.push({ atMs: Math.round(atMs), fault });
-  const gapMs = dice.between(500, 2_000);
+  const gapMs = random.between(500, 2_000);
   const rollMs = 2 * FIRST_FAULT_MS;
-  const rolledMs = rollMs + gapMs * size.daemons + LEAST_CALM_MS;
-  add(rollMs, { kind: 'stop', daemons: dice.some(size.daemons, 1), gapMs });
+  const rolledMs = rollMs + gapMs * size.daemons + MIN_CALM_MS;
+  add(rollMs, { kind: 'stop', daemons: random.subset(size.daemons, 1), gapMs });
   for (let atMs = FIRST_FAULT_MS; atMs < rolledMs; ) {
-    add(atMs, drawChange(dice));
-    add(atMs + dice.between(0, LEAST_ROUTE_GAP_MS), drawDrain(dice, size));
-    atMs += dice.between(LEAST_ROUTE_GAP_MS, MOST_ROUTE_GAP_MS);
+    add(atMs, drawChange(random));
+    add(atMs + random.between(0, MIN_ROUTE_GAP_MS), drawDrain(random, size));
+    atMs += random.between(MIN_ROUTE_GAP_MS, MAX_ROUTE_GAP_MS);
   }
-  add(dice.between(rollMs, rolledMs), { kind: 'store-forgets' });
-  const copy = { atMs: Math.round(rolledMs), fault: drawCopy(dice) };
+  add(random.between(rollMs, rolledMs), { kind: 'store-forgets' });
+  const copy = { atMs: Math.round(rolledMs), fault: drawCopy(random) };
   const endMs = size.seconds * 1_000 - CALM_END_MS;
-  const changes = drawChanges(dice, timesAtEnds(dice, [...faults, copy]), endMs);
+  const changes = drawChanges(random, timesAroundEnds(random, [...faults, copy]), endMs);
   const within = [...faults, copy].filter(({ atMs }) => atMs < endMs);
   const servers = { webSlots: PLAIN_SLOTS, paces: [] };
   return { seed, size, servers, faults: [...within, ...changes], crashing: [] };
@@ -674,8 +684,8 @@
 export function planHerd(seed: number, size: SoakSize): SoakPlan {
   const everyDaemon = Array.from({ length: size.daemons }, (_, daemon) => daemon);
   const engines = Array.from({ length: size.engines }, (_, engine) => engine);
-  const dice = new Dice(seed);
-  const killMs = dice.between(9_000, 12_000);
+  const random = new SeededRandom(seed);
+  const killMs = random.between(9_000, 12_000);
   const forMs = 22_000;
   const faults: TimedFault[] = [
     {
--- a/soak/platform-store.ts
+++ b/soak/platform-store.ts
@@ -35,7 +35,7 @@
 }
 
 interface HeldFeed {
-  readonly door: StoreDoor;
+  readonly endpoint: StoreDoor;
   readonly table: string;
   readonly after: number;
   readonly response: ServerResponse;
@@ -65,7 +65,7 @@
   readonly #server: http.Server;
 
   constructor(
-    serve: (door: StoreDoor, request: IncomingMessage, response: ServerResponse) => void,
+    serve: (endpoint: StoreDoor, request: IncomingMessage, response: ServerResponse) => void,
   ) {
     this.#server = http.createServer((request, response) => serve(this, request, response));
     this.#server.keepAliveTimeout = 60_000;
@@ -101,7 +101,7 @@
   /** All that was written, in order. */
   #written: { readonly atMs: number; readonly row: Row }[] = [];
   readonly #feeds = new Set<HeldFeed>();
-  readonly #doors: StoreDoor[] = [];
+  readonly #endpoints: StoreDoor[] = [];
   readonly #random: () => number;
 
   /** @param random from 0 to below 1: which calls a fault strikes */
@@ -110,16 +110,16 @@
   }
 
   createDoor(): StoreDoor {
-    const door = new StoreDoor((from, request, response) => {
+    const endpoint = new StoreDoor((from, request, response) => {
       response.on('error', () => response.destroy());
       void this.#serve(from, request, response);
     });
-    this.#doors.push(door);
-    return door;
+    this.#endpoints.push(endpoint);
+    return endpoint;
   }
 
   close(): void {
-    for (const door of this.#doors) door.close();
+    for (const endpoint of this.#endpoints) endpoint.close();
   }
 
   /** Writes a row as the operator or a server does; never refused. */
@@ -141,7 +141,7 @@
   /** Drops the history: feeds have to be begun anew. */
   forget(): void {
     this.#historyFrom = this.#version + 1;
-    for (const { response } of this.#feeds) this.#answerLost(response);
+    for (const { response } of this.#feeds) this.#answerHistoryLost(response);
     this.#feeds.clear();
   }
 
@@ -171,24 +171,31 @@
     this.#written.push({ atMs: performance.now(), row });
   }
 
-  async #serve(door: StoreDoor, request: IncomingMessage, response: ServerResponse): Promise<void> {
+  async #serve(
+    endpoint: StoreDoor,
+    request: IncomingMessage,
+    response: ServerResponse,
+  ): Promise<void> {
     const body = await readBody(request);
     if (body === undefined) return;
     this.callsTotal += 1;
-    const refusal = this.refusal ?? door.refusal;
+    const refusal = this.refusal ?? endpoint.refusal;
     response.setHeader(STORE_HEADERS.era, String(this.#era));
     if (refusal !== undefined) return refuse(refusal, response);
     const url = new URL(request.url ?? '/', 'http://store');
-    setTimeout(() => this.#answerCall(door, url, body, response), ANSWER_MS + this.faults.delayMs);
+    setTimeout(
+      () => this.#answerCall(endpoint, url, body, response),
+      ANSWER_MS + this.faults.delayMs,
+    );
   }
 
-  #answerCall(door: StoreDoor, url: URL, body: string, response: ServerResponse): void {
+  #answerCall(endpoint: StoreDoor, url: URL, body: string, response: ServerResponse): void {
     switch (url.pathname) {
       case PATHS.rowsGet:
         this.#get(url, response);
         return;
       case PATHS.rowsFeed:
-        this.#feed(door, url, response);
+        this.#feed(endpoint, url, response);
         return;
       case PATHS.rowsTx:
         this.#transact(JSON.parse(body), response);
@@ -226,17 +233,17 @@
     };
   }
 
-  #feed(door: StoreDoor, url: URL, response: ServerResponse): void {
+  #feed(endpoint: StoreDoor, url: URL, response: ServerResponse): void {
     const after = Number(url.searchParams.get('after'));
     if (after < this.#historyFrom || after > this.#version) {
-      this.#answerLost(response);
+      this.#answerHistoryLost(response);
       return;
     }
-    const feed = { door, table: url.searchParams.get('table') ?? '', after, response };
+    const feed = { endpoint, table: url.searchParams.get('table') ?? '', after, response };
     this.#feeds.add(feed);
     const timer = setTimeout(
       () => {
-        if (this.#feeds.delete(feed) && !this.#isSilent(door)) {
+        if (this.#feeds.delete(feed) && !this.#isSilent(endpoint)) {
           this.#answer(response, 200, [], false);
         }
       },
@@ -249,7 +256,7 @@
     this.#answerFeeds();
   }
 
-  #answerLost(response: ServerResponse): void {
+  #answerHistoryLost(response: ServerResponse): void {
     response.setHeader(STORE_HEADERS.era, String(this.#era));
     response.writeHead(410).end();
   }
@@ -263,13 +270,13 @@
       if (rows.length === 0) continue;
       this.#feeds.delete(feed);
       // A held call that meets silence is swallowed, as a new one is.
-      if (this.#isSilent(feed.door)) continue;
+      if (this.#isSilent(feed.endpoint)) continue;
       this.#answer(feed.response, 200, rows, false);
     }
   }
 
-  #isSilent(door: StoreDoor): boolean {
-    return (this.refusal ?? door.refusal) === 'silent';
+  #isSilent(endpoint: StoreDoor): boolean {
+    return (this.refusal ?? endpoint.refusal) === 'silent';
   }
 
   #transact(transaction: Transaction, response: ServerResponse): void {
--- a/soak/route-probes.ts
+++ b/soak/route-probes.ts
@@ -8,9 +8,9 @@
 import type { GatewayProcess } from './gateway-process.js';
 import type { RouteProbe } from './record.js';
 
-const GAP_MS = 250;
+const INTERVAL_MS = 250;
 const TIMEOUT_MS = 1_000;
-const NEVER_THERE = '/never-there/';
+const UNKNOWN_ROUTE = '/never-there/';
 const NOT_FOUND = 404;
 /** No key was given, or no attempt id: the route is there. */
 const REFUSED_WITH_ROUTE: ReadonlySet<number> = new Set([400, 401]);
@@ -34,14 +34,14 @@
 
   start(): void {
     for (const daemon of this.#options.daemons) {
-      let asked = 0;
+      let probesSent = 0;
       const timer = setInterval(() => {
         const { added, dropped } = this.#options.operator.recentRoutes;
-        const paths = [added, dropped, NEVER_THERE].filter((path) => path !== undefined);
-        const path = paths[asked % paths.length] ?? NEVER_THERE;
-        asked += 1;
-        if (daemon.isRunning && !daemon.isFrozen) this.#ask(daemon, path);
-      }, GAP_MS);
+        const paths = [added, dropped, UNKNOWN_ROUTE].filter((path) => path !== undefined);
+        const path = paths[probesSent % paths.length] ?? UNKNOWN_ROUTE;
+        probesSent += 1;
+        if (daemon.isRunning && !daemon.isFrozen) this.#probe(daemon, path);
+      }, INTERVAL_MS);
       this.#timers.push(timer);
     }
   }
@@ -51,7 +51,7 @@
     this.#agent.destroy();
   }
 
-  #ask({ name, life, host, port }: GatewayProcess, path: string): void {
+  #probe({ name, life, host, port }: GatewayProcess, path: string): void {
     const sentMs = performance.now();
     const request = http.request({
       host,
--- a/soak/run.ts
+++ b/soak/run.ts
@@ -33,10 +33,10 @@
 import { ServerPool, ZONES } from './server-pool.js';
 import { WIRE } from './wire.js';
 
-const READY_WITHIN_MS = 30_000;
-const READY_LOOK_MS = 50;
+const READY_TIMEOUT_MS = 30_000;
+const READY_POLL_INTERVAL_MS = 50;
 /** Calls may still end for so long after the last was sent. */
-const LAST_CALLS_MS = 4_000;
+const LAST_CALLS_GRACE_MS = 4_000;
 
 /** What came of a run. */
 export interface SoakResult {
@@ -83,7 +83,7 @@
   readonly #operator: Operator;
   readonly #pool: ServerPool;
   readonly #daemons: GatewayProcess[] = [];
-  readonly #doorOf = new Map<string, StoreDoor>();
+  readonly #storeEndpointOf = new Map<string, StoreDoor>();
   readonly #callers: Callers;
   readonly #probes: RouteProbes;
   readonly #faults: FaultInjector;
@@ -107,7 +107,7 @@
       store: this.#store,
       random,
       observer: {
-        arrived: (request, body, arrival) => this.#noteArrival(request, body, arrival),
+        arrived: (request, body, arrival) => this.#recordArrival(request, body, arrival),
         ordered: (order) => this.#orders.push(order),
         ends: (serverId) => this.#faults.endServer(serverId),
       },
@@ -128,7 +128,7 @@
       pool: this.#pool,
       operator: this.#operator,
       daemons: this.#daemons,
-      doorOf: this.#doorOf,
+      doorOf: this.#storeEndpointOf,
       callers: this.#callers,
     });
   }
@@ -138,7 +138,7 @@
     await this.#pool.start();
     this.#operator.change('idle');
     await this.#startDaemons(program, earlierProgram);
-    await this.#allReady();
+    await this.#waitUntilReady();
     this.#callers.start();
     this.#probes.start();
     this.#lag.start();
@@ -152,7 +152,7 @@
     this.#callers.stopSending();
     this.#probes.stop();
     const endMs = performance.now();
-    await pause(LAST_CALLS_MS);
+    await pause(LAST_CALLS_GRACE_MS);
     this.close();
     return this.#result(endMs);
   }
@@ -205,13 +205,13 @@
       const zoneIndex = index % ZONES.length;
       const zone = ZONES[zoneIndex] ?? ZONES[0];
       const name = `daemon-${zone}-${index}`;
-      const door = this.#store.createDoor();
-      this.#doorOf.set(name, door);
+      const endpoint = this.#store.createDoor();
+      this.#storeEndpointOf.set(name, endpoint);
       const daemon = new GatewayProcess({
         name,
         zone,
         host: this.#addresses.addressOf(zoneIndex, index),
-        storePort: await door.open(),
+        storePort: await endpoint.open(),
         dutyPort,
         program,
         earlierProgram,
@@ -223,20 +223,20 @@
     }
   }
 
-  async #allReady(): Promise<void> {
-    const untilMs = performance.now() + READY_WITHIN_MS;
+  async #waitUntilReady(): Promise<void> {
+    const untilMs = performance.now() + READY_TIMEOUT_MS;
     for (const daemon of this.#daemons) {
       while (!(await daemon.isReady())) {
         if (performance.now() > untilMs) {
           const where = `${daemon.host}, log in ${this.#directory}`;
           throw new Error(`${daemon.name} is not ready (${where}): is its address in use?`);
         }
-        await pause(READY_LOOK_MS);
+        await pause(READY_POLL_INTERVAL_MS);
       }
     }
   }
 
-  #noteArrival(request: IncomingMessage, body: string, arrival: Arrival): void {
+  #recordArrival(request: IncomingMessage, body: string, arrival: Arrival): void {
     const { headers } = request;
     const id = String(headers[WIRE.attemptId]);
     const call = this.#calls.get(id);
--- a/soak/server-pool.ts
+++ b/soak/server-pool.ts
@@ -8,7 +8,7 @@
 
 export const ZONES = ['a', 'b', 'c'] as const;
 /** Every third engine reads prompts for the others. */
-const ENGINES_PER_READER = 3;
+const ENGINES_PER_PREFILL = 3;
 /** Entries of a server that crashed go after three missed heartbeats. */
 export const ENTRY_LAPSE_MS = 3_600;
 
@@ -65,7 +65,7 @@
     const { engines, webServers } = this.#options;
     const handles = new Map<string, string>();
     for (let engine = 0; engine < engines; engine += 1) {
-      const stage = engine % ENGINES_PER_READER === 0 ? 'prefill' : 'decode';
+      const stage = engine % ENGINES_PER_PREFILL === 0 ? 'prefill' : 'decode';
       await this.#add(MODEL, stage, handles);
     }
     for (let web = 0; web < webServers; web += 1) {
@@ -117,18 +117,18 @@
   /** After the store came back from an older copy: the entries as they are, and those that are gone lapse. */
   writers(): readonly (() => void)[] {
     const listed = this.servers.filter(({ server }) => this.#listedIds.has(server.id));
-    const gone = [...this.#unlistedIds];
+    const removedIds = [...this.#unlistedIds];
     return [
       ...listed.map((server) => () => {
         if (this.#listedIds.has(server.server.id)) this.list(server);
       }),
       () => {
-        setTimeout(() => this.#lapse(gone), ENTRY_LAPSE_MS);
+        setTimeout(() => this.#removeLapsed(removedIds), ENTRY_LAPSE_MS);
       },
     ];
   }
 
-  #lapse(ids: readonly string[]): void {
+  #removeLapsed(ids: readonly string[]): void {
     for (const id of ids) if (!this.#listedIds.has(id)) this.unlist(id);
   }
 
--- a/test/faults/daemon-death.test.ts
+++ b/test/faults/daemon-death.test.ts
@@ -91,14 +91,14 @@
   const pairs = keys.map((key) => ['d1', 'd2'].map((name) => sendOrder(fleet.daemon(name), key)));
   for (const [place, calls] of pairs.entries()) {
     const outcomes = await Promise.all(calls.map((call) => call.outcome));
-    const told = JSON.stringify(outcomes);
+    const message = JSON.stringify(outcomes);
     assert.ok(
       outcomes.some(({ kind }) => kind === 'finished'),
-      told,
+      message,
     );
     for (const outcome of outcomes) {
       if (outcome.kind === 'finished') continue;
-      assert.equal(outcome.kind === 'refused' && outcome.code, 'idempotency-in-progress', told);
+      assert.equal(outcome.kind === 'refused' && outcome.code, 'idempotency-in-progress', message);
     }
     assert.equal(await fleet.orderRuns(keys[place] ?? ''), 1);
   }
--- a/test/faults/engine-faults.test.ts
+++ b/test/faults/engine-faults.test.ts
@@ -109,9 +109,9 @@
   for (const fault of BREAKING) {
     const calls = await streamsUnder(fault);
     const kinds = calls.map((call) => call.ended?.kind);
-    const told = `${fault.kind}: ${JSON.stringify(calls.map((call) => call.ended))}`;
-    assert.ok(kinds.includes('finished'), told);
-    for (const kind of kinds) assert.ok(kind === 'finished' || kind === 'cut', told);
+    const message = `${fault.kind}: ${JSON.stringify(calls.map((call) => call.ended))}`;
+    assert.ok(kinds.includes('finished'), message);
+    for (const kind of kinds) assert.ok(kind === 'finished' || kind === 'cut', message);
   }
 });
 
@@ -137,11 +137,11 @@
 test('a whole answer of the wrong length is never given as whole', async () => {
   for (const byBytes of [-7, 7]) {
     const calls = await streamsUnder({ kind: 'wrong-length', byBytes }, false);
-    const told = `${byBytes}: ${JSON.stringify(calls.map((call) => call.ended))}`;
-    for (const call of calls) assert.notEqual(call.ended?.kind, 'wrong', told);
+    const message = `${byBytes}: ${JSON.stringify(calls.map((call) => call.ended))}`;
+    for (const call of calls) assert.notEqual(call.ended?.kind, 'wrong', message);
     assert.ok(
       calls.some((call) => call.ended?.kind === 'finished'),
-      told,
+      message,
     );
   }
 });
--- a/test/faults/planned-changes.test.ts
+++ b/test/faults/planned-changes.test.ts
@@ -128,17 +128,17 @@
 }
 
 test('a leaving backend gets no new work after 3 s and ends what it runs', async () => {
-  const [byWord, byList, byCommand] = ['a2', 'b1', 'b2'].map((name) => fleet.engine(name));
+  const [byReport, byList, byCommand] = ['a2', 'b1', 'b2'].map((name) => fleet.engine(name));
   const web = fleet.web('orders-2');
-  assert.ok(byWord && byList && byCommand);
+  assert.ok(byReport && byList && byCommand);
   const load = traffic();
   const streams = await streamsOnEach(['a2', 'b1', 'b2']);
-  await postJson(byWord.endpoint, '/leave', {});
+  await postJson(byReport.endpoint, '/leave', {});
   await postJson(web.endpoint, '/leave', {});
   await listAsLeaving(byList);
   await fleet.apply(fleet.daemon('d3'), 'drain b2');
   await wait(NO_NEW_WORK_AFTER_MS);
-  const leaving = [byWord, byList, byCommand];
+  const leaving = [byReport, byList, byCommand];
   const before = await Promise.all(leaving.map(attemptsTaken));
   const ordersBefore = await fleet.ordersTaken(web);
   await load.finishedMore(10 * CALLERS);
--- a/test/faults/planned-stop.test.ts
+++ b/test/faults/planned-stop.test.ts
@@ -40,7 +40,7 @@
   return outcomesOf(calls);
 }
 
-async function stopped(daemon: RunningDaemonPart): Promise<void> {
+async function assertStopped(daemon: RunningDaemonPart): Promise<void> {
   assert.deepEqual(await daemon.process.exited, { code: 0, signal: null });
 }
 
@@ -59,7 +59,7 @@
   stopping.process.signal('SIGTERM');
   assert.deepEqual(others(await outcomesOf([...running, ...orders])), []);
   assert.deepEqual(others((await Promise.all(callers)).flat()), []);
-  await stopped(stopping);
+  await assertStopped(stopping);
   assert.notEqual((await fleet.lease('a')).holder, stopping.name);
   const next = await eventually('another holder', async () => {
     const lease = await fleet.lease('a');
@@ -90,5 +90,5 @@
     const call = connection.askModel({ streamed: true, outputTokens });
     assert.deepEqual(others([await call.outcome]), []);
   }
-  await stopped(stopping);
+  await assertStopped(stopping);
 });
--- a/test/faults/store-outage.test.ts
+++ b/test/faults/store-outage.test.ts
@@ -52,7 +52,7 @@
 }
 
 /** Sends a change again under its id; it must be reported as applied under the version. */
-async function settles(id: string, share: string, version: number): Promise<void> {
+async function assertSettled(id: string, share: string, version: number): Promise<void> {
   for (const daemon of fleet.parts.daemons) {
     const text = `set share of class interactive to ${share}`;
     const again = await fleet.change(daemon, text, { id });
@@ -71,9 +71,12 @@
   const version = await versionInForce();
   const [outcome] = await changeWithLostAnswer('lost-1', '0.9');
   await fleet.platformFaults(LOSE_NOTHING);
-  const told = await outcome;
-  assert.ok(told?.kind === 'applied' || told?.kind === 'unknown', JSON.stringify(told));
-  await settles('lost-1', '0.9', version + 1);
+  const finalOutcome = await outcome;
+  assert.ok(
+    finalOutcome?.kind === 'applied' || finalOutcome?.kind === 'unknown',
+    JSON.stringify(finalOutcome),
+  );
+  await assertSettled('lost-1', '0.9', version + 1);
 });
 
 test('with the store down traffic goes on, and what needs the store is refused as not run', async () => {
@@ -93,19 +96,19 @@
     return held.every((epoch) => epoch === null);
   });
   await load.finishedMore(10 * CALLERS);
-  const told = await lost;
-  assert.equal(told?.kind, 'unknown', JSON.stringify(told));
+  const finalOutcome = await lost;
+  assert.equal(finalOutcome?.kind, 'unknown', JSON.stringify(finalOutcome));
   await load.finishedMore(CALLERS);
   await load.stop();
   // Only orders with an Idempotency-Key need the store; all others were answered.
   for (const outcome of load.others) assertRefused(outcome);
   await fleet.platformFaults(ALL_UP);
-  await resumes(version + 1);
+  await assertResumed(version + 1);
 });
 
 /** Everything that waited for the store goes on by itself. */
-async function resumes(version: number): Promise<void> {
-  await settles('lost-2', '0.8', version);
+async function assertResumed(version: number): Promise<void> {
+  await assertSettled('lost-2', '0.8', version);
   assert.equal(await fleet.tableRow('change/while-down'), null);
   await eventuallyTrue('the refused order to be taken', async () => {
     return (await sendOrder(fleet.daemon('d2'), 'down-1').outcome).kind === 'finished';
--- a/test/faults/support/caller.ts
+++ b/test/faults/support/caller.ts
@@ -25,7 +25,7 @@
 export const AT_MOST_ONCE: Readonly<Record<string, string>> = NOT_REPEATABLE;
 
 /** Traffic to a fleet that is gone ends by itself. */
-const MOST_OTHERS = 100;
+const MAX_OTHERS = 100;
 
 let sentCalls = 0;
 let startedTraffic = 0;
@@ -42,7 +42,7 @@
   tokens = 0;
   /** Set once the call has ended. */
   ended: Outcome | null = null;
-  private readonly giveUp = new AbortController();
+  private readonly cancellation = new AbortController();
 
   constructor(
     target: Target,
@@ -55,7 +55,7 @@
     this.outcome = call(arrivalOf(sentCalls, request), {
       agent,
       origin: originOf(target),
-      signal: this.giveUp.signal,
+      signal: this.cancellation.signal,
       headers,
       observer: {
         token: () => {
@@ -87,7 +87,7 @@
 
   /** Ends the connection as a caller that goes away. */
   leave(): void {
-    this.giveUp.abort();
+    this.cancellation.abort();
   }
 }
 
@@ -135,7 +135,7 @@
   ) {
     startedTraffic += 1;
     this.requests = arrivals({ ...TRAFFIC, name: `traffic-${startedTraffic}` });
-    for (let n = 0; n < callers; n += 1) this.callers.push(this.callOnAndOn());
+    for (let n = 0; n < callers; n += 1) this.callers.push(this.callRepeatedly());
   }
 
   /** Waits until so many more calls have finished. */
@@ -151,10 +151,10 @@
     await this.agent.destroy();
   }
 
-  private async callOnAndOn(): Promise<void> {
+  private async callRepeatedly(): Promise<void> {
     const never = new AbortController().signal;
     const observer = { token: () => undefined };
-    while (!this.isStopping && this.others.length < MOST_OTHERS) {
+    while (!this.isStopping && this.others.length < MAX_OTHERS) {
       const arrival = this.requests.next().value as Arrival;
       const targets = this.targets();
       const target = targets[arrival.index % targets.length];
