--- a/soak/address-block.ts
+++ b/soak/address-block.ts
@@ -1,12 +1,12 @@
-/** A block of loopback addresses for one run's daemons, so that runs beside each other never meet. */
+/** A block of loopback addresses for the daemons of one run, so that concurrent runs never use the same address. */
 import { createServer, type Server } from 'node:net';
 
 const FIRST_BLOCK = 16;
 const BLOCK_COUNT = 200;
-/** Bound at the block's own address for as long as a run has the block. */
+/** A run that owns a block listens at this port of the block's first address, which keeps other runs from taking it. */
 const CLAIM_PORT = 8_143;
 
-/** Addresses 127.BLOCK.x.y. */
+/** The addresses 127.BLOCK.x.y, where BLOCK is the number of the block. */
 export class AddressBlock {
   readonly #block: number;
   readonly #claim: Server;
@@ -16,7 +16,7 @@
     this.#claim = claim;
   }
 
-  /** Takes the first block that no other run has. */
+  /** Takes the first block that no other run owns. */
   static async claim(): Promise<AddressBlock> {
     for (let offset = 0; offset < BLOCK_COUNT; offset += 1) {
       const block = FIRST_BLOCK + ((process.pid + offset) % BLOCK_COUNT);
@@ -38,7 +38,7 @@
 function listenAt(host: string): Promise<Server | undefined> {
   return new Promise((resolve) => {
     const server = createServer();
-    server.once('error', () => resolve(undefined)); // Another run has it.
+    server.once('error', () => resolve(undefined)); // Another run owns the block.
     server.listen(CLAIM_PORT, host, () => resolve(server));
   });
 }
--- a/soak/answers.ts
+++ b/soak/answers.ts
@@ -1,12 +1,15 @@
-/** What the stand-ins of servers answer: a request's id and its run's stamp stand in every answer. */
+/**
+ * Response bodies of the simulated servers. Each contains the id of the request, so that the oracle detects mixed-up
+ * responses.
+ */
 
-/** From one event of a stream to the next. */
+/** Interval between two events of a stream. */
 export const EVENT_GAP_MS = 8;
 
-/** A request whose body begins so ends each server that begins to run it. */
+/** A request whose body starts with this text crashes each server that starts to run it. */
 export const CRASHING_MARK = 'ends whoever runs it';
 
-/** The body of a web server's whole answer. */
+/** The complete response body of a web server: request id, stamp of the run, padding. */
 export function wholeBody(id: string, stamp: string): string {
   return `${id} ${stamp} ${'.'.repeat(200)}`;
 }
--- a/soak/bundle.ts
+++ b/soak/bundle.ts
@@ -1,4 +1,4 @@
-/** Builds the gateway's program for a run, with one protection taken away where the run asks for that. */
+/** Bundles the gateway program for a run, with one mutation applied if the run requests it. */
 import { readFileSync } from 'node:fs';
 import { join, resolve } from 'node:path';
 import { fileURLToPath } from 'node:url';
@@ -7,7 +7,7 @@
 
 const PROJECT_ROOT = fileURLToPath(new URL('../..', import.meta.url));
 
-/** @returns the path of the program */
+/** @returns the path of the bundled program */
 export async function bundleGateway(
   directory: string,
   mutation: Mutation | undefined,
@@ -30,7 +30,9 @@
   const path = resolve(PROJECT_ROOT, file);
   const source = readFileSync(path, 'utf8');
   if (source.split(text).length !== 2) {
-    throw new Error(`mutation ${name}: its text stands not once in ${file}; write it anew`);
+    throw new Error(
+      `mutation ${name}: its text must occur exactly once in ${file}; update the text`,
+    );
   }
   return {
     name: 'mutation',
--- a/soak/callers.ts
+++ b/soak/callers.ts
@@ -1,6 +1,6 @@
 /**
- * The callers of a run: an open stream of requests over kept connections, which are used until the process
- * behind them is gone; new connections go to daemons that say they are ready.
+ * The callers of a run. They send requests at a fixed rate (open loop) over keep-alive connections, which are used until
+ * the daemon's process has ended; new connections go to daemons that report that they are ready.
  */
 import http, { type IncomingMessage } from 'node:http';
 import { CRASHING_MARK } from './answers.js';
@@ -9,41 +9,42 @@
 import type { CallEnd, CallRecord, RequestClass } from './record.js';
 import { WIRE } from './wire.js';
 
-/** The host that all routes of a run are for. */
+/** Value of the `Host` header; all routes of a run match it. */
 export const HOST = 'soak.example';
 const TICK_MS = 5;
-/** Kept open to each daemon while idle. */
+/** Idle connections that are kept open to each daemon. */
 const MAX_FREE_CONNECTIONS = 32;
 const READINESS_POLL_INTERVAL_MS = 100;
-/** A caller whose daemon took no connection tries another so soon, until its deadline. */
+/**
+ * Delay after a failed connection until the caller tries another daemon; repeated until the deadline of the request.
+ */
 const RECONNECT_DELAY_MS = 100;
-/** A refused caller without a usable `Retry-After` comes back after this. */
+/** Delay before the retry of a refused request whose response has no valid `Retry-After`. */
 const RETRY_AFTER_MS = 200;
 const CONNECT_TIMEOUT_MS = 1_000;
 const EARLY_LEAVE_AFTER_MS = 40;
-/** Some callers leave at any time, so that what is done for them is seen in calm times too. */
+/** Share of callers that leave early without any fault, so that abandoned requests also occur in calm times. */
 export const USUAL_LEAVING_SHARE = 0.05;
 const BODY = 'what does this label say?';
 const PROMPT_TOKENS = 380;
 const SHARED_PARTS = 20;
 const SHORT_TOKENS = 20;
-/** Some streams last over a second, so that stops and callers that leave meet them midway. */
+/** Some streams last over a second, so that daemons stop and callers leave while a stream is open. */
 const LONG_TOKENS = 150;
 const LONG_SHARE = 0.15;
 const DEADLINE_MS = 3_000;
 
-/** What callers are built from. */
 export interface CallersOptions {
   readonly daemons: readonly GatewayProcess[];
   readonly classes: readonly RequestClass[];
   readonly requestsPerSecond: number;
-  /** Keys that callers have, with their tenants; some may be unknown to the fleet by now. */
+  /** API keys of the callers with their tenants; the current configuration may lack some of them. */
   readonly keys: readonly { readonly key: string; readonly tenant: string }[];
   readonly random: () => number;
   readonly calls: Map<string, CallRecord>;
 }
 
-/** What a caller wants, over all its calls for it. */
+/** A request of a caller, which stays the same over its retries. */
 interface CallSpec
   extends Pick<
     CallRecord,
@@ -52,7 +53,6 @@
   readonly isRetry: boolean;
 }
 
-/** All callers. */
 export class Callers {
   readonly #options: CallersOptions;
   readonly #agents = new Map<string, http.Agent>();
@@ -65,9 +65,9 @@
   #isSending = false;
   #crashing = 0;
   readonly #repeats: NodeJS.Timeout[] = [];
-  /** Times as many requests as usual. */
+  /** Multiplier of the request rate. */
   factor = 1;
-  /** Part of the callers that leave early. */
+  /** Share of the callers that leave early. */
   leavingShare = USUAL_LEAVING_SHARE;
 
   constructor(options: CallersOptions) {
@@ -87,7 +87,7 @@
     void pollReadiness();
   }
 
-  /** Begins to send a piece of work that ends servers, at any daemon, until all sending ends. */
+  /** Sends a request that crashes servers again and again, to any daemon, until `stopSending`. */
   sendCrashing(work: CrashingWork): void {
     const { classes, keys } = this.#options;
     const [owner] = keys;
@@ -160,7 +160,7 @@
     sendCall({ call, daemon, agent: this.#agentOf(daemon), leavesEarly, onEnd });
   }
 
-  /** A caller comes back once after a refusal, and until its deadline when nothing took its connection. */
+  /** A caller retries once after a refusal; after a failed connection it retries until its deadline. */
   #retry(spec: CallSpec, end: CallEnd): void {
     const afterMs = retryAfterMs(spec, end);
     if (afterMs === undefined || performance.now() + afterMs > spec.deadlineMs) return;
@@ -170,7 +170,7 @@
     }, afterMs);
   }
 
-  /** Any that has an open connection, or else one that is ready. */
+  /** A random daemon if there is an idle connection to it; otherwise a random daemon that is ready. */
   #chooseDaemon(): GatewayProcess | undefined {
     const { daemons, random } = this.#options;
     const candidate = daemons[Math.floor(random() * daemons.length)];
@@ -182,7 +182,7 @@
     return Object.values(this.#agentOf(daemon).freeSockets).some((free) => free?.length);
   }
 
-  /** The connections to one daemon. */
+  /** The agent that holds the connections to one daemon. */
   #agentOf({ name }: GatewayProcess): http.Agent {
     const known = this.#agents.get(name);
     if (known !== undefined) return known;
@@ -203,7 +203,7 @@
   return last;
 }
 
-/** After how long a caller comes back; undefined where it does not. */
+/** Delay until the caller retries; undefined if it does not. */
 function retryAfterMs(spec: CallSpec, end: CallEnd): number | undefined {
   if (end.kind === 'not-connected') return RECONNECT_DELAY_MS;
   if (end.kind !== 'answered' || end.status !== 503 || spec.isRetry) return undefined;
@@ -247,7 +247,7 @@
     leavesEarly ? EARLY_LEAVE_AFTER_MS : call.deadlineMs - call.sentMs,
   );
   const connecting = setTimeout(() => {
-    if (!isConnected) request.destroy(new Error('no connection in time'));
+    if (!isConnected) request.destroy(new Error('connection timed out'));
   }, CONNECT_TIMEOUT_MS);
   request.on('socket', (socket) => {
     if (!socket.connecting) isConnected = true;
--- a/soak/configuration.ts
+++ b/soak/configuration.ts
@@ -1,6 +1,6 @@
 /**
- * The fleet's configuration in a run, as the operator writes it: one route moves between two web services, and one
- * tenant's key is taken away and given back.
+ * The fleet's configuration in a run, as the operator writes it to the store: one route moves between two web services,
+ * one tenant's key is revoked and restored, and further routes are added and dropped.
  */
 import { TABLES } from '../platform/names.js';
 import { HOST } from './callers.js';
@@ -8,21 +8,21 @@
 import type { PlatformStore } from './platform-store.js';
 import type { ConfigurationVersion, RequestClass, SoakBounds } from './record.js';
 
-/** The service of model engines. */
+/** The service that the model engines belong to. */
 export const MODEL = 'model';
-/** The routes of web requests go to one of these. */
+/** The routes of web requests lead to one of these services. */
 export const WEB_SERVICES = ['web-1', 'web-2'] as const;
 const KEYS = [
   { key: 'key-one', tenant: 'one' },
   { key: 'key-two', tenant: 'two' },
 ];
 const REVOCABLE_KEY = { key: 'key-three', tenant: 'three' };
-/** All keys that callers use. */
+/** All API keys that callers use. */
 export const CALLERS_KEYS = [...KEYS, REVOCABLE_KEY];
-/** What callers ask for. */
+/** The kinds of requests that callers send. */
 export const CLASSES: readonly RequestClass[] = [
   webClass('get', 'idempotent', 2, 0.25),
-  // Attempts that its kind forbids: what may run once does so whatever a route allows.
+  // The two attempts must have no effect: a non-idempotent request runs at most once, whatever its route allows.
   webClass('post', 'non-idempotent', 2, 0.25),
   {
     name: 'generate',
@@ -43,11 +43,11 @@
   budgetRatio: 0.2,
   budgetWindowMs: 10_000,
 };
-/** As the users set it: 54 for 7 daemons, 158 for 59, 430 for 195. */
+/** Approximates the slack that users configure: 54 for 7 daemons, 158 for 59, 430 for 195. */
 const SLACK_PER_DAEMON = 2.2;
 const MIN_SLACK = 50;
 
-/** A route that comes and goes; callers send nothing there, daemons are asked whether they have it. */
+/** A route that is added and dropped during a run. Callers do not use it; probes check whether daemons have it. */
 interface AddedRoute {
   readonly pathPrefix: string;
   readonly timeoutMs: number;
@@ -55,7 +55,7 @@
 
 const ADDED_TIMEOUT_MS = 1_000;
 
-/** The bounds that a fleet of so many daemons is set to and judged by. */
+/** The bounds for a fleet of the given number of daemons: settings of the daemons and limits of the oracle. */
 export function boundsOf(daemons: number): SoakBounds {
   return { ...BOUNDS, budgetSlack: Math.max(MIN_SLACK, daemons * SLACK_PER_DAEMON) };
 }
@@ -106,19 +106,19 @@
     this.#write();
   }
 
-  /** Writes the newest version once more, as the store came back from an older copy. */
+  /** Writes the newest version once more; called after the store was restored from an older copy. */
   writeAgain(): void {
     if (this.#newest !== undefined) {
       this.#store.put(TABLES.operator, TABLES.configurationKey, this.#newest);
     }
   }
 
-  /** The route that was added last and the one that was dropped last, by their prefixes. */
+  /** Path prefixes of the newest route and of the route that was dropped last. */
   get recentRoutes(): { readonly added: string | undefined; readonly dropped: string | undefined } {
     return { added: this.#addedRoutes.at(-1)?.pathPrefix, dropped: this.#lastDropped };
   }
 
-  /** Its prefix is one that no version had before. */
+  /** Adds a route with a path prefix that no earlier version had. */
   #addRoute(): void {
     this.#routesAddedTotal += 1;
     const pathPrefix = `/added-${this.#routesAddedTotal}/`;
--- a/soak/duty-service.ts
+++ b/soak/duty-service.ts
@@ -1,6 +1,6 @@
 /**
- * A stand-in of the platform's calls that are the duty of one daemon at a time: usage reports and orders of
- * capacity, each under a fencing token.
+ * Simulates the platform's API for the tasks that one daemon at a time performs (duties): usage reports and capacity
+ * orders. Each call carries a fencing token; a call with a token lower than one seen before is rejected.
  */
 import http, { type IncomingMessage, type ServerResponse } from 'node:http';
 import { DUTY_HEADERS } from '../platform/names.js';
@@ -9,7 +9,7 @@
 import type { DutyRecord } from './record.js';
 import { readBody } from './request-body.js';
 
-/** The service. */
+/** Simulated duty API; records every call. */
 export class DutyService {
   fault: DutyFault | undefined;
   readonly records: DutyRecord[] = [];
--- a/soak/fault-injector.ts
+++ b/soak/fault-injector.ts
@@ -1,6 +1,6 @@
 /**
- * Brings about the faults of a plan, one function each, and notes what they disturb: promises that hold in calm times
- * only are judged by that.
+ * Injects the faults of a plan, one method per fault, and records what each fault disturbs and when: the oracle judges
+ * promises that hold only without disturbances by these records.
  */
 import { type Callers, USUAL_LEAVING_SHARE } from './callers.js';
 import type { Operator } from './configuration.js';
@@ -13,16 +13,16 @@
 import type { Disturbance, DrainNotice, LimitNotice, Scope, SoakBounds } from './record.js';
 import { ENTRY_LAPSE_MS, type PooledServer, type ServerPool } from './server-pool.js';
 
-/** From a daemon's new start until its listeners have been up for a while, on a machine that is busy. */
+/** Time from the start of a daemon's process until it serves again, on a busy machine. */
 const START_MS = 3_000;
 const RESUME_MS = 1_000;
 const RESTART_MS = 2_500;
-/** Every so many servers that end under a request are back at once. */
+/** Of the servers that crash under a request, every third restarts at once, the others after `RESTART_MS`. */
 const QUICK_RESTART_EVERY = 3;
 const DRAIN_LINGER_MS = 3_000;
 const ROLLING_START_MS = 400;
 
-/** What faults strike. */
+/** The parts of a run that faults act on. */
 export interface SoakWorld {
   readonly bounds: SoakBounds;
   readonly store: PlatformStore;
@@ -34,13 +34,13 @@
   readonly callers: Callers;
 }
 
-/** Servers that do wrong with a part of the requests. */
+/** Servers that mishandle a share of their requests. */
 interface ServersFault extends Omit<Extract<Fault, { kind: 'servers' }>, 'kind'> {
-  /** What they ask for, where they ask for rest. */
+  /** The back-off period that servers request if `how` is `ask-for-rest`. */
   readonly restMs?: number;
 }
 
-/** Strikes a run's world until it is ended. */
+/** Injects faults into a run until `end` is called. */
 export class FaultInjector {
   readonly disturbances: Disturbance[] = [];
   readonly drains: DrainNotice[] = [];
@@ -53,12 +53,12 @@
     this.#world = world;
   }
 
-  /** The stand-ins answered nobody for a span. */
+  /** Records a span in which the soak's own process, which simulates the store and the servers, did not respond. */
   noteStandInsLate(fromMs: number, toMs: number): void {
     this.disturbances.push({ scope: 'stand-ins', name: '', fromMs, toMs, isPlanned: false });
   }
 
-  /** From now on nothing is started or changed any more. */
+  /** From this call on, faults start no process and no server, and no new fault begins. */
   end(): void {
     this.#isEnded = true;
   }
@@ -270,7 +270,7 @@
     const servers = this.#serversAt(fault.servers).map(({ server }) => server);
     for (const server of servers) {
       server.fault = { how: fault.how, share: fault.share, restMs: fault.restMs ?? 0 };
-      // Surplus bytes and broken answers may end connections that other requests are on.
+      // Surplus bytes after a response may close connections that other requests use.
       if (fault.how === 'answer-twice') this.#disturb('server', server.id, fault.forMs);
     }
     await pause(fault.forMs);
@@ -295,7 +295,10 @@
     this.#listStarted(listed);
   }
 
-  /** A run that has ended meanwhile leaves nothing that listens: its process would not end. */
+  /**
+   * Adds a started server to the list. If the run has ended meanwhile, closes the server: an open listener would keep
+   * the process alive.
+   */
   #listStarted(listed: PooledServer): void {
     if (this.#isEnded) {
       listed.link.close();
@@ -305,7 +308,7 @@
     this.#world.pool.list(listed);
   }
 
-  /** A server ends under a request; it is back under its id, at times before anyone looks. */
+  /** Crashes a server under a request and restarts it under the same id, sometimes before any daemon can notice. */
   endServer(serverId: string): void {
     const listed = this.#world.pool.servers.find(({ server }) => server.id === serverId);
     if (listed === undefined) return;
@@ -314,7 +317,7 @@
     void this.#crash(listed, downMs, 'same');
   }
 
-  /** The server names a limit for a time; another start ends that too. */
+  /** The server reports a request rate limit for a time, or until it restarts. */
   async #limit(
     { server }: PooledServer,
     { perSecond, laterPerSecond, forMs }: Extract<Fault, { kind: 'limits' }>,
@@ -337,13 +340,16 @@
     if (isSameBoot()) server.limit = undefined;
   }
 
-  /** The server says that it leaves, at times only in its answers at first, serves on for a while, and comes back as another. */
+  /**
+   * The server reports that it leaves: first in its responses, after `listedAfterMs` in its entry as well. It goes on
+   * serving for a while, stops, and starts again under a new id.
+   */
   async #drain(listed: PooledServer | undefined, listedAfterMs: number): Promise<void> {
     if (listed === undefined || !listed.server.isUp || listed.isLeaving) return;
     const { server } = listed;
     const oldId = server.id;
     server.isLeaving = true;
-    // No other fault may end it before it has left.
+    // Keeps other faults from crashing the server before it has left.
     listed.isLeaving = true;
     await pause(listedAfterMs);
     listed.isDraining = true;
--- a/soak/gateway-process.ts
+++ b/soak/gateway-process.ts
@@ -1,4 +1,4 @@
-/** One daemon of a run: its settings file, its process, and the signals that it gets. */
+/** One daemon of a run: its settings file, its process, and the signals that are sent to it. */
 import { type ChildProcess, spawn } from 'node:child_process';
 import { createWriteStream, writeFileSync } from 'node:fs';
 import { join } from 'node:path';
@@ -7,33 +7,31 @@
 const CALLERS_PORT = 8_144;
 const READINESS_PORT = 8_140;
 const PEERS_PORT = 7_660;
-/** As on the users' machines. */
+/** The flags that deployed gateways run with. */
 const NODE_FLAGS = ['--max-semi-space-size=2', '--max-old-space-size=96'];
 const LEASE_MS = 3_000;
 const USAGE_WINDOW_SECONDS = 5;
 
-/** What a daemon is built from. */
 export interface GatewayProcessOptions {
   readonly name: string;
   readonly zone: string;
-  /** On loopback, another for each daemon. */
+  /** A loopback address that no other daemon uses. */
   readonly host: string;
   readonly storePort: number;
   readonly dutyPort: number;
   readonly program: string;
-  /** What runs in its first life, where that is an earlier release. */
+  /** Program of an earlier release for the first incarnation; undefined if it runs `program` as well. */
   readonly earlierProgram: string | undefined;
-  /** Where its settings and its log go. */
+  /** Directory for the settings file and the log. */
   readonly directory: string;
   readonly bounds: SoakBounds;
 }
 
-/** A daemon. */
 export class GatewayProcess {
   readonly #options: GatewayProcessOptions;
   readonly #settingsPath: string;
   #process: ChildProcess | undefined;
-  /** Counts its starts. */
+  /** Number of starts so far; identifies the current incarnation. */
   life = 0;
   isStopping = false;
   isFrozen = false;
@@ -91,14 +89,14 @@
     this.#process?.kill(signal);
   }
 
-  /** Resolves once the process is gone. */
+  /** Resolves once the process has exited. */
   ended(): Promise<void> {
     const child = this.#process;
     if (child === undefined) return Promise.resolve();
     return new Promise((resolve) => child.once('exit', () => resolve()));
   }
 
-  /** Whether it answers that it is ready. */
+  /** Whether the readiness endpoint reports that the daemon is ready. */
   async isReady(): Promise<boolean> {
     if (this.#process === undefined || this.isFrozen) return false;
     try {
@@ -108,7 +106,7 @@
       await answer.arrayBuffer();
       return answer.ok;
     } catch {
-      return false; // It does not listen yet, or any more.
+      return false; // The daemon does not listen yet, or has stopped listening.
     }
   }
 }
--- a/soak/gateway-program.ts
+++ b/soak/gateway-program.ts
@@ -1,4 +1,4 @@
-/** The gateway's program as the soak runs it: bundled with its call, in a process of its own. */
+/** Entry point that the soak bundles into one file and runs in a separate process per daemon. */
 import { main } from '../src/daemon/gateway-main.js';
 
 main();
--- a/soak/judge-limits.ts
+++ b/soak/judge-limits.ts
@@ -1,21 +1,26 @@
 /**
- * Judges whether daemons kept to the limits that servers named: from `contactMs` after a server first named one, what
- * reaches it within any 4 s from daemons that had passed on such an answer, half a second before or earlier, is one and a
- * half times the limit and 5 more at most. And whether they used them: a server that nobody is sent to though requests
- * are refused for want of one has named its limit in vain. Pure.
+ * Judges whether daemons observe the request rate limits that servers report, and whether they use them. Pure.
+ *
+ * Overuse: from `contactMs` after a server first reported a limit, it receives within any 4 s at most 1.5 times the limit
+ * plus 5 requests from daemons that forwarded a response with the limit at least 0.5 s earlier.
+ * Lack of use: a server receives far fewer requests than its limit allows, while requests are refused because no server
+ * has capacity.
  */
 import type { Arrival, CallRecord, LimitNotice, RunRecord, Scope } from './record.js';
 
 const WINDOW_MS = 4_000;
 const LIMIT_FACTOR = 1.5;
 const LIMIT_SLACK = 5;
-/** From an answer that its daemon passed on until that daemon counts. */
+/** A daemon has to observe a limit from this long after it forwarded a response with the limit. */
 const LIMIT_LEARN_MS = 500;
-/** Until daemons have taken in what was sent before the limit, and a take-over between them is over. */
+/**
+ * Use is judged from this long after the limit began: requests sent before count, and another daemon may take over
+ * the grant of permits.
+ */
 const USE_JUDGED_AFTER_MS = 11_000;
-/** Under want of servers, the part of a limit that is used at least. */
+/** Share of a limit that must be used while requests are refused for lack of servers. */
 const MIN_USED_SHARE = 0.25;
-/** Refusals a second and server that show want. */
+/** Refusals per second and server that count as a lack of servers. */
 const SHORTAGE_REFUSALS_PER_SECOND = 2;
 const MIN_USE_SPAN_MS = 4_000;
 const MILLISECONDS_PER_SECOND = 1_000;
@@ -25,13 +30,13 @@
   readonly arrival: Arrival;
 }
 
-/** What was wrong with one server's limit. */
+/** A limit that daemons exceeded or did not use. */
 export interface LimitFault {
   readonly atMs: number;
   readonly detail: string;
 }
 
-/** Whether a thing was disturbed in a span. */
+/** Whether a daemon, a server or another part was disturbed in a span. */
 type IsDisturbed = (
   scope: Scope,
   name: string,
@@ -58,7 +63,7 @@
     .sort((left, right) => left.arrival.atMs - right.arrival.atMs);
 }
 
-/** When each life of a daemon first passed on an answer with the limit. */
+/** The time at which each incarnation of a daemon first forwarded a response with the limit. */
 function limitKnownMsByIncarnation(arrivals: readonly ArrivalAt[]): ReadonlyMap<string, number> {
   const knownMs = new Map<string, number>();
   for (const { call, arrival } of arrivals) {
@@ -110,7 +115,7 @@
   return undefined;
 }
 
-/** The highest limit in force in a span: one that has just fallen can't be kept backwards. */
+/** The highest limit in force in a span: requests sent before a limit was lowered are judged by the former limit. */
 function highestIn(notice: LimitNotice, span: { readonly fromMs: number; readonly toMs: number }) {
   const before = notice.changes.filter(({ atMs }) => atMs <= span.fromMs).at(-1);
   const within = notice.changes.filter(({ atMs }) => atMs > span.fromMs && atMs <= span.toMs);
--- a/soak/judge-routes.ts
+++ b/soak/judge-routes.ts
@@ -1,24 +1,30 @@
-/** Judges whether daemons went by a version of the configuration that they may go by, from their word on single routes. Pure. */
+/**
+ * Judges, from probes of single routes, whether daemons apply a configuration version that is neither too old nor older
+ * than one that they applied before. Pure.
+ */
 import type { ConfigurationVersion, RouteProbe, RunRecord } from './record.js';
 
-/** A request on the way when something is acknowledged, and the first look at it by a loaded machine. */
+/** Allowance for requests in transit when a change is acknowledged, and for slow scheduling on a loaded machine. */
 const TRANSIT_MS = 500;
-/** A daemon that has answered by a version goes by no older one from so soon on. */
+/** After a response under a version, a daemon may still send responses under an older version for this long. */
 const ROLLBACK_SLACK_MS = 250;
 
-/** A daemon that went by a version that it may not go by any more. */
+/** A response under a configuration version that the daemon must no longer apply. */
 export interface RouteFault {
   readonly atMs: number;
   readonly detail: string;
 }
 
-/** The least version that a life of a daemon was seen to go by. */
+/** The lowest version that an incarnation of a daemon is known to have applied. */
 interface SeenVersion {
   readonly version: number;
   readonly atMs: number;
 }
 
-/** Daemons in touch that are late, and daemons that went back, in touch or not. */
+/**
+ * Reports daemons that are late although they are in contact with the store, and daemons that went back to an older
+ * version, in contact or not.
+ */
 export function routeFaults(
   { probes, configurations, bounds }: Pick<RunRecord, 'probes' | 'configurations' | 'bounds'>,
   isInTouch: (daemon: string, fromMs: number, toMs: number) => boolean,
--- a/soak/lag-watch.ts
+++ b/soak/lag-watch.ts
@@ -1,20 +1,20 @@
 /**
- * Watches whether the stand-ins themselves keep pace: they share one process, and where that is late the store is slow
- * for every daemon, whatever the plan says.
+ * Detects delays of the soak's own process. The simulated store and servers share this process, so when it is delayed the
+ * store is slow for every daemon, also without a fault of the plan.
  */
 const POLL_INTERVAL_MS = 100;
 /**
- * Later than this they count as disturbed: at 362 ms arrivals were noted up to 1.3 s late, as one passes through the
- * process three times.
+ * A longer delay counts as a disturbance: with a delay of 362 ms, arrivals were recorded up to 1.3 s late, because a
+ * request passes through the process three times.
  */
 const LATE_THRESHOLD_MS = 100;
 
-/** Told of each span in which this process was late. */
+/** Called with each span in which this process was delayed. */
 export type NoteLate = (fromMs: number, toMs: number) => void;
 
-/** A watch of this process's own timers. */
+/** Measures how late the timers of this process fire. */
 export class LagWatch {
-  /** The longest that a timer was late. */
+  /** The longest delay of a timer. */
   worstMs = 0;
   readonly #onLate: NoteLate;
   #timer: NodeJS.Timeout | undefined;
--- a/soak/link-proxy.ts
+++ b/soak/link-proxy.ts
@@ -1,4 +1,6 @@
-/** The link between all daemons and one server: a TCP proxy on loopback that delays, resets or silences. */
+/**
+ * The link between all daemons and one server: a TCP proxy on loopback that can delay, reset or silence connections.
+ */
 import { once } from 'node:events';
 import { type AddressInfo, connect, createServer, type Server, type Socket } from 'node:net';
 import type { LinkFault } from './plan.js';
@@ -16,7 +18,10 @@
   readonly forward: () => void;
 }
 
-/** One way of a connection: what is delayed holds back what comes after it, its end included. */
+/**
+ * One direction of a connection. Delayed bytes hold back all later bytes and the end of the connection, so that the
+ * order is kept.
+ */
 class DelayQueue {
   #queue: DelayedStep[] = [];
 
@@ -43,7 +48,7 @@
   }
 }
 
-/** A link; its address is the one that the server is listed under. */
+/** A link. The server's entry in the store has the address of its link. */
 export class LinkProxy {
   readonly #targetPort: () => number;
   readonly #pairs = new Set<ConnectionPair>();
@@ -59,14 +64,14 @@
     return `127.0.0.1:${this.#port}`;
   }
 
-  /** Takes connections, after `refuse` at the same address again. */
+  /** Starts to accept connections; after `refuse`, at the same address as before. */
   async open(): Promise<void> {
     this.#proxy.listen(this.#port, '127.0.0.1');
     await once(this.#proxy, 'listening');
     this.#port = (this.#proxy.address() as AddressInfo).port;
   }
 
-  /** As a machine whose server has ended: refuses new connections. */
+  /** Refuses new connections, as a machine does whose server has stopped. */
   refuse(): void {
     this.#proxy.close();
   }
@@ -82,7 +87,7 @@
     if (fault === 'silent') for (const pair of this.#pairs) pair.isSilent = true;
   }
 
-  /** Connections that went silent stay so. */
+  /** Ends the fault; connections that went silent stay silent. */
   end(): void {
     this.#fault = undefined;
   }
@@ -120,7 +125,7 @@
     from.on('error', () => to.destroy());
     from.on('close', () => {
       this.#pairs.delete(pair);
-      // A silent connection tells neither side that the other is gone.
+      // On a silent connection neither side learns that the other has closed.
       if (!pair.isSilent) queue.forward(this.#delayMs, () => to.destroySoon());
     });
   }
--- a/soak/main.ts
+++ b/soak/main.ts
@@ -1,5 +1,7 @@
 #!/usr/bin/env node
-/** Entry point of the soak: real gateway processes under faults from outside, judged by the fleet's promises. */
+/**
+ * Entry point of the soak test: runs gateway processes under injected faults and judges them by the fleet's promises.
+ */
 import { Builtins, Cli, Command, Option } from 'clipanion';
 import { MUTATIONS } from './mutations.js';
 import {
@@ -17,10 +19,10 @@
 const EXIT_UNUSABLE = 2;
 const EXIT_INTERRUPTED = 130;
 const REQUESTS_PER_DAEMON = 8;
-/** Violations of a run that are printed. */
+/** Maximum number of violations printed per run. */
 const MAX_VIOLATIONS_SHOWN = 12;
 
-/** The command line, checked. */
+/** The validated command line. */
 interface SoakOptions {
   readonly firstSeed: number;
   readonly seeds: number;
@@ -144,13 +146,13 @@
 const cli = new Cli({ binaryLabel: 'threadfork soak', binaryName: 'soak' });
 cli.register(SoakCommand);
 cli.register(Builtins.HelpCommand);
-// Runs end their processes when this one exits, however that comes about.
+// A run kills its daemons on the `exit` event of this process, so signals have to lead to a regular exit.
 for (const signal of ['SIGINT', 'SIGTERM'] as const) {
   process.once(signal, () => process.exit(EXIT_INTERRUPTED));
 }
 process.exit(await runCommand(process.argv.slice(2)));
 
-/** Whatever keeps the soak from running is told in one line. */
+/** Runs the command; prints any error that prevents the soak from running as one line. */
 async function runCommand(args: string[]): Promise<number> {
   try {
     if (args.some((arg) => arg === '--help' || arg === '-h')) {
--- a/soak/model-server.ts
+++ b/soak/model-server.ts
@@ -1,6 +1,6 @@
 /**
- * A stand-in of the platform's servers: model engines, which read prompts and generate, and plain web servers.
- * It notes each arrival, and does wrong what the run tells it to.
+ * Simulates the platform's servers: model engines, which prefill prompts and decode, and plain web servers. Reports each
+ * arrival to the run's observer, and injects the faults that the run sets.
  */
 import http, { type IncomingMessage, type ServerResponse } from 'node:http';
 import { PATHS } from '../platform/names.js';
@@ -13,14 +13,14 @@
 
 const WEB_WORK_MS = 15;
 const PREFILL_MS = 12;
-/** An engine that generates reads at half the pace. */
+/** Prefill time at a decode engine, which has to read the prompt itself: twice that of a prefill engine. */
 const SLOW_PREFILL_MS = 24;
 const STAGE_SWITCH_MS = 800;
 const ORDER_DELAY_MS = 2_500;
-/** With fewer slots than this work takes longer. */
+/** With fewer slots than this, requests take proportionally longer. */
 const FULL_SPEED_SLOTS = 6;
 const MALFORMED_LOAD_SHARE = 0.1;
-/** Answers whose word on leaving, on rest, or on a limit is none. */
+/** Share of responses with a malformed header on leaving, back-off or the limit, which daemons must ignore. */
 const MALFORMED_HEADER_SHARE = 0.02;
 const MALFORMED_HEADERS = [
   { [WIRE.leaving]: '0' },
@@ -38,9 +38,9 @@
 const MILLISECONDS_PER_SECOND = 1_000;
 const MAX_EVENTS_WAIT_MS = 1_000;
 const KEEP_ALIVE_MS = 5_000;
-/** From the begin of a run that ends its server to that end. */
+/** Time from the start of a request that crashes its server until the crash. */
 const CRASH_AFTER_MS = 60;
-/** The end of an answer that a faulty server never sends. */
+/** Share of a response that a faulty server sends before it breaks off. */
 const SENT_SHARE_BEFORE_BREAK = 0.5;
 
 export type Stage = 'prefill' | 'decode';
@@ -51,55 +51,54 @@
   readonly fence: number;
 }
 
-/** Told of what comes to servers. */
+/** Receives the events of all servers. */
 export interface ServerObserver {
   arrived(request: IncomingMessage, body: string, arrival: Arrival): void;
   ordered(order: OrderRecord): void;
-  /** A request under which the server ends has run for a moment. */
+  /** A request that crashes its server has run for `CRASH_AFTER_MS`. */
   ends(serverId: string): void;
 }
 
-/** What a server is built from. */
 export interface ModelServerOptions {
   readonly service: string;
   /** Undefined for a web server. */
   readonly stage: Stage | undefined;
-  /** Requests that it runs at once. */
+  /** Maximum number of concurrent requests. */
   readonly slots: number;
-  /** How long its work takes against the usual. */
+  /** Ratio of its processing time to the typical time. */
   readonly pace: number;
   readonly observer: ServerObserver;
   readonly random: () => number;
-  /** Memory of prompts by handle, of all engines together: the request that it was read for. */
+  /** For each KV handle of any engine, the id of the request whose prompt was prefilled. */
   readonly handles: Map<string, string>;
-  /** Told when an engine has changed its stage. */
+  /** Called when an engine has changed its stage. */
   readonly noteStage: () => void;
 }
 
 interface ActiveFault {
   readonly how: ServerFault;
   readonly share: number;
-  /** For how long daemons that are turned away are asked to send nothing. */
+  /** The back-off period that refusals request, in ms. */
   readonly restMs: number;
 }
 
 let instances = 0;
 
-/** Where a start is to be told from the one before. */
+/** How a started server differs from its previous boot. */
 export type StartedAs =
-  /** Under another id, as a server that takes the place of one that has left. */
+  /** Under another id, as a server that replaces one that has left. */
   | 'other'
-  /** Under the id that it had. */
+  /** Under the same id, so that only the boot time differs. */
   | 'same';
 
-/** One server, through its lives. */
+/** One server over all its boots. */
 export class ModelServer {
   readonly #options: ModelServerOptions;
   #server: http.Server | undefined;
   #port = 0;
   #id = '';
   #bornMs = 0;
-  /** Prompts that it has read; they are gone with its life. */
+  /** KV handles of the current boot; a crash removes them. */
   readonly #ownHandles = new Set<string>();
   #stage: Stage | undefined;
   #isSwitching = false;
@@ -108,9 +107,9 @@
   #orders = 0;
   #runs = 0;
   fault: ActiveFault | undefined;
-  /** Whether it says in each answer that it leaves; until its next start. */
+  /** Whether each response reports that the server leaves; reset by a start. */
   isLeaving = false;
-  /** The requests a second that it names in each answer; undefined where it names no limit, as after a start. */
+  /** The limit in requests per second that each response reports; undefined if there is none, as after a start. */
   limit: number | undefined;
 
   constructor(options: ModelServerOptions) {
@@ -130,7 +129,7 @@
     return this.#stage;
   }
 
-  /** When this life began. */
+  /** Unix time in ms at which the current boot began. */
   get bornMs(): number {
     return this.#bornMs;
   }
@@ -166,7 +165,7 @@
     this.#server = server;
   }
 
-  /** Ends at once, with all that is under way. */
+  /** Stops at once and closes all open connections. */
   crash(): void {
     if (this.#server !== undefined) void closeListener(this.#server);
     this.#server = undefined;
@@ -237,7 +236,10 @@
     else this.#run(request, response, arrival, end);
   }
 
-  /** The status of a refusal that says truly that it has not run; `rest` for a 503 that asks for it. */
+  /**
+   * The status of a refusal, which states that the request has not run; `rest` for a 503 that requests a back-off
+   * period.
+   */
   #refusalOf(request: IncomingMessage, arrival: Arrival): number | 'rest' | undefined {
     const { headers } = request;
     if (headers[WIRE.expectInstance] !== this.#id) return 421;
@@ -306,7 +308,7 @@
     else this.#stream(request, response, arrival, stamp, end);
   }
 
-  /** Begins to answer as always, and ends with all that it runs. */
+  /** Starts a normal response, then crashes the server with all its requests. */
   #crashDuring(request: IncomingMessage, response: ServerResponse, arrival: Arrival): void {
     const ownId = this.#id;
     const bornMs = this.#bornMs;
@@ -320,7 +322,7 @@
       response.write('id: 1\nda');
     }
     setTimeout(() => {
-      // Taken back by its daemon, it ends nothing.
+      // A request that its daemon has cancelled crashes nothing.
       if (response.destroyed || !this.isUp || this.#bornMs !== bornMs) return;
       arrival.hasEndedServer = true;
       arrival.isServersFault = true;
@@ -362,13 +364,13 @@
     }, this.#webWorkMs);
   }
 
-  /** Work takes longest where there are few slots, so that they are short. */
+  /** Processing time of a web server. Servers with few slots are slower, so that their slots run out. */
   get #webWorkMs(): number {
     const { slots, pace } = this.#options;
     return WEB_WORK_MS * pace * Math.max(1, FULL_SPEED_SLOTS / slots);
   }
 
-  /** What a web server says of its load; now and then nothing that can be read. */
+  /** The load header of a web server; in a share of responses it is malformed. */
   #loadHeader(): Record<string, string> {
     if (this.#stage !== undefined) return {};
     const isMalformed = this.#options.random() < MALFORMED_LOAD_SHARE;
@@ -442,7 +444,7 @@
     response.writeHead(this.#executeOrder(order) ? 202 : 409, this.#availabilityHeaders()).end();
   }
 
-  /** @returns whether the order's fence allows it */
+  /** @returns false if an order with a higher fence came before */
   #executeOrder(order: StageOrderBody): boolean {
     const { holder, fence } = order;
     this.#options.observer.ordered({
@@ -496,7 +498,10 @@
     return this.limit === undefined ? {} : { [WIRE.limit]: String(this.limit) };
   }
 
-  /** What each answer says of its server: that it leaves, its limit, or now and then what is no word. */
+  /**
+   * Headers of each response on the server itself: that it leaves and its limit, or in a share of responses a
+   * malformed one.
+   */
   #availabilityHeaders(): Record<string, string> {
     if (this.isLeaving || this.limit !== undefined) {
       return { ...this.#leavingHeader(), ...this.#limitHeader() };
@@ -514,7 +519,7 @@
   return { 'X-Attempt-Id': String(request.headers[WIRE.attemptId]) };
 }
 
-/** Bytes of a second whole answer behind the first, as faulty servers send them. */
+/** Sends a second complete response on the same connection, as a faulty server may do. */
 function sendSurplusAnswer(request: IncomingMessage, stamp: string): void {
   const id = String(request.headers[WIRE.attemptId]);
   const body = wholeBody(id, stamp);
--- a/soak/mutations.ts
+++ b/soak/mutations.ts
@@ -1,14 +1,14 @@
 /**
- * Protections of the product that the soak takes away one at a time, to show that it would find the fault: each
- * replaces one text of one source file.
+ * Mutations of the gateway's source, each of which removes one protection by replacing one text of one source file.
+ * A run with a mutation shows that the soak detects the fault that the protection prevents.
  */
 import type { PromiseName } from './oracle.js';
 
-/** A protection and the promise that it keeps. */
+/** A replacement that removes a protection, and the promise that is broken without it. */
 export interface Mutation {
   readonly name: string;
   readonly promise: PromiseName;
-  /** From the root of the repository. */
+  /** Path relative to the root of the repository. */
   readonly file: string;
   readonly text: string;
   readonly replacement: string;
--- a/soak/oracle.ts
+++ b/soak/oracle.ts
@@ -1,6 +1,6 @@
 /**
- * Judges a run by the promises of the fleet, from what callers, servers and the store have seen. Pure. Where a promise
- * holds only in calm times, the disturbances of the run say when these were.
+ * Judges a run by the promises of the fleet, from the records of callers, servers and the store. Pure. Promises that hold
+ * only without disturbances are judged outside the disturbances that the run recorded.
  */
 import { PATHS } from '../platform/names.js';
 import { CRASHING_MARK, EVENT_GAP_MS, eventText, wholeBody } from './answers.js';
@@ -8,7 +8,7 @@
 import { routeFaults } from './judge-routes.js';
 import type { Arrival, CallRecord, Disturbance, RunRecord, Scope } from './record.js';
 
-/** What is promised; docs/SOAK.md says each in a sentence. */
+/** The promises; docs/SOAK.md describes each in a sentence. */
 export type PromiseName =
   | 'TWICE'
   | 'REFUSED'
@@ -27,37 +27,37 @@
   | 'LIMIT'
   | 'RECOVER';
 
-/** A promise that was broken. */
+/** A case in which a promise was broken. */
 export interface Violation {
   readonly promise: PromiseName;
   readonly atMs: number;
   readonly detail: string;
 }
 
-/** Statuses that promise that a request has not run and never will. */
+/** Statuses that state that a request has not run and never will. */
 const NOT_RUN_STATUSES: ReadonlySet<number> = new Set([408, 421, 429, 503]);
-/** Work may go on for so long after its caller has left. */
+/** Work may continue for this long after its caller has left. */
 const GONE_SLACK_MS = 500;
 const GONE_MAX_ARRIVALS = 3;
 const GONE_MIN_WORKED_ON = 3;
 const GONE_MAX_SHARE = 0.25;
-/** The last stretch of a run is calm; a quarter of its requests has to be served. */
+/** The last part of a run has no faults; a quarter of its requests must be served. */
 const RECOVER_SPAN_MS = 4_000;
 const RECOVER_MIN_SHARE = 0.25;
-/** A request on the way when something is acknowledged, and the first look at it by a loaded machine. */
+/** Allowance for requests in transit when a change is acknowledged, and for slow scheduling on a loaded machine. */
 const TRANSIT_MS = 500;
-/** Cases that are named in a violation's detail. */
+/** Maximum number of cases listed in the detail of a violation. */
 const MAX_CASES_SHOWN = 5;
-/** A few requests may cross the moment that a daemon's process is given up by its caller. */
+/** A few requests may be sent at the moment at which a daemon closes their connection. */
 const LOST_MAX = 3;
-/** From a server's refusal until its daemon has to have heard of the rest that it asks for. */
+/** Time from a server's refusal until its daemon must observe the back-off period that it requests. */
 const BACK_OFF_GRACE_MS = 500;
 const BACK_OFF_MAX_ARRIVALS = 2;
-/** Servers that may end under one request, and sends of it from then on. */
+/** Servers that one request may crash, and how often it may be sent after that. */
 const MAX_CRASHES = 3;
 const MAX_SENT_AFTER_CRASHES = 3;
 
-/** All promises that a run has broken. */
+/** All violations in a run. */
 export function judge(run: RunRecord): readonly Violation[] {
   const calls = [...run.calls.values()].sort((left, right) => left.sentMs - right.sentMs);
   return [
@@ -77,13 +77,15 @@
   ];
 }
 
-/** Whether a daemon ran on, in reach of the store, since a time well before. */
+/** Whether a daemon was running and in contact with the store during a span and for `contactMs` before it. */
 function isInTouch(run: RunRecord, daemon: string, fromMs: number, toMs: number): boolean {
   const isCalm = (scope: Scope, name: string) => !isDisturbed(run, { scope, name, fromMs, toMs });
   return isCalm('stand-ins', '') && isCalm('store', '') && isCalm('daemon', daemon);
 }
 
-/** Whether a thing was disturbed in a span, or so shortly before that it need not be well again. */
+/**
+ * Whether something was disturbed in a span or in the `contactMs` before it, within which it may still be recovering.
+ */
 function isDisturbed(run: RunRecord, span: Omit<Disturbance, 'isPlanned'>): boolean {
   return run.disturbances.some(
     ({ scope, name, fromMs, toMs }) =>
@@ -155,7 +157,10 @@
     addViolation('ORDER', 'a stream that ended as whole lacks or repeats pieces');
 }
 
-/** Services and keys: never what no version allowed; in touch, soon after a version, nothing older. */
+/**
+ * Judges services and API keys: a daemon never uses one that no version allowed, and a daemon in contact with the store
+ * uses none that only versions older than the settled one allowed.
+ */
 function judgeVersions(call: CallRecord, run: RunRecord, addViolation: AddViolation): void {
   const { requestClass, apiKey, daemon } = call;
   for (const arrival of call.arrivals) {
@@ -183,7 +188,7 @@
   for (const { serverId, atMs } of call.arrivals) {
     const notice = run.drains.find((drain) => drain.serverId === serverId);
     if (notice === undefined || atMs <= notice.ackMs + run.bounds.drainMs + TRANSIT_MS) continue;
-    // One that was out of touch as the server said so knows it once it is back.
+    // A daemon that was out of contact at the notice learns it after it is back in contact.
     const knownFromMs = Math.max(notice.ackMs, atMs - run.bounds.drainMs - TRANSIT_MS);
     if (!isInTouch(run, call.daemon, knownFromMs, atMs)) continue;
     addViolation(
@@ -193,12 +198,15 @@
   }
 }
 
-/** A daemon in one life, and a server. */
+/** Key of an incarnation of a daemon and a server. */
 function pairOf({ daemon, life }: CallRecord, { serverId }: Arrival): string {
   return `${daemon} ${life} ${serverId}`;
 }
 
-/** A daemon that has passed on an answer that says that its server leaves knows it, in touch or not. */
+/**
+ * A daemon that forwarded a response that reports that its server leaves sends nothing more there, in contact with
+ * the store or not.
+ */
 function judgeLeavingAnswers(calls: readonly CallRecord[], run: RunRecord): readonly Violation[] {
   const knownSinceMs = new Map<string, number>();
   for (const call of calls) {
@@ -225,7 +233,10 @@
   );
 }
 
-/** A server that has asked a daemon for rest gets next to nothing from it until the rest is over. */
+/**
+ * A server that requested a back-off period from a daemon receives at most `BACK_OFF_MAX_ARRIVALS` requests from it
+ * within that period.
+ */
 function judgeBackOffs(calls: readonly CallRecord[], run: RunRecord): readonly Violation[] {
   const arrivalsOf = new Map<string, Arrival[]>();
   for (const call of calls) {
@@ -244,7 +255,7 @@
       const isWithin = (arrival: Arrival) => arrival.atMs > span.fromMs && arrival.atMs < span.toMs;
       const during = (arrivalsOf.get(pairOf(call, refused)) ?? []).filter(isWithin);
       if (during.length <= BACK_OFF_MAX_ARRIVALS) return [];
-      // Where the link to the server holds back what it sends, no daemon hears that it asks.
+      // If the link withholds the server's responses, daemons do not learn of the back-off.
       const excuses = [
         { scope: 'daemon', name: call.daemon },
         { scope: 'server', name: serverId },
@@ -264,7 +275,10 @@
   return limitFaults(calls, run, isDisturbedIn).map((fault) => ({ promise: 'LIMIT', ...fault }));
 }
 
-/** Daemons in touch go by no version that was replaced too long ago, and none goes back within a life. */
+/**
+ * A daemon in contact applies no version that was replaced too long ago, and no incarnation goes back to an older
+ * version.
+ */
 function judgeRoutes(run: RunRecord): readonly Violation[] {
   const faults = routeFaults(run, (daemon, fromMs, toMs) => isInTouch(run, daemon, fromMs, toMs));
   return faults.map((fault) => ({ promise: 'CONFIG', ...fault }));
@@ -284,7 +298,7 @@
   const { end, endedMs, sentMs, daemon, arrivals } = call;
   const isCut = end?.kind === 'closed' || (end?.kind === 'answered' && !end.isWhole);
   if (!isCut || endedMs === undefined) return false;
-  // At the end of its time a daemon may end a request as it likes.
+  // Near its deadline or time-out, a request may be closed without a response.
   const heldMs = endedMs - sentMs;
   if (heldMs > Math.min(call.deadlineMs - sentMs, call.requestClass.timeoutMs) - TRANSIT_MS) {
     return false;
@@ -302,14 +316,14 @@
   return !wasDisturbed;
 }
 
-/** Arrivals beyond the first of each request; the first reading that a server takes up is none. */
+/** Arrivals beyond the first of a request. The first prefill that an engine starts is not counted. */
 export function repeatsOf({ arrivals }: Pick<CallRecord, 'arrivals'>): readonly Arrival[] {
   const ordered = [...arrivals].sort((left, right) => left.atMs - right.atMs);
   const firstPrefill = ordered.find(({ step, isTaken }) => step === 'prefill' && isTaken);
   return ordered.filter((arrival) => arrival !== firstPrefill).slice(1);
 }
 
-/** The window of a service that is furthest over the bound on repeats, or nearest to it. */
+/** The window of a service in which repeats exceed the allowed number most, or come closest to it. */
 export interface BudgetWindow {
   readonly service: string;
   readonly startMs: number;
@@ -326,7 +340,7 @@
     const isOnRoute = run.configurations.some(
       ({ serviceOf }) => serviceOf.get(call.requestClass.name) === service,
     );
-    // A caller that found no connection has sent nothing.
+    // A caller without a connection has sent nothing.
     if (isOnRoute && call.end?.kind !== 'not-connected') sentMs.push(call.sentMs);
     for (const arrival of repeatsOf(call)) {
       if (arrival.service === service) repeatsMs.push(arrival.atMs);
@@ -338,7 +352,7 @@
   let worst: BudgetWindow | undefined;
   for (const startMs of repeatsMs) {
     const repeats = within(repeatsMs, startMs);
-    // Requests of the window before may come to be repeated in this one.
+    // Requests sent in the previous window may be repeated in this one.
     const starts = [startMs, startMs - budgetWindowMs / 2, startMs - budgetWindowMs];
     const requests = Math.max(...starts.map((fromMs) => within(sentMs, fromMs)));
     const allowed = budgetRatio * requests + budgetSlack;
@@ -402,7 +416,7 @@
   readonly atMs: number;
 }
 
-/** A fence has one holder. */
+/** Reports fences that more than one holder used. */
 function sharedFences(promise: PromiseName, fenced: readonly Fenced[]): readonly Violation[] {
   const holderOf = new Map<number, string>();
   return fenced.flatMap(({ holder, fence, atMs }): readonly Violation[] => {
@@ -417,7 +431,7 @@
   return sharedFences('ONE', orders);
 }
 
-/** Each duty's fences have one holder each, and a window's usage is reported with one set of counts. */
+/** Each fence of a duty has one holder, and the usage of a window is always reported with the same counts. */
 function judgeDuties({ duties }: RunRecord): readonly Violation[] {
   const paths = [...new Set(duties.map(({ path }) => path))];
   const shared = paths.flatMap((path) =>
@@ -438,7 +452,7 @@
   return [...shared, ...changed];
 }
 
-/** What callers sent of one piece of work, whatever ids its tries had. */
+/** Calls grouped by crashing request: all tries of one have the same body and different ids. */
 function callsByWork(calls: readonly CallRecord[]): readonly (readonly CallRecord[])[] {
   const byWork = new Map<string, CallRecord[]>();
   for (const call of calls) {
@@ -450,7 +464,7 @@
   return [...byWork.values()];
 }
 
-/** How many servers ended under each piece of work that ends servers. */
+/** Number of servers that each crashing request crashed. */
 export function crashesByWork(calls: readonly CallRecord[]): readonly number[] {
   return callsByWork(calls).map(
     (tries) =>
@@ -459,7 +473,10 @@
   );
 }
 
-/** Once some servers have ended under a request, daemons in touch send it to servers a few times more at most. */
+/**
+ * After `MAX_CRASHES` crashes under a request, daemons in contact with the store send it at most
+ * `MAX_SENT_AFTER_CRASHES` more times.
+ */
 function judgeCrashes(calls: readonly CallRecord[], run: RunRecord): readonly Violation[] {
   return callsByWork(calls).flatMap((tries): readonly Violation[] => {
     const arrivals = tries.flatMap((call) => call.arrivals.map((at) => ({ ...at, call })));
--- a/soak/plan.ts
+++ b/soak/plan.ts
@@ -1,51 +1,51 @@
 /**
- * The plan of a soak run, from a seed alone: how the fleet looks, and which faults come when. Faults come
- * in series and overlap. Pure, so that a seed that failed is played again with the same faults.
+ * The plan of a soak run, derived from its seed and size: the traits of the servers, and the faults with their times.
+ * Faults come in series and overlap. Pure, so that a failed seed can be run again with the same faults.
  */
 import { uniformFloat64 } from 'pure-rand/distribution/uniformFloat64';
 import { uniformInt } from 'pure-rand/distribution/uniformInt';
 import { xoroshiro128plus } from 'pure-rand/generator/xoroshiro128plus';
 import type { RandomGenerator } from 'pure-rand/types/RandomGenerator';
 
-/** How a store treats the daemons that it does not serve. */
+/** How the store treats the daemons that it refuses. */
 export type StoreRefusal = 'unavailable' | 'too-many' | 'reset' | 'silent';
 
-/** What a server does with a part of the requests. */
+/** How a server mishandles a share of the requests. */
 export type ServerFault =
-  /** Turns them away, and says that they have not run. */
+  /** Refuses them and states that they have not run. */
   | 'turn-away'
-  /** Turns them away as well, and wants nothing more from their daemon for a time. */
+  /** Refuses them and requests a back-off period. */
   | 'ask-for-rest'
-  /** Answers 500 after a run. */
+  /** Runs them and responds with 500. */
   | 'fail'
-  /** Runs them and breaks off before the end of the answer. */
+  /** Runs them and breaks off the response. */
   | 'break-off'
-  /** Runs them and closes the connection without an answer. */
+  /** Runs them and closes the connection without a response. */
   | 'lose-answer'
-  /** Sends a second answer on the same connection. */
+  /** Sends a second response on the same connection. */
   | 'answer-twice'
-  /** Leaves orders unanswered and carries them out later. */
+  /** Does not respond to stage orders and executes them later. */
   | 'delay-orders';
 
-/** What a link between daemons and a server does. */
+/** A fault of the link between daemons and a server. */
 export type LinkFault =
   | 'delay'
   /** Open connections are reset. */
   | 'reset'
-  /** What servers send is held back. */
+  /** What the server sends is withheld. */
   | 'one-way'
-  /** Open connections go silent for good; new ones work. */
+  /** Open connections go silent permanently; connections opened after the fault work. */
   | 'silent';
 
-/** What the platform does with calls that are one daemon's duty at a time. */
+/** How the duty API mishandles calls. */
 export type DutyFault = 'unavailable' | 'too-many' | 'lose-answers';
 
-/** What the operator changes. */
+/** A change of the configuration by the operator. */
 export type Change =
   | 'move-route'
   | 'revoke-key'
   | 'idle'
-  /** Routes beside those that callers use. */
+  /** Concerns routes that callers do not use. */
   | 'add-route'
   | 'drop-route'
   | 'time-route';
@@ -67,25 +67,27 @@
   | { readonly kind: 'store-loses-answers'; readonly share: number; readonly forMs: number }
   | { readonly kind: 'store-writes-late'; readonly share: number; readonly forMs: number }
   | { readonly kind: 'store-forgets' }
-  /** Held calls hear nothing of changes for a second, then the history is lost, and whole reads are old for a while. */
+  /** Open feed calls receive no changes for a second; then the history is lost and table reads are stale for a time. */
   | {
       readonly kind: 'store-stale';
       readonly behindMs: number;
-      /** Whether stale reads name the newest revision, or that of what they show. */
+      /** Whether a stale read reports the newest revision instead of the revision of the rows that it shows. */
       readonly isUnderNewest: boolean;
       readonly forMs: number;
     }
-  /** Away, and back from an older copy; the operator and the servers write again after that, one by one. */
+  /**
+   * The store is away and is restored from an older copy; then the operator and the servers write again, one by one.
+   */
   | {
       readonly kind: 'store-copy';
       readonly how: StoreRefusal;
       readonly forMs: number;
       readonly behindMs: number;
-      /** Revisions that other tables took before, which the copy lacks as well. */
+      /** Number of revisions that other tables used before the outage and that the copy lacks as well. */
       readonly lostRevisions: number;
-      /** Whether held calls go on as if nothing had happened. */
+      /** Whether open feed calls stay open. */
       readonly keepsHeldCalls: boolean;
-      /** Until all have written again. */
+      /** Time until all have written again. */
       readonly rewriteMs: number;
     }
   | { readonly kind: 'entries-lapse'; readonly forMs: number }
@@ -97,19 +99,19 @@
       readonly forMs: number;
     }
   | { readonly kind: 'crash'; readonly servers: readonly number[]; readonly downMs: number }
-  /** They start again under the id that they had, at once or nearly so. */
+  /** The servers crash and restart under the same id after `downMs`. */
   | { readonly kind: 'restart'; readonly servers: readonly number[]; readonly downMs: number }
-  /** Rows that no server wrote stand in the list, unreadable or of unknown kinds. */
+  /** The table of servers contains rows that no server wrote: malformed ones, and one of an unknown service. */
   | { readonly kind: 'stray-rows'; readonly forMs: number }
   | {
       readonly kind: 'rests';
       readonly servers: readonly number[];
       readonly share: number;
-      /** What each daemon that is turned away is asked for. */
+      /** The back-off period that each refusal requests. */
       readonly restMs: number;
       readonly forMs: number;
     }
-  /** They name a limit of requests a second in each answer, and another one halfway. */
+  /** The servers report a limit in requests per second in each response, and a second limit from half-time on. */
   | {
       readonly kind: 'limits';
       readonly servers: readonly number[];
@@ -120,7 +122,7 @@
   | {
       readonly kind: 'drain';
       readonly server: number;
-      /** How long only its answers say so. */
+      /** Time during which only its responses report that it leaves; then its entry does as well. */
       readonly listedAfterMs: number;
     }
   | {
@@ -134,39 +136,39 @@
   | { readonly kind: 'burst'; readonly factor: number; readonly forMs: number }
   | { readonly kind: 'callers-leave'; readonly share: number; readonly forMs: number };
 
-/** A fault and its time from the begin of the traffic. */
+/** A fault and its time since the start of the traffic. */
 export interface TimedFault {
   readonly atMs: number;
   readonly fault: Fault;
 }
 
-/** How large a run is. */
+/** The size of a run. */
 export interface SoakSize {
   readonly seconds: number;
   readonly daemons: number;
   readonly engines: number;
   readonly webServers: number;
-  /** Requests a second of all callers together, without bursts. */
+  /** Request rate of all callers together, without bursts. */
   readonly requestsPerSecond: number;
 }
 
-/** A piece of work that ends each server that runs it; its callers send it again and again, at any daemon. */
+/** A request that crashes each server that runs it; it is sent again and again, to any daemon. */
 export interface CrashingWork {
   readonly fromMs: number;
   readonly gapMs: number;
-  /** Of the classes of requests, by its place among them, 0 to 1. */
+  /** Draws the request class by the shares of the classes; from 0 to 1. */
   readonly classDraw: number;
 }
 
-/** How the servers of a run are made. */
+/** Traits of the servers of a run. */
 export interface ServerTraits {
-  /** Requests that a web server runs at once; it turns others away. */
+  /** Maximum number of concurrent requests of a web server; it refuses others. */
   readonly webSlots: number;
-  /** How long work takes at a server against the usual, by its number. */
+  /** For each server, the ratio of its processing time to the typical time. */
   readonly paces: readonly number[];
 }
 
-/** A whole run. */
+/** The plan of one run. */
 export interface SoakPlan {
   readonly seed: number;
   readonly size: SoakSize;
@@ -175,16 +177,22 @@
   readonly crashing: readonly CrashingWork[];
 }
 
-/** Slots of engines, and of web servers that are not short of them. */
+/** Slots of engines, and of web servers in plans without a shortage of slots. */
 export const PLAIN_SLOTS = 24;
 const FIRST_FAULT_MS = 2_000;
-/** The last stretch is calm, so that the fleet has to be well again at its end. */
+/** No fault is planned in the last part of a run, so that the fleet must have recovered at its end. */
 const CALM_END_MS = 8_000;
 const MAX_GAP_MS = 2_400;
-/** After so long without a pause faults pause: promises that hold in calm times have to be seen in some. */
+/**
+ * After this long with faults, faults pause: promises that hold only without disturbances need calm times to be
+ * judged.
+ */
 const MAX_FAULT_STRETCH_MS = 9_000;
 const CALM_STRETCH_MS = 10_000;
-/** By then daemons are in touch again; planned work comes, so that it is seen in calm times too. */
+/**
+ * Time from the last fault until daemons are back in contact; then planned changes are made, so that they also occur
+ * in calm times.
+ */
 const PLANNED_WORK_DELAY_MS = 3_500;
 const CRASHING_SALT = 0x5eed;
 const RESTARTS_SALT = 0x11fe;
@@ -194,9 +202,9 @@
 const COPIES_SALT = 0xc0b1;
 const ROUTES_SALT = 0x2077;
 const ROUTE_CHANGES = ['add-route', 'add-route', 'drop-route', 'time-route'] as const;
-/** Changes come around the end of what strikes the store, in series. */
+/** Maximum number of configuration changes around the end of a store fault. */
 const MAX_CHANGES_AT_END = 3;
-/** From when held calls hear nothing until the history is lost. */
+/** Time from when open feed calls receive no changes until the history is lost. */
 export const STALE_GAP_MS = 1_000;
 const EARLIEST_CHANGE_MS = -400;
 const LATEST_CHANGE_MS = 900;
@@ -204,14 +212,17 @@
 const MAX_ROUTE_GAP_MS = 6_000;
 const MIN_COPY_GAP_MS = 6_000;
 const MAX_COPY_GAP_MS = 16_000;
-/** From the last change before the store is away, which the copy lacks, until daemons have it. */
+/**
+ * Time between the last change before the outage, which the copy lacks, and the outage, so that daemons have applied
+ * it.
+ */
 export const COPY_LEAD_MS = 700;
-/** The chance that a return from a copy is followed by another one. */
+/** Probability that a restore from a copy is followed by another one. */
 const COPY_AGAIN_CHANCE = 0.25;
 const MIN_LIMIT_GAP_MS = 5_000;
 const MAX_LIMIT_GAP_MS = 12_000;
 const LIMITS_PER_SECOND = [0, 0.2, 0.5, 1, 1.2, 2, 3.8, 5, 12, 1_000] as const;
-/** From the begin of a limit until it is judged, daemons need some seconds. */
+/** The duration of a limit; limits are judged only some seconds after they begin. */
 const MIN_LIMITED_MS = 4_000;
 const MAX_LIMITED_MS = 20_000;
 const MIN_SIGNAL_GAP_MS = 3_000;
@@ -223,11 +234,11 @@
 const MAX_CRASHING = 2;
 const MIN_CRASHING_GAP_MS = 80;
 const MAX_CRASHING_GAP_MS = 600;
-/** The chance that a fault is followed at once by another one on top. */
+/** Probability that the next fault follows after `SERIES_GAP_MS`, so that they overlap. */
 const SERIES_CHANCE = 0.35;
 const SERIES_GAP_MS = 300;
 
-/** Draws from a seed. */
+/** Random draws from a seed. */
 class SeededRandom {
   readonly #generator: RandomGenerator;
 
@@ -251,7 +262,7 @@
     return items[this.whole(0, items.length - 1)] ?? items[0];
   }
 
-  /** At least one index below a number. */
+  /** A random subset of the indexes below `count`, of at least one. */
   subset(count: number, share: number): readonly number[] {
     const wanted = Math.max(1, Math.round(count * share));
     const indexes = Array.from({ length: count }, (_, index) => index);
@@ -368,7 +379,7 @@
   return { kind: 'change', change: random.pick(CHANGES) };
 }
 
-/** The plan of a seed. */
+/** The plan with all kinds of faults. */
 export function planSoak(seed: number, size: SoakSize): SoakPlan {
   const random = new SeededRandom(seed);
   const faults: TimedFault[] = [];
@@ -408,7 +419,7 @@
   };
 }
 
-/** Drawn apart, so that the other faults of a seed stay the same. */
+/** Server restarts, from a generator of their own: a change here leaves the other faults of a seed unchanged. */
 function drawRestarts(seed: number, size: SoakSize, endMs: number): readonly TimedFault[] {
   const random = new SeededRandom(seed ^ RESTARTS_SALT);
   const restarts: TimedFault[] = [];
@@ -426,7 +437,9 @@
   return { kind: 'restart', servers, downMs: random.pick([0, 30, 300, 5_000]) };
 }
 
-/** Servers that say in their answers that they leave, or want rest; drawn apart as well. */
+/**
+ * Servers that report in their responses that they leave or request a back-off period; from a generator of their own.
+ */
 function drawServerSignals(seed: number, size: SoakSize, endMs: number): readonly TimedFault[] {
   const random = new SeededRandom(seed ^ SIGNALS_SALT);
   const signals: TimedFault[] = [];
@@ -451,7 +464,7 @@
   };
 }
 
-/** Servers that name a limit of requests a second; drawn apart as well. */
+/** Servers that report a limit in requests per second; from a generator of their own. */
 function drawLimits(seed: number, size: SoakSize, endMs: number): readonly TimedFault[] {
   const random = new SeededRandom(seed ^ LIMITS_SALT);
   const limits: TimedFault[] = [];
@@ -468,7 +481,7 @@
   return limits;
 }
 
-/** Returns of the store from older copies, with changes around them; drawn apart as well. */
+/** Restores of the store from older copies, with configuration changes around them; from a generator of their own. */
 function drawCopies(seed: number, endMs: number): readonly TimedFault[] {
   const random = new SeededRandom(seed ^ COPIES_SALT);
   const copies: TimedFault[] = [];
@@ -496,7 +509,7 @@
   };
 }
 
-/** Routes that come and go now and then, and around the end of each fault of the store; drawn apart as well. */
+/** Route changes, at random times and around the end of each store fault; from a generator of their own. */
 function drawRouteChanges(
   seed: number,
   faults: readonly TimedFault[],
@@ -516,7 +529,7 @@
   return atMs + leadMs + ('forMs' in fault ? fault.forMs : 0);
 }
 
-/** In series around the end of each fault of the store. */
+/** Random times around the end of each store fault. */
 function timesAroundEnds(random: SeededRandom, faults: readonly TimedFault[]): readonly number[] {
   return faults.flatMap(({ atMs, fault }) => {
     if (!fault.kind.startsWith('store-')) return [];
@@ -541,7 +554,7 @@
   });
 }
 
-/** The changes that no held call hears of before the history is lost. */
+/** A change within each span in which open feed calls receive no changes, so that only a table read can show it. */
 function changesInGaps(faults: readonly TimedFault[]): readonly TimedFault[] {
   return faults.flatMap(({ atMs, fault }) => {
     if (fault.kind !== 'store-stale') return [];
@@ -550,14 +563,14 @@
   });
 }
 
-/** Drawn apart as well. */
+/** Traits of the servers, from a generator of their own. */
 function drawServers(seed: number, { engines, webServers }: SoakSize): ServerTraits {
   const random = new SeededRandom(seed ^ SERVERS_SALT);
   const paces = Array.from({ length: engines + webServers }, () => random.pick(PACES));
   return { webSlots: random.pick(WEB_SLOTS), paces };
 }
 
-/** Drawn apart, so that the faults of a seed stay the same. */
+/** Crashing requests, from a generator of their own: a change here leaves the faults of a seed unchanged. */
 function drawCrashing(seed: number, endMs: number): readonly CrashingWork[] {
   const random = new SeededRandom(seed ^ CRASHING_SALT);
   return Array.from({ length: random.whole(1, MAX_CRASHING) }, () => ({
@@ -567,7 +580,7 @@
   }));
 }
 
-/** The first numbers of small seeds are much alike. */
+/** The first draws of small seeds are similar and are therefore skipped. */
 const SKIPPED_DRAWS = 16;
 const MIN_STALE_MS = 2_000;
 const MAX_STALE_MS = 8_000;
@@ -576,7 +589,7 @@
 const MIN_CALM_MS = 7_000;
 const MAX_CALM_MS = 10_000;
 
-/** No older than the traffic, as the store was empty once. */
+/** Stale reads show no state from before the traffic, when the store was still empty. */
 function drawStale(random: SeededRandom, atMs: number): Extract<Fault, { kind: 'store-stale' }> {
   const behindMs = Math.min(atMs, random.between(MIN_STALE_MS, MAX_STALE_MS));
   const forMs = behindMs + random.between(0, MIN_STALE_MS);
@@ -584,8 +597,8 @@
 }
 
 /**
- * The plan of a store that is out of reach for long, once or more, for all daemons or for most, and back for all at one
- * moment; the configuration changes around it.
+ * The plan of long store outages: the store is unreachable once or more, for all daemons or a large share of them, and
+ * returns for all at the same moment. The configuration changes around the end of each outage.
  */
 export function planOutages(seed: number, size: SoakSize): SoakPlan {
   const random = new SeededRandom(seed);
@@ -608,7 +621,7 @@
     faults.push({ atMs: Math.round(atMs), fault });
     atMs += forMs + random.between(MIN_CALM_MS, MAX_CALM_MS);
   }
-  // What is missed while reads are stale shows only where no other change follows soon.
+  // A change that daemons miss during stale reads is detected only if no other change follows soon.
   const outages = faults.filter(({ fault }) => fault.kind !== 'store-stale');
   const changes = [
     ...drawChanges(random, timesAroundEnds(random, outages), size.seconds * 1_000),
@@ -619,8 +632,8 @@
 }
 
 /**
- * The plan of a store that comes back from older copies, with calm stretches between them: the configuration changes and
- * servers leave before and after, and some daemons start anew as it returns.
+ * The plan of a store that is restored from older copies, with calm times between the restores. The configuration changes
+ * and servers leave before and after each restore, and some daemons restart at the same time.
  */
 export function planCopies(seed: number, size: SoakSize): SoakPlan {
   const random = new SeededRandom(seed);
@@ -651,8 +664,8 @@
 }
 
 /**
- * The plan of an upgrade: all daemons are stopped and started in turn, while the configuration changes, servers leave and
- * the store loses its history; once all have started again the store comes back from an older copy.
+ * The plan of a rolling upgrade: all daemons are restarted one after another, while the configuration changes, servers
+ * leave and the store loses its history. After the last restart the store is restored from an older copy.
  */
 export function planUpgrade(seed: number, size: SoakSize): SoakPlan {
   const random = new SeededRandom(seed);
@@ -678,8 +691,8 @@
 }
 
 /**
- * The plan of a fleet that is asked for more repeats than its budget allows while all its processes are killed
- * together, twice within one window of the budget, and the store is slow when they return.
+ * The plan of a thundering herd: requests need more repeats than the retry budget allows, all daemons are killed together
+ * twice within one window of the budget, and the store is slow when they return.
  */
 export function planHerd(seed: number, size: SoakSize): SoakPlan {
   const everyDaemon = Array.from({ length: size.daemons }, (_, daemon) => daemon);
--- a/soak/platform-store.ts
+++ b/soak/platform-store.ts
@@ -1,6 +1,6 @@
 /**
- * A stand-in of the platform's store: rows, conditional transactions and held feeds over HTTP. Each daemon
- * has a door of its own, so that some may be refused while others are served.
+ * Simulates the platform's store: rows, conditional transactions and long-polling feeds over HTTP. Each daemon has its own
+ * endpoint, so that some daemons can be refused while others are served.
  */
 import http, { type IncomingMessage, type ServerResponse } from 'node:http';
 import { PATHS, STORE_HEADERS, TABLES } from '../platform/names.js';
@@ -8,7 +8,7 @@
 import type { StoreRefusal } from './plan.js';
 import { readBody } from './request-body.js';
 
-/** How long an answer takes when nothing is wrong. */
+/** Response time without faults. */
 const ANSWER_MS = 3;
 const LATE_WRITE_MS = 2_500;
 const PAGE_ROWS = 500;
@@ -16,7 +16,7 @@
 interface Row {
   readonly table: string;
   readonly privateKey: string;
-  /** Undefined once it was removed. */
+  /** Undefined if the row was removed. */
   readonly value: string | undefined;
   readonly ver: number;
 }
@@ -41,25 +41,25 @@
   readonly response: ServerResponse;
 }
 
-/** Faults of the whole store; all are set back by whoever set them. */
+/** Faults of the whole store, for all daemons. Whoever sets a fault also resets it. */
 export interface StoreFaults {
   delayMs: number;
   lostAnswers: number;
   lateWrites: number;
-  /** Held calls hear nothing of changes. */
+  /** Whether open feed calls receive no changes. */
   isUnheard: boolean;
-  /** Whole reads answer as of some time ago; undefined where they answer as it is. */
+  /** How table reads are stale; undefined if they show the current rows. */
   stale: StaleReads | undefined;
 }
 
-/** How whole reads are stale. */
+/** How table reads are stale. */
 export interface StaleReads {
   readonly behindMs: number;
-  /** Whether they name the newest revision, or that of what they show. */
+  /** Whether a stale read reports the newest revision instead of the revision of the rows that it shows. */
   readonly isUnderNewest: boolean;
 }
 
-/** Where one daemon reaches the store. */
+/** The endpoint at which one daemon reaches the store. */
 export class StoreDoor {
   refusal: StoreRefusal | undefined;
   readonly #server: http.Server;
@@ -81,7 +81,6 @@
   }
 }
 
-/** The store. */
 export class PlatformStore {
   readonly faults: StoreFaults = {
     delayMs: 0,
@@ -90,21 +89,21 @@
     isUnheard: false,
     stale: undefined,
   };
-  /** Refuses every door where it is set. */
+  /** How all daemons are refused; undefined if they are served. */
   refusal: StoreRefusal | undefined;
   callsTotal = 0;
-  /** Rises each time that the store comes back from an older copy. */
+  /** Increases each time that the store is restored from an older copy. */
   #era = 0;
   #version = 1;
   #historyFrom = 0;
   #rows = new Map<string, Row>();
-  /** All that was written, in order. */
+  /** All writes, in order. */
   #written: { readonly atMs: number; readonly row: Row }[] = [];
   readonly #feeds = new Set<HeldFeed>();
   readonly #endpoints: StoreDoor[] = [];
   readonly #random: () => number;
 
-  /** @param random from 0 to below 1: which calls a fault strikes */
+  /** @param random returns a number from 0 to below 1; decides which calls a fault affects */
   constructor(random: () => number) {
     this.#random = random;
   }
@@ -122,7 +121,7 @@
     for (const endpoint of this.#endpoints) endpoint.close();
   }
 
-  /** Writes a row as the operator or a server does; never refused. */
+  /** Writes a row on behalf of the operator or a server; never refused. */
   put(table: string, key: string, document: unknown): void {
     this.#write(table, key, Buffer.from(JSON.stringify(document)).toString('base64'));
     this.#answerFeeds();
@@ -133,12 +132,12 @@
     this.#answerFeeds();
   }
 
-  /** Other tables take versions. */
+  /** Advances the version, as writes to other tables do. */
   skipVersions(count: number): void {
     this.#version += count;
   }
 
-  /** Drops the history: feeds have to be begun anew. */
+  /** Drops the history of changes, so that daemons have to read the tables again and open new feeds. */
   forget(): void {
     this.#historyFrom = this.#version + 1;
     for (const { response } of this.#feeds) this.#answerHistoryLost(response);
@@ -146,8 +145,8 @@
   }
 
   /**
-   * Comes back from a copy of some time ago: what was written since is gone, and its versions are given out again.
-   * @param keepsHeldCalls whether calls that are held go on as if nothing had happened
+   * Restores the store from an older copy: later writes are lost, and their versions are assigned again.
+   * @param keepsHeldCalls whether open feed calls stay open instead of being closed
    */
   restore(behindMs: number, keepsHeldCalls: boolean): void {
     const asOfMs = performance.now() - behindMs;
@@ -217,7 +216,7 @@
     this.#answer(response, 200, rows.slice(0, PAGE_ROWS), rows.length > PAGE_ROWS, version);
   }
 
-  /** The rows that a whole read shows, and the revision that it names. */
+  /** The rows that a table read shows, and the revision that it reports. */
   #shownRows(table: string): { readonly rows: readonly Row[]; readonly version: number } {
     const { stale } = this.faults;
     if (stale === undefined || table === TABLES.product) {
@@ -269,7 +268,7 @@
         .sort((left, right) => left.ver - right.ver);
       if (rows.length === 0) continue;
       this.#feeds.delete(feed);
-      // A held call that meets silence is swallowed, as a new one is.
+      // While an endpoint is silent, open feed calls get no response, like new calls.
       if (this.#isSilent(feed.endpoint)) continue;
       this.#answer(feed.response, 200, rows, false);
     }
@@ -298,7 +297,7 @@
     else this.#answer(response, 200, [], false);
   }
 
-  /** The rows as they are where a condition does not hold; nothing is done then. */
+  /** Applies a transaction. If a condition does not hold, changes nothing and returns the current rows. */
   #apply({ expectedRevision, put, remove }: Transaction): readonly Row[] | undefined {
     const rowOf = ({ table, privateKey }: TransactionEntry) =>
       this.#rows.get(`${table}/${privateKey}`);
@@ -336,7 +335,7 @@
   }
 }
 
-/** The newest of each key. */
+/** The newest row of each key. */
 function rowsOf(written: readonly Row[]): Map<string, Row> {
   return new Map(written.map((row) => [`${row.table}/${row.privateKey}`, row]));
 }
--- a/soak/record.ts
+++ b/soak/record.ts
@@ -1,4 +1,4 @@
-/** What a soak run sees of one request, at its caller and at servers; the oracle judges from this alone. */
+/** What a soak run records of requests, at their callers and at servers; the only input of the oracle. */
 
 export type RouteKind = 'idempotent' | 'non-idempotent' | 'streaming';
 
@@ -10,7 +10,7 @@
   readonly attempts: number;
   readonly timeoutMs: number;
   readonly targetLatencyMs: number;
-  /** Part of all requests. */
+  /** Share of all requests. */
   readonly share: number;
 }
 
@@ -24,47 +24,47 @@
       readonly isWhole: boolean;
       readonly retryAfterMs: number | undefined;
     }
-  /** The connection ended without a whole head. */
+  /** The connection ended before a complete response head. */
   | { readonly kind: 'closed'; readonly reason: string }
-  /** No connection came up, so nothing was sent. */
+  /** No connection was established, so nothing was sent. */
   | { readonly kind: 'not-connected' }
-  /** The caller gave up: at its deadline, or as it left early. */
+  /** The caller closed the connection, at its deadline or earlier. */
   | { readonly kind: 'left'; readonly isEarly: boolean };
 
-/** A request at a server. */
+/** The arrival of a request at a server. */
 export interface Arrival {
   readonly atMs: number;
   readonly serverId: string;
   readonly service: string;
   readonly step: 'prefill' | 'run';
-  /** Whether the server took it up; until then, and where it turned it away, it has not run. */
+  /** Whether the server started the request; false also if it refused it. */
   isTaken: boolean;
-  /** What was wrong with it; empty where it was as the caller sent it. */
+  /** How the request differs from what the caller sent; empty if it does not. */
   problem: string;
-  /** When the server's work on it ended, by itself or with its connection. */
+  /** When the server's work on it ended, at its completion or when its connection closed. */
   endedMs: number | undefined;
-  /** Whether the server itself broke off, or lost the answer. */
+  /** Whether the server itself broke off the response or dropped it. */
   isServersFault: boolean;
-  /** Whether the server ended under it, as under each run of the same body. */
+  /** Whether the request crashed the server, as each run of the same body does. */
   hasEndedServer: boolean;
-  /** Whether the answer said that its server leaves. */
+  /** Whether the response reported that the server leaves. */
   saidLeaving: boolean;
-  /** How long the server asked the daemon for rest, as it turned the request away; undefined where it did not. */
+  /** The back-off period that a refusal requested, in ms; undefined if it requested none. */
   restAskedMs: number | undefined;
-  /** Whether the answer named a limit of requests a second. */
+  /** Whether the response reported a limit in requests per second. */
   namedLimit: boolean;
-  /** Whether it was meant for another server, which listened there before. */
+  /** Whether the request was sent to another server id, which had the same address before. */
   isMisdirected: boolean;
-  /** The stamp of the answer that the server gave. */
+  /** The stamp of the server's response, which identifies the run. */
   stamp: string | undefined;
 }
 
-/** One call of a caller. */
+/** One attempt of a caller, and the arrivals that it caused at servers. */
 export interface CallRecord {
   readonly id: string;
   readonly requestClass: RequestClass;
   readonly daemon: string;
-  /** The life of the daemon's process that was called. */
+  /** The incarnation of the daemon that was called. */
   readonly life: number;
   readonly tenant: string;
   readonly apiKey: string;
@@ -77,20 +77,20 @@
   readonly arrivals: Arrival[];
 }
 
-/** What a disturbance strikes. */
+/** What a disturbance affects. */
 export type Scope =
   | 'daemon'
-  /** A daemon's process stood still. */
+  /** A daemon whose process was stopped with SIGSTOP. */
   | 'frozen'
   | 'store'
   | 'server'
-  /** The soak's own process was late: its store answers late, and its servers note arrivals late. */
+  /** The soak's own process, which was delayed: the store responds late, and servers record arrivals late. */
   | 'stand-ins';
 
 /** A span in which something was disturbed. */
 export interface Disturbance {
   readonly scope: Scope;
-  /** The daemon or server; empty for the store as a whole. */
+  /** The daemon or server; empty for the store and the stand-ins. */
   readonly name: string;
   readonly fromMs: number;
   readonly toMs: number;
@@ -102,33 +102,33 @@
 export interface ConfigurationVersion {
   readonly version: number;
   readonly ackMs: number;
-  /** By class. */
+  /** Service by request class. */
   readonly serviceOf: ReadonlyMap<string, string>;
-  /** Keys that are known, with their tenant. */
+  /** Tenant by API key. */
   readonly tenantOfKey: ReadonlyMap<string, string>;
-  /** Prefixes of the routes that come and go. */
+  /** Path prefixes of the routes that are added and dropped during the run. */
   readonly addedRoutes: ReadonlySet<string>;
 }
 
-/** A daemon's word on whether it has a route. */
+/** A daemon's response that shows whether it has a route. */
 export interface RouteProbe {
   readonly daemon: string;
-  /** The life of the daemon's process that was asked. */
+  /** The incarnation of the daemon that was probed. */
   readonly life: number;
-  /** The prefix of the route. */
+  /** Path prefix of the route. */
   readonly path: string;
   readonly sentMs: number;
   readonly endedMs: number;
   readonly isThere: boolean;
 }
 
-/** A server that said that it leaves. */
+/** A server whose entry states that it leaves. */
 export interface DrainNotice {
   readonly serverId: string;
   readonly ackMs: number;
 }
 
-/** A span in which a server's answers named a limit of requests a second; it may have changed meanwhile. */
+/** A span in which a server's responses reported a limit in requests per second, with the changes of that limit. */
 export interface LimitNotice {
   readonly serverId: string;
   readonly service: string;
@@ -137,7 +137,7 @@
   readonly changes: { readonly atMs: number; readonly perSecond: number }[];
 }
 
-/** An order to an engine. */
+/** A stage order to an engine. */
 export interface OrderRecord {
   readonly serverId: string;
   readonly holder: string;
@@ -145,21 +145,21 @@
   readonly atMs: number;
 }
 
-/** A call to the platform that is one daemon's duty at a time. */
+/** A call to the duty API, which one daemon at a time makes. */
 export interface DutyRecord {
   readonly path: string;
   readonly holder: string;
   readonly fence: number;
   readonly body: string;
-  /** Whether its fence was the highest until then. */
+  /** Whether no call to the same path had a higher fence before. */
   readonly isAccepted: boolean;
   readonly atMs: number;
 }
 
-/** Everything that a run saw. */
+/** Everything that a run recorded. */
 export interface RunRecord {
   readonly calls: ReadonlyMap<string, CallRecord>;
-  /** Arrivals whose id no caller has sent. */
+  /** Descriptions of arrivals whose request id no caller has sent. */
   readonly unasked: readonly string[];
   readonly disturbances: readonly Disturbance[];
   readonly configurations: readonly ConfigurationVersion[];
@@ -172,7 +172,7 @@
   readonly endMs: number;
 }
 
-/** The bounds that the fleet is set to and judged by. */
+/** The bounds that daemons are configured with and judged by. */
 export interface SoakBounds {
   readonly contactMs: number;
   readonly graceMs: number;
--- a/soak/request-body.ts
+++ b/soak/request-body.ts
@@ -1,7 +1,7 @@
-/** The body of a request to a stand-in. */
+/** Reads the bodies of requests to simulated services. */
 import type { IncomingMessage } from 'node:http';
 
-/** The whole body; undefined where it was broken off before it had arrived, so that there is nobody to answer. */
+/** The complete body; undefined if the connection broke before the end of the body, so that no response can be sent. */
 export async function readBody(request: IncomingMessage): Promise<string | undefined> {
   const chunks: Buffer[] = [];
   try {
--- a/soak/route-probes.ts
+++ b/soak/route-probes.ts
@@ -1,6 +1,6 @@
 /**
- * Asks each daemon directly, again and again, whether routes are there that the operator has just added, has just
- * dropped, or never had. The questions carry no key and no attempt id, so no server gets one.
+ * Probes each daemon periodically for routes that the operator added last, dropped last, or never added. Probes carry no
+ * API key and no attempt id, so daemons never forward them to a server.
  */
 import http from 'node:http';
 import { HOST } from './callers.js';
@@ -12,16 +12,15 @@
 const TIMEOUT_MS = 1_000;
 const UNKNOWN_ROUTE = '/never-there/';
 const NOT_FOUND = 404;
-/** No key was given, or no attempt id: the route is there. */
+/** Statuses for a missing attempt id or API key, which the daemon sends only if it has the route. */
 const REFUSED_WITH_ROUTE: ReadonlySet<number> = new Set([400, 401]);
 
-/** What probes are built from. */
 export interface RouteProbesOptions {
   readonly daemons: readonly GatewayProcess[];
   readonly operator: Pick<Operator, 'recentRoutes'>;
 }
 
-/** The questions of a run. */
+/** Sends the probes of a run and records their results. */
 export class RouteProbes {
   readonly records: RouteProbe[] = [];
   readonly #options: RouteProbesOptions;
@@ -62,7 +61,7 @@
       headers: { Host: HOST },
     });
     request.on('timeout', () => request.destroy());
-    // A daemon that is gone or frozen answers nothing; other promises judge that.
+    // A stopped or frozen daemon does not respond, which other promises cover.
     request.on('error', () => undefined);
     request.on('response', (response) => {
       response.resume();
--- a/soak/run.ts
+++ b/soak/run.ts
@@ -1,6 +1,6 @@
 /**
- * A soak run: real gateway processes before the stand-ins of the store and the servers, callers, and the faults of a
- * plan; what was seen is judged at the end. It ends only the processes that it has started.
+ * A soak run: gateway processes, a simulated store and simulated servers, callers, and the faults of a plan. The record of
+ * the run is judged at the end. A run kills only the processes that it has started.
  */
 import { mkdtempSync, rmSync } from 'node:fs';
 import type { IncomingMessage } from 'node:http';
@@ -35,33 +35,36 @@
 
 const READY_TIMEOUT_MS = 30_000;
 const READY_POLL_INTERVAL_MS = 50;
-/** Calls may still end for so long after the last was sent. */
+/** Time for open calls to end after the last one was sent. */
 const LAST_CALLS_GRACE_MS = 4_000;
 
-/** What came of a run. */
+/** The result of a run. */
 export interface SoakResult {
   readonly violations: readonly Violation[];
-  /** How many calls ended in each way: by status where they were answered. */
+  /** Number of calls by how they ended; calls with a response are counted by its status. */
   readonly ends: ReadonlyMap<string, number>;
-  /** Servers that ended under requests that end servers, for each of these. */
+  /** Number of servers that crashed, for each request that crashes servers. */
   readonly crashes: readonly number[];
-  /** Usage reports that the platform has taken. */
+  /** Number of calls that the duty service accepted. */
   readonly reports: number;
   readonly budgets: readonly BudgetWindow[];
-  /** How late the stand-ins were at worst; where they are late, promises of calm times are not judged. */
+  /**
+   * The longest delay of the soak's own process. Promises that hold only without disturbances are not judged while it
+   * is delayed.
+   */
   readonly worstLagMs: number;
-  /** Logs and settings of the daemons; kept where a promise was broken. */
+  /** Directory with the logs and settings of the daemons; kept if a promise was broken. */
   readonly directory: string;
 }
 
-/** What daemons run. */
+/** The programs that daemons run. */
 export interface SoakPrograms {
   readonly mutation?: Mutation | undefined;
-  /** The path of an earlier release's program, which each daemon runs until it is first started again. */
+  /** Path to the program of an earlier release, which each daemon runs until its first restart. */
   readonly earlierProgram?: string | undefined;
 }
 
-/** Plays a plan. */
+/** Runs a plan and judges the run. */
 export async function runSoak(plan: SoakPlan, programs: SoakPrograms = {}): Promise<SoakResult> {
   const run = new SoakRun(plan);
   const endRun = () => run.close();
@@ -265,7 +268,10 @@
   return end.kind;
 }
 
-/** What a server got that its caller had not sent, or that it must not get. */
+/**
+ * How a request at a server differs from what its caller sent, or what the daemon should have removed; empty if
+ * nothing is wrong.
+ */
 function problemOf(call: CallRecord, request: IncomingMessage, body: string): string {
   const { headers, url, method } = request;
   if (method !== 'POST' || url !== `${call.requestClass.pathPrefix}x`) return 'another path';
--- a/soak/server-pool.ts
+++ b/soak/server-pool.ts
@@ -1,4 +1,7 @@
-/** The servers of a run with their links, as they stand in the store: they crash, leave and come back as others. */
+/**
+ * The servers of a run with their links and their entries in the store. Servers crash, leave and return under other
+ * ids.
+ */
 import { TABLES } from '../platform/names.js';
 import { MODEL, WEB_SERVICES } from './configuration.js';
 import { LinkProxy } from './link-proxy.js';
@@ -7,9 +10,9 @@
 import type { PlatformStore } from './platform-store.js';
 
 export const ZONES = ['a', 'b', 'c'] as const;
-/** Every third engine reads prompts for the others. */
+/** Every third engine is a prefill engine. */
 const ENGINES_PER_PREFILL = 3;
-/** Entries of a server that crashed go after three missed heartbeats. */
+/** The entry of a crashed server is removed after three missed heartbeats. */
 export const ENTRY_LAPSE_MS = 3_600;
 
 const STRAY = { service: MODEL, address: '127.0.0.1:9', zone: 'a', slots: 24, state: 'ready' };
@@ -25,22 +28,21 @@
   { ...STRAY, service: 'nobody', stage: 'decode' },
 ];
 
-/** Between the ids of servers. */
+/** A key that sorts between the ids of servers. */
 function strayKey(index: number): string {
   return `${MODEL}-1-stray-${index}`;
 }
 
-/** A server, its link and its entry. */
+/** A server, its link, and the state of its entry in the store. */
 export interface PooledServer {
   readonly server: ModelServer;
   readonly link: LinkProxy;
   readonly zone: string;
   isDraining: boolean;
-  /** Whether it says in its answers that it leaves; its entry may do so later. */
+  /** Whether the server reports in its responses that it leaves; its entry may follow later. */
   isLeaving: boolean;
 }
 
-/** What a pool is built from. */
 export interface ServerPoolOptions {
   readonly engines: number;
   readonly webServers: number;
@@ -50,7 +52,7 @@
   readonly observer: ServerObserver;
 }
 
-/** All servers; engines come first. */
+/** All servers of a run; engines come first. */
 export class ServerPool {
   readonly servers: PooledServer[] = [];
   readonly #options: ServerPoolOptions;
@@ -81,7 +83,7 @@
     }
   }
 
-  /** Writes a server's entry as it is now. */
+  /** Writes the current state of a server to its entry. */
   list({ server, link, zone, isDraining }: PooledServer): void {
     this.#listedIds.add(server.id);
     this.#unlistedIds.delete(server.id);
@@ -97,7 +99,7 @@
     });
   }
 
-  /** Rows of another writer: what no server says, beside one that would be a server of an unknown service. */
+  /** Writes rows that no server writes: malformed entries, and an entry of an unknown service. */
   listStrays(): void {
     for (const [index, value] of STRAY_ROWS.entries()) {
       this.#options.store.put(TABLES.servers, strayKey(index), value);
@@ -114,7 +116,10 @@
     this.#options.store.remove(TABLES.servers, serverId);
   }
 
-  /** After the store came back from an older copy: the entries as they are, and those that are gone lapse. */
+  /**
+   * The writes that follow the restore of the store from an older copy: the current entries, and the removal of
+   * entries that were removed before.
+   */
   writers(): readonly (() => void)[] {
     const listed = this.servers.filter(({ server }) => this.#listedIds.has(server.id));
     const removedIds = [...this.#unlistedIds];
--- a/soak/wire.ts
+++ b/soak/wire.ts
@@ -1,4 +1,4 @@
-/** Headers as the soak's stand-ins read and write them: node:http gives names in lower case. */
+/** Header names as the simulated services read and write them: in lower case, as node:http reports them. */
 import { HEADERS, SENT_HEADERS } from '../platform/names.js';
 
 export const WIRE = {
