--- a/test/faults/daemon-death.test.ts
+++ b/test/faults/daemon-death.test.ts
@@ -1,4 +1,4 @@
-/** Daemons that are killed, on real processes: what they held passes on, and nothing runs twice. */
+/** Real daemon processes are killed: other daemons take over their leases and duties, and no request runs twice. */
 import assert from 'node:assert/strict';
 import { after, before, test } from 'node:test';
 import type { IntentRow } from '../../src/core/orders/index.js';
@@ -34,14 +34,14 @@
   return ((await fleet.tableRow(`intent/${engine}`))?.value ?? null) as IntentRow | null;
 }
 
-test("a killed daemon's streams end visibly broken and its duties pass on", async () => {
+test("a killed daemon's streams end visibly broken and other daemons take over its duties", async () => {
   const killed = await fleet.leaseHolder('a');
   const survivor = survivorOf(killed);
   const { epoch } = await fleet.lease('a');
   const [a1, a2] = [fleet.engine('a1'), fleet.engine('a2')];
   const stall = { kind: 'stall', afterTokens: TOKENS_BEFORE_STALL, forMs: STALL_MS };
   for (const engine of [a1, a2]) await fleet.backendFaults(engine, { faults: [stall] });
-  // A request that keeps a1 from being drained, so that the order stays pending.
+  // This request keeps a1 from completing its drain, so that the order stays pending.
   const holding = askModel(
     { callers: a1.endpoint },
     { streamed: true, outputTokens: ANSWER_TOKENS },
@@ -86,7 +86,7 @@
   await restart(killed);
 });
 
-test('one idempotency key through two daemons at once runs at most once', async () => {
+test('an order sent through two daemons at once with one idempotency key runs at most once', async () => {
   const keys = Array.from({ length: 8 }, (_, n) => `twice-${n}`);
   const pairs = keys.map((key) => ['d1', 'd2'].map((name) => sendOrder(fleet.daemon(name), key)));
   for (const [place, calls] of pairs.entries()) {
@@ -104,8 +104,8 @@
   }
 });
 
-test('a key whose daemon was killed while its work ran is not run again', async () => {
-  // So young a life may end before the others have heard of it.
+test('an order whose daemon was killed while it ran does not run again under its key', async () => {
+  // The new incarnation of d1 may be killed before the other daemons have learned of it.
   fleet.daemon('d1').process.signal('SIGKILL');
   await restart(fleet.daemon('d1'));
   const killed = fleet.daemon('d1');
@@ -115,7 +115,7 @@
   await eventuallyTrue('the order to run', async () => (await fleet.orderRuns('orphan')) === 1);
   killed.process.signal('SIGKILL');
   assert.equal((await first.outcome).kind, 'unknown');
-  const final = await eventually('a final answer to the repeat', async () => {
+  const final = await eventually('a final response to the retry', async () => {
     const outcome = await sendOrder(survivor, 'orphan').outcome;
     const isFinal = outcome.kind !== 'refused' || outcome.code !== 'idempotency-in-progress';
     return isFinal ? outcome : null;
@@ -126,20 +126,20 @@
   assert.equal(await fleet.orderRuns('orphan'), 1);
 });
 
-/** Kills all daemons and starts them anew, all at once. */
+/** Kills all daemons and restarts them at the same time. */
 async function restartAll(): Promise<void> {
   const names = fleet.parts.daemons.map((daemon) => daemon.name);
   for (const daemon of fleet.parts.daemons) daemon.process.signal('SIGKILL');
   await Promise.all(names.map((name) => fleet.parts.restartDaemon(name)));
 }
 
-/** Waits until a daemon is ready; it must not be before it has the version or a later one. */
+/** Waits until a daemon is ready; by then it must have the version or a later one. */
 async function readyWith(daemon: RunningDaemonPart, version: number): Promise<void> {
   await eventuallyTrue(`${daemon.name} to be ready`, () => fleet.isReady(daemon));
   assert.ok((await fleet.status(daemon)).configurationVersion >= version, daemon.name);
 }
 
-test('daemons restarted all at once are not ready before they have the configuration', async () => {
+test('daemons that restart at the same time are not ready before they have the configuration', async () => {
   const version = await fleet.apply(fleet.daemon('d2'), 'set share of class interactive to 0.5');
   await restartAll();
   await Promise.all(fleet.parts.daemons.map((daemon) => readyWith(daemon, version)));
@@ -147,7 +147,7 @@
   await fleet.platformFaults({ table: { down: true } });
   await restartAll();
   for (const daemon of fleet.parts.daemons) {
-    await eventuallyTrue(`${daemon.name} to miss the store`, async () => {
+    await eventuallyTrue(`${daemon.name} to report the store as unreachable`, async () => {
       return (await fleet.status(daemon)).store === 'unreachable';
     });
     assert.equal(await fleet.isReady(daemon), false);
--- a/test/faults/engine-faults.test.ts
+++ b/test/faults/engine-faults.test.ts
@@ -1,4 +1,4 @@
-/** Engines that die or misbehave, on real processes: whole and exact, or visibly broken. */
+/** Real engine processes are killed or misbehave: callers get complete and exact responses, or visibly broken ones. */
 import assert from 'node:assert/strict';
 import { after, before, test } from 'node:test';
 import type { RunningBackend } from '../../src/lab/fleet/running-fleet.js';
@@ -17,7 +17,7 @@
 });
 after(() => fleet?.end());
 
-/** Attempts of requests that the engines other than the named one have taken. */
+/** Ids of the attempts that engines other than the named one have received. */
 async function attemptsElsewhere(engine: string): Promise<readonly string[]> {
   const others = fleet.parts.engines.filter(({ name }) => name !== engine);
   const ledgers = await Promise.all(others.map((other) => fleet.ledger(other)));
@@ -29,7 +29,7 @@
   return entries.filter(({ outcome }) => outcome === 'active').map(({ attempt }) => attempt);
 }
 
-test('requests on an engine that is killed are answered whole, or at most once', async () => {
+test('requests on a killed engine get a complete response; requests that must run at most once are not repeated', async () => {
   const daemon = fleet.daemon('d1');
   const engine = fleet.engine('a1');
   await fleet.apply(daemon, 'begin; drain a2; drain a3; commit');
@@ -42,7 +42,7 @@
   await Promise.all([streamed, streamedOnce].map((call) => call.received(TOKENS_BEFORE_FAULT)));
   const whole = ask(false);
   const wholeOnce = ask(false, AT_MOST_ONCE);
-  const attempts = await eventually('all four on a1', async () => {
+  const attempts = await eventually('all four requests to run on a1', async () => {
     const active = await activeAttempts(engine);
     return active.length === 4 ? active : null;
   });
@@ -71,7 +71,7 @@
   return attempt.slice(0, attempt.lastIndexOf('.'));
 }
 
-/** Streams under a fault that is armed twice on each engine; all of them, ended. */
+/** Arms a fault twice on each engine, sends as many requests, and returns their calls once all have ended. */
 async function streamsUnder(fault: object, streamed = true): Promise<RunningCall[]> {
   for (const engine of fleet.parts.engines) {
     await fleet.backendFaults(engine, { faults: [fault, fault] });
@@ -97,7 +97,7 @@
   { kind: 'early-close', afterTokens },
 ];
 
-test('repeated, foreign and delayed frames of an engine never reach a caller', async () => {
+test('callers get complete responses in spite of repeated, foreign and delayed frames of an engine', async () => {
   for (const fault of HARMLESS) {
     for (const call of await streamsUnder(fault)) {
       assert.equal(call.ended?.kind, 'finished', `${fault.kind}: ${JSON.stringify(call.ended)}`);
@@ -115,14 +115,14 @@
   }
 });
 
-test('the streams of an engine that crashes and comes back are resumed exactly', async () => {
+test('the streams of an engine that crashes and restarts are resumed exactly', async () => {
   const engine = fleet.engine('a1');
   const crash = { kind: 'crash-in-stream', afterTokens, downMs: 200 };
-  // What is left of earlier tests would break streams off as well.
+  // Faults that earlier tests left armed would break streams as well.
   for (const other of fleet.parts.engines) {
     await fleet.backendFaults(other, { faults: other === engine ? [crash] : [], replace: true });
   }
-  await eventuallyTrue('a stream to be lost with a1', async () => {
+  await eventuallyTrue('a stream to be lost in a crash of a1', async () => {
     const calls = Array.from({ length: ENGINES.length }, () =>
       askModel(fleet.daemon('d1'), { streamed: true, outputTokens: 3 * TOKENS_BEFORE_FAULT }),
     );
@@ -134,7 +134,7 @@
   });
 });
 
-test('a whole answer of the wrong length is never given as whole', async () => {
+test('a response whose length is wrong is never delivered as complete', async () => {
   for (const byBytes of [-7, 7]) {
     const calls = await streamsUnder({ kind: 'wrong-length', byBytes }, false);
     const message = `${byBytes}: ${JSON.stringify(calls.map((call) => call.ended))}`;
--- a/test/faults/late-machine-list.test.ts
+++ b/test/faults/late-machine-list.test.ts
@@ -1,7 +1,7 @@
 /**
- * A fleet whose machine list is far behind: at first it names none of the daemons, which so know nothing of each other.
- * One that was asked for a change answered that it was applied, in force on one daemon, while the others served the old
- * configuration. It has to wait until it knows them.
+ * A fleet whose machine list lags: at first it lists none of the daemons, so they do not know of each other. A daemon must
+ * not report a change as applied before it knows the others: it did so with the change in force on itself alone, while the
+ * other daemons served the old configuration.
  */
 import assert from 'node:assert/strict';
 import { after, before, test } from 'node:test';
@@ -16,7 +16,7 @@
 });
 after(() => fleet?.end());
 
-test('a change is applied only when the daemons that the list does not name yet have it', async () => {
+test('a change is reported as applied only when daemons that the machine list does not contain yet have it too', async () => {
   const daemon = fleet.daemon('d2');
   const text = 'set share of class interactive to 0.7';
   const outcome = await fleet.change(daemon, text, { id: 'early' });
--- a/test/faults/paused-holder.test.ts
+++ b/test/faults/paused-holder.test.ts
@@ -1,4 +1,4 @@
-/** A controller that is paused past its lease and wakes, on real processes. */
+/** A real daemon process that holds a lease is paused until the lease has expired, and is resumed. */
 import assert from 'node:assert/strict';
 import { after, before, test } from 'node:test';
 import type { IntentRow, Order, OrderAnswer } from '../../src/core/orders/index.js';
@@ -18,7 +18,7 @@
 });
 after(() => fleet?.end());
 
-/** An order that is not the controller's own: what a late one of an old epoch looks like. */
+/** Sends an order with the fence of the given epoch, as a delayed order of a former lease holder. */
 async function sendOldOrder(engine: RunningBackend, epoch: number): Promise<OrderAnswer> {
   const { boot } = await fleet.report(engine);
   const order: Order = {
@@ -36,13 +36,13 @@
   return (await fleet.tableRow('intent/a1'))?.value as IntentRow;
 }
 
-test('a lease holder paused past its lease gives way, and its epoch has no effect any more', async () => {
+test('a lease holder that is paused until its lease expires is replaced, and orders of its epoch are refused', async () => {
   const paused = await fleet.leaseHolder('a');
   const [survivor] = fleet.otherDaemons(paused.name);
   assert.ok(survivor);
   const { epoch } = await fleet.lease('a');
   const [a1, a2] = [fleet.engine('a1'), fleet.engine('a2')];
-  // The holder is in the middle of a drain when it is paused.
+  // The stalled request keeps a drain in progress while the holder is paused.
   await fleet.backendFaults(a1, { faults: [{ kind: 'stall', afterTokens: 1, forMs: STALL_MS }] });
   const holding = askModel({ callers: a1.endpoint }, { streamed: true, outputTokens: 50 });
   await holding.received(1);
@@ -52,7 +52,7 @@
   paused.process.signal('SIGSTOP');
 
   const change = fleet.change(survivor, 'set share of class interactive to 0.7', { id: 'paused' });
-  const next = await eventually('another holder', async () => {
+  const next = await eventually('another holder of the lease', async () => {
     const lease = await fleet.lease('a');
     return lease.holder === paused.name || lease.holder === null ? null : lease;
   });
@@ -63,7 +63,7 @@
   assert.deepEqual(recorded.waitingFor, [paused.name]);
 
   paused.process.signal('SIGCONT');
-  await eventuallyTrue('the woken daemon to give way', async () => {
+  await eventuallyTrue('the resumed daemon to give up the lease', async () => {
     for (const engine of [a1, a2]) await assertEpoch(engine, next.epoch);
     return (await fleet.metric(paused, 'threadfork_lease_epoch')) === null;
   });
@@ -84,15 +84,15 @@
   assert.equal(await fleet.cutAttempts(), 0);
 });
 
-/** The engine's fence and its last order are of the epoch. */
+/** The engine's fence has the epoch, and its last order is not of the epoch before. */
 async function assertEpoch(engine: RunningBackend, epoch: number): Promise<void> {
   const { fence, lastOrder } = await fleet.report(engine);
   assert.equal(fence?.epoch, epoch);
   assert.ok(lastOrder === null || !lastOrder.id.startsWith(`${engine.name}.${epoch - 1}.`));
 }
 
-test('the woken daemon serves again and has the configuration that was recorded meanwhile', async () => {
-  const again = await eventually('the change to be applied everywhere', async () => {
+test('the resumed daemon serves again and has the configuration that was recorded during its pause', async () => {
+  const again = await eventually('the change to be applied on all daemons', async () => {
     const daemon = fleet.daemon('d1');
     const text = 'set share of class interactive to 0.7';
     const outcome = await fleet.change(daemon, text, { id: 'paused' });
--- a/test/faults/planned-changes.test.ts
+++ b/test/faults/planned-changes.test.ts
@@ -1,4 +1,4 @@
-/** Planned changes under load, on real processes: nothing is cut and everything takes effect. */
+/** Planned changes under load, on real processes: no request is cut and every change takes effect. */
 import assert from 'node:assert/strict';
 import { after, before, test } from 'node:test';
 import { setTimeout as wait } from 'node:timers/promises';
@@ -28,7 +28,7 @@
   return new Traffic(() => fleet.parts.daemons, CALLERS);
 }
 
-/** Ends the traffic; every call must have had its whole, right answer, and no engine cut one. */
+/** Stops the traffic; every call must have got its complete, correct response, and no engine may have cut one. */
 async function endUncut(load: Traffic): Promise<void> {
   await load.stop();
   assert.deepEqual(load.others, []);
@@ -71,7 +71,7 @@
   await endUncut(load);
 });
 
-test('of two operators at once one wins and the other is shown the newer version', async () => {
+test('of two concurrent changes one is applied and the other is refused with the newer version', async () => {
   for (const share of ['0.5', '0.6', '0.7']) {
     const { configurationVersion: seen } = await fleet.status(fleet.daemon('d1'));
     const outcomes = await Promise.all(
@@ -93,17 +93,17 @@
   }
 });
 
-/** How long after it was known to leave a backend may still get new work, as the brief has it. */
+/** How long after its departure is announced a backend may still get new work. */
 const NO_NEW_WORK_AFTER_MS = 3_000;
 const LONG_ANSWER_TOKENS = 1_000;
 
-/** Streams that run on every one of the engines. */
+/** Opens streams until at least one runs on each of the engines. */
 async function streamsOnEach(engines: readonly string[]): Promise<RunningCall[]> {
   const streams: RunningCall[] = [];
   const reached = new Set<string>();
   while (!engines.every((engine) => reached.has(engine))) {
     const daemon = fleet.parts.daemons[streams.length % fleet.parts.daemons.length];
-    assert.ok(daemon !== undefined && streams.length < 40, 'no stream reached some engine');
+    assert.ok(daemon !== undefined && streams.length < 40, '40 streams did not reach every engine');
     const stream = askModel(daemon, { streamed: true, outputTokens: LONG_ANSWER_TOKENS });
     streams.push(stream);
     reached.add((await fleet.engineRunning(await stream.received(1))).name);
@@ -116,7 +116,7 @@
   return Object.values(counts).reduce((sum, count) => sum + count, 0);
 }
 
-/** Puts an engine on the machine list as leaving; resolves once readers can see it. */
+/** Marks an engine as leaving on the machine list; resolves once the list shows it. */
 async function listAsLeaving({ name, endpoint, zone }: RunningBackend): Promise<void> {
   const platform = fleet.parts.platform;
   const base = { kind: 'engine', name, zone, accelerator: 'new', pool: 'b' } as const;
@@ -127,7 +127,7 @@
   });
 }
 
-test('a leaving backend gets no new work after 3 s and ends what it runs', async () => {
+test('a leaving backend gets no new work after 3 s and completes its running requests', async () => {
   const [byReport, byList, byCommand] = ['a2', 'b1', 'b2'].map((name) => fleet.engine(name));
   const web = fleet.web('orders-2');
   assert.ok(byReport && byList && byCommand);
@@ -149,7 +149,7 @@
   await endUncut(load);
 });
 
-test('a drained engine that is returned gets work again', async () => {
+test('a drained engine gets work again after it is returned', async () => {
   const engine = fleet.engine('b2');
   const before = await attemptsTaken(engine);
   await fleet.apply(fleet.daemon('d1'), 'return b2');
--- a/test/faults/planned-stop.test.ts
+++ b/test/faults/planned-stop.test.ts
@@ -1,4 +1,4 @@
-/** A daemon told to stop under load, on real processes: nothing is cut. */
+/** A real daemon process is stopped with SIGTERM under load: no request is cut. */
 import assert from 'node:assert/strict';
 import { after, before, test } from 'node:test';
 import type { RunningDaemonPart } from '../../src/lab/fleet/running-fleet.js';
@@ -31,7 +31,7 @@
   return outcomes.filter(({ kind }) => kind !== 'finished');
 }
 
-/** A caller as it ought to be: calls on new connections while the daemon says that it is ready. */
+/** A well-behaved caller: sends calls on new connections while the daemon reports that it is ready. */
 async function callWhileReady(daemon: RunningDaemonPart): Promise<Outcome[]> {
   const calls: RunningCall[] = [];
   while (await fleet.isReady(daemon).catch(() => false)) {
@@ -44,7 +44,7 @@
   assert.deepEqual(await daemon.process.exited, { code: 0, signal: null });
 }
 
-test('a planned stop cuts no request, exits 0 and gives the lease up', async () => {
+test('a daemon that is stopped cuts no request, exits with 0 and releases its lease', async () => {
   const stopping = await fleet.leaseHolder('a');
   const { epoch } = await fleet.lease('a');
   const load = new Traffic(() => fleet.otherDaemons(stopping.name), CALLERS);
@@ -52,7 +52,7 @@
     askModel(stopping, { streamed, outputTokens: LONG_ANSWER_TOKENS }),
   );
   const orders = ['stop-1', 'stop-2'].map((key, place) => sendOrder(stopping, key, place === 0));
-  await eventuallyTrue('all answers to be under way', async () => {
+  await eventuallyTrue('all requests to run', async () => {
     return (await fleet.status(stopping)).requestsRunning >= running.length;
   });
   const callers = [callWhileReady(stopping), callWhileReady(stopping)];
@@ -61,7 +61,7 @@
   assert.deepEqual(others((await Promise.all(callers)).flat()), []);
   await assertStopped(stopping);
   assert.notEqual((await fleet.lease('a')).holder, stopping.name);
-  const next = await eventually('another holder', async () => {
+  const next = await eventually('another holder of the lease', async () => {
     const lease = await fleet.lease('a');
     return lease.holder === null ? null : lease;
   });
@@ -72,7 +72,7 @@
   await fleet.parts.restartDaemon(stopping.name);
 });
 
-test('a request on an open connection of a stopping daemon gets its whole answer', async () => {
+test('a request on an open connection of a stopping daemon gets its complete response', async () => {
   const stopping = fleet.daemon('d2');
   await eventuallyTrue('d2 to be ready', () => fleet.isReady(stopping));
   const connections = Array.from({ length: 6 }, () => new KeptConnection(stopping));
@@ -83,8 +83,8 @@
     'd2 to stop',
     async () => (await fleet.status(stopping)).state === 'stopping',
   );
-  // Between short answers the daemon has nothing to finish; the long one that follows must not fall
-  // to a stop that has been taken for finished meanwhile.
+  // Between two short requests the daemon has no open request. It must not take its stop for complete then and cut the
+  // long request that follows.
   for (const [place, connection] of connections.entries()) {
     const outputTokens = place + 1 < connections.length ? 1 : LONG_ANSWER_TOKENS;
     const call = connection.askModel({ streamed: true, outputTokens });
--- a/test/faults/store-outage.test.ts
+++ b/test/faults/store-outage.test.ts
@@ -1,4 +1,4 @@
-/** The platform's store loses answers and is down while real processes go on. */
+/** The platform's store loses responses or is down while real daemon processes serve. */
 import assert from 'node:assert/strict';
 import { after, before, test } from 'node:test';
 import type { ChangeOutcome } from '../../src/core/configuration/change-outcome.js';
@@ -39,7 +39,7 @@
   return (await fleet.status(fleet.daemon('d1'))).configurationVersion;
 }
 
-/** Sends a change while every answer to a write is lost; resolves once the table has it. */
+/** Sends a change while every response to a write is lost; resolves once the table contains the change. */
 async function changeWithLostAnswer(id: string, share: string): Promise<Promise<ChangeOutcome>[]> {
   await fleet.platformFaults(LOSE_EVERY_WRITE_ANSWER);
   const outcome = fleet.change(fleet.daemon('d1'), `set share of class interactive to ${share}`, {
@@ -51,7 +51,7 @@
   return [outcome];
 }
 
-/** Sends a change again under its id; it must be reported as applied under the version. */
+/** Sends a change again under its id to each daemon; it must be reported as applied under the version. */
 async function assertSettled(id: string, share: string, version: number): Promise<void> {
   for (const daemon of fleet.parts.daemons) {
     const text = `set share of class interactive to ${share}`;
@@ -67,7 +67,7 @@
   );
 }
 
-test('a change whose answer from the store was lost takes effect once and is told so', async () => {
+test('a change takes effect once, and is reported as applied, if the response of the store was lost', async () => {
   const version = await versionInForce();
   const [outcome] = await changeWithLostAnswer('lost-1', '0.9');
   await fleet.platformFaults(LOSE_NOTHING);
@@ -79,7 +79,7 @@
   await assertSettled('lost-1', '0.9', version + 1);
 });
 
-test('with the store down traffic goes on, and what needs the store is refused as not run', async () => {
+test('while the store is down, traffic goes on, and changes and keyed orders are refused without running', async () => {
   const version = await versionInForce();
   const [lost] = await changeWithLostAnswer('lost-2', '0.8');
   await fleet.platformFaults({ ...ALL_DOWN, ...{ table: { ...LOSE_NOTHING.table, down: true } } });
@@ -89,7 +89,7 @@
   assert.equal(refused.fault.code, 'store-unavailable');
   assertRefused(await sendOrder(fleet.daemon('d1'), 'down-1').outcome);
   assert.equal(await fleet.orderRuns('down-1'), 0);
-  await eventuallyTrue('every lease to lapse', async () => {
+  await eventuallyTrue('every lease to expire', async () => {
     const held = await Promise.all(
       fleet.parts.daemons.map((daemon) => fleet.metric(daemon, 'threadfork_lease_epoch')),
     );
@@ -100,13 +100,13 @@
   assert.equal(finalOutcome?.kind, 'unknown', JSON.stringify(finalOutcome));
   await load.finishedMore(CALLERS);
   await load.stop();
-  // Only orders with an Idempotency-Key need the store; all others were answered.
+  // Only orders with an Idempotency-Key need the store; all other calls must have finished.
   for (const outcome of load.others) assertRefused(outcome);
   await fleet.platformFaults(ALL_UP);
   await assertResumed(version + 1);
 });
 
-/** Everything that waited for the store goes on by itself. */
+/** Everything that needs the store works again without intervention. */
 async function assertResumed(version: number): Promise<void> {
   await assertSettled('lost-2', '0.8', version);
   assert.equal(await fleet.tableRow('change/while-down'), null);
--- a/test/faults/support/caller.ts
+++ b/test/faults/support/caller.ts
@@ -1,4 +1,4 @@
-/** Callers of fault tests: single calls that can be watched while they run, and steady traffic. */
+/** Callers for fault tests: single calls that can be observed while they run, and continuous traffic. */
 import { Agent } from 'undici';
 import type { Endpoint } from '../../../src/core/registry/backend.js';
 import { call } from '../../../src/lab/load/call.js';
@@ -7,12 +7,12 @@
 import { eventuallyTrue } from './eventually.js';
 import { MODEL, ORDER_PATH } from './fleet-definition.js';
 
-/** Where callers connect. */
+/** A daemon or backend that callers connect to. */
 export interface Target {
   readonly callers: Endpoint;
 }
 
-/** What to ask of a model. */
+/** Options of a request to a model. */
 export interface ModelRequest {
   readonly streamed: boolean;
   readonly outputTokens: number;
@@ -21,24 +21,24 @@
 
 const PROMPT_TOKENS = 30;
 const NOT_REPEATABLE = { 'x-threadfork-repeatable': 'false' } as const;
-/** Headers of work that must run at most once. */
+/** Headers of a request that must run at most once. */
 export const AT_MOST_ONCE: Readonly<Record<string, string>> = NOT_REPEATABLE;
 
-/** Traffic to a fleet that is gone ends by itself. */
+/** Traffic stops after this many calls that did not finish, so that it ends when the fleet is down. */
 const MAX_OTHERS = 100;
 
 let sentCalls = 0;
 let startedTraffic = 0;
 
-/** One call under way, on a connection of its own. */
+/** One call in progress, on its own connection unless a kept connection is given. */
 export class RunningCall {
   /** How it ended; never rejects. */
   readonly outcome: Promise<Outcome>;
-  /** The head of the answer, once it has come. */
+  /** Status of the response; null before its head. */
   status: number | null = null;
-  /** By which the daemon knows the request; null before the head. */
+  /** The id that the daemon gave the request; null before the head of the response. */
   requestId: string | null = null;
-  /** Tokens that have come so far. */
+  /** Number of tokens received so far. */
   tokens = 0;
   /** Set once the call has ended. */
   ended: Outcome | null = null;
@@ -73,19 +73,19 @@
     });
   }
 
-  /** Resolves to the request's id once so many tokens have come; rejects when they never will. */
+  /** Resolves to the request's id once this many tokens have been received; rejects if the call ends before. */
   async received(tokens: number): Promise<string> {
     await eventuallyTrue(`${tokens} tokens`, () => this.tokens >= tokens || this.ended !== null);
     if (this.tokens >= tokens && this.requestId !== null) return this.requestId;
     throw new Error(`ended after ${this.tokens} tokens: ${JSON.stringify(this.ended)}`);
   }
 
-  /** Whether a streamed answer was asked for. */
+  /** Whether a streamed response was requested. */
   get isStreamed(): boolean {
     return this.request.kind === 'model' && this.request.streamed;
   }
 
-  /** Ends the connection as a caller that goes away. */
+  /** Closes the connection, as a caller that leaves. */
   leave(): void {
     this.cancellation.abort();
   }
@@ -97,13 +97,13 @@
 
   constructor(private readonly target: Target) {}
 
-  /** Asks a model over the connection; over a new one where it has been closed. */
+  /** Sends a request to a model over the connection, or over a new one if it has been closed. */
   askModel(request: ModelRequest): RunningCall {
     return askModel(this.target, request, this.agent);
   }
 }
 
-/** Asks a model. */
+/** Sends a request to a model. */
 export function askModel(target: Target, request: ModelRequest, agent?: Agent): RunningCall {
   const { streamed, outputTokens, headers = {} } = request;
   const seed = sentCalls + 1;
@@ -112,13 +112,13 @@
   return new RunningCall(target, { ...base, streamed, prompt, outputTokens }, headers, agent);
 }
 
-/** Sends an order, which must run at most once, with its key as Idempotency-Key unless told not. */
+/** Sends an order, which must run at most once; with its key as Idempotency-Key unless `keyed` is false. */
 export function sendOrder(target: Target, key: string, keyed = true): RunningCall {
   const request = { kind: 'web-order', path: ORDER_PATH, requestKey: key, keyed } as const;
   return new RunningCall(target, request, {});
 }
 
-/** Callers that come back as soon as they are answered, until they are told to stop. */
+/** Callers that send the next call as soon as the last one has ended, until they are stopped. */
 export class Traffic {
   /** Outcomes other than `finished`. */
   readonly others: Outcome[] = [];
@@ -128,7 +128,7 @@
   private readonly callers: Promise<void>[] = [];
   private isStopping = false;
 
-  /** Starts callers that go round the targets, which may change while they do. */
+  /** Starts callers that rotate through the targets; the set of targets may change meanwhile. */
   constructor(
     private readonly targets: () => readonly Target[],
     callers: number,
@@ -138,13 +138,13 @@
     for (let n = 0; n < callers; n += 1) this.callers.push(this.callRepeatedly());
   }
 
-  /** Waits until so many more calls have finished. */
+  /** Waits until `count` more calls have finished. */
   async finishedMore(count: number): Promise<void> {
     const wanted = this.finished + count;
     await eventuallyTrue(`${count} more finished calls`, () => this.finished >= wanted);
   }
 
-  /** Sends no more and waits for all answers. */
+  /** Stops sending and waits for all open calls. */
   async stop(): Promise<void> {
     this.isStopping = true;
     await Promise.all(this.callers);
@@ -167,7 +167,7 @@
   }
 }
 
-/** An endless mix of streamed and whole answers; the rates only order the requests. */
+/** An endless mix of requests for streamed and complete responses; the rates only determine the order of requests. */
 const TRAFFIC = workloadSchema.parse({
   name: 'traffic',
   sources: [
--- a/test/faults/support/eventually.ts
+++ b/test/faults/support/eventually.ts
@@ -1,4 +1,4 @@
-/** Waits for what a fault test must see; the bound is far above what a slow machine needs. */
+/** Waits for conditions in fault tests; the time-out is far above what a slow machine needs. */
 import { AssertionError } from 'node:assert';
 import { until } from '../../../src/lab/fleet/until.js';
 
@@ -6,8 +6,8 @@
 const never = new AbortController().signal;
 
 /**
- * Asks until the answer is not null. A question that can't be asked is asked again, but an
- * assertion that fails while asking fails the test at once.
+ * Polls until the result is not null. After any other error the poll is repeated, but an assertion that fails within the
+ * poll fails the test at once.
  */
 export async function eventually<T>(what: string, poll: () => Promise<T | null>): Promise<T> {
   const result = await until(() => settle(poll), { what, timeoutMs: TIMEOUT_MS, signal: never });
@@ -15,7 +15,7 @@
   return result.answer;
 }
 
-/** Asks until the condition holds. */
+/** Polls until the condition holds. */
 export async function eventuallyTrue(
   what: string,
   condition: () => Promise<boolean> | boolean,
--- a/test/faults/support/fault-fleet.ts
+++ b/test/faults/support/fault-fleet.ts
@@ -1,4 +1,4 @@
-/** A fleet of real processes for fault tests, with what the tests ask of its parts. */
+/** A fleet of real processes for fault tests, with the queries and commands that the tests need. */
 import assert from 'node:assert/strict';
 import type { ChangeOutcome } from '../../../src/core/configuration/change-outcome.js';
 import type { Row } from '../../../src/core/language/index.js';
@@ -10,7 +10,7 @@
 import { eventually, eventuallyTrue } from './eventually.js';
 import { type FleetShape, fleetOf } from './fleet-definition.js';
 
-/** What an engine ran, by its own ledger. */
+/** An engine's own record of what it ran. */
 export interface EngineLedger {
   readonly counts: Readonly<Record<'active' | 'finished' | 'cancelled' | 'cut' | 'lost', number>>;
   readonly entries: readonly {
@@ -20,7 +20,7 @@
   }[];
 }
 
-/** A daemon's status, as far as tests look at it. */
+/** The fields of a daemon's status that tests use. */
 export interface DaemonStatus {
   readonly state: string;
   readonly configurationVersion: number;
@@ -38,7 +38,7 @@
 export class FaultFleet {
   private constructor(readonly parts: RunningFleet) {}
 
-  /** Starts a fleet; it is killed when the test process ends, however it ends. */
+  /** Starts a fleet; it is killed when the test process exits or gets SIGTERM. */
   static async start(shape: FleetShape): Promise<FaultFleet> {
     const parts = new RunningFleet(fleetOf(shape), {
       logFolder: process.env.THREADFORK_FAULT_LOGS ?? null,
@@ -54,7 +54,7 @@
     return new FaultFleet(parts);
   }
 
-  /** Ends all parts at once. A part that ended by itself before is a failure. */
+  /** Kills all parts. Fails if a part ended by itself before. */
   async end(): Promise<void> {
     const { problems } = this.parts;
     await this.parts.kill();
@@ -78,7 +78,7 @@
     return this.parts.daemons.filter((daemon) => daemon.name !== name);
   }
 
-  /** Asks a daemon in the operator language. */
+  /** Sends a query in the operator language to a daemon. */
   async query(daemon: RunningDaemonPart, text: string): Promise<readonly Row[]> {
     const { status, json } = await postJson(daemon.operators, '/v1/query', { text });
     if (status !== 200) throw new Error(`${text}: ${status} ${JSON.stringify(json)}`);
@@ -95,7 +95,7 @@
     return json as ChangeOutcome;
   }
 
-  /** Sends commands that must be applied; the version under which they are. */
+  /** Sends commands that must be applied; returns the configuration version under which they are. */
   async apply(daemon: RunningDaemonPart, text: string): Promise<number> {
     const outcome = await this.change(daemon, text);
     assert.equal(outcome.kind, 'applied', JSON.stringify(outcome));
@@ -106,12 +106,12 @@
     return (await getJson(daemon.operators, '/v1/status')).json as DaemonStatus;
   }
 
-  /** Whether a daemon says that it may be sent requests. */
+  /** Whether a daemon reports that it is ready for requests. */
   async isReady(daemon: RunningDaemonPart): Promise<boolean> {
     return (await getJson(daemon.callers, '/readyz')).status === 200;
   }
 
-  /** The sum of a metric's samples whose labels contain a text; null where it has none. */
+  /** The sum of a metric's samples whose line contains the given label text; null if there is none. */
   async metric(daemon: RunningDaemonPart, name: string, labels = ''): Promise<number | null> {
     const text = await getText(daemon, '/metrics');
     const samples = text
@@ -129,13 +129,13 @@
     return (await getJson(endpoint, '/control/report')).json as EngineReport;
   }
 
-  /** Requests that orders have cut, by the engines' own counts. */
+  /** Number of attempts that orders have cut, by the engines' own counts. */
   async cutAttempts(): Promise<number> {
     const ledgers = await Promise.all(this.parts.engines.map((engine) => this.ledger(engine)));
     return ledgers.reduce((sum, { counts }) => sum + counts.cut, 0);
   }
 
-  /** How often all order servers together ran an order. */
+  /** How often an order ran, at all order servers together. */
   async orderRuns(key: string): Promise<number> {
     const ledgers = await Promise.all(
       this.parts.webs.map(async ({ endpoint }) => (await getJson(endpoint, '/ledger')).json),
@@ -144,12 +144,12 @@
     return rows.filter((row) => row.key === key).reduce((sum, { runs }) => sum + runs, 0);
   }
 
-  /** How many orders an order server has run. */
+  /** Number of orders that an order server has run. */
   async ordersTaken({ endpoint }: RunningBackend): Promise<number> {
     return ((await getJson(endpoint, '/ledger')).json as WebLedger).total;
   }
 
-  /** The engine that has an attempt of a request in hand, once one has. */
+  /** Waits until an engine runs an attempt of a request; returns the engine. */
   async engineRunning(requestId: string): Promise<RunningBackend> {
     return eventually(`an engine to run ${requestId}`, async () => {
       for (const engine of this.parts.engines) {
@@ -161,7 +161,7 @@
     });
   }
 
-  /** A row of the table, read from the platform itself; null where it is absent. */
+  /** A row of the table, read directly from the platform; null if it is absent. */
   async tableRow(key: string): Promise<TableRow | null> {
     const { json } = await postJson(this.parts.platform, '/table/get', { keys: [key] });
     const row = (json as { rows: readonly TableRow[] }).rows[0];
@@ -180,7 +180,7 @@
     assert.equal(status, 200, JSON.stringify(json));
   }
 
-  /** The daemon that the table names as the holder of a pool's lease. */
+  /** Waits until the table has a holder of a pool's lease; returns the daemon. */
   async leaseHolder(pool: string): Promise<RunningDaemonPart> {
     return eventually(`a holder of the lease of ${pool}`, async () => {
       const { holder } = await this.lease(pool);
@@ -188,13 +188,13 @@
     });
   }
 
-  /** A pool's lease as the table states it, once there is one. */
+  /** Waits until the table has a pool's lease; returns the lease. */
   async lease(pool: string): Promise<{ readonly holder: string | null; readonly epoch: number }> {
     const row = await eventually(`a lease of ${pool}`, () => this.tableRow(`lease/pool/${pool}`));
     return row.value as { holder: string | null; epoch: number };
   }
 
-  /** Waits until the engine of a pool has taken a fence of an epoch at least as high. */
+  /** Waits until an engine has accepted a fence of the epoch or a later one. */
   async fenced(engine: RunningBackend, epoch: number): Promise<void> {
     await eventuallyTrue(`${engine.name} to be fenced by epoch ${epoch}`, async () => {
       const { fence } = await this.report(engine);
--- a/test/faults/support/fleet-definition.ts
+++ b/test/faults/support/fleet-definition.ts
@@ -1,4 +1,4 @@
-/** The small fleets that fault tests run on: short engine times, two pools, an order service. */
+/** Definitions of small fleets for fault tests, with short engine times and an order service. */
 import {
   type ConfigurationDocument,
   configurationSchema,
@@ -6,7 +6,7 @@
 import type { Fleet } from '../../../src/lab/fleet/index.js';
 import { workloadSchema } from '../../../src/lab/workload/index.js';
 
-/** The model that all engines hold at the start. */
+/** The model that all engines have loaded at the start. */
 export const MODEL = 'labels';
 /** Its version at the start. */
 export const FIRST_VERSION = '1';
@@ -15,7 +15,7 @@
 /** Where orders that are not repeatable are sent. */
 export const ORDER_PATH = '/orders/renewal';
 
-/** Which machines a fleet has. */
+/** The machines of a fleet. */
 export interface FleetShape {
   /** Engines by the name of their pool. */
   readonly pools: Readonly<Record<string, readonly string[]>>;
@@ -23,11 +23,14 @@
   readonly daemons: readonly string[];
   /** Divides the time of engine steps. */
   readonly speedFactor?: number;
-  /** How far the machine list is behind. */
+  /** How far the machine list lags behind the state of the machines. */
   readonly machineLagMs?: number;
 }
 
-/** The fleet that most fault tests need: one pool, a service for orders, a daemon more than one may lose. */
+/**
+ * The fleet of most fault tests: one pool, an order service, and three daemons, so that two are left when one is
+ * lost.
+ */
 export const SMALL_FLEET: FleetShape = {
   pools: { a: ['a1', 'a2'] },
   webs: ['orders-1'],
@@ -47,7 +50,7 @@
   anonymousTenant: 'field',
 });
 
-/** A fleet whose machines are spread over two zones. */
+/** Builds a fleet whose machines alternate between two zones. */
 export function fleetOf(shape: FleetShape): Fleet {
   const engines = Object.entries(shape.pools).flatMap(([pool, names]) =>
     names.map((name) => ({ name, pool })),
--- a/test/frame/daemon-command.test.ts
+++ b/test/frame/daemon-command.test.ts
@@ -42,7 +42,7 @@
   }
 }
 
-test('--check-config takes a good file and refuses broken ones with one line each', () => {
+test('--check-config accepts a valid settings file and reports each invalid one in one line', () => {
   assert.equal(checkFile(GOOD_FILE).status, 0);
   const broken: readonly (readonly [string, RegExp])[] = [
     [GOOD_FILE.replace('zone: z1\n', ''), /^\S+daemon\.yaml:1: zone: found nothing; .+\n$/],
@@ -60,11 +60,11 @@
   }
 });
 
-test('an unknown flag is a usage fault', () => {
+test('an unknown flag exits with 2, the code for a usage error', () => {
   assert.equal(spawnSync(process.execPath, [PROGRAM, '--no-such-flag']).status, 2);
 });
 
-/** Runs the command with a daemon that stops when told how. */
+/** Runs the command with a fake daemon whose stop behaves as given. */
 function runWith(stop: () => Promise<StopOutcome>, duringStart = (): void => {}) {
   const stdout = new PassThrough();
   const calls: string[] = [];
@@ -92,7 +92,7 @@
   return { stdout, calls, exitCode };
 }
 
-test('a ready line, then a clean stop at the first signal', async () => {
+test('the command prints a ready line, and the first signal stops the daemon cleanly', async () => {
   const { stdout, calls, exitCode } = runWith(async () => 'clean');
   const [line] = await once(stdout, 'data');
   assert.deepEqual(JSON.parse(String(line)), {
@@ -106,7 +106,7 @@
   assert.deepEqual(calls, ['stop']);
 });
 
-test('a signal during the start stops the daemon once it has started', async () => {
+test('a signal during the start stops the daemon as soon as it has started', async () => {
   const { calls, exitCode } = runWith(
     async () => 'clean',
     () => void process.emit('SIGTERM'),
@@ -115,7 +115,7 @@
   assert.deepEqual(calls, ['stop']);
 });
 
-test('a stop that cut requests, and a second signal, exit with 1', async () => {
+test('the command exits with 1 after a stop that cut requests and after a second signal', async () => {
   const cut = runWith(async () => 'cut');
   await once(cut.stdout, 'data');
   process.emit('SIGINT');
--- a/test/frame/links.test.ts
+++ b/test/frame/links.test.ts
@@ -14,7 +14,7 @@
   );
 }
 
-test('every link between pages leads somewhere', () => {
+test('every link between pages has an existing target', () => {
   const found = pages().filter((page) => page !== join('docs', 'decisions', 'TEMPLATE.md'));
   assert.ok(found.length > 10);
   const dead = found.flatMap((page) => {
--- a/test/frame/operating-page.test.ts
+++ b/test/frame/operating-page.test.ts
@@ -14,7 +14,7 @@
   readonly items?: SchemaNode;
 }
 
-/** The keys that hold a value, with `*` for names and `[]` for list members. */
+/** Paths of the keys that hold a value; `*` stands for any name and `[]` for the members of a list. */
 function leafKeys(node: SchemaNode, prefix: string): readonly string[] {
   if (node.properties !== undefined) {
     const separator = prefix === '' ? '' : '.';
@@ -28,14 +28,14 @@
   return [prefix];
 }
 
-test('every key of the configuration is explained', () => {
+test('docs/OPERATING.md explains every key of the configuration', () => {
   const keys = leafKeys(z.toJSONSchema(configurationSchema) as SchemaNode, '');
   assert.ok(keys.includes('tenants.*.weight'));
   const unexplained = keys.filter((key) => !PAGE.includes(`| \`${key}\``));
   assert.deepEqual(unexplained, []);
 });
 
-test('the metrics and events that the page names exist', async () => {
+test('the metrics and events that docs/OPERATING.md names exist', async () => {
   const text = await createMetrics({ sample: () => null }).text();
   const metrics = [...PAGE.matchAll(/`(threadfork_[a-z_]+)/g)].map((match) => match[1] ?? '');
   assert.ok(metrics.length > 10);
--- a/test/frame/test-run.test.ts
+++ b/test/frame/test-run.test.ts
@@ -24,33 +24,33 @@
   }
 }
 
-test('a failing test fails the run and is named', () => {
+test('a failing test fails the run and is printed', () => {
   const run = runFixture('');
   assert.equal(run.status, 1);
   assert.match(run.stdout, new RegExp(`^# failed: ${RED_TEST}$`, 'm'));
   assert.match(run.stdout, /^# tests 2$/m);
 });
 
-test('a listed failing test is passed over and named before the summary', () => {
+test('a failing test on the known-red list does not fail the run and is printed before the summary', () => {
   const run = runFixture(`${RED_TEST} | Number adds up wrong | issue 7\n`);
   assert.equal(run.status, 0, run.stdout + run.stderr);
   assert.match(run.stdout, /# known red, passed over: .* > wrong .*issue 7.*\n(.*\n)*# tests 2\n/);
 });
 
-test('a listed test that passes is told, and the others still count', () => {
+test('a test on the known-red list that passes is printed, and other failures still fail the run', () => {
   const run = runFixture(`${RED_SOURCE} > sums > right | none | 7\n`);
   assert.equal(run.status, 1);
   assert.match(run.stdout, /# known red but passed.* > right/);
 });
 
-test('an unusable list runs nothing', () => {
+test('with an invalid known-red list no test runs', () => {
   const run = runFixture(`${RED_TEST} | cause without an issue\n`);
   assert.equal(run.status, 2);
   assert.match(run.stderr, /lacks an issue number/);
   assert.equal(run.stdout, '');
 });
 
-test('the list holds three lines of test, cause and issue at most', () => {
+test('the known-red list has at most three lines, each with test, cause and issue', () => {
   const line = (name: string): string => `${name} | cause | #1`;
   assert.equal(
     parseKnownRed(`# note\n\n${['a', 'b', 'c'].map(line).join('\n')}`)._unsafeUnwrap().length,
@@ -65,7 +65,7 @@
   }
 });
 
-test('skipped tests, absent listed tests and an empty run are faults', () => {
+test('skipped tests, listed tests that did not run, and an empty run fail the run', () => {
   const passed: TestOutcome = { test: 'a', kind: 'passed' };
   assert.equal(judge([passed], []).isGood, true);
   assert.equal(judge([], []).isGood, false);
@@ -74,7 +74,7 @@
   assert.equal(judge([passed], listed).isGood, false);
 });
 
-test('CI runs what the README tells newcomers to run', () => {
+test('CI runs the commands that the README gives', () => {
   const root = new URL('../../../', import.meta.url);
   const readme = readFileSync(new URL('README.md', root), 'utf8');
   const ci = readFileSync(new URL('.ci/run', root), 'utf8');
--- a/test/soak/link-proxy.test.ts
+++ b/test/soak/link-proxy.test.ts
@@ -1,6 +1,6 @@
 /**
- * The soak's link: bytes that are not delayed any more must not overtake those that still are. Seed 202 of a soak
- * saw a stream with all of its bytes in another order, which the gateway had passed on as they came.
+ * Bytes that arrive at a soak link after the end of a delay must not overtake bytes that are still delayed. Otherwise the
+ * link reorders a stream that the gateway relayed correctly, as seen with seed 202 of a soak.
  */
 import assert from 'node:assert/strict';
 import { once } from 'node:events';
@@ -17,7 +17,7 @@
   return text;
 }
 
-test('a link that ends a delay keeps the order of bytes, and the end comes last', async () => {
+test('a link keeps the order of bytes when a delay ends, and closes the connection after the last byte', async () => {
   const server = createServer().listen(0, '127.0.0.1');
   await once(server, 'listening');
   const link = new LinkProxy(() => (server.address() as AddressInfo).port);
--- a/test/soak/oracle.test.ts
+++ b/test/soak/oracle.test.ts
@@ -1,4 +1,4 @@
-/** The soak's oracle: each promise is found broken where it is, and only there. */
+/** The soak's oracle reports each promise that is broken in a record, and no other. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import { CRASHING_MARK, eventText, wholeBody } from '../../soak/answers.js';
@@ -136,23 +136,23 @@
   assert.deepEqual(broken(record), []);
 }
 
-test('a request that was answered by its one run breaks no promise', () => {
+test('a request that ran once and got the response of that run breaks no promise', () => {
   assert.deepEqual(broken(run([call()])), []);
 });
 
-test('TWICE: what may run once has run at two servers; a server that turned it away does not count', () => {
+test('TWICE: a non-idempotent request ran at two servers; a server that refused it does not count', () => {
   assertBroken('TWICE', run([call({ arrivals: [arrival(), arrival({ serverId: 's2' })] })]));
   const turnedAway = arrival({ serverId: 's2', isTaken: false });
   assert.deepEqual(broken(run([call({ arrivals: [turnedAway, arrival()] })])), []);
 });
 
-test('REFUSED: it has run, and its caller was told that it has not', () => {
+test('REFUSED: a request has run, and its caller got a status that states that it has not', () => {
   const refusal = answered({ status: 503, stamp: undefined, body: '' });
   assertBroken('REFUSED', run([call({ end: refusal })]));
   assert.deepEqual(broken(run([call({ end: refusal, arrivals: [] })])), []);
 });
 
-test('MIXED: a success without a stamp, with that of another run, or with a part of the body', () => {
+test('MIXED: a success has no stamp, the stamp of another run, or an incomplete body', () => {
   assertBroken('MIXED', run([call({ end: answered({ stamp: undefined }) })]));
   assertBroken('MIXED', run([call({ end: answered({ stamp: 's1.2' }) })]));
   assertBroken('MIXED', run([call({ end: answered({ body: 'r1' }) })]));
@@ -162,7 +162,7 @@
   );
 });
 
-test('ORDER: a stream that ended as whole lacks a piece', () => {
+test('ORDER: a stream that ended as complete lacks an event', () => {
   const pieces = [1, 2, 3].map((event) => eventText('r1', event, 3));
   const streaming = { requestClass: classOf('streaming') };
   const whole = call({ ...streaming, end: answered({ body: pieces.join('') }) });
@@ -171,16 +171,16 @@
   assertBroken('ORDER', run([call({ ...streaming, end: lacking })]));
 });
 
-test('UNASKED: a server got what its caller had not sent', () => {
+test('UNASKED: a server received a request that no caller sent', () => {
   assertBroken('UNASKED', run([call({ arrivals: [arrival({ problem: 'another body' })] })]));
   assertBroken('UNASKED', run([], { unasked: ['s1 got r9'] }));
 });
 
-test('ROUTE: it ran where no version lets it run', () => {
+test('ROUTE: a request ran at a service that no configuration version allows', () => {
   assert.ok(broken(run([call({ arrivals: [arrival({ service: 'three' })] })])).includes('ROUTE'));
 });
 
-test('CONFIG: well after a new version it ran as an older one says, unless its daemon was out of touch', () => {
+test('CONFIG: a request ran under a replaced version after the time to apply the new one; a daemon out of contact is excused', () => {
   const configurations = [FIRST, MOVED];
   assertBroken('CONFIG', run([call()], { configurations }));
   assertBroken('CONFIG', run([call()], { configurations: [FIRST, REVOKED] }));
@@ -196,12 +196,12 @@
   assert.deepEqual(broken(run([call()], { configurations, disturbances: [cut] })), []);
 });
 
-test('DRAIN: it was sent to a server long after that said that it leaves', () => {
+test('DRAIN: a request was sent to a server after the time to learn that it leaves', () => {
   assertBroken('DRAIN', run([call()], { drains: [{ serverId: 's1', ackMs: 25_000 }] }));
   assert.deepEqual(broken(run([call()], { drains: [{ serverId: 's1', ackMs: 29_000 }] })), []);
 });
 
-test('DRAIN: an answer that was passed on said that its server leaves, and the daemon goes on sending there', () => {
+test('DRAIN: a daemon forwarded a response that reports that its server leaves, and goes on sending there', () => {
   const leaving = call({ arrivals: [arrival({ saidLeaving: true })] });
   const later = (sentMs: number, fields: Partial<CallRecord> = {}) => {
     const late = arrival({ atMs: sentMs + 10, stamp: 's1.2' });
@@ -220,9 +220,12 @@
   assert.deepEqual(broken(run([notPassedOn, later(32_100)])), []);
 });
 
-test('BUDGET: a server that asked a daemon for rest gets more than two requests from it meanwhile', () => {
-  const asked = arrival({ isTaken: false, restAskedMs: 3_000, stamp: undefined });
-  const refused = call({ end: answered({ status: 503, stamp: undefined }), arrivals: [asked] });
+test('BUDGET: a server gets more than two requests from a daemon within the back-off period that it requested from it', () => {
+  const refusedArrival = arrival({ isTaken: false, restAskedMs: 3_000, stamp: undefined });
+  const refused = call({
+    end: answered({ status: 503, stamp: undefined }),
+    arrivals: [refusedArrival],
+  });
   const during = (count: number, fields: Partial<CallRecord> = {}) =>
     Array.from({ length: count }, (_, index) => {
       const id = `r${index + 2}`;
@@ -246,7 +249,7 @@
   }
 });
 
-test('LOST: requests were closed without an answer, and nothing was disturbed but planned stops', () => {
+test('LOST: requests were closed without a response, with no disturbance other than planned stops', () => {
   const end: CallEnd = { kind: 'closed', reason: 'reset' };
   const lost = Array.from({ length: 5 }, (_, index) => call({ id: `r${index}`, end }));
   assertBroken('LOST', run(lost));
@@ -259,7 +262,7 @@
   assert.deepEqual(broken(run(faulty)), []);
 });
 
-test('BUDGET: repeats of a window beyond the ratio and the slack', () => {
+test('BUDGET: the repeats within a window exceed the ratio and the slack', () => {
   const turnedAway = (count: number) => {
     const arrivals = Array.from({ length: count }, () => arrival({ isTaken: false }));
     return run([call({ arrivals: [...arrivals, arrival()] })]);
@@ -270,7 +273,7 @@
   assertBroken('BUDGET', run([call({ requestClass: classOf('idempotent'), arrivals: runs })]));
 });
 
-test('the first reading that a server takes up is no repeat, any other arrival beyond the first is', () => {
+test('the first prefill that an engine starts is no repeat, every other arrival beyond the first is', () => {
   const reading = arrival({ step: 'prefill', atMs: 1 });
   const second = arrival({ step: 'prefill', atMs: 2 });
   const refused = arrival({ step: 'prefill', isTaken: false, atMs: 0 });
@@ -280,7 +283,7 @@
   assert.equal(repeatsOf({ arrivals: [refused, reading, runs] }).length, 1);
 });
 
-test('GONE: servers work on for callers that have left', () => {
+test('GONE: servers go on working on requests whose callers have left', () => {
   const requestClass = classOf('streaming');
   const left = (endedMs: number) =>
     Array.from({ length: 8 }, (_, index) =>
@@ -304,20 +307,20 @@
   assert.deepEqual(broken(run(left(32_000), { disturbances: [late] })), []);
 });
 
-test('ONE: two holders with one fence', () => {
+test('ONE: two holders used the same fence', () => {
   const order = { serverId: 's1', holder: 'd1', fence: 4, atMs: 1 };
   assertBroken('ONE', run([], { orders: [order, { ...order, holder: 'd2' }] }));
   assert.deepEqual(broken(run([], { orders: [order, { ...order, fence: 5, holder: 'd2' }] })), []);
 });
 
-test('DUTY: a fence of two holders, or a window reported with other counts', () => {
+test('DUTY: two holders used the same fence, or a window was reported again with different counts', () => {
   const report = { path: '/usage', holder: 'd1', fence: 4, isAccepted: true, atMs: 1 };
   const first = { ...report, body: '{"window":7,"counts":{"a":1}}' };
   const again = { ...first, holder: 'd2', fence: 5 };
   assert.deepEqual(
     broken(run([], { duties: [first, again] })),
     [],
-    'sent again by the next holder',
+    'the next holder may send the same report again',
   );
   assertBroken('DUTY', run([], { duties: [first, { ...first, holder: 'd2' }] }));
   const other = { ...again, body: '{"window":7,"counts":{"a":2}}' };
@@ -325,14 +328,14 @@
   assert.deepEqual(broken(run([], { duties: [first, { ...other, isAccepted: false }] })), []);
 });
 
-test('RECOVER: few are served at the calm end', () => {
+test('RECOVER: few requests are served in the calm end of a run', () => {
   const atEnd = { sentMs: 56_500, deadlineMs: 59_000, endedMs: 56_600 };
   const refusal = answered({ status: 503, stamp: undefined, body: '' });
   assertBroken('RECOVER', run([call({ ...atEnd, end: refusal, arrivals: [] })]));
   assert.deepEqual(broken(run([call({ ...atEnd })])), []);
 });
 
-/** Tries of one piece of work, a second apart, the first few of which end their servers. */
+/** Tries of one request, a second apart, the first `ending` of which crash their servers. */
 function triesThatEndServers(tries: number, ending: number): readonly CallRecord[] {
   return Array.from({ length: tries }, (_, index) => {
     const atMs = 10_000 + index * 1_000;
@@ -348,19 +351,19 @@
   });
 }
 
-test('CRASHES: a request under which three servers ended is sent more than three times after contactMs', () => {
+test('CRASHES: a request that crashed three servers is sent more than three times after contactMs', () => {
   assertBroken('CRASHES', run(triesThatEndServers(10, 3)));
   assert.deepEqual(broken(run(triesThatEndServers(9, 3))), []);
   assert.deepEqual(broken(run(triesThatEndServers(30, 2))), []);
 });
 
-test('CRASHES: daemons that are not in touch are not held to it', () => {
+test('CRASHES: sends by daemons that are out of contact do not count', () => {
   const disturbance = { name: 'd1', fromMs: 9_000, toMs: 30_000, isPlanned: false };
   const disturbed = { disturbances: [{ ...disturbance, scope: 'daemon' as const }] };
   assert.deepEqual(broken(run(triesThatEndServers(10, 3), disturbed)), []);
 });
 
-/** A server that names 1 a second from 30 s on; its answers are passed on at once. */
+/** A server reports a limit of 1 request per second from 30 s on. */
 const LIMITS = [
   {
     serverId: 's1',
@@ -371,7 +374,7 @@
   },
 ];
 
-/** So many requests within a time, from one daemon. */
+/** Requests of one daemon, evenly spread over a span; every response reports the limit. */
 function callsBetween(fromMs: number, toMs: number, count: number): readonly CallRecord[] {
   return Array.from({ length: count }, (_, place) => {
     const atMs = fromMs + (place * (toMs - fromMs)) / count;
@@ -380,7 +383,7 @@
   });
 }
 
-test('LIMIT: a server gets more within 4 s than its limit allows, from a daemon that passed it on', () => {
+test('LIMIT: a server gets more requests within 4 s than its limit allows, from a daemon that forwarded the limit', () => {
   const first = callsBetween(30_100, 30_200, 1);
   const many = callsBetween(40_000, 43_900, 12);
   assertBroken('LIMIT', run([...first, ...many], { limits: LIMITS }));
@@ -388,13 +391,13 @@
   assert.deepEqual(broken(run([...first, ...few], { limits: LIMITS })), []);
 });
 
-test('LIMIT: what was sent before the limit counts from 3 s on, and not before', () => {
+test('LIMIT: the limit is judged from 3 s after it was first reported; then earlier requests in the window count', () => {
   const before = callsBetween(29_500, 30_400, 12);
   assert.deepEqual(broken(run(before, { limits: LIMITS })), []);
   assertBroken('LIMIT', run([...before, ...callsBetween(33_200, 33_300, 1)], { limits: LIMITS }));
 });
 
-test('LIMIT: a daemon that has passed on no such answer, was frozen, or met another server does not count', () => {
+test('LIMIT: requests do not count if the daemon forwarded no limit, was frozen, or addressed another server', () => {
   const first = callsBetween(30_100, 30_200, 1);
   const many = callsBetween(40_000, 43_900, 12);
   const silent = many.map((made) => ({
@@ -417,11 +420,11 @@
     ...made,
     arrivals: made.arrivals.map((at) => ({ ...at, isMisdirected: true, isTaken: false })),
   }));
-  const met = run([...first, ...misdirected], { limits: LIMITS });
-  assert.ok(!broken(met).includes('LIMIT'));
+  const misdirectedRun = run([...first, ...misdirected], { limits: LIMITS });
+  assert.ok(!broken(misdirectedRun).includes('LIMIT'));
 });
 
-test('LIMIT: a limit is not used while requests are refused', () => {
+test('LIMIT: a server gets far fewer requests than its limit allows while requests are refused', () => {
   const refused = Array.from({ length: 80 }, (_, place) => {
     const sentMs = 42_000 + place * 200;
     const end = answered({ status: 503, stamp: undefined, body: '' });
@@ -447,7 +450,7 @@
   return { daemon: 'd1', life, path: '/added-1/', sentMs, endedMs: sentMs + 5, isThere };
 }
 
-test('CONFIG: a daemon in touch that lacks a route, or has one that was dropped, is late', () => {
+test('CONFIG: a daemon in contact with the store lacks an added route, or has a dropped one, after the time to apply the change', () => {
   const configurations = [FIRST, WITH_ROUTE, WITHOUT_AGAIN];
   const judged = (...probes: RouteProbe[]) => run([], { configurations, probes });
   assertKept(judged(probe(22_400, false), probe(22_600, true), probe(42_400, true)));
@@ -455,7 +458,7 @@
   assertBroken('CONFIG', judged(probe(42_600, true)));
 });
 
-test('CONFIG: a daemon that a disturbance of the store has struck has contactMs from its end', () => {
+test('CONFIG: after a disturbance of the store, a daemon has contactMs to apply the current version', () => {
   const disturbance = {
     scope: 'store',
     name: '',
@@ -470,7 +473,7 @@
   assertBroken('CONFIG', judged(33_100));
 });
 
-test('CONFIG: no daemon goes back within a life, in touch or not; another life may', () => {
+test('CONFIG: an incarnation goes back to an older version, out of contact with the store; a new incarnation may', () => {
   const disturbance = {
     scope: 'store',
     name: '',
--- a/test/soak/plan.test.ts
+++ b/test/soak/plan.test.ts
@@ -1,4 +1,4 @@
-/** The soak's plans: the same for the same seed, with every kind of fault over some seeds, calm at the end. */
+/** Plans are determined by their seed, contain every kind of fault over some seeds, and have no faults at the end. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import {
@@ -38,26 +38,26 @@
   'callers-leave',
 ];
 
-test('a seed gives the same plan each time, another seed another', () => {
+test('a seed always gives the same plan, and another seed a different one', () => {
   assert.deepEqual(planSoak(7, SIZE), planSoak(7, SIZE));
   assert.notDeepEqual(planSoak(7, SIZE).faults, planSoak(8, SIZE).faults);
 });
 
-test('every kind of fault comes within some seeds, and none in the last seconds', () => {
+test('twelve seeds contain every kind of fault, and no fault in the last 8 s', () => {
   const faults = Array.from({ length: 12 }, (_, seed) => planSoak(seed, SIZE).faults).flat();
   const kinds = new Set(faults.map(({ fault }) => fault.kind));
   assert.deepEqual([...kinds].sort(), [...KINDS].sort());
   assert.ok(faults.every(({ atMs }) => atMs < 52_000));
 });
 
-test('the plan of a herd kills all daemons twice within one window of the budget', () => {
+test('the herd plan kills all daemons twice within one window of the retry budget', () => {
   const kills = planHerd(3, SIZE).faults.filter(({ fault }) => fault.kind === 'kill');
   assert.equal(kills.length, 2);
   assert.ok((kills[1]?.atMs ?? 0) - (kills[0]?.atMs ?? 0) < 10_000);
   for (const { fault } of kills) assert.ok(fault.kind === 'kill' && fault.daemons.length === 9);
 });
 
-test('the plan of outages keeps the store away for long, for all or most, and changes routes around its end', () => {
+test('the outage plan makes the store unreachable for at least 15 s, and changes routes around the end of each outage', () => {
   const size = { ...SIZE, seconds: 90 };
   const plans = Array.from({ length: 12 }, (_, seed) => planOutages(seed, size));
   const kinds = new Set(plans.flatMap(({ faults }) => faults.map(({ fault }) => fault.kind)));
@@ -65,17 +65,17 @@
   for (const { faults } of plans) {
     for (const { atMs, fault } of faults) {
       if (!fault.kind.startsWith('store-') || !('forMs' in fault)) continue;
-      // What a stale read leaves out was written as it began.
+      // The change that a stale read lacks was written at the start of the fault.
       const endMs = fault.kind === 'store-stale' ? atMs : atMs + fault.forMs;
       const isNear = (other: number) => other > endMs - 1_000 && other < endMs + 1_000;
       const isChanged = faults.some(({ atMs: at, fault: f }) => f.kind === 'change' && isNear(at));
-      assert.ok(isChanged, `${fault.kind} that ends at ${endMs}`);
+      assert.ok(isChanged, `no change near the end of ${fault.kind} at ${endMs} ms`);
       assert.ok(fault.kind === 'store-stale' || fault.forMs >= 15_000);
     }
   }
 });
 
-test('the plan of copies has the store come back from older ones, with changes and leaving servers around that', () => {
+test('the copies plan restores the store from older copies, with configuration changes and leaving servers around each restore', () => {
   const plans = Array.from({ length: 12 }, (_, seed) => planCopies(seed, SIZE));
   for (const { faults } of plans) {
     const copies = faults.filter(({ fault }) => fault.kind === 'store-copy');
@@ -90,7 +90,7 @@
   }
 });
 
-test('the plan of an upgrade starts each daemon again before the store comes back from a copy', () => {
+test('the upgrade plan restarts each daemon before the store is restored from a copy', () => {
   for (let seed = 0; seed < 12; seed += 1) {
     const { faults } = planUpgrade(seed, SIZE);
     const stops = faults.filter(({ fault }) => fault.kind === 'stop');
@@ -106,7 +106,7 @@
   }
 });
 
-test('each plan has work that ends servers, drawn apart from its faults', () => {
+test('each plan has requests that crash servers, none starting in the last 8 s', () => {
   for (let seed = 0; seed < 12; seed += 1) {
     const { crashing } = planSoak(seed, SIZE);
     assert.ok(crashing.length >= 1);
@@ -114,7 +114,7 @@
   }
 });
 
-test('servers are uneven and web servers short of slots over some seeds, drawn apart from the faults', () => {
+test('over twelve seeds, servers have different paces, and web servers have few slots in some plans and many in others', () => {
   const traits = Array.from({ length: 12 }, (_, seed) => planSoak(seed, SIZE).servers);
   assert.ok(traits.some(({ webSlots }) => webSlots <= 3));
   assert.ok(traits.some(({ webSlots }) => webSlots >= 24));
--- a/test/soak/soak-run.test.ts
+++ b/test/soak/soak-run.test.ts
@@ -1,4 +1,4 @@
-/** A short soak over real gateway processes with fixed seeds; longer runs with fresh ones are started by hand. */
+/** Short soaks of gateway processes with fixed seeds; longer runs with new seeds are started manually. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import { planOutages, planSoak } from '../../soak/plan.js';
@@ -14,7 +14,7 @@
   });
 }
 
-test('no promise is broken around an outage of the store in a fleet with relays', async () => {
+test('no promise is broken by an outage of the store in a fleet with relays', async () => {
   const size = { ...SIZE, seconds: 40, daemons: 15, requestsPerSecond: 60 };
   const result = await runSoak(planOutages(4, size));
   assert.deepEqual(result.violations, [], `logs of the daemons: ${result.directory}`);
