--- a/soak/oracle.ts
+++ b/soak/oracle.ts
@@ -204,8 +204,8 @@
 }
 
 /**
- * A daemon that forwarded a response that reports that its server leaves sends nothing more there, in contact with
- * the store or not.
+ * A daemon that forwarded a response that reports that its server leaves sends nothing more there after `drainMs`,
+ * whether it is in contact with the store or not.
  */
 function judgeLeavingAnswers(calls: readonly CallRecord[], run: RunRecord): readonly Violation[] {
   const knownSinceMs = new Map<string, number>();
