--- a/soak/fault-injector.ts
+++ b/soak/fault-injector.ts
@@ -1,6 +1,6 @@
 /**
- * Brings about the faults of a plan, one function each, and notes what they disturb: promises that hold in calm times
- * only are judged by that.
+ * Injects the faults of a plan, one method per fault, and records what each fault disturbs and when: the oracle judges
+ * promises that hold only without disturbances by these records.
  */
 import { type Callers, USUAL_LEAVING_SHARE } from './callers.js';
 import type { Operator } from './configuration.js';
@@ -13,16 +13,16 @@
 import type { Disturbance, DrainNotice, LimitNotice, Scope, SoakBounds } from './record.js';
 import { ENTRY_LAPSE_MS, type PooledServer, type ServerPool } from './server-pool.js';
 
-/** From a daemon's new start until its listeners have been up for a while, on a machine that is busy. */
+/** Time from the start of a daemon's process until it serves again, on a busy machine. */
 const START_MS = 3_000;
-const THAW_MS = 1_000;
+const RESUME_MS = 1_000;
 const RESTART_MS = 2_500;
-/** Every so many servers that end under a request are back at once. */
+/** Of the servers that crash under a request, every third restarts at once, the others after `RESTART_MS`. */
 const QUICK_RESTART_EVERY = 3;
 const DRAIN_LINGER_MS = 3_000;
 const ROLLING_START_MS = 400;
 
-/** What faults strike. */
+/** The parts of a run that faults act on. */
 export interface SoakWorld {
   readonly bounds: SoakBounds;
   readonly store: PlatformStore;
@@ -34,31 +34,31 @@
   readonly callers: Callers;
 }
 
-/** Servers that do wrong with a part of the requests. */
-interface SpoiltServers extends Omit<Extract<Fault, { kind: 'servers' }>, 'kind'> {
-  /** What they ask for, where they ask for rest. */
+/** Servers that mishandle a share of their requests. */
+interface ServersFault extends Omit<Extract<Fault, { kind: 'servers' }>, 'kind'> {
+  /** The back-off period that servers request if `how` is `ask-for-rest`. */
   readonly restMs?: number;
 }
 
-/** Strikes a run's world until it is ended. */
+/** Injects faults into a run until `end` is called. */
 export class FaultInjector {
   readonly disturbances: Disturbance[] = [];
   readonly drains: DrainNotice[] = [];
   readonly limits: LimitNotice[] = [];
   readonly #world: SoakWorld;
   #isEnded = false;
-  #endings = 0;
+  #crashesUnderRequests = 0;
 
   constructor(world: SoakWorld) {
     this.#world = world;
   }
 
-  /** The stand-ins answered nobody for a span. */
+  /** Records a span in which the soak's own process, which simulates the store and the servers, did not respond. */
   noteStandInsLate(fromMs: number, toMs: number): void {
     this.disturbances.push({ scope: 'stand-ins', name: '', fromMs, toMs, isPlanned: false });
   }
 
-  /** From now on nothing is started or changed any more. */
+  /** From this call on, faults start no process and no server, and no new fault begins. */
   end(): void {
     this.#isEnded = true;
   }
@@ -102,13 +102,13 @@
         this.#world.store.forget();
         return;
       case 'store-stale':
-        return this.#makeStale(fault);
+        return this.#serveStaleReads(fault);
       case 'store-copy':
         return this.#restoreStore(fault);
       case 'entries-lapse':
-        return this.#lapse(fault.forMs);
+        return this.#lapseEntries(fault.forMs);
       case 'servers':
-        return this.#spoilServers(fault);
+        return this.#injectServersFault(fault);
       case 'crash':
         await Promise.all(
           this.#serversAt(fault.servers).map((s) => this.#crash(s, fault.downMs, 'other')),
@@ -125,7 +125,7 @@
         this.#world.pool.unlistStrays();
         return;
       case 'rests':
-        return this.#spoilServers({ ...fault, how: 'ask-for-rest' });
+        return this.#injectServersFault({ ...fault, how: 'ask-for-rest' });
       case 'limits':
         await Promise.all(this.#serversAt(fault.servers).map((s) => this.#limit(s, fault)));
         return;
@@ -178,10 +178,10 @@
       daemon.signal('SIGKILL');
     }
     await pause(downMs);
-    for (const daemon of daemons) this.#startAgain(daemon);
+    for (const daemon of daemons) this.#restart(daemon);
   }
 
-  #startAgain(daemon: GatewayProcess): void {
+  #restart(daemon: GatewayProcess): void {
     if (!this.#isEnded) daemon.start();
   }
 
@@ -190,19 +190,19 @@
       if (!daemon.isRunning || daemon.isFrozen || daemon.isStopping) continue;
       this.#disturb('daemon', daemon.name, this.#world.bounds.graceMs + START_MS, true);
       daemon.signal('SIGTERM');
-      const overdue = setTimeout(() => daemon.signal('SIGKILL'), this.#world.bounds.graceMs);
+      const killTimer = setTimeout(() => daemon.signal('SIGKILL'), this.#world.bounds.graceMs);
       void daemon
         .ended()
-        .then(() => clearTimeout(overdue))
+        .then(() => clearTimeout(killTimer))
         .then(() => pause(ROLLING_START_MS))
-        .then(() => this.#startAgain(daemon));
+        .then(() => this.#restart(daemon));
       await pause(gapMs);
     }
   }
 
   async #freeze(daemons: readonly GatewayProcess[], forMs: number): Promise<void> {
     for (const daemon of daemons) {
-      this.#disturb('daemon', daemon.name, forMs + THAW_MS);
+      this.#disturb('daemon', daemon.name, forMs + RESUME_MS);
       this.#disturb('frozen', daemon.name, forMs);
       daemon.signal('SIGSTOP');
     }
@@ -212,14 +212,14 @@
 
   async #refuseDaemons(fault: Extract<Fault, { kind: 'store-refuses' }>): Promise<void> {
     const daemons = this.#daemonsAt(fault.daemons);
-    const doors = daemons.flatMap(({ name }) => this.#world.doorOf.get(name) ?? []);
+    const endpoints = daemons.flatMap(({ name }) => this.#world.doorOf.get(name) ?? []);
     for (const { name } of daemons) this.#disturb('daemon', name, fault.forMs);
-    for (const door of doors) door.refusal = fault.how;
+    for (const endpoint of endpoints) endpoint.refusal = fault.how;
     await pause(fault.forMs);
-    for (const door of doors) door.refusal = undefined;
+    for (const endpoint of endpoints) endpoint.refusal = undefined;
   }
 
-  async #makeStale({
+  async #serveStaleReads({
     behindMs,
     isUnderNewest,
     forMs,
@@ -258,7 +258,7 @@
     }
   }
 
-  async #lapse(forMs: number): Promise<void> {
+  async #lapseEntries(forMs: number): Promise<void> {
     this.#disturb('store', '', forMs);
     for (const { server } of this.#world.pool.servers) this.#world.pool.unlist(server.id);
     await pause(forMs);
@@ -266,11 +266,11 @@
       if (listed.server.isUp) this.#world.pool.list(listed);
   }
 
-  async #spoilServers(fault: SpoiltServers): Promise<void> {
+  async #injectServersFault(fault: ServersFault): Promise<void> {
     const servers = this.#serversAt(fault.servers).map(({ server }) => server);
     for (const server of servers) {
       server.fault = { how: fault.how, share: fault.share, restMs: fault.restMs ?? 0 };
-      // Surplus bytes and broken answers may end connections that other requests are on.
+      // Surplus bytes after a response may close connections that other requests use.
       if (fault.how === 'answer-twice') this.#disturb('server', server.id, fault.forMs);
     }
     await pause(fault.forMs);
@@ -295,7 +295,10 @@
     this.#listStarted(listed);
   }
 
-  /** A run that has ended meanwhile leaves nothing that listens: its process would not end. */
+  /**
+   * Adds a started server to the list. If the run has ended meanwhile, closes the server: an open listener would keep
+   * the process alive.
+   */
   #listStarted(listed: PooledServer): void {
     if (this.#isEnded) {
       listed.link.close();
@@ -305,45 +308,48 @@
     this.#world.pool.list(listed);
   }
 
-  /** A server ends under a request; it is back under its id, at times before anyone looks. */
+  /** Crashes a server under a request and restarts it under the same id, sometimes before any daemon can notice. */
   endServer(serverId: string): void {
     const listed = this.#world.pool.servers.find(({ server }) => server.id === serverId);
     if (listed === undefined) return;
-    this.#endings += 1;
-    const downMs = this.#endings % QUICK_RESTART_EVERY === 0 ? 0 : RESTART_MS;
+    this.#crashesUnderRequests += 1;
+    const downMs = this.#crashesUnderRequests % QUICK_RESTART_EVERY === 0 ? 0 : RESTART_MS;
     void this.#crash(listed, downMs, 'same');
   }
 
-  /** The server names a limit for a time; another start ends that too. */
+  /** The server reports a request rate limit for a time, or until it restarts. */
   async #limit(
     { server }: PooledServer,
     { perSecond, laterPerSecond, forMs }: Extract<Fault, { kind: 'limits' }>,
   ): Promise<void> {
     if (!server.isUp || server.limit !== undefined) return;
     const { id: serverId, service, bornMs } = server;
-    const isSameLife = () => server.isUp && server.bornMs === bornMs;
+    const isSameBoot = () => server.isUp && server.bornMs === bornMs;
     const fromMs = performance.now();
     const changes = [{ atMs: fromMs, perSecond }];
     const notice: LimitNotice = { serverId, service, fromMs, toMs: fromMs + forMs, changes };
     this.limits.push(notice);
     server.limit = perSecond;
     await pause(forMs / 2);
-    if (isSameLife() && laterPerSecond !== perSecond) {
+    if (isSameBoot() && laterPerSecond !== perSecond) {
       server.limit = laterPerSecond;
       changes.push({ atMs: performance.now(), perSecond: laterPerSecond });
     }
     await pause(forMs / 2);
     notice.toMs = performance.now();
-    if (isSameLife()) server.limit = undefined;
+    if (isSameBoot()) server.limit = undefined;
   }
 
-  /** The server says that it leaves, at times only in its answers at first, serves on for a while, and comes back as another. */
+  /**
+   * The server reports that it leaves: first in its responses, after `listedAfterMs` in its entry as well. It goes on
+   * serving for a while, stops, and starts again under a new id.
+   */
   async #drain(listed: PooledServer | undefined, listedAfterMs: number): Promise<void> {
     if (listed === undefined || !listed.server.isUp || listed.isLeaving) return;
     const { server } = listed;
     const oldId = server.id;
     server.isLeaving = true;
-    // No other fault may end it before it has left.
+    // Keeps other faults from crashing the server before it has left.
     listed.isLeaving = true;
     await pause(listedAfterMs);
     listed.isDraining = true;
--- a/soak/judge-routes.ts
+++ b/soak/judge-routes.ts
@@ -1,24 +1,30 @@
-/** Judges whether daemons went by a version of the configuration that they may go by, from their word on single routes. Pure. */
+/**
+ * Judges, from probes of single routes, whether daemons apply a configuration version that is neither too old nor older
+ * than one that they applied before. Pure.
+ */
 import type { ConfigurationVersion, RouteProbe, RunRecord } from './record.js';
 
-/** A request on the way when something is acknowledged, and the first look at it by a loaded machine. */
+/** Allowance for requests in transit when a change is acknowledged, and for slow scheduling on a loaded machine. */
 const TRANSIT_MS = 500;
-/** A daemon that has answered by a version goes by no older one from so soon on. */
+/** After a response under a version, a daemon may still send responses under an older version for this long. */
 const ROLLBACK_SLACK_MS = 250;
 
-/** A daemon that went by a version that it may not go by any more. */
+/** A response under a configuration version that the daemon must no longer apply. */
 export interface RouteFault {
   readonly atMs: number;
   readonly detail: string;
 }
 
-/** The least version that a life of a daemon was seen to go by. */
+/** The lowest version that an incarnation of a daemon is known to have applied. */
 interface SeenVersion {
   readonly version: number;
   readonly atMs: number;
 }
 
-/** Daemons in touch that are late, and daemons that went back, in touch or not. */
+/**
+ * Reports daemons that are late although they are in contact with the store, and daemons that went back to an older
+ * version, in contact or not.
+ */
 export function routeFaults(
   { probes, configurations, bounds }: Pick<RunRecord, 'probes' | 'configurations' | 'bounds'>,
   isInTouch: (daemon: string, fromMs: number, toMs: number) => boolean,
@@ -28,10 +34,10 @@
   return ordered.flatMap((probe): readonly RouteFault[] => {
     const { daemon, life, sentMs, endedMs } = probe;
     const written = configurations.filter(({ ackMs }) => ackMs <= endedMs);
-    const fitting = written.filter((version) => fits(version, probe));
+    const consistent = written.filter((version) => isConsistent(version, probe));
     const settledMs = sentMs - bounds.configApplyMs - TRANSIT_MS;
     const least = written.filter(({ ackMs }) => ackMs <= settledMs).at(-1)?.version ?? 0;
-    const isLate = !fitting.some(({ version }) => version >= least);
+    const isLate = !consistent.some(({ version }) => version >= least);
     if (isLate && isInTouch(daemon, sentMs, endedMs)) {
       return [faultOf(probe, `as only versions before ${least} allow`)];
     }
@@ -39,7 +45,7 @@
     const seen = seenOf.get(key);
     const seenVersion =
       seen === undefined || seen.atMs > sentMs - ROLLBACK_SLACK_MS ? 0 : seen.version;
-    const oldest = fitting.find(({ version }) => version >= seenVersion);
+    const oldest = consistent.find(({ version }) => version >= seenVersion);
     if (oldest === undefined) {
       return [faultOf(probe, `having gone by version ${seenVersion} or newer before`)];
     }
@@ -50,11 +56,14 @@
   });
 }
 
-function fits({ addedRoutes }: ConfigurationVersion, { path, isThere }: RouteProbe): boolean {
+function isConsistent(
+  { addedRoutes }: ConfigurationVersion,
+  { path, isThere }: RouteProbe,
+): boolean {
   return addedRoutes.has(path) === isThere;
 }
 
 function faultOf({ daemon, path, isThere, sentMs }: RouteProbe, how: string): RouteFault {
-  const said = isThere ? 'served' : 'knew no route for';
-  return { atMs: sentMs, detail: `${daemon} ${said} ${path} ${how}` };
+  const observed = isThere ? 'served' : 'knew no route for';
+  return { atMs: sentMs, detail: `${daemon} ${observed} ${path} ${how}` };
 }
--- a/soak/lag-watch.ts
+++ b/soak/lag-watch.ts
@@ -1,43 +1,43 @@
 /**
- * Watches whether the stand-ins themselves keep pace: they share one process, and where that is late the store is slow
- * for every daemon, whatever the plan says.
+ * Detects delays of the soak's own process. The simulated store and servers share this process, so when it is delayed the
+ * store is slow for every daemon, also without a fault of the plan.
  */
-const LOOK_MS = 100;
+const POLL_INTERVAL_MS = 100;
 /**
- * Later than this they count as disturbed: at 362 ms arrivals were noted up to 1.3 s late, as one passes through the
- * process three times.
+ * A longer delay counts as a disturbance: with a delay of 362 ms, arrivals were recorded up to 1.3 s late, because a
+ * request passes through the process three times.
  */
-const LATE_MS = 100;
+const LATE_THRESHOLD_MS = 100;
 
-/** Told of each span in which this process was late. */
+/** Called with each span in which this process was delayed. */
 export type NoteLate = (fromMs: number, toMs: number) => void;
 
-/** A watch of this process's own timers. */
+/** Measures how late the timers of this process fire. */
 export class LagWatch {
-  /** The longest that a timer was late. */
+  /** The longest delay of a timer. */
   worstMs = 0;
-  readonly #noteLate: NoteLate;
+  readonly #onLate: NoteLate;
   #timer: NodeJS.Timeout | undefined;
   #lastMs = 0;
 
-  constructor(noteLate: NoteLate) {
-    this.#noteLate = noteLate;
+  constructor(onLate: NoteLate) {
+    this.#onLate = onLate;
   }
 
   start(): void {
     this.#lastMs = performance.now();
-    this.#timer = setInterval(() => this.#look(), LOOK_MS);
+    this.#timer = setInterval(() => this.#poll(), POLL_INTERVAL_MS);
   }
 
   stop(): void {
     clearInterval(this.#timer);
   }
 
-  #look(): void {
+  #poll(): void {
     const nowMs = performance.now();
-    const lateMs = nowMs - this.#lastMs - LOOK_MS;
+    const lateMs = nowMs - this.#lastMs - POLL_INTERVAL_MS;
     this.worstMs = Math.max(this.worstMs, lateMs);
-    if (lateMs > LATE_MS) this.#noteLate(this.#lastMs, nowMs);
+    if (lateMs > LATE_THRESHOLD_MS) this.#onLate(this.#lastMs, nowMs);
     this.#lastMs = nowMs;
   }
 }
--- a/soak/link-proxy.ts
+++ b/soak/link-proxy.ts
@@ -1,31 +1,36 @@
-/** The link between all daemons and one server: a TCP proxy on loopback that delays, resets or silences. */
+/**
+ * The link between all daemons and one server: a TCP proxy on loopback that can delay, reset or silence connections.
+ */
 import { once } from 'node:events';
 import { type AddressInfo, connect, createServer, type Server, type Socket } from 'node:net';
 import type { LinkFault } from './plan.js';
 
 const DELAY_MS = 150;
 
-interface Pair {
+interface ConnectionPair {
   readonly daemon: Socket;
   readonly server: Socket;
   isSilent: boolean;
 }
 
-interface Delayed {
+interface DelayedStep {
   readonly dueMs: number;
-  readonly pass: () => void;
+  readonly forward: () => void;
 }
 
-/** One way of a connection: what is delayed holds back what comes after it, its end included. */
-class Lane {
-  #queue: Delayed[] = [];
+/**
+ * One direction of a connection. Delayed bytes hold back all later bytes and the end of the connection, so that the
+ * order is kept.
+ */
+class DelayQueue {
+  #queue: DelayedStep[] = [];
 
-  pass(delayMs: number, pass: () => void): void {
+  forward(delayMs: number, forward: () => void): void {
     if (delayMs === 0 && this.#queue.length === 0) {
-      pass();
+      forward();
       return;
     }
-    this.#queue.push({ dueMs: performance.now() + delayMs, pass });
+    this.#queue.push({ dueMs: performance.now() + delayMs, forward });
     if (this.#queue.length === 1) this.#waitForHead();
   }
 
@@ -35,7 +40,7 @@
     setTimeout(
       () => {
         this.#queue.shift();
-        head.pass();
+        head.forward();
         this.#waitForHead();
       },
       Math.max(0, head.dueMs - performance.now()),
@@ -43,11 +48,11 @@
   }
 }
 
-/** A link; its address is the one that the server is listed under. */
+/** A link. The server's entry in the store has the address of its link. */
 export class LinkProxy {
   readonly #targetPort: () => number;
-  readonly #pairs = new Set<Pair>();
-  readonly #proxy: Server = createServer((socket) => this.#join(socket));
+  readonly #pairs = new Set<ConnectionPair>();
+  readonly #proxy: Server = createServer((socket) => this.#accept(socket));
   #fault: LinkFault | undefined;
   #port = 0;
 
@@ -59,14 +64,14 @@
     return `127.0.0.1:${this.#port}`;
   }
 
-  /** Takes connections, after `refuse` at the same address again. */
+  /** Starts to accept connections; after `refuse`, at the same address as before. */
   async open(): Promise<void> {
     this.#proxy.listen(this.#port, '127.0.0.1');
     await once(this.#proxy, 'listening');
     this.#port = (this.#proxy.address() as AddressInfo).port;
   }
 
-  /** As a machine whose server has ended: refuses new connections. */
+  /** Refuses new connections, as a machine does whose server has stopped. */
   refuse(): void {
     this.#proxy.close();
   }
@@ -82,7 +87,7 @@
     if (fault === 'silent') for (const pair of this.#pairs) pair.isSilent = true;
   }
 
-  /** Connections that went silent stay so. */
+  /** Ends the fault; connections that went silent stay silent. */
   end(): void {
     this.#fault = undefined;
   }
@@ -95,28 +100,33 @@
     this.#pairs.clear();
   }
 
-  #join(daemon: Socket): void {
+  #accept(daemon: Socket): void {
     const server = connect(this.#targetPort(), '127.0.0.1');
-    const pair: Pair = { daemon, server, isSilent: false };
+    const pair: ConnectionPair = { daemon, server, isSilent: false };
     this.#pairs.add(pair);
     daemon.setNoDelay(true);
     server.setNoDelay(true);
-    this.#passOn(pair, daemon, server, 'to-server');
-    this.#passOn(pair, server, daemon, 'to-daemon');
+    this.#relay(pair, daemon, server, 'to-server');
+    this.#relay(pair, server, daemon, 'to-daemon');
   }
 
-  #passOn(pair: Pair, from: Socket, to: Socket, way: 'to-server' | 'to-daemon'): void {
-    const lane = new Lane();
+  #relay(
+    pair: ConnectionPair,
+    from: Socket,
+    to: Socket,
+    direction: 'to-server' | 'to-daemon',
+  ): void {
+    const queue = new DelayQueue();
     from.on('data', (bytes) => {
-      if (this.#fault === 'one-way' && way === 'to-daemon') pair.isSilent = true;
+      if (this.#fault === 'one-way' && direction === 'to-daemon') pair.isSilent = true;
       if (pair.isSilent) return;
-      lane.pass(this.#delayMs, () => write(to, bytes));
+      queue.forward(this.#delayMs, () => write(to, bytes));
     });
     from.on('error', () => to.destroy());
     from.on('close', () => {
       this.#pairs.delete(pair);
-      // A silent connection tells neither side that the other is gone.
-      if (!pair.isSilent) lane.pass(this.#delayMs, () => to.destroySoon());
+      // On a silent connection neither side learns that the other has closed.
+      if (!pair.isSilent) queue.forward(this.#delayMs, () => to.destroySoon());
     });
   }
 
--- a/soak/main.ts
+++ b/soak/main.ts
@@ -1,5 +1,7 @@
 #!/usr/bin/env node
-/** Entry point of the soak: real gateway processes under faults from outside, judged by the fleet's promises. */
+/**
+ * Entry point of the soak test: runs gateway processes under injected faults and judges them by the fleet's promises.
+ */
 import { Builtins, Cli, Command, Option } from 'clipanion';
 import { MUTATIONS } from './mutations.js';
 import {
@@ -17,11 +19,11 @@
 const EXIT_UNUSABLE = 2;
 const EXIT_INTERRUPTED = 130;
 const REQUESTS_PER_DAEMON = 8;
-/** Violations of a run that are printed. */
-const MOST_SHOWN = 12;
+/** Maximum number of violations printed per run. */
+const MAX_VIOLATIONS_SHOWN = 12;
 
-/** The command line, checked. */
-interface Wishes {
+/** The validated command line. */
+interface SoakOptions {
   readonly firstSeed: number;
   readonly seeds: number;
   readonly size: SoakSize;
@@ -63,21 +65,21 @@
   without = Option.String('--without', { description: 'a protection to take away' });
 
   override async execute(): Promise<number> {
-    const wishes = this.#wishes();
+    const options = this.#options();
     let broken = 0;
-    for (let seed = wishes.firstSeed; seed < wishes.firstSeed + wishes.seeds; seed += 1) {
-      const plan = wishes.planOf(seed, wishes.size);
+    for (let seed = options.firstSeed; seed < options.firstSeed + options.seeds; seed += 1) {
+      const plan = options.planOf(seed, options.size);
       for (const { atMs, fault } of plan.faults) {
         this.context.stdout.write(`# ${seed} ${atMs} ms ${JSON.stringify(fault)}\n`);
       }
-      const result = await runSoak(plan, wishes.programs);
+      const result = await runSoak(plan, options.programs);
       this.context.stdout.write(reportOf(seed, result));
       if (result.violations.length > 0) broken += 1;
     }
     return broken > 0 ? EXIT_BROKEN : 0;
   }
 
-  #wishes(): Wishes {
+  #options(): SoakOptions {
     const mutation = MUTATIONS.find(({ name }) => name === this.without);
     if (this.without !== undefined && mutation === undefined) {
       const names = MUTATIONS.map(({ name }) => name).join(', ');
@@ -132,7 +134,7 @@
         `  repeats of ${service} in the worst window: ${repeats} of ${Math.floor(allowed)}`,
     ),
     ...violations
-      .slice(0, MOST_SHOWN)
+      .slice(0, MAX_VIOLATIONS_SHOWN)
       .map(
         ({ promise, atMs, detail }) => `  BROKEN ${promise} at ${Math.round(atMs)} ms: ${detail}`,
       ),
@@ -144,13 +146,13 @@
 const cli = new Cli({ binaryLabel: 'threadfork soak', binaryName: 'soak' });
 cli.register(SoakCommand);
 cli.register(Builtins.HelpCommand);
-// Runs end their processes when this one exits, however that comes about.
+// A run kills its daemons on the `exit` event of this process, so signals have to lead to a regular exit.
 for (const signal of ['SIGINT', 'SIGTERM'] as const) {
   process.once(signal, () => process.exit(EXIT_INTERRUPTED));
 }
 process.exit(await runCommand(process.argv.slice(2)));
 
-/** Whatever keeps the soak from running is told in one line. */
+/** Runs the command; prints any error that prevents the soak from running as one line. */
 async function runCommand(args: string[]): Promise<number> {
   try {
     if (args.some((arg) => arg === '--help' || arg === '-h')) {
--- a/soak/mutations.ts
+++ b/soak/mutations.ts
@@ -1,14 +1,14 @@
 /**
- * Protections of the product that the soak takes away one at a time, to show that it would find the fault: each
- * replaces one text of one source file.
+ * Mutations of the gateway's source, each of which removes one protection by replacing one text of one source file.
+ * A run with a mutation shows that the soak detects the fault that the protection prevents.
  */
 import type { PromiseName } from './oracle.js';
 
-/** A protection and the promise that it keeps. */
+/** A replacement that removes a protection, and the promise that is broken without it. */
 export interface Mutation {
   readonly name: string;
   readonly promise: PromiseName;
-  /** From the root of the repository. */
+  /** Path relative to the root of the repository. */
   readonly file: string;
   readonly text: string;
   readonly replacement: string;
@@ -82,8 +82,8 @@
     name: 'asked-rests',
     promise: 'BUDGET',
     file: 'src/core/gateway/server-availability.ts',
-    text: 'if (askedMs > 0) {',
-    replacement: 'if (askedMs > 1e9) {',
+    text: 'if (requestedMs > 0) {',
+    replacement: 'if (requestedMs > 1e9) {',
   },
   {
     name: 'server-limits',
@@ -110,7 +110,7 @@
     name: 'eras',
     promise: 'CONFIG',
     file: 'platform/store-client.ts',
-    text: 'Number(told) : FIRST_ERA;',
+    text: 'Number(header) : FIRST_ERA;',
     replacement: 'FIRST_ERA : FIRST_ERA;',
   },
   {
@@ -145,7 +145,7 @@
     name: 'graceful-stop',
     promise: 'LOST',
     file: 'src/shell/gateway/gateway.ts',
-    text: 'await delay(timers, Math.min(LOOK_AWAY_MS, graceMs / 2));',
+    text: 'await delay(timers, Math.min(NOT_READY_NOTICE_MS, graceMs / 2));',
     replacement: 'this.abort();',
   },
   {
--- a/soak/oracle.ts
+++ b/soak/oracle.ts
@@ -1,6 +1,6 @@
 /**
- * Judges a run by the promises of the fleet, from what callers, servers and the store have seen. Pure. Where a promise
- * holds only in calm times, the disturbances of the run say when these were.
+ * Judges a run by the promises of the fleet, from the records of callers, servers and the store. Pure. Promises that hold
+ * only without disturbances are judged outside the disturbances that the run recorded.
  */
 import { PATHS } from '../platform/names.js';
 import { CRASHING_MARK, EVENT_GAP_MS, eventText, wholeBody } from './answers.js';
@@ -8,7 +8,7 @@
 import { routeFaults } from './judge-routes.js';
 import type { Arrival, CallRecord, Disturbance, RunRecord, Scope } from './record.js';
 
-/** What is promised; docs/SOAK.md says each in a sentence. */
+/** The promises; docs/SOAK.md describes each in a sentence. */
 export type PromiseName =
   | 'TWICE'
   | 'REFUSED'
@@ -27,37 +27,37 @@
   | 'LIMIT'
   | 'RECOVER';
 
-/** A promise that was broken. */
+/** A case in which a promise was broken. */
 export interface Violation {
   readonly promise: PromiseName;
   readonly atMs: number;
   readonly detail: string;
 }
 
-/** Statuses that promise that a request has not run and never will. */
+/** Statuses that state that a request has not run and never will. */
 const NOT_RUN_STATUSES: ReadonlySet<number> = new Set([408, 421, 429, 503]);
-/** Work may go on for so long after its caller has left. */
+/** Work may continue for this long after its caller has left. */
 const GONE_SLACK_MS = 500;
-const GONE_MOST_ARRIVALS = 3;
-const GONE_LEAST_WORKED_ON = 3;
-const GONE_MOST_SHARE = 0.25;
-/** The last stretch of a run is calm; a quarter of its requests has to be served. */
+const GONE_MAX_ARRIVALS = 3;
+const GONE_MIN_WORKED_ON = 3;
+const GONE_MAX_SHARE = 0.25;
+/** The last part of a run has no faults; a quarter of its requests must be served. */
 const RECOVER_SPAN_MS = 4_000;
-const RECOVER_LEAST_SHARE = 0.25;
-/** A request on the way when something is acknowledged, and the first look at it by a loaded machine. */
+const RECOVER_MIN_SHARE = 0.25;
+/** Allowance for requests in transit when a change is acknowledged, and for slow scheduling on a loaded machine. */
 const TRANSIT_MS = 500;
-/** Cases that are named in a violation's detail. */
-const SHOWN = 5;
-/** A few requests may cross the moment that a daemon's process is given up by its caller. */
-const LOST_MOST = 3;
-/** From a server's refusal until its daemon has to have heard of the rest that it asks for. */
-const REST_GRACE_MS = 500;
-const REST_MOST_ARRIVALS = 2;
-/** Servers that may end under one request, and sends of it from then on. */
-const MOST_CRASHES = 3;
-const MOST_SENT_AFTER = 3;
-
-/** All promises that a run has broken. */
+/** Maximum number of cases listed in the detail of a violation. */
+const MAX_CASES_SHOWN = 5;
+/** A few requests may be sent at the moment at which a daemon closes their connection. */
+const LOST_MAX = 3;
+/** Time from a server's refusal until its daemon must observe the back-off period that it requests. */
+const BACK_OFF_GRACE_MS = 500;
+const BACK_OFF_MAX_ARRIVALS = 2;
+/** Servers that one request may crash, and how often it may be sent after that. */
+const MAX_CRASHES = 3;
+const MAX_SENT_AFTER_CRASHES = 3;
+
+/** All violations in a run. */
 export function judge(run: RunRecord): readonly Violation[] {
   const calls = [...run.calls.values()].sort((left, right) => left.sentMs - right.sentMs);
   return [
@@ -65,7 +65,7 @@
     ...calls.flatMap((call) => judgeCall(call, run)),
     ...judgeLost(calls, run),
     ...judgeLeavingAnswers(calls, run),
-    ...judgeRests(calls, run),
+    ...judgeBackOffs(calls, run),
     ...judgeLimits(calls, run),
     ...judgeRoutes(run),
     ...judgeBudget(calls, run),
@@ -77,13 +77,15 @@
   ];
 }
 
-/** Whether a daemon ran on, in reach of the store, since a time well before. */
+/** Whether a daemon was running and in contact with the store during a span and for `contactMs` before it. */
 function isInTouch(run: RunRecord, daemon: string, fromMs: number, toMs: number): boolean {
   const isCalm = (scope: Scope, name: string) => !isDisturbed(run, { scope, name, fromMs, toMs });
   return isCalm('stand-ins', '') && isCalm('store', '') && isCalm('daemon', daemon);
 }
 
-/** Whether a thing was disturbed in a span, or so shortly before that it need not be well again. */
+/**
+ * Whether something was disturbed in a span or in the `contactMs` before it, within which it may still be recovering.
+ */
 function isDisturbed(run: RunRecord, span: Omit<Disturbance, 'isPlanned'>): boolean {
   return run.disturbances.some(
     ({ scope, name, fromMs, toMs }) =>
@@ -96,117 +98,130 @@
 
 function judgeCall(call: CallRecord, run: RunRecord): readonly Violation[] {
   const violations: Violation[] = [];
-  const note = (promise: PromiseName, detail: string) =>
+  const addViolation = (promise: PromiseName, detail: string) =>
     violations.push({ promise, atMs: call.sentMs, detail: `${call.id} ${detail}` });
   const runs = call.arrivals.filter(({ step, isTaken }) => step === 'run' && isTaken);
   if (call.requestClass.kind === 'non-idempotent' && runs.length > 1) {
-    note('TWICE', `ran at ${runs.map(({ serverId }) => serverId).join(' and ')}`);
+    addViolation('TWICE', `ran at ${runs.map(({ serverId }) => serverId).join(' and ')}`);
   }
   if (runs.length > call.requestClass.attempts) {
-    note('BUDGET', `ran ${runs.length} times, ${call.requestClass.attempts} allowed`);
+    addViolation('BUDGET', `ran ${runs.length} times, ${call.requestClass.attempts} allowed`);
   }
   for (const { problem, serverId } of call.arrivals) {
     if (problem !== '')
-      note(problem.includes('memory') ? 'MIXED' : 'UNASKED', `${serverId}: ${problem}`);
+      addViolation(problem.includes('memory') ? 'MIXED' : 'UNASKED', `${serverId}: ${problem}`);
   }
   const { end } = call;
   if (end?.kind === 'answered') {
-    judgeAnswer(call, end, runs, note);
+    judgeAnswer(call, end, runs, addViolation);
     if (call.requestClass.kind !== 'idempotent' && runs.length > 0 && isRefusal(end)) {
-      note('REFUSED', `ran at ${runs[0]?.serverId} and was answered ${end.status}`);
+      addViolation('REFUSED', `ran at ${runs[0]?.serverId} and was answered ${end.status}`);
     }
   }
-  judgeVersions(call, run, note);
-  judgeDrain(call, run, note);
+  judgeVersions(call, run, addViolation);
+  judgeDrain(call, run, addViolation);
   return violations;
 }
 
 type Answered = Extract<NonNullable<CallRecord['end']>, { kind: 'answered' }>;
-type Note = (promise: PromiseName, detail: string) => void;
+type AddViolation = (promise: PromiseName, detail: string) => void;
 
 function isRefusal({ status, stamp }: Answered): boolean {
   return NOT_RUN_STATUSES.has(status) && stamp === undefined;
 }
 
-function judgeAnswer(call: CallRecord, end: Answered, runs: readonly Arrival[], note: Note): void {
+function judgeAnswer(
+  call: CallRecord,
+  end: Answered,
+  runs: readonly Arrival[],
+  addViolation: AddViolation,
+): void {
   if (end.status < 200 || end.status >= 300 || !end.isWhole) return;
   if (end.stamp === undefined) {
-    note('MIXED', 'a success without a stamp');
+    addViolation('MIXED', 'a success without a stamp');
     return;
   }
   if (!runs.some(({ stamp }) => stamp === end.stamp)) {
-    note('MIXED', `the stamp ${end.stamp} of no run of it`);
+    addViolation('MIXED', `the stamp ${end.stamp} of no run of it`);
     return;
   }
   if (call.requestClass.kind !== 'streaming') {
-    if (end.body !== wholeBody(call.id, end.stamp)) note('MIXED', 'not the whole body');
+    if (end.body !== wholeBody(call.id, end.stamp)) addViolation('MIXED', 'not the whole body');
     return;
   }
   let expected = '';
   for (let event = 1; event <= call.outputTokens; event += 1) {
     expected += eventText(call.id, event, call.outputTokens);
   }
-  if (end.body !== expected) note('ORDER', 'a stream that ended as whole lacks or repeats pieces');
+  if (end.body !== expected)
+    addViolation('ORDER', 'a stream that ended as whole lacks or repeats pieces');
 }
 
-/** Services and keys: never what no version allowed; in touch, soon after a version, nothing older. */
-function judgeVersions(call: CallRecord, run: RunRecord, note: Note): void {
+/**
+ * Judges services and API keys: a daemon never uses one that no version allowed, and a daemon in contact with the store
+ * uses none that only versions older than the settled one allowed.
+ */
+function judgeVersions(call: CallRecord, run: RunRecord, addViolation: AddViolation): void {
   const { requestClass, apiKey, daemon } = call;
   for (const arrival of call.arrivals) {
     if (!arrival.isTaken) continue;
     const ofAll = run.configurations.map(({ serviceOf }) => serviceOf.get(requestClass.name));
-    if (!ofAll.includes(arrival.service)) note('ROUTE', `ran at service ${arrival.service}`);
+    if (!ofAll.includes(arrival.service))
+      addViolation('ROUTE', `ran at service ${arrival.service}`);
     if (!run.configurations.some(({ tenantOfKey }) => tenantOfKey.has(apiKey))) {
-      note('ROUTE', 'ran with a key that no version knows');
+      addViolation('ROUTE', 'ran with a key that no version knows');
     }
     const settledMs = call.sentMs - run.bounds.configApplyMs - TRANSIT_MS;
     const newest = run.configurations.filter(({ ackMs }) => ackMs <= settledMs).at(-1);
     if (newest === undefined || !isInTouch(run, daemon, call.sentMs, arrival.atMs)) continue;
-    const mayBe = run.configurations.filter(({ version }) => version >= newest.version);
-    if (!mayBe.some(({ serviceOf }) => serviceOf.get(requestClass.name) === arrival.service)) {
-      note('CONFIG', `ran at ${arrival.service}, as before version ${newest.version}`);
+    const acceptable = run.configurations.filter(({ version }) => version >= newest.version);
+    if (!acceptable.some(({ serviceOf }) => serviceOf.get(requestClass.name) === arrival.service)) {
+      addViolation('CONFIG', `ran at ${arrival.service}, as before version ${newest.version}`);
     }
-    if (!mayBe.some(({ tenantOfKey }) => tenantOfKey.has(apiKey))) {
-      note('CONFIG', `ran with a key that version ${newest.version} took away`);
+    if (!acceptable.some(({ tenantOfKey }) => tenantOfKey.has(apiKey))) {
+      addViolation('CONFIG', `ran with a key that version ${newest.version} took away`);
     }
   }
 }
 
-function judgeDrain(call: CallRecord, run: RunRecord, note: Note): void {
+function judgeDrain(call: CallRecord, run: RunRecord, addViolation: AddViolation): void {
   for (const { serverId, atMs } of call.arrivals) {
     const notice = run.drains.find((drain) => drain.serverId === serverId);
     if (notice === undefined || atMs <= notice.ackMs + run.bounds.drainMs + TRANSIT_MS) continue;
-    // One that was out of touch as the server said so knows it once it is back.
+    // A daemon that was out of contact at the notice learns it after it is back in contact.
     const knownFromMs = Math.max(notice.ackMs, atMs - run.bounds.drainMs - TRANSIT_MS);
     if (!isInTouch(run, call.daemon, knownFromMs, atMs)) continue;
-    note(
+    addViolation(
       'DRAIN',
       `sent to ${serverId} ${Math.round(atMs - notice.ackMs)} ms after it said that it leaves`,
     );
   }
 }
 
-/** A daemon in one life, and a server. */
+/** Key of an incarnation of a daemon and a server. */
 function pairOf({ daemon, life }: CallRecord, { serverId }: Arrival): string {
   return `${daemon} ${life} ${serverId}`;
 }
 
-/** A daemon that has passed on an answer that says that its server leaves knows it, in touch or not. */
+/**
+ * A daemon that forwarded a response that reports that its server leaves sends nothing more there after `drainMs`,
+ * whether it is in contact with the store or not.
+ */
 function judgeLeavingAnswers(calls: readonly CallRecord[], run: RunRecord): readonly Violation[] {
-  const toldMs = new Map<string, number>();
+  const knownSinceMs = new Map<string, number>();
   for (const call of calls) {
     const { end, endedMs = run.endMs } = call;
-    const passedOn = call.arrivals.find(
+    const forwarded = call.arrivals.find(
       ({ saidLeaving, stamp }) =>
         saidLeaving && end?.kind === 'answered' && stamp !== undefined && stamp === end.stamp,
     );
-    if (passedOn === undefined) continue;
-    const pair = pairOf(call, passedOn);
-    toldMs.set(pair, Math.min(endedMs, toldMs.get(pair) ?? endedMs));
+    if (forwarded === undefined) continue;
+    const pair = pairOf(call, forwarded);
+    knownSinceMs.set(pair, Math.min(endedMs, knownSinceMs.get(pair) ?? endedMs));
   }
   return calls.flatMap((call) =>
     call.arrivals.flatMap((arrival): readonly Violation[] => {
-      const fromMs = toldMs.get(pairOf(call, arrival));
+      const fromMs = knownSinceMs.get(pairOf(call, arrival));
       if (fromMs === undefined || call.sentMs <= fromMs + run.bounds.drainMs) return [];
       const span = { fromMs, toMs: arrival.atMs };
       if (isDisturbed(run, { scope: 'frozen', name: call.daemon, ...span })) return [];
@@ -218,8 +233,11 @@
   );
 }
 
-/** A server that has asked a daemon for rest gets next to nothing from it until the rest is over. */
-function judgeRests(calls: readonly CallRecord[], run: RunRecord): readonly Violation[] {
+/**
+ * A server that requested a back-off period from a daemon receives at most `BACK_OFF_MAX_ARRIVALS` requests from it
+ * within that period.
+ */
+function judgeBackOffs(calls: readonly CallRecord[], run: RunRecord): readonly Violation[] {
   const arrivalsOf = new Map<string, Arrival[]>();
   for (const call of calls) {
     for (const arrival of call.arrivals) {
@@ -230,22 +248,22 @@
     }
   }
   return calls.flatMap((call) =>
-    call.arrivals.flatMap((asked): readonly Violation[] => {
-      const { restAskedMs, atMs, serverId } = asked;
+    call.arrivals.flatMap((refused): readonly Violation[] => {
+      const { restAskedMs, atMs, serverId } = refused;
       if (restAskedMs === undefined) return [];
-      const span = { fromMs: atMs + REST_GRACE_MS, toMs: atMs + restAskedMs };
+      const span = { fromMs: atMs + BACK_OFF_GRACE_MS, toMs: atMs + restAskedMs };
       const isWithin = (arrival: Arrival) => arrival.atMs > span.fromMs && arrival.atMs < span.toMs;
-      const during = (arrivalsOf.get(pairOf(call, asked)) ?? []).filter(isWithin);
-      if (during.length <= REST_MOST_ARRIVALS) return [];
-      // Where the link to the server holds back what it sends, no daemon hears that it asks.
+      const during = (arrivalsOf.get(pairOf(call, refused)) ?? []).filter(isWithin);
+      if (during.length <= BACK_OFF_MAX_ARRIVALS) return [];
+      // If the link withholds the server's responses, daemons do not learn of the back-off.
       const excuses = [
         { scope: 'daemon', name: call.daemon },
         { scope: 'server', name: serverId },
         { scope: 'stand-ins', name: '' },
       ] as const;
       if (excuses.some((excuse) => isDisturbed(run, { ...excuse, ...span }))) return [];
-      const asking = `${serverId} asked ${call.daemon} for ${restAskedMs} ms of rest by ${call.id}`;
-      const detail = `${asking} (${call.end?.kind ?? 'open'}) and got ${during.length} requests`;
+      const backOff = `${serverId} asked ${call.daemon} for ${restAskedMs} ms of rest by ${call.id}`;
+      const detail = `${backOff} (${call.end?.kind ?? 'open'}) and got ${during.length} requests`;
       return [{ promise: 'BUDGET', atMs, detail }];
     }),
   );
@@ -257,7 +275,10 @@
   return limitFaults(calls, run, isDisturbedIn).map((fault) => ({ promise: 'LIMIT', ...fault }));
 }
 
-/** Daemons in touch go by no version that was replaced too long ago, and none goes back within a life. */
+/**
+ * A daemon in contact applies no version that was replaced too long ago, and no incarnation goes back to an older
+ * version.
+ */
 function judgeRoutes(run: RunRecord): readonly Violation[] {
   const faults = routeFaults(run, (daemon, fromMs, toMs) => isInTouch(run, daemon, fromMs, toMs));
   return faults.map((fault) => ({ promise: 'CONFIG', ...fault }));
@@ -265,9 +286,9 @@
 
 function judgeLost(calls: readonly CallRecord[], run: RunRecord): readonly Violation[] {
   const lost = calls.filter((call) => isLost(call, run));
-  if (lost.length <= LOST_MOST) return [];
+  if (lost.length <= LOST_MAX) return [];
   const detail = `${lost.length} requests were read and closed without an answer: ${lost
-    .slice(0, SHOWN)
+    .slice(0, MAX_CASES_SHOWN)
     .map(({ id, daemon }) => `${id} at ${daemon}`)
     .join(', ')}`;
   return [{ promise: 'LOST', atMs: lost[0]?.sentMs ?? 0, detail }];
@@ -277,7 +298,7 @@
   const { end, endedMs, sentMs, daemon, arrivals } = call;
   const isCut = end?.kind === 'closed' || (end?.kind === 'answered' && !end.isWhole);
   if (!isCut || endedMs === undefined) return false;
-  // At the end of its time a daemon may end a request as it likes.
+  // Near its deadline or time-out, a request may be closed without a response.
   const heldMs = endedMs - sentMs;
   if (heldMs > Math.min(call.deadlineMs - sentMs, call.requestClass.timeoutMs) - TRANSIT_MS) {
     return false;
@@ -295,14 +316,14 @@
   return !wasDisturbed;
 }
 
-/** Arrivals beyond the first of each request; the first reading that a server takes up is none. */
+/** Arrivals beyond the first of a request. The first prefill that an engine starts is not counted. */
 export function repeatsOf({ arrivals }: Pick<CallRecord, 'arrivals'>): readonly Arrival[] {
   const ordered = [...arrivals].sort((left, right) => left.atMs - right.atMs);
-  const freeReading = ordered.find(({ step, isTaken }) => step === 'prefill' && isTaken);
-  return ordered.filter((arrival) => arrival !== freeReading).slice(1);
+  const firstPrefill = ordered.find(({ step, isTaken }) => step === 'prefill' && isTaken);
+  return ordered.filter((arrival) => arrival !== firstPrefill).slice(1);
 }
 
-/** The window of a service that is furthest over the bound on repeats, or nearest to it. */
+/** The window of a service in which repeats exceed the allowed number most, or come closest to it. */
 export interface BudgetWindow {
   readonly service: string;
   readonly startMs: number;
@@ -319,7 +340,7 @@
     const isOnRoute = run.configurations.some(
       ({ serviceOf }) => serviceOf.get(call.requestClass.name) === service,
     );
-    // A caller that found no connection has sent nothing.
+    // A caller without a connection has sent nothing.
     if (isOnRoute && call.end?.kind !== 'not-connected') sentMs.push(call.sentMs);
     for (const arrival of repeatsOf(call)) {
       if (arrival.service === service) repeatsMs.push(arrival.atMs);
@@ -331,7 +352,7 @@
   let worst: BudgetWindow | undefined;
   for (const startMs of repeatsMs) {
     const repeats = within(repeatsMs, startMs);
-    // Requests of the window before may come to be repeated in this one.
+    // Requests sent in the previous window may be repeated in this one.
     const starts = [startMs, startMs - budgetWindowMs / 2, startMs - budgetWindowMs];
     const requests = Math.max(...starts.map((fromMs) => within(sentMs, fromMs)));
     const allowed = budgetRatio * requests + budgetSlack;
@@ -377,12 +398,12 @@
     if (open.some(({ endedMs: ended }) => ended === undefined || ended > limitMs)) workedOn += 1;
   }
   const violations: Violation[] = [];
-  if (late.length > GONE_MOST_ARRIVALS) {
-    const some = late.slice(0, SHOWN).join(', ');
+  if (late.length > GONE_MAX_ARRIVALS) {
+    const some = late.slice(0, MAX_CASES_SHOWN).join(', ');
     const detail = `${late.length} arrivals after their caller left: ${some}`;
     violations.push({ promise: 'GONE', atMs: 0, detail });
   }
-  if (workedOn > GONE_LEAST_WORKED_ON && workedOn > GONE_MOST_SHARE * lasting) {
+  if (workedOn > GONE_MIN_WORKED_ON && workedOn > GONE_MAX_SHARE * lasting) {
     const detail = `${workedOn} of ${lasting} requests were worked on after their caller left`;
     violations.push({ promise: 'GONE', atMs: 0, detail });
   }
@@ -395,7 +416,7 @@
   readonly atMs: number;
 }
 
-/** A fence has one holder. */
+/** Reports fences that more than one holder used. */
 function sharedFences(promise: PromiseName, fenced: readonly Fenced[]): readonly Violation[] {
   const holderOf = new Map<number, string>();
   return fenced.flatMap(({ holder, fence, atMs }): readonly Violation[] => {
@@ -410,7 +431,7 @@
   return sharedFences('ONE', orders);
 }
 
-/** Each duty's fences have one holder each, and a window's usage is reported with one set of counts. */
+/** Each fence of a duty has one holder, and the usage of a window is always reported with the same counts. */
 function judgeDuties({ duties }: RunRecord): readonly Violation[] {
   const paths = [...new Set(duties.map(({ path }) => path))];
   const shared = paths.flatMap((path) =>
@@ -431,7 +452,7 @@
   return [...shared, ...changed];
 }
 
-/** What callers sent of one piece of work, whatever ids its tries had. */
+/** Calls grouped by crashing request: all tries of one have the same body and different ids. */
 function callsByWork(calls: readonly CallRecord[]): readonly (readonly CallRecord[])[] {
   const byWork = new Map<string, CallRecord[]>();
   for (const call of calls) {
@@ -443,7 +464,7 @@
   return [...byWork.values()];
 }
 
-/** How many servers ended under each piece of work that ends servers. */
+/** Number of servers that each crashing request crashed. */
 export function crashesByWork(calls: readonly CallRecord[]): readonly number[] {
   return callsByWork(calls).map(
     (tries) =>
@@ -452,22 +473,27 @@
   );
 }
 
-/** Once some servers have ended under a request, daemons in touch send it to servers a few times more at most. */
+/**
+ * After `MAX_CRASHES` crashes under a request, daemons in contact with the store send it at most
+ * `MAX_SENT_AFTER_CRASHES` more times.
+ */
 function judgeCrashes(calls: readonly CallRecord[], run: RunRecord): readonly Violation[] {
   return callsByWork(calls).flatMap((tries): readonly Violation[] => {
     const arrivals = tries.flatMap((call) => call.arrivals.map((at) => ({ ...at, call })));
     const endedMs = arrivals
       .filter(({ hasEndedServer }) => hasEndedServer)
       .map((arrival) => arrival.endedMs ?? run.endMs)
-      .sort((left, right) => left - right)[MOST_CRASHES - 1];
+      .sort((left, right) => left - right)[MAX_CRASHES - 1];
     if (endedMs === undefined) return [];
     const late = arrivals.filter(
       ({ atMs, call }) =>
         atMs > endedMs + run.bounds.contactMs && isInTouch(run, call.daemon, atMs, atMs),
     );
-    if (late.length <= MOST_SENT_AFTER) return [];
-    const where = late.slice(0, SHOWN).map(({ call, serverId }) => `${call.daemon} to ${serverId}`);
-    const detail = `sent ${late.length} times after ${MOST_CRASHES} servers had ended under it: ${where.join(', ')}`;
+    if (late.length <= MAX_SENT_AFTER_CRASHES) return [];
+    const where = late
+      .slice(0, MAX_CASES_SHOWN)
+      .map(({ call, serverId }) => `${call.daemon} to ${serverId}`);
+    const detail = `sent ${late.length} times after ${MAX_CRASHES} servers had ended under it: ${where.join(', ')}`;
     return [{ promise: 'CRASHES', atMs: endedMs, detail }];
   });
 }
@@ -482,7 +508,7 @@
       known?.has(apiKey),
   );
   const served = atEnd.filter(({ end }) => end?.kind === 'answered' && end.status === 200).length;
-  if (served >= RECOVER_LEAST_SHARE * atEnd.length) return [];
+  if (served >= RECOVER_MIN_SHARE * atEnd.length) return [];
   const detail = `${served} of ${atEnd.length} requests served at the calm end`;
   return [{ promise: 'RECOVER', atMs: run.endMs, detail }];
 }
--- a/soak/plan.ts
+++ b/soak/plan.ts
@@ -1,51 +1,51 @@
 /**
- * The plan of a soak run, from a seed alone: how the fleet looks, and which faults come when. Faults come
- * in series and overlap. Pure, so that a seed that failed is played again with the same faults.
+ * The plan of a soak run, derived from its seed and size: the traits of the servers, and the faults with their times.
+ * Faults come in series and overlap. Pure, so that a failed seed can be run again with the same faults.
  */
 import { uniformFloat64 } from 'pure-rand/distribution/uniformFloat64';
 import { uniformInt } from 'pure-rand/distribution/uniformInt';
 import { xoroshiro128plus } from 'pure-rand/generator/xoroshiro128plus';
 import type { RandomGenerator } from 'pure-rand/types/RandomGenerator';
 
-/** How a store treats the daemons that it does not serve. */
+/** How the store treats the daemons that it refuses. */
 export type StoreRefusal = 'unavailable' | 'too-many' | 'reset' | 'silent';
 
-/** What a server does with a part of the requests. */
+/** How a server mishandles a share of the requests. */
 export type ServerFault =
-  /** Turns them away, and says that they have not run. */
+  /** Refuses them and states that they have not run. */
   | 'turn-away'
-  /** Turns them away as well, and wants nothing more from their daemon for a time. */
+  /** Refuses them and requests a back-off period. */
   | 'ask-for-rest'
-  /** Answers 500 after a run. */
+  /** Runs them and responds with 500. */
   | 'fail'
-  /** Runs them and breaks off before the end of the answer. */
+  /** Runs them and breaks off the response. */
   | 'break-off'
-  /** Runs them and closes the connection without an answer. */
+  /** Runs them and closes the connection without a response. */
   | 'lose-answer'
-  /** Sends a second answer on the same connection. */
+  /** Sends a second response on the same connection. */
   | 'answer-twice'
-  /** Leaves orders unanswered and carries them out later. */
+  /** Does not respond to stage orders and executes them later. */
   | 'delay-orders';
 
-/** What a link between daemons and a server does. */
+/** A fault of the link between daemons and a server. */
 export type LinkFault =
   | 'delay'
   /** Open connections are reset. */
   | 'reset'
-  /** What servers send is held back. */
+  /** What the server sends is withheld. */
   | 'one-way'
-  /** Open connections go silent for good; new ones work. */
+  /** Open connections go silent permanently; connections opened after the fault work. */
   | 'silent';
 
-/** What the platform does with calls that are one daemon's duty at a time. */
+/** How the duty API mishandles calls. */
 export type DutyFault = 'unavailable' | 'too-many' | 'lose-answers';
 
-/** What the operator changes. */
+/** A change of the configuration by the operator. */
 export type Change =
   | 'move-route'
   | 'revoke-key'
   | 'idle'
-  /** Routes beside those that callers use. */
+  /** Concerns routes that callers do not use. */
   | 'add-route'
   | 'drop-route'
   | 'time-route';
@@ -67,25 +67,27 @@
   | { readonly kind: 'store-loses-answers'; readonly share: number; readonly forMs: number }
   | { readonly kind: 'store-writes-late'; readonly share: number; readonly forMs: number }
   | { readonly kind: 'store-forgets' }
-  /** Held calls hear nothing of changes for a second, then the history is lost, and whole reads are old for a while. */
+  /** Open feed calls receive no changes for a second; then the history is lost and table reads are stale for a time. */
   | {
       readonly kind: 'store-stale';
       readonly behindMs: number;
-      /** Whether stale reads name the newest revision, or that of what they show. */
+      /** Whether a stale read reports the newest revision instead of the revision of the rows that it shows. */
       readonly isUnderNewest: boolean;
       readonly forMs: number;
     }
-  /** Away, and back from an older copy; the operator and the servers write again after that, one by one. */
+  /**
+   * The store is away and is restored from an older copy; then the operator and the servers write again, one by one.
+   */
   | {
       readonly kind: 'store-copy';
       readonly how: StoreRefusal;
       readonly forMs: number;
       readonly behindMs: number;
-      /** Revisions that other tables took before, which the copy lacks as well. */
+      /** Number of revisions that other tables used before the outage and that the copy lacks as well. */
       readonly lostRevisions: number;
-      /** Whether held calls go on as if nothing had happened. */
+      /** Whether open feed calls stay open. */
       readonly keepsHeldCalls: boolean;
-      /** Until all have written again. */
+      /** Time until all have written again. */
       readonly rewriteMs: number;
     }
   | { readonly kind: 'entries-lapse'; readonly forMs: number }
@@ -97,19 +99,19 @@
       readonly forMs: number;
     }
   | { readonly kind: 'crash'; readonly servers: readonly number[]; readonly downMs: number }
-  /** They start again under the id that they had, at once or nearly so. */
+  /** The servers crash and restart under the same id after `downMs`. */
   | { readonly kind: 'restart'; readonly servers: readonly number[]; readonly downMs: number }
-  /** Rows that no server wrote stand in the list, unreadable or of unknown kinds. */
+  /** The table of servers contains rows that no server wrote: malformed ones, and one of an unknown service. */
   | { readonly kind: 'stray-rows'; readonly forMs: number }
   | {
       readonly kind: 'rests';
       readonly servers: readonly number[];
       readonly share: number;
-      /** What each daemon that is turned away is asked for. */
+      /** The back-off period that each refusal requests. */
       readonly restMs: number;
       readonly forMs: number;
     }
-  /** They name a limit of requests a second in each answer, and another one halfway. */
+  /** The servers report a limit in requests per second in each response, and a second limit from half-time on. */
   | {
       readonly kind: 'limits';
       readonly servers: readonly number[];
@@ -120,7 +122,7 @@
   | {
       readonly kind: 'drain';
       readonly server: number;
-      /** How long only its answers say so. */
+      /** Time during which only its responses report that it leaves; then its entry does as well. */
       readonly listedAfterMs: number;
     }
   | {
@@ -134,39 +136,39 @@
   | { readonly kind: 'burst'; readonly factor: number; readonly forMs: number }
   | { readonly kind: 'callers-leave'; readonly share: number; readonly forMs: number };
 
-/** A fault and its time from the begin of the traffic. */
+/** A fault and its time since the start of the traffic. */
 export interface TimedFault {
   readonly atMs: number;
   readonly fault: Fault;
 }
 
-/** How large a run is. */
+/** The size of a run. */
 export interface SoakSize {
   readonly seconds: number;
   readonly daemons: number;
   readonly engines: number;
   readonly webServers: number;
-  /** Requests a second of all callers together, without bursts. */
+  /** Request rate of all callers together, without bursts. */
   readonly requestsPerSecond: number;
 }
 
-/** A piece of work that ends each server that runs it; its callers send it again and again, at any daemon. */
+/** A request that crashes each server that runs it; it is sent again and again, to any daemon. */
 export interface CrashingWork {
   readonly fromMs: number;
   readonly gapMs: number;
-  /** Of the classes of requests, by its place among them, 0 to 1. */
+  /** Draws the request class by the shares of the classes; from 0 to 1. */
   readonly classDraw: number;
 }
 
-/** How the servers of a run are made. */
+/** Traits of the servers of a run. */
 export interface ServerTraits {
-  /** Requests that a web server runs at once; it turns others away. */
+  /** Maximum number of concurrent requests of a web server; it refuses others. */
   readonly webSlots: number;
-  /** How long work takes at a server against the usual, by its number. */
+  /** For each server, the ratio of its processing time to the typical time. */
   readonly paces: readonly number[];
 }
 
-/** A whole run. */
+/** The plan of one run. */
 export interface SoakPlan {
   readonly seed: number;
   readonly size: SoakSize;
@@ -175,60 +177,69 @@
   readonly crashing: readonly CrashingWork[];
 }
 
-/** Slots of engines, and of web servers that are not short of them. */
+/** Slots of engines, and of web servers in plans without a shortage of slots. */
 export const PLAIN_SLOTS = 24;
 const FIRST_FAULT_MS = 2_000;
-/** The last stretch is calm, so that the fleet has to be well again at its end. */
+/** No fault is planned in the last part of a run, so that the fleet must have recovered at its end. */
 const CALM_END_MS = 8_000;
-const MOST_GAP_MS = 2_400;
-/** After so long without a pause faults pause: promises that hold in calm times have to be seen in some. */
-const TROUBLE_MS = 9_000;
-const PAUSE_MS = 10_000;
-/** By then daemons are in touch again; planned work comes, so that it is seen in calm times too. */
-const PLANNED_WORK_MS = 3_500;
+const MAX_GAP_MS = 2_400;
+/**
+ * After this long with faults, faults pause: promises that hold only without disturbances need calm times to be
+ * judged.
+ */
+const MAX_FAULT_STRETCH_MS = 9_000;
+const CALM_STRETCH_MS = 10_000;
+/**
+ * Time from the last fault until daemons are back in contact; then planned changes are made, so that they also occur
+ * in calm times.
+ */
+const PLANNED_WORK_DELAY_MS = 3_500;
 const CRASHING_SALT = 0x5eed;
 const RESTARTS_SALT = 0x11fe;
 const SERVERS_SALT = 0x5107;
-const WORDS_SALT = 0x4057;
+const SIGNALS_SALT = 0x4057;
 const LIMITS_SALT = 0x1137;
 const COPIES_SALT = 0xc0b1;
 const ROUTES_SALT = 0x2077;
 const ROUTE_CHANGES = ['add-route', 'add-route', 'drop-route', 'time-route'] as const;
-/** Changes come around the end of what strikes the store, in series. */
-const MOST_CHANGES_AT_END = 3;
-/** From when held calls hear nothing until the history is lost. */
+/** Maximum number of configuration changes around the end of a store fault. */
+const MAX_CHANGES_AT_END = 3;
+/** Time from when open feed calls receive no changes until the history is lost. */
 export const STALE_GAP_MS = 1_000;
 const EARLIEST_CHANGE_MS = -400;
 const LATEST_CHANGE_MS = 900;
-const LEAST_ROUTE_GAP_MS = 2_000;
-const MOST_ROUTE_GAP_MS = 6_000;
-const LEAST_COPY_GAP_MS = 6_000;
-const MOST_COPY_GAP_MS = 16_000;
-/** From the last change before the store is away, which the copy lacks, until daemons have it. */
+const MIN_ROUTE_GAP_MS = 2_000;
+const MAX_ROUTE_GAP_MS = 6_000;
+const MIN_COPY_GAP_MS = 6_000;
+const MAX_COPY_GAP_MS = 16_000;
+/**
+ * Time between the last change before the outage, which the copy lacks, and the outage, so that daemons have applied
+ * it.
+ */
 export const COPY_LEAD_MS = 700;
-/** The chance that a return from a copy is followed by another one. */
+/** Probability that a restore from a copy is followed by another one. */
 const COPY_AGAIN_CHANCE = 0.25;
-const LEAST_LIMIT_GAP_MS = 5_000;
-const MOST_LIMIT_GAP_MS = 12_000;
+const MIN_LIMIT_GAP_MS = 5_000;
+const MAX_LIMIT_GAP_MS = 12_000;
 const LIMITS_PER_SECOND = [0, 0.2, 0.5, 1, 1.2, 2, 3.8, 5, 12, 1_000] as const;
-/** From the begin of a limit until it is judged, daemons need some seconds. */
-const LEAST_LIMITED_MS = 4_000;
-const MOST_LIMITED_MS = 20_000;
-const LEAST_WORD_GAP_MS = 3_000;
-const MOST_WORD_GAP_MS = 8_000;
-const LEAST_RESTART_GAP_MS = 4_000;
-const MOST_RESTART_GAP_MS = 9_000;
+/** The duration of a limit; limits are judged only some seconds after they begin. */
+const MIN_LIMITED_MS = 4_000;
+const MAX_LIMITED_MS = 20_000;
+const MIN_SIGNAL_GAP_MS = 3_000;
+const MAX_SIGNAL_GAP_MS = 8_000;
+const MIN_RESTART_GAP_MS = 4_000;
+const MAX_RESTART_GAP_MS = 9_000;
 const PACES = [0.6, 1, 1, 1.5, 2.5] as const;
 const WEB_SLOTS = [2, 3, 6, 24] as const;
-const MOST_CRASHING = 2;
-const LEAST_CRASHING_GAP_MS = 80;
-const MOST_CRASHING_GAP_MS = 600;
-/** The chance that a fault is followed at once by another one on top. */
+const MAX_CRASHING = 2;
+const MIN_CRASHING_GAP_MS = 80;
+const MAX_CRASHING_GAP_MS = 600;
+/** Probability that the next fault follows after `SERIES_GAP_MS`, so that they overlap. */
 const SERIES_CHANCE = 0.35;
 const SERIES_GAP_MS = 300;
 
-/** Draws from a seed. */
-class Dice {
+/** Random draws from a seed. */
+class SeededRandom {
   readonly #generator: RandomGenerator;
 
   constructor(seed: number) {
@@ -251,8 +262,8 @@
     return items[this.whole(0, items.length - 1)] ?? items[0];
   }
 
-  /** At least one index below a number. */
-  some(count: number, share: number): readonly number[] {
+  /** A random subset of the indexes below `count`, of at least one. */
+  subset(count: number, share: number): readonly number[] {
     const wanted = Math.max(1, Math.round(count * share));
     const indexes = Array.from({ length: count }, (_, index) => index);
     while (indexes.length > wanted) indexes.splice(this.whole(0, indexes.length - 1), 1);
@@ -260,7 +271,7 @@
   }
 }
 
-type Draw = (dice: Dice, size: SoakSize) => Fault;
+type Draw = (random: SeededRandom, size: SoakSize) => Fault;
 
 const STORE_REFUSALS = ['unavailable', 'too-many', 'reset', 'silent'] as const;
 const SERVER_FAULTS = [
@@ -276,114 +287,120 @@
 const CHANGES = ['move-route', 'revoke-key', 'idle'] as const;
 
 const DRAWS: readonly [Draw, ...Draw[]] = [
-  (dice, { daemons }) => ({
+  (random, { daemons }) => ({
     kind: 'kill',
-    daemons: dice.some(daemons, dice.pick([0.1, 0.3, 0.6, 1])),
-    downMs: dice.between(300, 1_500),
+    daemons: random.subset(daemons, random.pick([0.1, 0.3, 0.6, 1])),
+    downMs: random.between(300, 1_500),
   }),
-  (dice, { daemons }) => ({
+  (random, { daemons }) => ({
     kind: 'stop',
-    daemons: dice.some(daemons, dice.pick([0.1, 0.4])),
-    gapMs: dice.between(0, 800),
+    daemons: random.subset(daemons, random.pick([0.1, 0.4])),
+    gapMs: random.between(0, 800),
   }),
-  (dice, { daemons }) => ({
+  (random, { daemons }) => ({
     kind: 'freeze',
-    daemons: dice.some(daemons, dice.pick([0.1, 0.3])),
-    forMs: dice.between(200, 4_000),
+    daemons: random.subset(daemons, random.pick([0.1, 0.3])),
+    forMs: random.between(200, 4_000),
   }),
-  (dice, { daemons }) => ({ kind: 'reload', daemons: dice.some(daemons, 0.5) }),
-  (dice) => ({
+  (random, { daemons }) => ({ kind: 'reload', daemons: random.subset(daemons, 0.5) }),
+  (random) => ({
     kind: 'store-slow',
-    delayMs: dice.between(20, 800),
-    forMs: dice.between(1_000, 6_000),
+    delayMs: random.between(20, 800),
+    forMs: random.between(1_000, 6_000),
   }),
-  (dice) => ({
+  (random) => ({
     kind: 'store-down',
-    how: dice.pick(STORE_REFUSALS),
-    forMs: dice.between(500, 6_000),
+    how: random.pick(STORE_REFUSALS),
+    forMs: random.between(500, 6_000),
   }),
-  (dice, { daemons }) => ({
+  (random, { daemons }) => ({
     kind: 'store-refuses',
-    daemons: dice.some(daemons, 0.4),
-    how: dice.pick(STORE_REFUSALS),
-    forMs: dice.between(500, 6_000),
+    daemons: random.subset(daemons, 0.4),
+    how: random.pick(STORE_REFUSALS),
+    forMs: random.between(500, 6_000),
   }),
-  (dice) => ({
+  (random) => ({
     kind: 'store-loses-answers',
-    share: dice.between(0.1, 0.6),
-    forMs: dice.between(500, 5_000),
+    share: random.between(0.1, 0.6),
+    forMs: random.between(500, 5_000),
   }),
-  (dice) => ({
+  (random) => ({
     kind: 'store-writes-late',
-    share: dice.between(0.1, 0.6),
-    forMs: dice.between(500, 5_000),
+    share: random.between(0.1, 0.6),
+    forMs: random.between(500, 5_000),
   }),
   () => ({ kind: 'store-forgets' }),
-  (dice) => ({ kind: 'entries-lapse', forMs: dice.between(300, 1_800) }),
-  (dice, { engines, webServers }) => ({
+  (random) => ({ kind: 'entries-lapse', forMs: random.between(300, 1_800) }),
+  (random, { engines, webServers }) => ({
     kind: 'servers',
-    how: dice.pick(SERVER_FAULTS),
-    servers: dice.some(engines + webServers, dice.between(0.2, 0.9)),
-    share: dice.between(0.05, 0.9),
-    forMs: dice.between(1_000, 8_000),
+    how: random.pick(SERVER_FAULTS),
+    servers: random.subset(engines + webServers, random.between(0.2, 0.9)),
+    share: random.between(0.05, 0.9),
+    forMs: random.between(1_000, 8_000),
   }),
-  (dice, { engines, webServers }) => ({
+  (random, { engines, webServers }) => ({
     kind: 'crash',
-    servers: dice.some(engines + webServers, dice.between(0.1, 0.4)),
-    downMs: dice.between(500, 3_000),
+    servers: random.subset(engines + webServers, random.between(0.1, 0.4)),
+    downMs: random.between(500, 3_000),
   }),
   drawDrain,
-  (dice, { engines, webServers }) => ({
+  (random, { engines, webServers }) => ({
     kind: 'link',
-    how: dice.pick(LINK_FAULTS),
-    servers: dice.some(engines + webServers, dice.between(0.1, 0.5)),
-    forMs: dice.between(300, 4_000),
+    how: random.pick(LINK_FAULTS),
+    servers: random.subset(engines + webServers, random.between(0.1, 0.5)),
+    forMs: random.between(300, 4_000),
   }),
-  (dice) => ({
+  (random) => ({
     kind: 'duties',
-    how: dice.pick(DUTY_FAULTS),
-    forMs: dice.between(1_000, 8_000),
+    how: random.pick(DUTY_FAULTS),
+    forMs: random.between(1_000, 8_000),
   }),
   drawChange,
-  (dice) => ({ kind: 'burst', factor: dice.between(1.5, 2.5), forMs: dice.between(1_000, 5_000) }),
-  (dice) => ({
+  (random) => ({
+    kind: 'burst',
+    factor: random.between(1.5, 2.5),
+    forMs: random.between(1_000, 5_000),
+  }),
+  (random) => ({
     kind: 'callers-leave',
-    share: dice.between(0.1, 0.6),
-    forMs: dice.between(1_000, 5_000),
+    share: random.between(0.1, 0.6),
+    forMs: random.between(1_000, 5_000),
   }),
 ];
 
 function drawDrain(
-  dice: Dice,
+  random: SeededRandom,
   { engines, webServers }: SoakSize,
 ): Extract<Fault, { kind: 'drain' }> {
-  return { kind: 'drain', server: dice.whole(0, engines + webServers - 1), listedAfterMs: 0 };
+  return { kind: 'drain', server: random.whole(0, engines + webServers - 1), listedAfterMs: 0 };
 }
 
-function drawChange(dice: Dice): Fault {
-  return { kind: 'change', change: dice.pick(CHANGES) };
+function drawChange(random: SeededRandom): Fault {
+  return { kind: 'change', change: random.pick(CHANGES) };
 }
 
-/** The plan of a seed. */
+/** The plan with all kinds of faults. */
 export function planSoak(seed: number, size: SoakSize): SoakPlan {
-  const dice = new Dice(seed);
+  const random = new SeededRandom(seed);
   const faults: TimedFault[] = [];
   const endMs = size.seconds * 1_000 - CALM_END_MS;
   let atMs = FIRST_FAULT_MS;
-  let troubleFromMs = atMs;
+  let faultsSinceMs = atMs;
   while (atMs < endMs) {
-    if (atMs - troubleFromMs > TROUBLE_MS) {
-      const plannedMs = Math.round(atMs + PLANNED_WORK_MS);
-      for (const fault of [drawDrain(dice, size), drawChange(dice)]) {
+    if (atMs - faultsSinceMs > MAX_FAULT_STRETCH_MS) {
+      const plannedMs = Math.round(atMs + PLANNED_WORK_DELAY_MS);
+      for (const fault of [drawDrain(random, size), drawChange(random)]) {
         if (plannedMs < endMs) faults.push({ atMs: plannedMs, fault });
       }
-      atMs += PAUSE_MS;
-      troubleFromMs = atMs;
+      atMs += CALM_STRETCH_MS;
+      faultsSinceMs = atMs;
       continue;
     }
-    const draw = dice.pick(DRAWS);
-    faults.push({ atMs: Math.round(atMs), fault: draw(dice, size) });
-    atMs += dice.chance(SERIES_CHANCE) ? SERIES_GAP_MS : dice.between(SERIES_GAP_MS, MOST_GAP_MS);
+    const draw = random.pick(DRAWS);
+    faults.push({ atMs: Math.round(atMs), fault: draw(random, size) });
+    atMs += random.chance(SERIES_CHANCE)
+      ? SERIES_GAP_MS
+      : random.between(SERIES_GAP_MS, MAX_GAP_MS);
   }
   const restarts = drawRestarts(seed, size, endMs);
   return {
@@ -393,7 +410,7 @@
     faults: [
       ...faults,
       ...restarts,
-      ...drawWords(seed, size, endMs),
+      ...drawServerSignals(seed, size, endMs),
       ...drawLimits(seed, size, endMs),
       ...drawRouteChanges(seed, faults, endMs),
       ...drawCopies(seed, endMs),
@@ -402,107 +419,109 @@
   };
 }
 
-/** Drawn apart, so that the other faults of a seed stay the same. */
+/** Server restarts, from a generator of their own: a change here leaves the other faults of a seed unchanged. */
 function drawRestarts(seed: number, size: SoakSize, endMs: number): readonly TimedFault[] {
-  const dice = new Dice(seed ^ RESTARTS_SALT);
+  const random = new SeededRandom(seed ^ RESTARTS_SALT);
   const restarts: TimedFault[] = [];
-  let atMs = FIRST_FAULT_MS + dice.between(0, MOST_RESTART_GAP_MS);
+  let atMs = FIRST_FAULT_MS + random.between(0, MAX_RESTART_GAP_MS);
   while (atMs < endMs) {
-    restarts.push({ atMs: Math.round(atMs), fault: drawRestart(dice, size) });
-    atMs += dice.between(LEAST_RESTART_GAP_MS, MOST_RESTART_GAP_MS);
+    restarts.push({ atMs: Math.round(atMs), fault: drawRestart(random, size) });
+    atMs += random.between(MIN_RESTART_GAP_MS, MAX_RESTART_GAP_MS);
   }
   return restarts;
 }
 
-function drawRestart(dice: Dice, { engines, webServers }: SoakSize): Fault {
-  if (dice.chance(0.25)) return { kind: 'stray-rows', forMs: dice.between(500, 4_000) };
-  const servers = dice.some(engines + webServers, dice.between(0.05, 0.3));
-  return { kind: 'restart', servers, downMs: dice.pick([0, 30, 300, 5_000]) };
+function drawRestart(random: SeededRandom, { engines, webServers }: SoakSize): Fault {
+  if (random.chance(0.25)) return { kind: 'stray-rows', forMs: random.between(500, 4_000) };
+  const servers = random.subset(engines + webServers, random.between(0.05, 0.3));
+  return { kind: 'restart', servers, downMs: random.pick([0, 30, 300, 5_000]) };
 }
 
-/** Servers that say in their answers that they leave, or want rest; drawn apart as well. */
-function drawWords(seed: number, size: SoakSize, endMs: number): readonly TimedFault[] {
-  const dice = new Dice(seed ^ WORDS_SALT);
-  const words: TimedFault[] = [];
-  let atMs = FIRST_FAULT_MS + dice.between(0, MOST_WORD_GAP_MS);
+/**
+ * Servers that report in their responses that they leave or request a back-off period; from a generator of their own.
+ */
+function drawServerSignals(seed: number, size: SoakSize, endMs: number): readonly TimedFault[] {
+  const random = new SeededRandom(seed ^ SIGNALS_SALT);
+  const signals: TimedFault[] = [];
+  let atMs = FIRST_FAULT_MS + random.between(0, MAX_SIGNAL_GAP_MS);
   while (atMs < endMs) {
-    words.push({ atMs: Math.round(atMs), fault: drawWord(dice, size) });
-    atMs += dice.between(LEAST_WORD_GAP_MS, MOST_WORD_GAP_MS);
+    signals.push({ atMs: Math.round(atMs), fault: drawServerSignal(random, size) });
+    atMs += random.between(MIN_SIGNAL_GAP_MS, MAX_SIGNAL_GAP_MS);
   }
-  return words;
+  return signals;
 }
 
-function drawWord(dice: Dice, size: SoakSize): Fault {
-  if (dice.chance(0.4)) {
-    return { ...drawDrain(dice, size), listedAfterMs: dice.between(1_000, 8_000) };
+function drawServerSignal(random: SeededRandom, size: SoakSize): Fault {
+  if (random.chance(0.4)) {
+    return { ...drawDrain(random, size), listedAfterMs: random.between(1_000, 8_000) };
   }
   return {
     kind: 'rests',
-    servers: dice.some(size.engines + size.webServers, dice.pick([0.2, 0.5, 1])),
-    share: dice.pick([0.3, 1]),
-    restMs: dice.pick([1_000, 2_500, 3_000]),
-    forMs: dice.between(1_000, 5_000),
+    servers: random.subset(size.engines + size.webServers, random.pick([0.2, 0.5, 1])),
+    share: random.pick([0.3, 1]),
+    restMs: random.pick([1_000, 2_500, 3_000]),
+    forMs: random.between(1_000, 5_000),
   };
 }
 
-/** Servers that name a limit of requests a second; drawn apart as well. */
+/** Servers that report a limit in requests per second; from a generator of their own. */
 function drawLimits(seed: number, size: SoakSize, endMs: number): readonly TimedFault[] {
-  const dice = new Dice(seed ^ LIMITS_SALT);
+  const random = new SeededRandom(seed ^ LIMITS_SALT);
   const limits: TimedFault[] = [];
-  let atMs = FIRST_FAULT_MS + dice.between(0, MOST_LIMIT_GAP_MS);
+  let atMs = FIRST_FAULT_MS + random.between(0, MAX_LIMIT_GAP_MS);
   while (atMs < endMs) {
-    const perSecond = dice.pick(LIMITS_PER_SECOND);
-    const laterPerSecond = dice.chance(0.4) ? dice.pick(LIMITS_PER_SECOND) : perSecond;
-    const servers = dice.some(size.engines + size.webServers, dice.pick([0.1, 0.3, 0.6, 1]));
-    const forMs = Math.min(endMs - atMs, dice.between(LEAST_LIMITED_MS, MOST_LIMITED_MS));
+    const perSecond = random.pick(LIMITS_PER_SECOND);
+    const laterPerSecond = random.chance(0.4) ? random.pick(LIMITS_PER_SECOND) : perSecond;
+    const servers = random.subset(size.engines + size.webServers, random.pick([0.1, 0.3, 0.6, 1]));
+    const forMs = Math.min(endMs - atMs, random.between(MIN_LIMITED_MS, MAX_LIMITED_MS));
     const fault: Fault = { kind: 'limits', servers, perSecond, laterPerSecond, forMs };
     limits.push({ atMs: Math.round(atMs), fault });
-    atMs += dice.between(LEAST_LIMIT_GAP_MS, MOST_LIMIT_GAP_MS);
+    atMs += random.between(MIN_LIMIT_GAP_MS, MAX_LIMIT_GAP_MS);
   }
   return limits;
 }
 
-/** Returns of the store from older copies, with changes around them; drawn apart as well. */
+/** Restores of the store from older copies, with configuration changes around them; from a generator of their own. */
 function drawCopies(seed: number, endMs: number): readonly TimedFault[] {
-  const dice = new Dice(seed ^ COPIES_SALT);
+  const random = new SeededRandom(seed ^ COPIES_SALT);
   const copies: TimedFault[] = [];
-  let atMs = FIRST_FAULT_MS + dice.between(0, MOST_COPY_GAP_MS);
+  let atMs = FIRST_FAULT_MS + random.between(0, MAX_COPY_GAP_MS);
   while (atMs < endMs) {
-    const fault = drawCopy(dice);
+    const fault = drawCopy(random);
     copies.push({ atMs: Math.round(atMs), fault });
-    const gapMs = dice.chance(COPY_AGAIN_CHANCE)
-      ? dice.between(0, SERIES_GAP_MS)
-      : dice.between(LEAST_COPY_GAP_MS, MOST_COPY_GAP_MS);
+    const gapMs = random.chance(COPY_AGAIN_CHANCE)
+      ? random.between(0, SERIES_GAP_MS)
+      : random.between(MIN_COPY_GAP_MS, MAX_COPY_GAP_MS);
     atMs = endOf({ atMs, fault }) + gapMs;
   }
-  return [...copies, ...drawChanges(dice, timesAtEnds(dice, copies), endMs)];
+  return [...copies, ...drawChanges(random, timesAroundEnds(random, copies), endMs)];
 }
 
-function drawCopy(dice: Dice): Extract<Fault, { kind: 'store-copy' }> {
+function drawCopy(random: SeededRandom): Extract<Fault, { kind: 'store-copy' }> {
   return {
     kind: 'store-copy',
-    how: dice.pick(STORE_REFUSALS),
-    forMs: dice.pick([50, 300, 1_000, 2_500]),
-    behindMs: dice.between(COPY_LEAD_MS, 6_000),
-    lostRevisions: dice.pick([0, 3, 60, 100_000]),
-    keepsHeldCalls: dice.chance(0.3),
-    rewriteMs: dice.pick([0, 300, 1_000]),
+    how: random.pick(STORE_REFUSALS),
+    forMs: random.pick([50, 300, 1_000, 2_500]),
+    behindMs: random.between(COPY_LEAD_MS, 6_000),
+    lostRevisions: random.pick([0, 3, 60, 100_000]),
+    keepsHeldCalls: random.chance(0.3),
+    rewriteMs: random.pick([0, 300, 1_000]),
   };
 }
 
-/** Routes that come and go now and then, and around the end of each fault of the store; drawn apart as well. */
+/** Route changes, at random times and around the end of each store fault; from a generator of their own. */
 function drawRouteChanges(
   seed: number,
   faults: readonly TimedFault[],
   endMs: number,
 ): readonly TimedFault[] {
-  const dice = new Dice(seed ^ ROUTES_SALT);
+  const random = new SeededRandom(seed ^ ROUTES_SALT);
   const times: number[] = [];
   for (let atMs = FIRST_FAULT_MS; atMs < endMs; ) {
     times.push(atMs);
-    atMs += dice.between(LEAST_ROUTE_GAP_MS, MOST_ROUTE_GAP_MS);
+    atMs += random.between(MIN_ROUTE_GAP_MS, MAX_ROUTE_GAP_MS);
   }
-  return drawChanges(dice, [...times, ...timesAtEnds(dice, faults)], endMs);
+  return drawChanges(random, [...times, ...timesAroundEnds(random, faults)], endMs);
 }
 
 function endOf({ atMs, fault }: TimedFault): number {
@@ -510,28 +529,32 @@
   return atMs + leadMs + ('forMs' in fault ? fault.forMs : 0);
 }
 
-/** In series around the end of each fault of the store. */
-function timesAtEnds(dice: Dice, faults: readonly TimedFault[]): readonly number[] {
+/** Random times around the end of each store fault. */
+function timesAroundEnds(random: SeededRandom, faults: readonly TimedFault[]): readonly number[] {
   return faults.flatMap(({ atMs, fault }) => {
     if (!fault.kind.startsWith('store-')) return [];
     const endMs = endOf({ atMs, fault });
-    const count = dice.whole(1, MOST_CHANGES_AT_END);
+    const count = random.whole(1, MAX_CHANGES_AT_END);
     return Array.from(
       { length: count },
-      () => endMs + dice.between(EARLIEST_CHANGE_MS, LATEST_CHANGE_MS),
+      () => endMs + random.between(EARLIEST_CHANGE_MS, LATEST_CHANGE_MS),
     );
   });
 }
 
-function drawChanges(dice: Dice, times: readonly number[], endMs: number): readonly TimedFault[] {
+function drawChanges(
+  random: SeededRandom,
+  times: readonly number[],
+  endMs: number,
+): readonly TimedFault[] {
   const within = times.filter((atMs) => atMs < endMs);
   return within.map((atMs) => {
-    const fault: Fault = { kind: 'change', change: dice.pick(ROUTE_CHANGES) };
+    const fault: Fault = { kind: 'change', change: random.pick(ROUTE_CHANGES) };
     return { atMs: Math.round(atMs), fault };
   });
 }
 
-/** The changes that no held call hears of before the history is lost. */
+/** A change within each span in which open feed calls receive no changes, so that only a table read can show it. */
 function changesInGaps(faults: readonly TimedFault[]): readonly TimedFault[] {
   return faults.flatMap(({ atMs, fault }) => {
     if (fault.kind !== 'store-stale') return [];
@@ -540,68 +563,68 @@
   });
 }
 
-/** Drawn apart as well. */
+/** Traits of the servers, from a generator of their own. */
 function drawServers(seed: number, { engines, webServers }: SoakSize): ServerTraits {
-  const dice = new Dice(seed ^ SERVERS_SALT);
-  const paces = Array.from({ length: engines + webServers }, () => dice.pick(PACES));
-  return { webSlots: dice.pick(WEB_SLOTS), paces };
+  const random = new SeededRandom(seed ^ SERVERS_SALT);
+  const paces = Array.from({ length: engines + webServers }, () => random.pick(PACES));
+  return { webSlots: random.pick(WEB_SLOTS), paces };
 }
 
-/** Drawn apart, so that the faults of a seed stay the same. */
+/** Crashing requests, from a generator of their own: a change here leaves the faults of a seed unchanged. */
 function drawCrashing(seed: number, endMs: number): readonly CrashingWork[] {
-  const dice = new Dice(seed ^ CRASHING_SALT);
-  return Array.from({ length: dice.whole(1, MOST_CRASHING) }, () => ({
-    fromMs: Math.round(dice.between(FIRST_FAULT_MS, endMs)),
-    gapMs: Math.round(dice.between(LEAST_CRASHING_GAP_MS, MOST_CRASHING_GAP_MS)),
-    classDraw: dice.between(0, 1),
+  const random = new SeededRandom(seed ^ CRASHING_SALT);
+  return Array.from({ length: random.whole(1, MAX_CRASHING) }, () => ({
+    fromMs: Math.round(random.between(FIRST_FAULT_MS, endMs)),
+    gapMs: Math.round(random.between(MIN_CRASHING_GAP_MS, MAX_CRASHING_GAP_MS)),
+    classDraw: random.between(0, 1),
   }));
 }
 
-/** The first numbers of small seeds are much alike. */
+/** The first draws of small seeds are similar and are therefore skipped. */
 const SKIPPED_DRAWS = 16;
-const LEAST_STALE_MS = 2_000;
-const MOST_STALE_MS = 8_000;
-const LEAST_OUTAGE_MS = 15_000;
-const MOST_OUTAGE_MS = 60_000;
-const LEAST_CALM_MS = 7_000;
-const MOST_CALM_MS = 10_000;
-
-/** No older than the traffic, as the store was empty once. */
-function drawStale(dice: Dice, atMs: number): Extract<Fault, { kind: 'store-stale' }> {
-  const behindMs = Math.min(atMs, dice.between(LEAST_STALE_MS, MOST_STALE_MS));
-  const forMs = behindMs + dice.between(0, LEAST_STALE_MS);
-  return { kind: 'store-stale', behindMs, isUnderNewest: dice.chance(0.5), forMs };
+const MIN_STALE_MS = 2_000;
+const MAX_STALE_MS = 8_000;
+const MIN_OUTAGE_MS = 15_000;
+const MAX_OUTAGE_MS = 60_000;
+const MIN_CALM_MS = 7_000;
+const MAX_CALM_MS = 10_000;
+
+/** Stale reads show no state from before the traffic, when the store was still empty. */
+function drawStale(random: SeededRandom, atMs: number): Extract<Fault, { kind: 'store-stale' }> {
+  const behindMs = Math.min(atMs, random.between(MIN_STALE_MS, MAX_STALE_MS));
+  const forMs = behindMs + random.between(0, MIN_STALE_MS);
+  return { kind: 'store-stale', behindMs, isUnderNewest: random.chance(0.5), forMs };
 }
 
 /**
- * The plan of a store that is out of reach for long, once or more, for all daemons or for most, and back for all at one
- * moment; the configuration changes around it.
+ * The plan of long store outages: the store is unreachable once or more, for all daemons or a large share of them, and
+ * returns for all at the same moment. The configuration changes around the end of each outage.
  */
 export function planOutages(seed: number, size: SoakSize): SoakPlan {
-  const dice = new Dice(seed);
-  for (let draw = 0; draw < SKIPPED_DRAWS; draw += 1) dice.between(0, 1);
+  const random = new SeededRandom(seed);
+  for (let draw = 0; draw < SKIPPED_DRAWS; draw += 1) random.between(0, 1);
   const endMs = size.seconds * 1_000 - CALM_END_MS;
   const faults: TimedFault[] = [];
-  for (let atMs = FIRST_FAULT_MS; endMs - atMs >= LEAST_OUTAGE_MS; ) {
-    if (dice.chance(0.3)) {
-      const fault = drawStale(dice, atMs);
+  for (let atMs = FIRST_FAULT_MS; endMs - atMs >= MIN_OUTAGE_MS; ) {
+    if (random.chance(0.3)) {
+      const fault = drawStale(random, atMs);
       faults.push({ atMs: Math.round(atMs), fault });
-      atMs += fault.forMs + dice.between(LEAST_CALM_MS, MOST_CALM_MS);
+      atMs += fault.forMs + random.between(MIN_CALM_MS, MAX_CALM_MS);
       continue;
     }
-    const forMs = dice.between(LEAST_OUTAGE_MS, Math.min(MOST_OUTAGE_MS, endMs - atMs));
-    const how = dice.pick(STORE_REFUSALS);
-    const daemons = dice.some(size.daemons, dice.pick([0.5, 0.9, 1]));
-    const fault: Fault = dice.chance(0.4)
+    const forMs = random.between(MIN_OUTAGE_MS, Math.min(MAX_OUTAGE_MS, endMs - atMs));
+    const how = random.pick(STORE_REFUSALS);
+    const daemons = random.subset(size.daemons, random.pick([0.5, 0.9, 1]));
+    const fault: Fault = random.chance(0.4)
       ? { kind: 'store-down', how, forMs }
       : { kind: 'store-refuses', daemons, how, forMs };
     faults.push({ atMs: Math.round(atMs), fault });
-    atMs += forMs + dice.between(LEAST_CALM_MS, MOST_CALM_MS);
+    atMs += forMs + random.between(MIN_CALM_MS, MAX_CALM_MS);
   }
-  // What is missed while reads are stale shows only where no other change follows soon.
+  // A change that daemons miss during stale reads is detected only if no other change follows soon.
   const outages = faults.filter(({ fault }) => fault.kind !== 'store-stale');
   const changes = [
-    ...drawChanges(dice, timesAtEnds(dice, outages), size.seconds * 1_000),
+    ...drawChanges(random, timesAroundEnds(random, outages), size.seconds * 1_000),
     ...changesInGaps(faults),
   ];
   const servers = { webSlots: PLAIN_SLOTS, paces: [] };
@@ -609,73 +632,73 @@
 }
 
 /**
- * The plan of a store that comes back from older copies, with calm stretches between them: the configuration changes and
- * servers leave before and after, and some daemons start anew as it returns.
+ * The plan of a store that is restored from older copies, with calm times between the restores. The configuration changes
+ * and servers leave before and after each restore, and some daemons restart at the same time.
  */
 export function planCopies(seed: number, size: SoakSize): SoakPlan {
-  const dice = new Dice(seed);
-  for (let draw = 0; draw < SKIPPED_DRAWS; draw += 1) dice.between(0, 1);
+  const random = new SeededRandom(seed);
+  for (let draw = 0; draw < SKIPPED_DRAWS; draw += 1) random.between(0, 1);
   const endMs = size.seconds * 1_000 - CALM_END_MS;
   const faults: TimedFault[] = [];
   const copies: TimedFault[] = [];
   const add = (atMs: number, fault: Fault) => faults.push({ atMs: Math.round(atMs), fault });
   for (let atMs = 2 * FIRST_FAULT_MS; atMs < endMs; ) {
-    const copy = drawCopy(dice);
+    const copy = drawCopy(random);
     copies.push({ atMs: Math.round(atMs), fault: copy });
     const returnMs = endOf({ atMs, fault: copy });
-    add(atMs - dice.between(0, copy.behindMs), drawChange(dice));
-    add(atMs - dice.between(0, copy.behindMs), drawDrain(dice, size));
-    add(returnMs + dice.between(0, LEAST_COPY_GAP_MS), drawDrain(dice, size));
-    if (dice.chance(0.4)) {
-      const daemons = dice.some(size.daemons, dice.pick([0.1, 0.3]));
-      const downMs = dice.between(100, LEAST_OUTAGE_MS / 10);
-      add(returnMs - dice.between(0, downMs), { kind: 'kill', daemons, downMs });
+    add(atMs - random.between(0, copy.behindMs), drawChange(random));
+    add(atMs - random.between(0, copy.behindMs), drawDrain(random, size));
+    add(returnMs + random.between(0, MIN_COPY_GAP_MS), drawDrain(random, size));
+    if (random.chance(0.4)) {
+      const daemons = random.subset(size.daemons, random.pick([0.1, 0.3]));
+      const downMs = random.between(100, MIN_OUTAGE_MS / 10);
+      add(returnMs - random.between(0, downMs), { kind: 'kill', daemons, downMs });
     }
-    const isAgain = dice.chance(COPY_AGAIN_CHANCE);
-    atMs = returnMs + (isAgain ? SERIES_GAP_MS : dice.between(LEAST_CALM_MS, MOST_CALM_MS));
+    const isAgain = random.chance(COPY_AGAIN_CHANCE);
+    atMs = returnMs + (isAgain ? SERIES_GAP_MS : random.between(MIN_CALM_MS, MAX_CALM_MS));
   }
-  const times = copies.flatMap(({ atMs }) => atMs + dice.between(0, MOST_CALM_MS));
-  const changes = drawChanges(dice, [...timesAtEnds(dice, copies), ...times], endMs);
+  const times = copies.flatMap(({ atMs }) => atMs + random.between(0, MAX_CALM_MS));
+  const changes = drawChanges(random, [...timesAroundEnds(random, copies), ...times], endMs);
   const servers = { webSlots: PLAIN_SLOTS, paces: [] };
   return { seed, size, servers, faults: [...faults, ...copies, ...changes], crashing: [] };
 }
 
 /**
- * The plan of an upgrade: all daemons are stopped and started in turn, while the configuration changes, servers leave and
- * the store loses its history; once all have started again the store comes back from an older copy.
+ * The plan of a rolling upgrade: all daemons are restarted one after another, while the configuration changes, servers
+ * leave and the store loses its history. After the last restart the store is restored from an older copy.
  */
 export function planUpgrade(seed: number, size: SoakSize): SoakPlan {
-  const dice = new Dice(seed);
-  for (let draw = 0; draw < SKIPPED_DRAWS; draw += 1) dice.between(0, 1);
+  const random = new SeededRandom(seed);
+  for (let draw = 0; draw < SKIPPED_DRAWS; draw += 1) random.between(0, 1);
   const faults: TimedFault[] = [];
   const add = (atMs: number, fault: Fault) => faults.push({ atMs: Math.round(atMs), fault });
-  const gapMs = dice.between(500, 2_000);
+  const gapMs = random.between(500, 2_000);
   const rollMs = 2 * FIRST_FAULT_MS;
-  const rolledMs = rollMs + gapMs * size.daemons + LEAST_CALM_MS;
-  add(rollMs, { kind: 'stop', daemons: dice.some(size.daemons, 1), gapMs });
+  const rolledMs = rollMs + gapMs * size.daemons + MIN_CALM_MS;
+  add(rollMs, { kind: 'stop', daemons: random.subset(size.daemons, 1), gapMs });
   for (let atMs = FIRST_FAULT_MS; atMs < rolledMs; ) {
-    add(atMs, drawChange(dice));
-    add(atMs + dice.between(0, LEAST_ROUTE_GAP_MS), drawDrain(dice, size));
-    atMs += dice.between(LEAST_ROUTE_GAP_MS, MOST_ROUTE_GAP_MS);
+    add(atMs, drawChange(random));
+    add(atMs + random.between(0, MIN_ROUTE_GAP_MS), drawDrain(random, size));
+    atMs += random.between(MIN_ROUTE_GAP_MS, MAX_ROUTE_GAP_MS);
   }
-  add(dice.between(rollMs, rolledMs), { kind: 'store-forgets' });
-  const copy = { atMs: Math.round(rolledMs), fault: drawCopy(dice) };
+  add(random.between(rollMs, rolledMs), { kind: 'store-forgets' });
+  const copy = { atMs: Math.round(rolledMs), fault: drawCopy(random) };
   const endMs = size.seconds * 1_000 - CALM_END_MS;
-  const changes = drawChanges(dice, timesAtEnds(dice, [...faults, copy]), endMs);
+  const changes = drawChanges(random, timesAroundEnds(random, [...faults, copy]), endMs);
   const within = [...faults, copy].filter(({ atMs }) => atMs < endMs);
   const servers = { webSlots: PLAIN_SLOTS, paces: [] };
   return { seed, size, servers, faults: [...within, ...changes], crashing: [] };
 }
 
 /**
- * The plan of a fleet that is asked for more repeats than its budget allows while all its processes are killed
- * together, twice within one window of the budget, and the store is slow when they return.
+ * The plan of a thundering herd: requests need more repeats than the retry budget allows, all daemons are killed together
+ * twice within one window of the budget, and the store is slow when they return.
  */
 export function planHerd(seed: number, size: SoakSize): SoakPlan {
   const everyDaemon = Array.from({ length: size.daemons }, (_, daemon) => daemon);
   const engines = Array.from({ length: size.engines }, (_, engine) => engine);
-  const dice = new Dice(seed);
-  const killMs = dice.between(9_000, 12_000);
+  const random = new SeededRandom(seed);
+  const killMs = random.between(9_000, 12_000);
   const forMs = 22_000;
   const faults: TimedFault[] = [
     {
--- a/soak/run.ts
+++ b/soak/run.ts
@@ -1,6 +1,6 @@
 /**
- * A soak run: real gateway processes before the stand-ins of the store and the servers, callers, and the faults of a
- * plan; what was seen is judged at the end. It ends only the processes that it has started.
+ * A soak run: gateway processes, a simulated store and simulated servers, callers, and the faults of a plan. The record of
+ * the run is judged at the end. A run kills only the processes that it has started.
  */
 import { mkdtempSync, rmSync } from 'node:fs';
 import type { IncomingMessage } from 'node:http';
@@ -33,35 +33,38 @@
 import { ServerPool, ZONES } from './server-pool.js';
 import { WIRE } from './wire.js';
 
-const READY_WITHIN_MS = 30_000;
-const READY_LOOK_MS = 50;
-/** Calls may still end for so long after the last was sent. */
-const LAST_CALLS_MS = 4_000;
+const READY_TIMEOUT_MS = 30_000;
+const READY_POLL_INTERVAL_MS = 50;
+/** Time for open calls to end after the last one was sent. */
+const LAST_CALLS_GRACE_MS = 4_000;
 
-/** What came of a run. */
+/** The result of a run. */
 export interface SoakResult {
   readonly violations: readonly Violation[];
-  /** How many calls ended in each way: by status where they were answered. */
+  /** Number of calls by how they ended; calls with a response are counted by its status. */
   readonly ends: ReadonlyMap<string, number>;
-  /** Servers that ended under requests that end servers, for each of these. */
+  /** Number of servers that crashed, for each request that crashes servers. */
   readonly crashes: readonly number[];
-  /** Usage reports that the platform has taken. */
+  /** Number of calls that the duty service accepted. */
   readonly reports: number;
   readonly budgets: readonly BudgetWindow[];
-  /** How late the stand-ins were at worst; where they are late, promises of calm times are not judged. */
+  /**
+   * The longest delay of the soak's own process. Promises that hold only without disturbances are not judged while it
+   * is delayed.
+   */
   readonly worstLagMs: number;
-  /** Logs and settings of the daemons; kept where a promise was broken. */
+  /** Directory with the logs and settings of the daemons; kept if a promise was broken. */
   readonly directory: string;
 }
 
-/** What daemons run. */
+/** The programs that daemons run. */
 export interface SoakPrograms {
   readonly mutation?: Mutation | undefined;
-  /** The path of an earlier release's program, which each daemon runs until it is first started again. */
+  /** Path to the program of an earlier release, which each daemon runs until its first restart. */
   readonly earlierProgram?: string | undefined;
 }
 
-/** Plays a plan. */
+/** Runs a plan and judges the run. */
 export async function runSoak(plan: SoakPlan, programs: SoakPrograms = {}): Promise<SoakResult> {
   const run = new SoakRun(plan);
   const endRun = () => run.close();
@@ -83,7 +86,7 @@
   readonly #operator: Operator;
   readonly #pool: ServerPool;
   readonly #daemons: GatewayProcess[] = [];
-  readonly #doorOf = new Map<string, StoreDoor>();
+  readonly #storeEndpointOf = new Map<string, StoreDoor>();
   readonly #callers: Callers;
   readonly #probes: RouteProbes;
   readonly #faults: FaultInjector;
@@ -107,7 +110,7 @@
       store: this.#store,
       random,
       observer: {
-        arrived: (request, body, arrival) => this.#noteArrival(request, body, arrival),
+        arrived: (request, body, arrival) => this.#recordArrival(request, body, arrival),
         ordered: (order) => this.#orders.push(order),
         ends: (serverId) => this.#faults.endServer(serverId),
       },
@@ -128,7 +131,7 @@
       pool: this.#pool,
       operator: this.#operator,
       daemons: this.#daemons,
-      doorOf: this.#doorOf,
+      doorOf: this.#storeEndpointOf,
       callers: this.#callers,
     });
   }
@@ -138,7 +141,7 @@
     await this.#pool.start();
     this.#operator.change('idle');
     await this.#startDaemons(program, earlierProgram);
-    await this.#allReady();
+    await this.#waitUntilReady();
     this.#callers.start();
     this.#probes.start();
     this.#lag.start();
@@ -152,7 +155,7 @@
     this.#callers.stopSending();
     this.#probes.stop();
     const endMs = performance.now();
-    await pause(LAST_CALLS_MS);
+    await pause(LAST_CALLS_GRACE_MS);
     this.close();
     return this.#result(endMs);
   }
@@ -205,13 +208,13 @@
       const zoneIndex = index % ZONES.length;
       const zone = ZONES[zoneIndex] ?? ZONES[0];
       const name = `daemon-${zone}-${index}`;
-      const door = this.#store.createDoor();
-      this.#doorOf.set(name, door);
+      const endpoint = this.#store.createDoor();
+      this.#storeEndpointOf.set(name, endpoint);
       const daemon = new GatewayProcess({
         name,
         zone,
         host: this.#addresses.addressOf(zoneIndex, index),
-        storePort: await door.open(),
+        storePort: await endpoint.open(),
         dutyPort,
         program,
         earlierProgram,
@@ -223,20 +226,20 @@
     }
   }
 
-  async #allReady(): Promise<void> {
-    const untilMs = performance.now() + READY_WITHIN_MS;
+  async #waitUntilReady(): Promise<void> {
+    const untilMs = performance.now() + READY_TIMEOUT_MS;
     for (const daemon of this.#daemons) {
       while (!(await daemon.isReady())) {
         if (performance.now() > untilMs) {
           const where = `${daemon.host}, log in ${this.#directory}`;
           throw new Error(`${daemon.name} is not ready (${where}): is its address in use?`);
         }
-        await pause(READY_LOOK_MS);
+        await pause(READY_POLL_INTERVAL_MS);
       }
     }
   }
 
-  #noteArrival(request: IncomingMessage, body: string, arrival: Arrival): void {
+  #recordArrival(request: IncomingMessage, body: string, arrival: Arrival): void {
     const { headers } = request;
     const id = String(headers[WIRE.attemptId]);
     const call = this.#calls.get(id);
@@ -265,7 +268,10 @@
   return end.kind;
 }
 
-/** What a server got that its caller had not sent, or that it must not get. */
+/**
+ * How a request at a server differs from what its caller sent, or what the daemon should have removed; empty if
+ * nothing is wrong.
+ */
 function problemOf(call: CallRecord, request: IncomingMessage, body: string): string {
   const { headers, url, method } = request;
   if (method !== 'POST' || url !== `${call.requestClass.pathPrefix}x`) return 'another path';
