--- a/src/lab/engine/accelerators.ts
+++ b/src/lab/engine/accelerators.ts
@@ -1,17 +1,17 @@
 /**
  * What a step costs on each accelerator generation. The basis is a model of 8 billion parameters in
  * 16-bit weights with grouped-query attention (32 layers, 8 KV heads of 128); bandwidth and arithmetic
- * speed are from the public data sheets of the part named, the rest is marked assumed.
+ * speed are from the public data sheet of the accelerator; every other value is marked as assumed.
  */
 
 /** The cost model of one accelerator; times in milliseconds at speed factor 1. */
 export interface AcceleratorProfile {
-  /** Part of every step: all weights are read once. */
+  /** Fixed cost of a step: all weights are read once. */
   readonly baseStepMs: number;
   readonly prefillMsPerToken: number;
   /** Per sequence in the batch: sampling and scheduling. */
   readonly batchMsPerSequence: number;
-  /** Per resident token of the batch: its KV is read once a step. */
+  /** Per token whose KV is resident: the KV is read once per step. */
   readonly kvMsPerToken: number;
   /** Tokens of KV that fit beside the weights. */
   readonly kvCapacityTokens: number;
@@ -20,13 +20,13 @@
 /** KV bytes of one token: 2 (key, value) × 32 layers × 8 heads × 128 × 2 bytes. */
 export const KV_BYTES_PER_TOKEN = 131_072;
 
-/** Bytes an engine moves a millisecond to another: 1,100 GB/s over 820 engines (the design size). */
+/** Bytes per millisecond between two engines: 1,100 GB/s shared by 820 engines (the design size). */
 export const KV_TRANSFER_BYTES_PER_MS = 1_100e9 / 820 / 1_000;
 
 const WEIGHT_BYTES = 16e9;
 const ARITHMETIC_PER_PREFILL_TOKEN = 16e9;
 const MS_PER_SECOND = 1_000;
-/** Assumed: the share of peak arithmetic that prefill reaches. */
+/** Assumed: the share of peak arithmetic throughput that prefill reaches. */
 const PREFILL_UTILISATION = 0.5;
 /** Assumed: the share of memory left for KV after weights, activations and fragmentation. */
 const KV_SHARE_OF_FREE_MEMORY = 0.8;
@@ -65,7 +65,7 @@
   };
 }
 
-/** The generations of the two fleets. */
+/** The accelerator generations of the emulated fleets. */
 export const ACCELERATORS = {
   new: profileOf(NEW_DATA_SHEET),
   old: profileOf(OLD_DATA_SHEET),
--- a/src/lab/engine/batch-executor.ts
+++ b/src/lab/engine/batch-executor.ts
@@ -19,14 +19,14 @@
   readonly endsAt: number;
 }
 
-/** What happens while the executor is at work. */
+/** Receives the executor's outputs and load changes. */
 export interface ExecutorListener {
   readonly emit: (output: EngineOutput) => void;
-  /** The load has changed. */
+  /** Called after a change of the load, with the time of the change. */
   readonly changed: (at: number) => void;
 }
 
-/** Runs what it is given; whether it may is decided elsewhere. */
+/** Executes requests that `EngineModel` has admitted; does no admission checks of its own. */
 export class BatchExecutor {
   readonly #settings: EngineSettings;
   readonly #listener: ExecutorListener;
@@ -62,7 +62,7 @@
     return this.#batch.active;
   }
 
-  /** Whether one more request may wait. */
+  /** Whether the waiting queue has a free slot. */
   get hasQueueRoom(): boolean {
     return this.#batch.waiting.length < this.#settings.maxQueue;
   }
@@ -72,7 +72,7 @@
     return this.#step?.endsAt ?? null;
   }
 
-  /** Sets how many prompt tokens a step may read. */
+  /** Sets how many tokens one step may process. */
   setChunkTokens(tokens: number): void {
     this.#chunkTokens = tokens;
   }
@@ -87,12 +87,12 @@
     return tokens < this.#kvCapacity;
   }
 
-  /** When the waiting queue may have drained, roughly. */
+  /** Estimated time to prefill all queued tokens, for `Retry-After`. */
   get retryAfterSeconds(): number {
     return this.#steps.secondsToRead(this.#batch.queuedPrefillTokens());
   }
 
-  /** Takes a request in. One with nothing left to write ends at once. */
+  /** Queues a request. A completion with no output tokens left finishes immediately. */
   add(now: number, sequence: Sequence): void {
     if (sequence.mode === 'completion' && sequence.offset === sequence.endOffset) {
       this.#finish(now, sequence);
@@ -103,7 +103,7 @@
     this.#listener.changed(now);
   }
 
-  /** Takes a request out; false when it is not active. */
+  /** Removes a request; returns false if it is not active. */
   cancel(now: number, attempt: AttemptId): boolean {
     const sequence = this.#batch.find(attempt);
     if (sequence === undefined) return false;
@@ -112,7 +112,7 @@
     return true;
   }
 
-  /** Keeps a request out of steps, or lets it take part again. */
+  /** Excludes a request from steps, or includes it again. */
   setPaused(now: number, attempt: AttemptId, paused: boolean): void {
     const sequence = this.#batch.find(attempt);
     if (sequence === undefined) return;
@@ -120,7 +120,7 @@
     this.#beginStep(now);
   }
 
-  /** Cuts everything that is active and frees its memory and all handles. */
+  /** Cuts all active requests and frees their KV memory and all KV handles. */
   cutAll(now: number): void {
     for (const { attempt } of this.#batch.clear()) {
       this.#listener.emit({ kind: 'cut', at: now, attempt });
@@ -130,12 +130,12 @@
     this.#listener.changed(now);
   }
 
-  /** Forgets the prefix cache. */
+  /** Clears the prefix cache. */
   clearCache(at: number): void {
     this.#cacheEvents.append(at, this.#cache.clear());
   }
 
-  /** Ends the running step at its time and begins the next. */
+  /** Completes the running step at its end time and starts the next step. */
   endStep(): void {
     const step = this.#step;
     if (step === null) return;
@@ -151,34 +151,34 @@
     return this.#cacheEvents.read(now, after);
   }
 
-  /** What a handle holds; null when it is gone. */
+  /** The KV cache under a handle; null if the handle is unknown, released or expired. */
   readHandle(now: number, handle: string): HeldKv | null {
     return this.#handles.read(now, handle);
   }
 
-  /** Frees a handle whose KV a request has taken over. */
+  /** Releases a handle after a request has taken over its KV cache. */
   releaseHandle(handle: string): void {
     this.#handles.release(handle);
   }
 
-  /** Holds a KV cache that has arrived; null when it does not fit beside what runs. */
+  /** Stores an imported KV cache under a new handle; null if the free KV memory is too small. */
   importKv(now: number, held: HeldKv): string | null {
-    const room = (): number =>
+    const freeTokens = (): number =>
       this.#kvCapacity - this.#batch.reservedTokens() - this.#handles.tokens;
-    while (room() < held.prompt.tokens && this.#handles.releaseOldest());
-    if (room() < held.prompt.tokens) return null;
+    while (freeTokens() < held.prompt.tokens && this.#handles.releaseOldest());
+    if (freeTokens() < held.prompt.tokens) return null;
     const handle = this.#handles.hold(now, held);
     this.#listener.changed(now);
     return handle;
   }
 
-  /** How long a KV cache takes from one engine to another, in milliseconds. */
+  /** The time to transfer a KV cache to another engine, in milliseconds. */
   kvTransferMs(held: HeldKv): number {
     const bytes = held.prompt.tokens * KV_BYTES_PER_TOKEN;
     return bytes / KV_TRANSFER_BYTES_PER_MS / this.#settings.speedFactor;
   }
 
-  /** The load now. */
+  /** The current load. */
   sample(): LoadSample {
     const usedTokens = this.#batch.residentTokens() + this.#handles.tokens;
     return {
@@ -191,10 +191,10 @@
     };
   }
 
-  /** At least one token is read anew, so that there is something to write from. */
+  /** Excludes the last token: at least one must be processed to produce the next output token. */
   #cachedTokens(sequence: Sequence): number {
     const { blockHashes } = sequence.prompt;
-    const cached = this.#cache.cachedTokens(readerOf(sequence), blockHashes);
+    const cached = this.#cache.cachedTokens(cacheNamespaceOf(sequence), blockHashes);
     return Math.min(cached, sequence.target - 1);
   }
 
@@ -216,7 +216,7 @@
   }
 
   #storePrefix(at: number, sequence: Sequence): void {
-    const changes = this.#cache.store(readerOf(sequence), sequence.prompt.blockHashes);
+    const changes = this.#cache.store(cacheNamespaceOf(sequence), sequence.prompt.blockHashes);
     this.#cacheEvents.append(at, changes);
   }
 
@@ -246,6 +246,6 @@
   }
 }
 
-function readerOf({ name, version }: Sequence): string {
+function cacheNamespaceOf({ name, version }: Sequence): string {
   return `${name} ${version}`;
 }
--- a/src/lab/engine/batch.ts
+++ b/src/lab/engine/batch.ts
@@ -1,40 +1,40 @@
 /**
- * Continuous batching: the waiting queue by priority, the running batch, and what each step reads
- * and writes. Prompts are read in chunks beside the decoding sequences; when KV memory runs out, the
- * lowest priority leaves the batch and is read again later.
+ * Continuous batching: the waiting queue ordered by priority, the running batch, and the plan of
+ * each step. Prompts are prefilled in chunks together with the decoding sequences. When KV memory runs
+ * out, the sequence of lowest priority is preempted; its KV is recomputed later.
  */
 import type { AttemptId } from '../../core/common/identifiers.js';
 import type { PromptDescription } from './tokens.js';
 
-/** One accepted request. Mutable: owned by the batch. */
+/** One accepted request. Mutable; owned by the batch. */
 export interface Sequence {
   readonly attempt: AttemptId;
   /** 0 (first) to 9 (last). */
   readonly priority: number;
-  /** The order of acceptance. */
+  /** Sequence number of acceptance. */
   readonly arrival: number;
   readonly prompt: PromptDescription;
-  /** The version that writes, as `system_fingerprint` states it. */
+  /** The model version that generates the output, as in `system_fingerprint`. */
   readonly version: string;
   /** The name the caller used. */
   readonly name: string;
   readonly mode: 'completion' | 'prefill';
   readonly streamed: boolean;
-  /** One past the last output token. */
+  /** The offset after the last output token. */
   readonly endOffset: number;
-  /** The next output token. */
+  /** The offset of the next output token. */
   offset: number;
-  /** Tokens whose KV is resident; above 0 while waiting where the KV was imported. */
+  /** Tokens whose KV is resident; above 0 for a waiting sequence only if its KV was handed over. */
   computed: number;
   /** Tokens whose KV must be resident before the next output token. */
   target: number;
-  /** Takes no part in steps: its reader is slow. */
+  /** Excluded from steps because its reader is slow. */
   paused: boolean;
   /** Finished, cancelled or cut. */
   ended: boolean;
 }
 
-/** What one step does. */
+/** The work of one step. */
 export interface StepPlan {
   readonly work: readonly StepWork[];
   readonly prefillTokens: number;
@@ -42,7 +42,7 @@
   readonly residentTokens: number;
 }
 
-/** One sequence's part in a step. */
+/** The work of one sequence in a step. */
 export interface StepWork {
   readonly sequence: Sequence;
   /** Tokens whose KV the step computes. */
@@ -50,11 +50,11 @@
   readonly phase: 'prefill' | 'decode';
 }
 
-/** What the batch needs of the rest of the engine. */
+/** The KV memory operations that the batch needs. */
 export interface BatchMemory {
   /** KV tokens that running sequences may use now. */
   available(): number;
-  /** Frees memory that others hold; false when there is none. */
+  /** Frees KV memory outside the batch; returns false if there is none to free. */
   reclaim(): boolean;
   /** Leading tokens of a sequence that the prefix cache holds. Called at admission. */
   cachedTokens(sequence: Sequence): number;
@@ -85,7 +85,7 @@
     return this.#waiting.length + this.#running.length;
   }
 
-  /** Tokens accepted but not yet read. */
+  /** Tokens of accepted requests that still have to be prefilled. */
   queuedPrefillTokens(): number {
     let tokens = 0;
     for (const sequence of this.#waiting) tokens += missingTokens(sequence);
@@ -98,13 +98,13 @@
     return this.#running.reduce((sum, sequence) => sum + sequence.computed, 0);
   }
 
-  /** Tokens that running sequences hold or will hold after prefill, and waiting ones hold. */
+  /** KV tokens that running sequences hold or will hold after prefill, plus those of waiting ones. */
   reservedTokens(): number {
     const running = this.#running.reduce((sum, sequence) => sum + reserved(sequence), 0);
     return this.#waiting.reduce((sum, sequence) => sum + sequence.computed, running);
   }
 
-  /** Puts a sequence into the waiting queue. */
+  /** Inserts a sequence into the waiting queue. */
   add(sequence: Sequence): void {
     const place = this.#waiting.findIndex((other) => comesBefore(sequence, other));
     this.#waiting.splice(place === -1 ? this.#waiting.length : place, 0, sequence);
@@ -116,14 +116,14 @@
     return this.#running.find(matches) ?? this.#waiting.find(matches);
   }
 
-  /** Takes a sequence out, wherever it is. */
+  /** Removes a sequence from the queue or the batch. */
   remove(sequence: Sequence): void {
     sequence.ended = true;
     this.#running = this.#running.filter((other) => other !== sequence);
     this.#waiting = this.#waiting.filter((other) => other !== sequence);
   }
 
-  /** Takes all sequences out. */
+  /** Removes and returns all sequences. */
   clear(): Sequence[] {
     const all = [...this.#running, ...this.#waiting];
     for (const sequence of all) sequence.ended = true;
@@ -132,7 +132,7 @@
     return all;
   }
 
-  /** Composes the next step, or null when there is nothing to do. */
+  /** Plans the next step; null if there is no work. */
   plan(chunkTokens: number): StepPlan | null {
     this.#makeRoomForDecode();
     this.#admit();
@@ -189,7 +189,7 @@
     }
   }
 
-  /** A sequence that would run alone always gets its memory. */
+  /** A sequence that would run alone is always admitted, so that it cannot wait forever. */
   #fits(sequence: Sequence): boolean {
     const missing = sequence.target + 1 - sequence.computed;
     const needed = (): number => this.#reservedAfterDecode() + missing;
--- a/src/lab/engine/cache-event-log.ts
+++ b/src/lab/engine/cache-event-log.ts
@@ -1,11 +1,11 @@
-/** The cache events an engine publishes: late, with gaps, and only the last 4,096. */
+/** The cache events that an engine publishes: delayed, some lost, and only the last 4,096. */
 import type { CacheChange } from './prefix-cache.js';
 
-const KEPT_EVENTS = 4_096;
-/** Old events are dropped in runs of this many, to keep an append cheap. */
+const MAX_EVENTS = 4_096;
+/** Old events are dropped in batches of this size, to keep an append cheap. */
 const TRIM_EVENTS = 1_024;
 
-/** A published event. Numbers may be missing. */
+/** A published event. The numbers have gaps where events were lost. */
 export interface CacheEvent extends CacheChange {
   readonly n: number;
 }
@@ -13,7 +13,7 @@
 /** The answer of `GET /control/cache-events`. */
 export interface CacheEventPage {
   readonly events: readonly CacheEvent[];
-  /** The number of the newest visible event; ask after it next. */
+  /** The number of the newest visible event; the `after` of the next request. */
   readonly last: number;
 }
 
@@ -29,7 +29,7 @@
   readonly draw: () => number;
 }
 
-/** Collects changes and shows each after its delay, in order. */
+/** Records cache changes and makes each visible after its delay, in order. */
 export class CacheEventLog {
   readonly #options: CacheEventLogOptions;
   #events: StoredEvent[] = [];
@@ -43,14 +43,14 @@
   /** Records changes made at `now`. */
   append(now: number, changes: readonly CacheChange[]): void {
     for (const change of changes) this.#appendOne(now, change);
-    if (this.#events.length > KEPT_EVENTS + TRIM_EVENTS) {
-      this.#events = this.#events.slice(-KEPT_EVENTS);
+    if (this.#events.length > MAX_EVENTS + TRIM_EVENTS) {
+      this.#events = this.#events.slice(-MAX_EVENTS);
     }
   }
 
   /** The events after number `after` that are visible by `now`. */
   read(now: number, after: number): CacheEventPage {
-    const visible = this.#events.slice(-KEPT_EVENTS).filter((event) => event.visibleAt <= now);
+    const visible = this.#events.slice(-MAX_EVENTS).filter((event) => event.visibleAt <= now);
     const events = visible
       .filter((event) => event.n > after && !event.lost)
       .map(({ n, kind, hash }) => ({ n, kind, hash }));
--- a/src/lab/engine/engine-model.ts
+++ b/src/lab/engine/engine-model.ts
@@ -1,7 +1,7 @@
 /**
- * An emulated model engine in virtual time. It has no clock: each call states the time, time never
- * goes back, and what became due comes out of `advance`. The HTTP shell drives it by the machine's
- * clock, the simulation by its own.
+ * An emulated model engine in virtual time. It has no clock: each call passes the current time,
+ * which must not decrease, and `advance` returns the outputs that became due. The HTTP server drives
+ * it by the machine's clock, the simulation by a virtual clock.
  */
 import { uniformFloat64 } from 'pure-rand/distribution/uniformFloat64';
 import { xoroshiro128plus } from 'pure-rand/generator/xoroshiro128plus';
@@ -20,13 +20,13 @@
 import { refusal, refuseFull } from './refusals.js';
 import type { PromptDescription } from './tokens.js';
 
-/** An order that has taken the engine away. */
+/** An order under way; the engine takes no requests until it ends. */
 export interface RunningOrder {
   readonly order: Order;
   readonly endsAt: number;
 }
 
-/** One life of an engine. */
+/** One boot of an engine. */
 export class EngineModel {
   readonly #settings: EngineSettings;
   readonly #inventory: Inventory;
@@ -62,22 +62,22 @@
     return this.#executor.active;
   }
 
-  /** The order that has taken the engine away, with its end, or null. */
+  /** The order under way with its end time, or null. */
   get runningOrder(): RunningOrder | null {
     return this.#order;
   }
 
-  /** When something becomes due next, or null while nothing runs. */
+  /** The time of the next step end or order end; null if nothing runs. */
   nextDueAt(): number | null {
     return this.#executor.stepEndsAt ?? this.#order?.endsAt ?? null;
   }
 
-  /** Whether `advance` would return something without time moving on. */
+  /** Whether `advance` would return outputs at the current time. */
   get hasOutputs(): boolean {
     return this.#outputs.length > 0;
   }
 
-  /** Moves time on and returns what became due since the last call, in order. */
+  /** Advances the time and returns the outputs since the last call, in order. */
   advance(now: number): EngineOutput[] {
     this.#settle(now);
     const outputs = this.#outputs;
@@ -85,7 +85,7 @@
     return outputs;
   }
 
-  /** Takes or refuses a request. Outputs come from `advance`, also where none is left to write. */
+  /** Accepts or refuses a request. All outputs, also an immediate `finished`, come from `advance`. */
   submit(now: number, request: EngineRequest): EngineAcceptance | EngineRefusal {
     this.#settle(now);
     if (this.#order !== null) return refusal('engine-busy', 'an order is under way; try another');
@@ -101,19 +101,19 @@
     return this.#accept(now, request, resolved);
   }
 
-  /** Ends a request early; false when it is not active. */
+  /** Cancels a request; returns false if it is not active. */
   cancel(now: number, attempt: AttemptId): boolean {
     this.#settle(now);
     return this.#executor.cancel(now, attempt);
   }
 
-  /** Stops or goes on writing a request whose reader is slow. */
+  /** Pauses or resumes a request, for back-pressure from a slow reader. */
   setPaused(now: number, attempt: AttemptId, paused: boolean): void {
     this.#settle(now);
     this.#executor.setPaused(now, attempt, paused);
   }
 
-  /** Takes an order. Requests still active when it runs are cut. */
+  /** Handles an order. Requests still active when it starts are cut. */
   order(now: number, order: Order): OrderAnswer {
     this.#settle(now);
     if (order.engine !== this.#settings.name) return this.#orders.invalid();
@@ -123,23 +123,23 @@
     return this.#run(now, order);
   }
 
-  /** What became of an order. */
+  /** The state of an order. */
   orderState(now: number, id: OrderId): EngineOrderState | 'unknown' {
     this.#settle(now);
     return this.#orders.stateOf(id);
   }
 
-  /** Makes the next order that takes time end as failed, without effect. */
+  /** Makes the next order that takes time fail without effect. */
   failNextOrder(): void {
     this.#nextOrderFails = true;
   }
 
-  /** Sets the label that reports repeat; the engine goes on taking requests. */
+  /** Sets the `leaving` label of reports; the engine still accepts requests. */
   setLeaving(leaving: boolean): void {
     this.#leaving = leaving;
   }
 
-  /** What the engine says of itself. */
+  /** The engine's report of its state and load. */
   report(now: number): EngineReport {
     this.#settle(now);
     return {
@@ -164,17 +164,17 @@
     return this.#executor.cacheEvents(now, after);
   }
 
-  /** What a handle holds, for another engine to import; null when it is gone. */
+  /** The KV cache under a handle, for another engine to import; null if there is none. */
   exportKv(now: number, handle: string): HeldKv | null {
     return this.#executor.readHandle(now, handle);
   }
 
-  /** How long a KV cache takes from one engine to another, in milliseconds. */
+  /** The time to transfer a KV cache to another engine, in milliseconds. */
   kvTransferMs(held: HeldKv): number {
     return this.#executor.kvTransferMs(held);
   }
 
-  /** Holds a KV cache that has arrived from another engine; null when it does not fit. */
+  /** Stores a KV cache from another engine; null if it does not fit or an order is under way. */
   importKv(now: number, held: HeldKv): string | null {
     this.#settle(now);
     return this.#order === null ? this.#executor.importKv(now, held) : null;
@@ -271,7 +271,7 @@
     this.#outputs.push({ kind: 'order-ended', at: endsAt, order: order.id, state });
   }
 
-  /** All but a load restart the engine's workers: the prefix cache is lost. */
+  /** All orders except a load restart the engine's workers, which clears the prefix cache. */
   #applyOrder(at: number, { action }: Order): void {
     this.#inventory.apply(action);
     this.#adoptRole();
@@ -279,7 +279,7 @@
     if (!keepsCache) this.#executor.clearCache(at);
   }
 
-  /** A decode engine reads prompts in small chunks, which guards the time between tokens. */
+  /** A decode engine prefills in small chunks, which bounds the time between tokens. */
   #adoptRole(): void {
     const { prefillChunkTokens, decodeRoleChunkTokens } = this.#settings;
     const decode = this.#inventory.role === 'decode';
--- a/src/lab/engine/http/answers.ts
+++ b/src/lab/engine/http/answers.ts
@@ -1,4 +1,4 @@
-/** The answers of an emulated engine: JSON bodies and server-sent event frames. */
+/** The responses of an emulated engine: JSON bodies and server-sent event frames. */
 import type { ServerResponse } from 'node:http';
 import type { AttemptId } from '../../../core/common/identifiers.js';
 import type { EngineRefusal, RefusalCode } from '../outputs.js';
@@ -13,7 +13,7 @@
   'engine-busy': 503,
 };
 
-/** What all answers of one request repeat. */
+/** The fields that all answers and frames of one request contain. */
 export interface AnswerIdentity {
   readonly attempt: AttemptId;
   readonly model: string;
@@ -27,7 +27,7 @@
   readonly completionTokens: number;
 }
 
-/** Sends a whole JSON answer. */
+/** Sends a complete JSON answer. */
 export function sendJson(
   response: ServerResponse,
   status: number,
@@ -43,7 +43,7 @@
   response.end(bytes);
 }
 
-/** Sends an answer whose stated length is wrong, and closes the connection. */
+/** Sends an answer whose `content-length` is wrong by `byBytes`, and closes the connection. */
 export function sendWrongLength(
   response: ServerResponse,
   body: unknown,
@@ -60,7 +60,7 @@
   response.end(bytes, () => socket?.end());
 }
 
-/** Sends a refusal, which says that nothing was run. */
+/** Sends a refusal, which states that nothing was run. */
 export function sendRefusal(response: ServerResponse, refusal: EngineRefusal): void {
   const { code, message, retryAfterSeconds } = refusal;
   const headers =
@@ -68,12 +68,12 @@
   sendJson(response, STATUS_OF[code], { error: { code, message }, notRun: true }, headers);
 }
 
-/** Sends a refusal for a body or header of the wrong form. */
+/** Sends a refusal for an invalid body or header. */
 export function sendInvalid(response: ServerResponse, message: string): void {
   sendRefusal(response, refusal('invalid-request', message));
 }
 
-/** The body of a whole answer. */
+/** The body of a non-streamed answer. */
 export function wholeAnswer(identity: AnswerIdentity, text: string, usage: Usage): unknown {
   const choice = identity.chat
     ? { message: { role: 'assistant', content: text } }
@@ -100,7 +100,7 @@
   return frame(`${identity.attempt}:${offset}`, data);
 }
 
-/** The frames that end a stream. */
+/** The final frames of a stream: the usage and `[DONE]`. */
 export function endFrames(identity: AnswerIdentity, usage: Usage): string {
   const data = {
     ...head(identity, frameObject(identity)),
--- a/src/lab/engine/http/bodies.ts
+++ b/src/lab/engine/http/bodies.ts
@@ -1,4 +1,4 @@
-/** The bodies and headers that an emulated engine takes, checked with zod. */
+/** The request bodies and headers of an emulated engine, validated with zod. */
 import type { IncomingHttpHeaders, IncomingMessage } from 'node:http';
 import { err, ok, type Result } from 'neverthrow';
 import { z } from 'zod';
@@ -8,7 +8,7 @@
 const MAX_BODY_BYTES = 16 * 1024 * 1024;
 const MAX_OUTPUT_TOKENS = 1_000_000;
 const DEFAULT_OUTPUT_TOKENS = 16;
-const LOWEST_PRIORITY = 9;
+const MAX_PRIORITY_VALUE = 9;
 const DEFAULT_PRIORITY = 5;
 
 const outputTokens = z.int().min(1).max(MAX_OUTPUT_TOKENS);
@@ -39,7 +39,7 @@
 
 const headerSchema = z.object({
   attempt: z.string().min(1).max(256),
-  priority: z.coerce.number().int().min(0).max(LOWEST_PRIORITY),
+  priority: z.coerce.number().int().min(0).max(MAX_PRIORITY_VALUE),
   resumeOffset: z.coerce.number().int().min(0).max(MAX_OUTPUT_TOKENS),
   version: z.string().nullable(),
   kvHandle: z.string().nullable(),
@@ -60,7 +60,7 @@
   z.strictObject({ kind: z.literal('unload-adapter'), model: name, adapter: name }),
 ]);
 
-/** An order as it comes over the wire. */
+/** The body of `POST /control/orders`. */
 export const orderSchema: z.ZodType<Order> = z.strictObject({
   id: name,
   engine: name,
@@ -79,7 +79,7 @@
   kvHandle: name,
 });
 
-/** A completion of either form, reduced to what the engine needs. */
+/** A completion or chat completion body, reduced to what the engine needs. */
 export interface CompletionBody {
   readonly model: string;
   readonly prompt: string;
@@ -91,7 +91,7 @@
 /** The request headers of docs/ENGINE-API.md. */
 export type EngineHeaders = z.infer<typeof headerSchema>;
 
-/** Checks a value; the error is one line for the answer. */
+/** Validates a value; the error is one line for the answer. */
 export function check<Value>(schema: z.ZodType<Value>, value: unknown): Result<Value, string> {
   const checked = schema.safeParse(value);
   if (checked.success) return ok(checked.data);
@@ -99,7 +99,7 @@
   return err(`${issue?.path.join('.') || 'body'}: ${issue?.message ?? 'invalid'}`);
 }
 
-/** Checks a completion or chat completion body. */
+/** Validates a completion or chat completion body. */
 export function checkCompletion(value: unknown, chat: boolean): Result<CompletionBody, string> {
   if (!chat) {
     return check(completionSchema, value).map(({ max_tokens: maxTokens, seed, ...rest }) => ({
@@ -117,7 +117,7 @@
   }));
 }
 
-/** Checks the engine's own request headers. `fallbackAttempt` stands in for a missing attempt id. */
+/** Validates the engine's own request headers. `fallbackAttempt` replaces a missing attempt id. */
 export function checkHeaders(
   headers: IncomingHttpHeaders,
   fallbackAttempt: string,
@@ -131,7 +131,7 @@
   });
 }
 
-/** Reads a whole JSON body. */
+/** Reads a complete JSON body. */
 export async function readJson(request: IncomingMessage): Promise<Result<unknown, string>> {
   const chunks: Buffer[] = [];
   let length = 0;
--- a/src/lab/engine/http/completions.ts
+++ b/src/lab/engine/http/completions.ts
@@ -22,7 +22,7 @@
 import type { AnswerFault } from './faults.js';
 import { StreamWriter } from './stream-writer.js';
 
-/** The forms a request may have. */
+/** The kinds of request. */
 export type CompletionKind = 'completion' | 'chat' | 'prefill';
 
 interface CheckedRequest {
@@ -39,7 +39,7 @@
   readonly identity: AnswerIdentity;
   readonly acceptance: EngineAcceptance;
   readonly fault: AnswerFault | null;
-  /** Null for an answer that is sent whole. */
+  /** Null for an answer that is not streamed. */
   readonly stream: StreamWriter | null;
 }
 
@@ -108,7 +108,7 @@
   fault: AnswerFault | null,
 ): StreamWriter {
   const setPaused = (paused: boolean): void => host.setPaused(identity.attempt, paused);
-  const giveBack = (unstruck: AnswerFault): void => host.faults.giveBack(unstruck);
+  const giveBack = (unusedFault: AnswerFault): void => host.faults.giveBack(unusedFault);
   return new StreamWriter(response, identity, { setPaused, crash: host.crash, giveBack }, fault);
 }
 
--- a/src/lab/engine/http/control.ts
+++ b/src/lab/engine/http/control.ts
@@ -34,7 +34,7 @@
   sendJson(response, 200, host.model.cacheEvents(host.advance(), Number(after) || 0));
 }
 
-/** `POST /faults`: arms faults. For tests; no engine of docs/ENGINE-API.md has it. */
+/** `POST /faults`: arms faults, for tests; not part of docs/ENGINE-API.md. */
 export function handleFaults(host: EngineHost, body: unknown, response: ServerResponse): void {
   check(faultsSchema, body).match(
     ({ faults, replace = false }) => {
@@ -54,14 +54,14 @@
   );
 }
 
-/** `GET /control/kv/export/<handle>`: what the importing engine asks of the other. */
+/** `GET /control/kv/export/<handle>`: called by the importing engine. */
 export function handleKvExport(host: EngineHost, handle: string, response: ServerResponse): void {
   const held = host.model.exportKv(host.advance(), handle);
   if (held === null) sendJson(response, NOT_FOUND, { error: { code: 'kv-gone' } });
   else sendJson(response, 200, held);
 }
 
-/** `POST /control/kv/import`: fetches the KV, which takes its transfer time, and holds it. */
+/** `POST /control/kv/import`: fetches a KV cache, waits its transfer time, and stores it. */
 export async function handleKvImport(
   host: EngineHost,
   body: unknown,
--- a/src/lab/engine/http/engine-host.ts
+++ b/src/lab/engine/http/engine-host.ts
@@ -1,4 +1,4 @@
-/** Drives an engine model by the machine's monotonic clock and hands its outputs to listeners. */
+/** Drives an engine model by the machine's monotonic clock and passes its outputs to listeners. */
 import { randomUUID } from 'node:crypto';
 import type { AttemptId } from '../../../core/common/identifiers.js';
 import type { Order, OrderAnswer } from '../../../core/orders/types.js';
@@ -8,17 +8,17 @@
 import { FaultBoard } from './faults.js';
 import { Ledger } from './ledger.js';
 
-/** Options of the engine apart from its boot id, which each start draws. */
+/** Options of the engine without its boot id, which each start generates. */
 export type EngineHostOptions = Omit<EngineModelOptions, 'boot'>;
 
-/** Takes the outputs of one attempt. */
+/** Receives the outputs of one attempt. */
 export type OutputListener = (output: EngineOutput) => void;
 
-/** One engine process: its model may be replaced by a restart, its ledger stays. */
+/** One emulated engine process: a restart replaces the model and keeps ledger and armed faults. */
 export class EngineHost {
   readonly ledger = new Ledger();
   readonly faults = new FaultBoard();
-  /** Lets the process die and come back after `downMs`. */
+  /** Crashes the process, which restarts after `downMs`. */
   readonly crash: (downMs: number) => void;
   readonly #options: EngineHostOptions;
   readonly #listeners = new Map<AttemptId, OutputListener>();
@@ -34,15 +34,15 @@
     this.#model = this.#boot();
   }
 
-  /** The model of the present boot. */
+  /** The model of the current boot. */
   get model(): EngineModel {
     return this.#model;
   }
 
   /**
-   * Delivers what is due, step by step, and returns the model's time in milliseconds: the machine's
-   * monotonic clock or, within a delivery, the time of the step that is being delivered. So a
-   * reader's pause takes effect at once, however late the timer fired.
+   * Delivers due outputs step by step and returns the model's time in milliseconds: the machine's
+   * monotonic clock or, during a delivery, the time of the step being delivered. A reader's pause
+   * therefore takes effect from the next step on, even if the timer fired late.
    */
   advance(): number {
     if (this.#deliveringAt !== null) return this.#deliveringAt;
@@ -55,19 +55,19 @@
     return now;
   }
 
-  /** Submits a request; its outputs go to the listener until it ends. */
+  /** Submits a request; the listener receives its outputs until it ends. */
   submit(request: EngineRequest, listener: OutputListener): EngineAcceptance | EngineRefusal {
     const answer = this.#model.submit(this.advance(), request);
     if (answer.kind === 'accepted') {
       this.ledger.accepted(request.attempt, this.#model.boot);
       this.#listeners.set(request.attempt, listener);
     }
-    // Outputs of this request reach the listener only after the caller has seen the acceptance.
+    // Schedules delivery instead of delivering here: the caller must see the acceptance first.
     this.#schedule();
     return answer;
   }
 
-  /** Ends a request early; false when it is not active. */
+  /** Cancels a request; returns false if it is not active. */
   cancel(attempt: AttemptId): boolean {
     if (!this.#listeners.has(attempt)) return false;
     const cancelled = this.#model.cancel(this.advance(), attempt);
@@ -79,7 +79,7 @@
     return cancelled;
   }
 
-  /** Ends a request early and closes its connection. */
+  /** Cancels a request and closes its connection. */
   cancelAndClose(attempt: AttemptId): boolean {
     const listener = this.#listeners.get(attempt);
     const cancelled = this.cancel(attempt);
@@ -87,31 +87,31 @@
     return cancelled;
   }
 
-  /** Stops or goes on writing for a slow reader. */
+  /** Pauses or resumes a request, for back-pressure from a slow reader. */
   setPaused(attempt: AttemptId, paused: boolean): void {
     this.#model.setPaused(this.advance(), attempt, paused);
     this.#schedule();
   }
 
-  /** Gives an order. */
+  /** Submits an order. */
   order(order: Order): OrderAnswer {
     const before = this.#model.runningOrder;
     const answer = this.#model.order(this.advance(), order);
     const running = this.#model.runningOrder;
-    if (running !== null && running !== before) this.#strike(running.endsAt);
+    if (running !== null && running !== before) this.#injectFault(running.endsAt);
     this.#deliverUntil(this.advance());
     this.#schedule();
     return answer;
   }
 
-  /** Starts a new boot in the start-up role and with the start-up models. */
+  /** Starts a new boot with the initial role and models. */
   restart(): void {
     this.stop();
     this.#stopped = false;
     this.#model = this.#boot();
   }
 
-  /** Stops the timer and forgets what runs. */
+  /** Stops the timers and records the active requests as lost. */
   stop(): void {
     this.#stopped = true;
     if (this.#timer !== null) clearTimeout(this.#timer);
@@ -122,8 +122,8 @@
     this.#listeners.clear();
   }
 
-  /** Lets the armed fault of an order strike: at half of its time, or at its end. */
-  #strike(endsAt: number): void {
+  /** Injects the next armed order fault: a crash halfway through the order, or a failure at its end. */
+  #injectFault(endsAt: number): void {
     const fault = this.faults.takeForOrder();
     if (fault === null) return;
     if (fault.kind === 'fail-order') {
@@ -147,7 +147,7 @@
     }
   }
 
-  /** What was due for a request that has been cancelled or lost in a crash reaches nobody. */
+  /** Drops outputs of requests that have been cancelled or lost in a crash. */
   #deliver(output: EngineOutput): void {
     if (output.kind === 'order-ended') return;
     const listener = this.#listeners.get(output.attempt);
--- a/src/lab/engine/http/ledger.ts
+++ b/src/lab/engine/http/ledger.ts
@@ -1,6 +1,6 @@
-/** What an engine or web backend ran, kept over restarts, so that tests can see what really ran. */
+/** Records which requests a backend ran; survives emulated restarts, so that tests can verify it. */
 
-/** How a request ended. `lost`: the process died under it. */
+/** How a request ended. `cut`: ended by an order; `lost`: the process crashed. */
 export type LedgerOutcome = 'active' | 'finished' | 'cancelled' | 'cut' | 'lost';
 
 /** One accepted request. */
@@ -10,25 +10,25 @@
   readonly outcome: LedgerOutcome;
 }
 
-/** The totals and the entries that are still kept. */
+/** The totals and the newest entries. */
 export interface LedgerPage {
   readonly counts: Readonly<Record<LedgerOutcome, number>>;
   readonly entries: readonly LedgerEntry[];
 }
 
-const KEPT_ENTRIES = 50_000;
+const MAX_ENTRIES = 50_000;
 
 /** Counts every request by outcome and keeps the newest entries. */
 export class Ledger {
   readonly #entries = new Map<string, LedgerEntry>();
   readonly #counts = { active: 0, finished: 0, cancelled: 0, cut: 0, lost: 0 };
 
-  /** Records a request that was taken. */
+  /** Records an accepted request. */
   accepted(attempt: string, boot: string): void {
     this.#counts.active += 1;
     this.#entries.delete(attempt);
     this.#entries.set(attempt, { attempt, boot, outcome: 'active' });
-    if (this.#entries.size <= KEPT_ENTRIES) return;
+    if (this.#entries.size <= MAX_ENTRIES) return;
     const oldest = this.#entries.keys().next();
     if (oldest.done !== true) this.#entries.delete(oldest.value);
   }
@@ -41,7 +41,7 @@
     if (entry !== undefined) this.#entries.set(attempt, { ...entry, outcome });
   }
 
-  /** Everything that is kept. */
+  /** The totals and all retained entries. */
   page(): LedgerPage {
     return { counts: { ...this.#counts }, entries: [...this.#entries.values()] };
   }
--- a/src/lab/engine/http/server.ts
+++ b/src/lab/engine/http/server.ts
@@ -1,4 +1,4 @@
-/** An emulated engine behind HTTP, as docs/ENGINE-API.md states it. */
+/** An emulated engine behind HTTP, as specified in docs/ENGINE-API.md. */
 import { EventEmitter, once } from 'node:events';
 import { createServer, type IncomingMessage, type Server, type ServerResponse } from 'node:http';
 import type { Endpoint } from '../../../core/registry/backend.js';
@@ -12,20 +12,20 @@
 
 /** Options of `createEngineServer`. */
 export interface EngineServerOptions extends EngineHostOptions {
-  /** An IP number and a port; port 0 takes a free one. */
+  /** An IP address and a port; port 0 selects a free port. */
   readonly listen: Endpoint;
 }
 
 /** A running emulated engine. */
 export interface EngineServer {
   readonly endpoint: Endpoint;
-  /** The model of the present boot. */
+  /** The model of the current boot. */
   readonly model: EngineModel;
-  /** Drops all connections, and is back after `downMs` as a new boot. */
+  /** Drops all connections and restarts after `downMs` as a new boot. */
   crash(downMs: number): void;
-  /** Resolves at the next time that the engine is back after a crash. */
+  /** Resolves at the next restart after a crash. */
   restarted(): Promise<void>;
-  /** Ends the server and all its connections. */
+  /** Closes the server and all its connections. */
   close(): Promise<void>;
 }
 
@@ -37,7 +37,7 @@
   return process;
 }
 
-/** The emulated process: a host that dies and comes back on the same endpoint. */
+/** The emulated process: a host that can crash and restart on the same endpoint. */
 class EngineProcess implements EngineServer {
   readonly #host: EngineHost;
   readonly #server: Server;
--- a/src/lab/engine/http/stream-writer.ts
+++ b/src/lab/engine/http/stream-writer.ts
@@ -1,15 +1,15 @@
-/** Writes one streamed answer, with back-pressure and with the fault that was armed for it. */
+/** Writes one streamed answer, with back-pressure and with the fault armed for it. */
 import type { ServerResponse } from 'node:http';
 import { type AnswerIdentity, endFrames, tokenFrame, type Usage } from './answers.js';
 import type { AnswerFault } from './faults.js';
 
-/** What a stream needs of its engine. */
+/** The engine operations that a stream needs. */
 export interface StreamEngine {
-  /** Stops or goes on writing while the reader is slow. */
+  /** Pauses or resumes token generation, for back-pressure from a slow reader. */
   readonly setPaused: (paused: boolean) => void;
-  /** Dies and comes back after so long. */
+  /** Crashes the engine, which restarts after `downMs`. */
   readonly crash: (downMs: number) => void;
-  /** Takes a fault back that did not strike. */
+  /** Rearms a fault that was not injected. */
   readonly giveBack: (fault: AnswerFault) => void;
 }
 
@@ -19,14 +19,14 @@
   readonly #identity: AnswerIdentity;
   readonly #engine: StreamEngine;
   readonly #fault: AnswerFault | null;
-  /** Frames held back by a stall, or null. */
+  /** Frames held back by a stall; null if there is no stall. */
   #held: string[] | null = null;
-  /** The frame that a fault sends after its successor. */
+  /** The frame that the `late-frame` fault sends after its successor. */
   #late: string | null = null;
   #sentTokens = 0;
   #paused = false;
   #ended = false;
-  #hasStruck = false;
+  #wasInjected = false;
 
   constructor(
     response: ServerResponse,
@@ -54,11 +54,11 @@
   token(offset: number, text: string, last: boolean): void {
     if (this.#ended) return;
     const frame = tokenFrame(this.#identity, offset, text, last);
-    const strikes = this.#fault !== null && this.#sentTokens === afterTokens(this.#fault);
+    const isDue = this.#fault !== null && this.#sentTokens === afterTokens(this.#fault);
     this.#sentTokens += 1;
-    if (strikes && this.#fault !== null) this.#strike(this.#fault, frame, offset);
+    if (isDue && this.#fault !== null) this.#inject(this.#fault, frame, offset);
     else this.#send(frame);
-    if (!strikes) this.#sendLate();
+    if (!isDue) this.#sendLate();
   }
 
   /** Sends the usage and ends the stream. */
@@ -66,14 +66,14 @@
     if (this.#ended) return;
     this.#sendLate();
     this.#ended = true;
-    // What is left of a stream that others broke off may be too short for it; whoever armed it waits for it to strike.
-    if (this.#fault !== null && !this.#hasStruck) this.#engine.giveBack(this.#fault);
+    // A resumed stream may be too short to reach `afterTokens`; the test that armed the fault waits for its injection.
+    if (this.#fault !== null && !this.#wasInjected) this.#engine.giveBack(this.#fault);
     this.#send(endFrames(this.#identity, usage));
     if (this.#held === null) this.#response.end();
   }
 
-  #strike(fault: AnswerFault, frame: string, offset: number): void {
-    this.#hasStruck = true;
+  #inject(fault: AnswerFault, frame: string, offset: number): void {
+    this.#wasInjected = true;
     switch (fault.kind) {
       case 'stall':
         this.#stall(fault.forMs, frame);
@@ -95,7 +95,7 @@
         this.#engine.crash(fault.downMs);
         return;
       case 'wrong-length':
-        throw new Error('a wrong length is a fault of whole answers');
+        throw new Error('the fault wrong-length applies to non-streamed answers only');
     }
   }
 
@@ -112,13 +112,13 @@
 
   #stall(forMs: number, frame: string): void {
     this.#held = [frame];
-    // A run that went on behind it would be over before whoever watches the stall has done what is to be seen.
+    // Without the pause, generation would finish during the stall, before the test that watches the stall has acted.
     this.#engine.setPaused(true);
-    const timer = setTimeout(() => this.#release(), forMs);
+    const timer = setTimeout(() => this.#endStall(), forMs);
     this.#response.once('close', () => clearTimeout(timer));
   }
 
-  #release(): void {
+  #endStall(): void {
     const held = this.#held ?? [];
     this.#held = null;
     this.#engine.setPaused(false);
--- a/src/lab/engine/index.ts
+++ b/src/lab/engine/index.ts
@@ -1,4 +1,4 @@
-/** Emulated model engines: a pure model in virtual time, and the same behind HTTP. */
+/** Emulated model engines: a pure model in virtual time, and an HTTP server around it. */
 export { ACCELERATORS, type AcceleratorName } from './accelerators.js';
 export { EngineModel } from './engine-model.js';
 export { createEngineServer, type EngineServer, type EngineServerOptions } from './http/server.js';
--- a/src/lab/engine/inventory.ts
+++ b/src/lab/engine/inventory.ts
@@ -3,18 +3,18 @@
 import type { OrderAction } from '../../core/orders/types.js';
 import type { EngineRole, LoadedAdapter, LoadedModel } from '../../core/registry/backend.js';
 
-/** What a caller's model name stands for on this engine. */
+/** The model or adapter that a caller's model name resolves to on this engine. */
 export interface ResolvedModel {
   readonly model: ModelName;
   readonly adapter: AdapterName | null;
-  /** As `system_fingerprint` states it. */
+  /** As in `system_fingerprint`. */
   readonly version: string;
 }
 
-/** What an engine holds. */
+/** The role and the loaded models of one engine. */
 export class Inventory {
   #role: EngineRole;
-  /** The newest loaded last. */
+  /** In order of loading. */
   #models: readonly LoadedModel[];
 
   constructor(role: EngineRole, models: readonly LoadedModel[]) {
@@ -30,7 +30,7 @@
     return this.#models;
   }
 
-  /** Finds a model or adapter by the caller's name, the newest version unless one is wanted. */
+  /** Finds a model or adapter by the caller's name: the wanted version, or the newest if null. */
   resolve(name: string, wantedVersion: string | null): ResolvedModel | null {
     for (const held of [...this.#models].reverse()) {
       const resolved = resolveIn(held, name);
@@ -40,7 +40,7 @@
     return null;
   }
 
-  /** Whether an action names what the engine has. */
+  /** Whether the engine has what the action requires: the base model of an adapter to load. */
   canRun(action: OrderAction): boolean {
     if (action.kind === 'load-adapter') return this.#holds(action.model);
     return true;
@@ -68,7 +68,7 @@
     }
   }
 
-  /** Carries out an action. */
+  /** Applies an action. */
   apply(action: OrderAction): void {
     switch (action.kind) {
       case 'hold':
--- a/src/lab/engine/kv-handles.ts
+++ b/src/lab/engine/kv-handles.ts
@@ -1,10 +1,10 @@
-/** KV caches that an engine holds between prefill and decode, each under a handle that expires. */
+/** KV caches held between prefill and decode, each under a handle that expires. */
 import type { PromptDescription } from './tokens.js';
 
-/** A held KV cache; what one engine hands to another. */
+/** A held KV cache, as one engine transfers it to another. */
 export interface HeldKv {
   readonly prompt: PromptDescription;
-  /** The version that read the prompt, as `system_fingerprint` states it. */
+  /** The version that prefilled the prompt, as in `system_fingerprint`. */
   readonly version: string;
   /** The name the caller used. */
   readonly name: string;
@@ -15,18 +15,18 @@
   readonly expiresAt: number;
 }
 
-/** Handles in order of age. */
+/** Held KV caches by handle, oldest first. */
 export class KvHandles {
-  readonly #lifeMs: number;
+  readonly #ttlMs: number;
   readonly #prefix: string;
   readonly #entries = new Map<string, HandleEntry>();
   #counter = 0;
   #tokens = 0;
 
   /** @param prefix makes handles of different engines and boots distinct */
-  constructor(prefix: string, lifeMs: number) {
+  constructor(prefix: string, ttlMs: number) {
     this.#prefix = prefix;
-    this.#lifeMs = lifeMs;
+    this.#ttlMs = ttlMs;
   }
 
   /** Tokens of KV held. */
@@ -34,22 +34,22 @@
     return this.#tokens;
   }
 
-  /** Holds a KV cache and names its handle. */
+  /** Stores a KV cache and returns its handle. */
   hold(now: number, held: HeldKv): string {
     this.#counter += 1;
     const handle = `${this.#prefix}-kv${this.#counter}`;
-    this.#entries.set(handle, { held, expiresAt: now + this.#lifeMs });
+    this.#entries.set(handle, { held, expiresAt: now + this.#ttlMs });
     this.#tokens += held.prompt.tokens;
     return handle;
   }
 
-  /** What a handle holds, or null when it is gone. */
+  /** The KV cache under a handle; null if the handle is unknown, released or expired. */
   read(now: number, handle: string): HeldKv | null {
     this.#expire(now);
     return this.#entries.get(handle)?.held ?? null;
   }
 
-  /** Frees a handle. */
+  /** Releases a handle and frees its KV. */
   release(handle: string): void {
     const entry = this.#entries.get(handle);
     if (entry === undefined) return;
@@ -57,7 +57,7 @@
     this.#tokens -= entry.held.prompt.tokens;
   }
 
-  /** Frees the oldest handle; false when none is left. */
+  /** Releases the oldest handle; returns false if there is none. */
   releaseOldest(): boolean {
     const oldest = this.#entries.keys().next();
     if (oldest.done === true) return false;
@@ -65,7 +65,7 @@
     return true;
   }
 
-  /** Frees all handles. */
+  /** Releases all handles. */
   clear(): void {
     this.#entries.clear();
     this.#tokens = 0;
--- a/src/lab/engine/load-history.ts
+++ b/src/lab/engine/load-history.ts
@@ -1,4 +1,4 @@
-/** Past loads of an engine, from which a lagging report is answered. */
+/** Past load samples of an engine, from which delayed load reports are taken. */
 import type { EngineLoad } from '../../core/registry/backend.js';
 
 /** A load without its age. */
@@ -9,13 +9,13 @@
   readonly sample: LoadSample;
 }
 
-/** Samples over the lag; what changes faster is told that much of the lag too late at most. */
+/** Samples kept per lag; bounds the memory. A faster change is reported up to lag/64 late. */
 const SAMPLES_PER_LAG = 64;
 
-/** Keeps what the load was, back to `lagMs` ago. */
+/** Keeps load samples for the last `lagMs`. */
 export class LoadHistory {
   readonly #lagMs: number;
-  /** Oldest first; all but the last are at least a sample interval apart. */
+  /** Oldest first; all but the last are at least `lagMs / SAMPLES_PER_LAG` apart. */
   readonly #samples: TimedSample[];
 
   constructor(lagMs: number, startedAt: number, initial: LoadSample) {
@@ -23,7 +23,7 @@
     this.#samples = [{ at: startedAt, sample: initial }];
   }
 
-  /** Records that the load is `sample` from `at` on. */
+  /** Records the load from time `at` on. */
   record(at: number, sample: LoadSample): void {
     const beforeLast = this.#samples.at(-2);
     const tooDense = beforeLast !== undefined && at - beforeLast.at < this.#lagMs / SAMPLES_PER_LAG;
@@ -32,7 +32,7 @@
     this.#forgetBefore(at - this.#lagMs);
   }
 
-  /** The load as it was `lagMs` before `now`, or at the start if that was later. */
+  /** The load at `now - lagMs`, or the first sample if that one is later. */
   read(now: number): EngineLoad {
     const asOf = now - this.#lagMs;
     const index = this.#samples.findLastIndex((entry) => entry.at <= asOf);
@@ -41,7 +41,7 @@
     return { ageMs: now - Math.max(asOf, entry.at), ...entry.sample };
   }
 
-  /** Keeps one sample that is older, since it holds until the next. */
+  /** Keeps one sample older than `asOf`, because it is valid until the next one. */
   #forgetBefore(asOf: number): void {
     for (;;) {
       const second = this.#samples[1];
--- a/src/lab/engine/options.ts
+++ b/src/lab/engine/options.ts
@@ -5,33 +5,33 @@
 
 /** Options that have a default. All times are in milliseconds. */
 export interface EngineTuning {
-  /** Divides the time of steps and of KV transfers; the other times are as stated. */
+  /** Divides the durations of steps and KV transfers; other times are not scaled. */
   readonly speedFactor: number;
-  /** Most requests in the running batch. */
+  /** Maximum number of requests in the running batch. */
   readonly maxBatch: number;
-  /** Most requests that wait; one more is refused `engine-full`. */
+  /** Maximum number of waiting requests; further requests are refused with `engine-full`. */
   readonly maxQueue: number;
-  /** Most prompt tokens read in one step in roles `mixed` and `prefill`. */
+  /** Maximum number of tokens processed per step in roles `mixed` and `prefill`. */
   readonly prefillChunkTokens: number;
-  /** The same in role `decode`, which guards the time between tokens. */
+  /** The same in role `decode`; smaller, to bound the time between tokens. */
   readonly decodeRoleChunkTokens: number;
-  /** Tokens of KV for running requests and handles; null: what the accelerator has. */
+  /** KV capacity in tokens for running requests and handles; null: the accelerator's capacity. */
   readonly kvCapacityTokens: number | null;
-  /** Blocks kept in the prefix cache. */
+  /** Capacity of the prefix cache in blocks. */
   readonly prefixCacheBlocks: number;
   readonly reportLagMs: number;
-  /** Mean delay of a cache event; each is late by half to one and a half of it. */
+  /** Mean delay of a cache event; each is delayed by 0.5 to 1.5 times this value. */
   readonly cacheEventDelayMs: number;
-  /** Share of cache events that never appear. */
+  /** Share of cache events that are lost, 0 to 1. */
   readonly cacheEventLoss: number;
   readonly roleChangeMs: number;
   readonly loadMs: number;
   readonly kvHandleLifeMs: number;
-  /** Largest relative deviation of a step's time; drawn from the seed. */
+  /** Maximum relative deviation of a step's duration; drawn from the seeded generator. */
   readonly stepJitter: number;
 }
 
-/** What tells one engine from another. */
+/** Options that differ between engines and have no default. */
 export interface EngineIdentity {
   readonly name: string;
   readonly boot: BootId;
@@ -44,13 +44,13 @@
 /** Options of `EngineModel`. */
 export type EngineModelOptions = EngineIdentity & Partial<EngineTuning>;
 
-/** All options, with the accelerator's costs. */
+/** All options, with the accelerator's cost model. */
 export type EngineSettings = EngineIdentity &
   EngineTuning & { readonly profile: AcceleratorProfile };
 
 const PREFIX_CACHE_BLOCKS = 4_096;
 
-/** Defaults: assumed values of the order that published serving engines use. */
+/** Assumed values of the order that published serving engines use. */
 const DEFAULT_TUNING: EngineTuning = {
   speedFactor: 1,
   maxBatch: 64,
--- a/src/lab/engine/order-book.ts
+++ b/src/lab/engine/order-book.ts
@@ -1,6 +1,6 @@
 /**
- * The engine's side of fenced orders: the highest fence seen, the intake label, and what became of
- * each order of this boot. The rules are those of docs/ENGINE-API.md.
+ * The engine's handling of fenced orders: the highest fence seen, the intake label, and the state of
+ * each order of this boot. The rules are in docs/ENGINE-API.md.
  */
 import type { BootId, OrderId } from '../../core/common/identifiers.js';
 import { compareFences, type Order, type OrderAnswer } from '../../core/orders/index.js';
@@ -8,12 +8,12 @@
 
 type RefusalReason = Extract<OrderAnswer, { kind: 'refused' }>['reason'];
 
-/** What the book decided: an answer alone, or an order that now runs and takes the engine away. */
+/** The decision on an order: an immediate answer, or an order for the engine to run. */
 export type OrderDecision =
   | { readonly kind: 'answered'; readonly answer: OrderAnswer }
   | { readonly kind: 'run'; readonly order: Order };
 
-/** One boot's orders. */
+/** The orders of one boot. */
 export class OrderBook {
   readonly #boot: BootId;
   readonly #states = new Map<OrderId, EngineOrderState>();
@@ -36,18 +36,18 @@
     return this.#intake;
   }
 
-  /** The order that has taken the engine away, or null. */
+  /** The order under way, or null. */
   get running(): Order | null {
     return this.#running;
   }
 
-  /** The last order taken, with its state. */
+  /** The last accepted order, with its state. */
   get lastOrder(): { readonly id: OrderId; readonly state: EngineOrderState } | null {
     const state = this.#last === null ? undefined : this.#states.get(this.#last);
     return this.#last === null || state === undefined ? null : { id: this.#last, state };
   }
 
-  /** What became of an order. */
+  /** The state of an order. */
   stateOf(id: OrderId): EngineOrderState | 'unknown' {
     return this.#states.get(id) ?? 'unknown';
   }
@@ -66,7 +66,7 @@
     return { kind: 'run', order };
   }
 
-  /** Refuses an order that `receive` let through but the engine cannot carry out. */
+  /** The refusal of an order that passed `receive` but that the engine cannot execute. */
   invalid(): OrderAnswer {
     return this.#refusal('invalid');
   }
@@ -78,7 +78,7 @@
     this.#states.set(order.id, 'running');
   }
 
-  /** Marks an order as ended, whether or not it ran for a time. */
+  /** Marks an order as ended, whether or not it took time. */
   end(order: Order, state: 'done' | 'failed'): void {
     this.#running = null;
     this.#last = order.id;
--- a/src/lab/engine/outputs.ts
+++ b/src/lab/engine/outputs.ts
@@ -1,4 +1,4 @@
-/** What goes into an emulated engine and what comes out of it. */
+/** The requests to an emulated engine and its outputs. */
 
 import type { Hash64 } from '../../core/common/hash.js';
 import type { AttemptId, OrderId } from '../../core/common/identifiers.js';
@@ -18,7 +18,7 @@
   readonly work: EngineWork;
 }
 
-/** What is asked for. */
+/** The kind of work requested. */
 export type EngineWork =
   | { readonly kind: 'prefill' }
   | {
@@ -30,7 +30,7 @@
       readonly kvHandle: string | null;
     };
 
-/** The codes of docs/ENGINE-API.md. All say that nothing was run. */
+/** The refusal codes of docs/ENGINE-API.md. With each of them, nothing was run. */
 export type RefusalCode =
   | 'invalid-request'
   | 'model-not-loaded'
@@ -47,15 +47,15 @@
   readonly retryAfterSeconds?: number;
 }
 
-/** A request that was taken. */
+/** The acceptance of a request. */
 export interface EngineAcceptance {
   readonly kind: 'accepted';
   readonly prompt: PromptDescription;
-  /** The version that writes, as `system_fingerprint` states it. */
+  /** The model version that generates the output, as in `system_fingerprint`. */
   readonly version: string;
 }
 
-/** Something the engine did; `at` is the (virtual) time it was due. */
+/** An output of the engine; `at` is the (virtual) time at which it was due. */
 export type EngineOutput =
   /** An output token of a streamed request; its text is `tokenAt(digest, offset)`. */
   | {
@@ -70,7 +70,7 @@
       readonly at: number;
       readonly attempt: AttemptId;
       readonly promptTokens: number;
-      /** Tokens of the whole answer, also those before a resume offset. */
+      /** Tokens of the complete answer, including those before the resume offset. */
       readonly completionTokens: number;
     }
   | {
@@ -81,7 +81,7 @@
       readonly promptTokens: number;
       readonly kvBytes: number;
     }
-  /** An order took the engine away from a request that was not finished. */
+  /** An order, or a cancel over HTTP, ended the request before it finished. */
   | { readonly kind: 'cut'; readonly at: number; readonly attempt: AttemptId }
   | {
       readonly kind: 'order-ended';
--- a/src/lab/engine/prefix-cache.ts
+++ b/src/lab/engine/prefix-cache.ts
@@ -1,4 +1,4 @@
-/** The prefix cache: KV of prompt prefix blocks, least recently used first out. */
+/** The prefix cache: KV of prompt prefix blocks, with least-recently-used eviction. */
 import { PREFIX_BLOCK_CHARACTERS } from '../../core/common/prefix-blocks.js';
 import { CHARACTERS_PER_TOKEN } from './tokens.js';
 
@@ -12,50 +12,51 @@
 }
 
 /**
- * Blocks are kept apart by the model and version that read them; published hashes name neither.
+ * An LRU cache of blocks. The namespace (model name and version) keeps the KV of different models
+ * apart; the published hashes do not contain it.
  */
 export class PrefixCache {
   readonly #capacityBlocks: number;
-  /** Key to hash, in order of use, oldest first. */
+  /** Hashes by key, least recently used first. */
   readonly #blocks = new Map<string, string>();
 
   constructor(capacityBlocks: number) {
     this.#capacityBlocks = capacityBlocks;
   }
 
-  /** How many leading tokens of a prompt need not be read again. Marks their blocks as used. */
-  cachedTokens(reader: string, hashes: readonly string[]): number {
+  /** The number of leading prompt tokens whose KV is cached. Marks their blocks as used. */
+  cachedTokens(namespace: string, hashes: readonly string[]): number {
     let held = 0;
     for (const hash of hashes) {
-      if (!this.#blocks.has(keyOf(reader, hash))) break;
+      if (!this.#blocks.has(keyOf(namespace, hash))) break;
       held += 1;
     }
-    this.#touch(reader, hashes.slice(0, held));
+    this.#touch(namespace, hashes.slice(0, held));
     return held * TOKENS_PER_BLOCK;
   }
 
-  /** Keeps a prompt's blocks and returns what changed. */
-  store(reader: string, hashes: readonly string[]): CacheChange[] {
+  /** Stores a prompt's blocks and returns the changes. */
+  store(namespace: string, hashes: readonly string[]): CacheChange[] {
     const kept = hashes.slice(0, this.#capacityBlocks);
     const changes: CacheChange[] = [];
     for (const hash of kept) {
-      if (!this.#blocks.has(keyOf(reader, hash))) changes.push({ kind: 'stored', hash });
+      if (!this.#blocks.has(keyOf(namespace, hash))) changes.push({ kind: 'stored', hash });
     }
-    this.#touch(reader, kept);
+    this.#touch(namespace, kept);
     return [...changes, ...this.#evictExcess()];
   }
 
-  /** Drops all blocks. */
+  /** Evicts all blocks and returns the changes. */
   clear(): CacheChange[] {
     const changes = [...this.#blocks.values()].map((hash) => ({ kind: 'evicted' as const, hash }));
     this.#blocks.clear();
     return changes;
   }
 
-  /** Last block first, so that a block never outlives the one before it. */
-  #touch(reader: string, hashes: readonly string[]): void {
+  /** Marks the last block first, so that a block is evicted before the blocks that precede it. */
+  #touch(namespace: string, hashes: readonly string[]): void {
     for (const hash of [...hashes].reverse()) {
-      const key = keyOf(reader, hash);
+      const key = keyOf(namespace, hash);
       this.#blocks.delete(key);
       this.#blocks.set(key, hash);
     }
@@ -72,6 +73,6 @@
   }
 }
 
-function keyOf(reader: string, hash: string): string {
-  return `${reader} ${hash}`;
+function keyOf(namespace: string, hash: string): string {
+  return `${namespace} ${hash}`;
 }
--- a/src/lab/engine/step-clock.ts
+++ b/src/lab/engine/step-clock.ts
@@ -1,11 +1,12 @@
-/** How long a step takes, and the smoothed speeds that reports state. */
+/** The duration of steps, and the smoothed speeds that reports contain. */
 import type { StepPlan } from './batch.js';
 import type { EngineSettings } from './options.js';
 
-const SMOOTHING = 0.2;
+/** Weight of a new observation in the exponential moving averages. */
+const SMOOTHING_FACTOR = 0.2;
 const MS_PER_SECOND = 1_000;
 
-/** Times steps and remembers how fast they were. */
+/** Computes step durations and tracks the observed speeds. */
 export class StepClock {
   readonly #settings: EngineSettings;
   readonly #draw: () => number;
@@ -38,7 +39,7 @@
     return (cost * jitter) / speedFactor;
   }
 
-  /** Takes an ended step into the smoothed speeds. */
+  /** Adds a completed step to the smoothed speeds. */
   observe(plan: StepPlan, durationMs: number): void {
     if (plan.prefillTokens > 0) {
       const speed = (plan.prefillTokens * MS_PER_SECOND) / durationMs;
@@ -47,7 +48,7 @@
     if (plan.decodeSequences > 0) this.#decodeStepMs = smooth(this.#decodeStepMs, durationMs);
   }
 
-  /** How long reading that many tokens takes, roughly, in whole seconds and at least one. */
+  /** Estimated time to prefill the tokens, in whole seconds, at least 1. */
   secondsToRead(tokens: number): number {
     const { profile, speedFactor } = this.#settings;
     const readMs = (tokens * profile.prefillMsPerToken) / speedFactor;
@@ -56,5 +57,5 @@
 }
 
 function smooth(previous: number, observed: number): number {
-  return previous === 0 ? observed : previous + SMOOTHING * (observed - previous);
+  return previous === 0 ? observed : previous + SMOOTHING_FACTOR * (observed - previous);
 }
--- a/src/lab/engine/tokens.ts
+++ b/src/lab/engine/tokens.ts
@@ -1,6 +1,7 @@
 /**
  * The emulated model's tokens. Output is a pure function of model, version, adapter, prompt and
- * sampling seed; every position has its own word, so that a lost, doubled or foreign token shows.
+ * sampling seed. Each position has its own word, so that a check of the text detects a lost,
+ * duplicated or foreign token.
  */
 
 import { avalanche, EMPTY_HASH, type Hash64, hashText } from '../../core/common/hash.js';
@@ -10,7 +11,7 @@
 /** Prompt characters that make up one token, on average, in the emulated tokenizer. */
 export const CHARACTERS_PER_TOKEN = 4;
 
-/** Blocks of a prompt that the prefix cache may keep; what follows is always read again. */
+/** Maximum number of blocks of a prompt in the prefix cache; later blocks are always recomputed. */
 const MAX_CACHED_BLOCKS = 1_024;
 
 const SYLLABLES =
@@ -20,7 +21,7 @@
 const SYLLABLES_PER_WORD = 4;
 const SYLLABLE_BITS = 6;
 
-/** What a request's output depends on, beside its prompt. */
+/** What the output of a request depends on, besides the prompt. */
 export interface OutputSource {
   readonly model: ModelName;
   /** As an answer's `system_fingerprint` states it: `<model version>[+<adapter version>]`. */
@@ -30,7 +31,7 @@
   readonly samplingSeed?: number;
 }
 
-/** What an engine needs to know of a prompt; the simulation may make one without any text. */
+/** What the engine model needs of a prompt; the simulation can create one without any text. */
 export interface PromptDescription {
   readonly tokens: number;
   /** Identifies the output that follows the prompt. */
@@ -49,12 +50,12 @@
   return messages.map((message) => message.content).join('\n');
 }
 
-/** The number of tokens of a prompt; an empty prompt counts as one. */
+/** The number of tokens of a prompt, at least 1. */
 function countPromptTokens(prompt: string): number {
   return Math.max(1, Math.ceil(prompt.length / CHARACTERS_PER_TOKEN));
 }
 
-/** Identifies the output that a model writes after a prompt. */
+/** The digest that determines the model's output for a prompt. */
 export function outputDigest(source: OutputSource, prompt: string): Hash64 {
   const { model, version, adapter, samplingSeed = 0 } = source;
   const seed = hashText(EMPTY_HASH, `${model}\n${version}\n${adapter ?? ''}\n${samplingSeed}\n`);
@@ -70,7 +71,7 @@
   };
 }
 
-/** The output token at an offset, with its leading space (none at offset 0). */
+/** The output token at an offset, with a leading space except at offset 0. */
 export function tokenAt(digest: Hash64, offset: number): string {
   let bits = avalanche(digest.low ^ avalanche((digest.high + offset) >>> 0));
   let word = offset === 0 ? '' : ' ';
@@ -81,7 +82,7 @@
   return word;
 }
 
-/** The first `count` output tokens, as an engine must write them. */
+/** The first `count` output tokens that an engine must produce. */
 export function expectedTokens(
   request: OutputSource & { readonly prompt: string; readonly count: number },
 ): string[] {
