--- a/src/lab/fleet/commands.ts
+++ b/src/lab/fleet/commands.ts
@@ -1,4 +1,4 @@
-/** The command lines by which the parts of a fleet are started. */
+/** The command lines that start the processes of a fleet. */
 import { fileURLToPath } from 'node:url';
 import type { Endpoint } from '../../core/registry/backend.js';
 import { formatEndpoint } from '../../shell/settings/index.js';
@@ -7,17 +7,17 @@
 const LAB_SCRIPT = fileURLToPath(new URL('../main.js', import.meta.url));
 const DAEMON_SCRIPT = fileURLToPath(new URL('../../daemon/main.js', import.meta.url));
 const ANY_PORT = '127.0.0.1:0';
-/** Where daemons find the fleet key of a fleet that the runner starts. */
+/** The environment variable that passes the fleet key to the daemons. */
 export const FLEET_KEY_VARIABLE = 'THREADFORK_FLEET_KEY';
 
-/** The platform stand-in. */
+/** The command of the emulated platform. */
 export function platformCommand({ platform }: FleetDefinition): string[] {
   const rate = ['--table-rate', String(platform.tableRate)];
   const lag = ['--machine-lag-ms', String(platform.machineLagMs)];
   return [LAB_SCRIPT, 'platform', '--listen', ANY_PORT, ...rate, ...lag];
 }
 
-/** An engine; `number` is its place in the fleet and its seed. */
+/** The command of an engine; `number` is its position in the fleet and its seed. */
 export function engineCommand(
   fleet: FleetDefinition,
   engine: EngineDefinition,
@@ -39,12 +39,12 @@
   ];
 }
 
-/** A web backend. */
+/** The command of a web backend. */
 export function webCommand(web: FleetDefinition['webs'][number], platform: Endpoint): string[] {
   return [...machine('web', web, platform), '--service', web.service];
 }
 
-/** A daemon. */
+/** The command of a daemon. */
 export function daemonCommand(
   daemon: FleetDefinition['daemons'][number],
   platform: Endpoint,
--- a/src/lab/fleet/definition.ts
+++ b/src/lab/fleet/definition.ts
@@ -1,4 +1,4 @@
-/** A fleet as its YAML file states it: the platform, the machines, and what they run. */
+/** The schema of a fleet's YAML file: the platform, the machines, and what they run. */
 import { readFileSync } from 'node:fs';
 import { dirname, resolve } from 'node:path';
 import { parse as parseYaml } from 'yaml';
@@ -32,11 +32,11 @@
       .strictObject({
         tableRate: z.number().positive().default(100),
         machineLagMs: milliseconds.default(500),
-        /** What the weight store has: `MODEL@VERSION` or `MODEL/ADAPTER@VERSION`. */
+        /** Contents of the weight store: `MODEL@VERSION` or `MODEL/ADAPTER@VERSION`. */
         weights: z.array(z.string()).default([]),
       })
       .prefault({}),
-    /** What all engines have in common. */
+    /** Settings of all engines. */
     engineDefaults: z
       .strictObject({
         models: z.array(z.string()).default([]),
@@ -50,7 +50,7 @@
     engines: z.array(engineSchema).min(1),
     webs: z.array(z.strictObject({ name, zone: name, service: name })).default([]),
     daemons: z.array(z.strictObject({ name, zone: name })).min(1),
-    /** Files, by paths relative to this one. */
+    /** Paths of files, relative to this file. */
     configuration: z.string(),
     workload: z.string(),
   })
@@ -65,30 +65,30 @@
     context.addIssue({ code: 'custom', message: 'two machines have one name', path: ['name'] });
   });
 
-/** A fleet without the files it names. */
+/** A fleet file, without the configuration and workload files that it references. */
 export type FleetDefinition = z.infer<typeof fleetSchema>;
 /** One engine of a fleet. */
 export type EngineDefinition = FleetDefinition['engines'][number];
 
-/** A fleet with the files it names. */
+/** A fleet file with the configuration and workload files that it references. */
 export interface Fleet {
   readonly definition: FleetDefinition;
   readonly configuration: ConfigurationDocument;
   readonly workload: Workload;
 }
 
-/** Reads a fleet and the files it names. Throws an error that names the file and the key. */
+/** Reads a fleet file and the files it references. Throws an error with the file and the key. */
 export function loadFleet(path: string): Fleet {
   const definition = readYaml(path, fleetSchema);
-  const beside = (relative: string): string => resolve(dirname(path), relative);
+  const resolvePath = (relative: string): string => resolve(dirname(path), relative);
   return {
     definition,
-    configuration: readYaml(beside(definition.configuration), configurationSchema),
-    workload: readYaml(beside(definition.workload), workloadSchema),
+    configuration: readYaml(resolvePath(definition.configuration), configurationSchema),
+    workload: readYaml(resolvePath(definition.workload), workloadSchema),
   };
 }
 
-/** Reads a workload file. Throws an error that names the file and the key. */
+/** Reads a workload file. Throws an error with the file and the key. */
 export function loadWorkload(path: string): Workload {
   return readYaml(path, workloadSchema);
 }
--- a/src/lab/fleet/http-json.ts
+++ b/src/lab/fleet/http-json.ts
@@ -1,24 +1,24 @@
-/** Small HTTP calls of the runner: JSON in, JSON out. */
+/** HTTP requests with JSON bodies, for the fleet runner. */
 import { request } from 'undici';
 import type { Endpoint } from '../../core/registry/backend.js';
 import { formatEndpoint } from '../../shell/settings/index.js';
 
-/** Longer than a daemon takes to say what became of a change. */
+/** Longer than a daemon takes to answer a configuration change with its outcome. */
 const TIMEOUT_MS = 30_000;
 
-/** An answer's status and JSON. */
+/** The status and JSON body of an answer. */
 export interface JsonAnswer {
   readonly status: number;
-  /** Undefined where the body is not JSON. */
+  /** Undefined if the body is not JSON. */
   readonly json: unknown;
 }
 
-/** Sends a JSON body. Rejects when there is no answer. */
+/** Posts a JSON body. Rejects if no answer arrives. */
 export function postJson(to: Endpoint, path: string, body: unknown): Promise<JsonAnswer> {
   return callJson(to, 'POST', path, JSON.stringify(body));
 }
 
-/** Gets a path. Rejects when there is no answer. */
+/** Gets a path. Rejects if no answer arrives. */
 export function getJson(from: Endpoint, path: string): Promise<JsonAnswer> {
   return callJson(from, 'GET', path, null);
 }
--- a/src/lab/fleet/order-check.ts
+++ b/src/lab/fleet/order-check.ts
@@ -1,4 +1,4 @@
-/** Compares what callers were told of their orders with what the order servers say they ran. */
+/** Compares the outcomes that callers saw for their orders with the runs in the servers' ledgers. */
 import { z } from 'zod';
 import type { Outcome } from '../load/index.js';
 import type { Arrival } from '../workload/index.js';
@@ -9,29 +9,29 @@
   keys: z.array(z.object({ key: z.string(), runs: z.int() })),
 });
 
-/** What the comparison found; every count but `compared` must be 0. */
+/** The result of the comparison; every count except `compared` must be 0. */
 export interface OrderFindings {
   readonly compared: number;
-  /** Orders that ran more than once, over all servers. */
+  /** Orders that ran more than once, summed over all servers. */
   readonly runTwice: number;
-  /** Orders whose caller was told "not run" and that ran. */
+  /** Orders that ran although their caller received "refused: not run". */
   readonly refusedButRun: number;
-  /** Orders whose caller was told of an answer and that no server ran. */
+  /** Orders that no server ran although their caller received a complete answer. */
   readonly finishedButNotRun: number;
-  /** Servers that could not be asked. */
+  /** Servers whose ledger could not be read. */
   readonly serversNotAsked: number;
 }
 
-/** Keeps the outcome of every order of a load. */
+/** Records the outcome of every order of a load. */
 export class OrderCheck {
   private readonly outcomes = new Map<string, Outcome>();
 
-  /** Takes the final outcome of a request. */
+  /** Records the final outcome of a request if it is an order. */
   note({ request }: Arrival, outcome: Outcome): void {
     if (request.kind === 'web-order') this.outcomes.set(request.requestKey, outcome);
   }
 
-  /** Asks all servers what they ran and compares. */
+  /** Reads the ledgers of all servers and compares them with the outcomes. */
   async compare(servers: readonly RunningBackend[]): Promise<OrderFindings> {
     const ledgers = await Promise.all(servers.map(readLedger));
     const runs = new Map<string, number>();
@@ -45,18 +45,18 @@
   }
 }
 
-/** Compares outcomes with runs, both by the order's key. */
+/** Compares outcomes with run counts, both by the order's request key. */
 export function compareOrders(
   outcomes: ReadonlyMap<string, Outcome>,
   runs: ReadonlyMap<string, number>,
 ): Omit<OrderFindings, 'serversNotAsked'> {
-  const told = (kind: Outcome['kind']): string[] =>
+  const keysWith = (kind: Outcome['kind']): string[] =>
     [...outcomes].filter(([, outcome]) => outcome.kind === kind).map(([key]) => key);
   return {
     compared: outcomes.size,
     runTwice: [...runs.values()].filter((count) => count > 1).length,
-    refusedButRun: told('refused').filter((key) => runs.has(key)).length,
-    finishedButNotRun: told('finished').filter((key) => !runs.has(key)).length,
+    refusedButRun: keysWith('refused').filter((key) => runs.has(key)).length,
+    finishedButNotRun: keysWith('finished').filter((key) => !runs.has(key)).length,
   };
 }
 
--- a/src/lab/fleet/part-process.ts
+++ b/src/lab/fleet/part-process.ts
@@ -1,42 +1,42 @@
-/** One part of a fleet as a process of its own: started, awaited by its ready line, ended by pid. */
+/** A child process of a fleet: spawned, awaited by its ready line, and stopped by signals. */
 import { type ChildProcess, spawn } from 'node:child_process';
 import { createWriteStream } from 'node:fs';
 import { join } from 'node:path';
 import { createInterface } from 'node:readline';
 import type { Milliseconds } from '../../core/common/time.js';
 
-const KEPT_LOG_LINES = 20;
+const MAX_LOG_LINES = 20;
 const READY_TIMEOUT_MS = 30_000;
 
-/** How to start a part. */
+/** How to start a process of the fleet. */
 export interface PartOptions {
   readonly name: string;
-  /** The script and its arguments, run by the same node as this process. */
+  /** The script and its arguments, run by the same Node.js executable as this process. */
   readonly command: readonly string[];
   readonly environment?: Readonly<Record<string, string>>;
-  /** Where the part's log goes as `<name>.log`; null keeps only the last lines. */
+  /** The folder for the log file `<name>.log`; null keeps only the last lines in memory. */
   readonly logFolder: string | null;
 }
 
-/** How a part ended. */
+/** How a process ended. */
 export interface PartExit {
   readonly code: number | null;
   readonly signal: NodeJS.Signals | null;
 }
 
-/** A part that runs or ran. */
+/** A process of the fleet, running or ended. */
 export class PartProcess {
   readonly name: string;
-  /** Resolves when the process has ended, never rejects. */
+  /** Resolves when the process has ended; never rejects. */
   readonly exited: Promise<PartExit>;
   private readonly child: ChildProcess;
   private readonly lastLines: string[] = [];
   private readonly firstLine: Promise<string | null>;
-  private stopAsked = false;
+  private stopRequested = false;
 
   constructor(options: PartOptions) {
     this.name = options.name;
-    // A process group of its own, so that Ctrl-C reaches the runner alone, which stops in order.
+    // Detached: Ctrl-C must reach only the runner, which then stops the processes in order.
     this.child = spawn(process.execPath, [...options.command], {
       stdio: ['ignore', 'pipe', 'pipe'],
       detached: true,
@@ -53,14 +53,14 @@
     this.firstLine = this.readFirstLine();
   }
 
-  /** The process id; undefined when it could not be started. */
+  /** The process id; undefined if the process could not be started. */
   get pid(): number | undefined {
     return this.child.pid;
   }
 
-  /** Whether `signal` was called; an exit without it is a failure of the part. */
+  /** Whether `signal` was called; an exit before that is a failure. */
   get isStopping(): boolean {
-    return this.stopAsked;
+    return this.stopRequested;
   }
 
   /** Whether the process has ended. */
@@ -68,12 +68,12 @@
     return this.child.exitCode !== null || this.child.signalCode !== null;
   }
 
-  /** The last lines of its log. */
+  /** The last lines of the log. */
   get log(): readonly string[] {
     return this.lastLines;
   }
 
-  /** The JSON of its ready line. Rejects when it ends or takes too long before it prints one. */
+  /** The JSON of the ready line. Rejects if the process ends or times out before printing it. */
   async ready(): Promise<unknown> {
     const line = await Promise.race([this.firstLine, timeout(READY_TIMEOUT_MS)]);
     if (line !== null) return JSON.parse(line);
@@ -81,13 +81,13 @@
     throw new Error(`${this.name} did not get ready${log}`);
   }
 
-  /** Sends a signal; the part's end is then no failure. */
+  /** Sends a signal; an exit after it does not count as a failure. */
   signal(signal: NodeJS.Signals): void {
-    this.stopAsked = true;
+    this.stopRequested = true;
     this.child.kill(signal);
   }
 
-  /** Signals the part and waits; after the grace it is killed, which the exit then shows. */
+  /** Sends a signal and waits for the exit; after `graceMs`, sends SIGKILL. */
   async stop(signal: NodeJS.Signals, graceMs: Milliseconds): Promise<PartExit> {
     this.signal(signal);
     const killer = setTimeout(() => this.child.kill('SIGKILL'), graceMs);
@@ -102,7 +102,7 @@
     if (folder !== null) stderr.pipe(createWriteStream(join(folder, `${this.name}.log`)));
     createInterface({ input: stderr }).on('line', (line) => {
       this.lastLines.push(line);
-      if (this.lastLines.length > KEPT_LOG_LINES) this.lastLines.shift();
+      if (this.lastLines.length > MAX_LOG_LINES) this.lastLines.shift();
     });
   }
 
--- a/src/lab/fleet/report-text.ts
+++ b/src/lab/fleet/report-text.ts
@@ -1,4 +1,4 @@
-/** The line of progress and the table of a shift, for a person. */
+/** The progress line and the result table of a shift, as text for the terminal. */
 import { formatEndpoint } from '../../shell/settings/index.js';
 import type { Percentiles } from '../common/span-histogram.js';
 import { type LoadProgress, OUTCOME_KINDS } from '../load/index.js';
@@ -8,7 +8,7 @@
 const MS_PER_SECOND = 1_000;
 const LABEL_WIDTH = 22;
 
-/** One line that says how a shift is going. */
+/** One line with the progress of a shift. */
 export function progressLine(progress: LoadProgress): string {
   const seconds = (progress.elapsedMs / MS_PER_SECOND).toFixed(0).padStart(3);
   const counts = OUTCOME_KINDS.map((kind) => `${kind} ${progress[kind]}`).join(', ');
@@ -16,7 +16,7 @@
   return `${seconds} s ${phase}: sent ${sent}, in flight ${inFlight}, ${counts}, tokens ${outputTokens}`;
 }
 
-/** The table of a shift. */
+/** The result table of a shift. */
 export function reportText(fleet: RunningFleet, report: ShiftReport): string {
   const { load, roleChanges } = report;
   const rows: [string, string][] = [
@@ -36,7 +36,7 @@
   return `${rows.map(([label, value]) => row(label, value)).join('\n')}\n${addressesText(fleet)}`;
 }
 
-/** Where each daemon takes callers and operators. */
+/** The addresses of each daemon for callers and operators. */
 export function addressesText(fleet: RunningFleet): string {
   const lines = fleet.daemons.map(({ name, zone, callers, operators }) =>
     row(
--- a/src/lab/fleet/role-watch.ts
+++ b/src/lab/fleet/role-watch.ts
@@ -1,12 +1,12 @@
-/** Counts role changes from what the engines themselves report. */
+/** Records role changes by polling the reports of the engines. */
 import { setMaxListeners } from 'node:events';
 import { setTimeout as wait } from 'node:timers/promises';
 import { z } from 'zod';
 import type { Endpoint, EngineRole } from '../../core/registry/backend.js';
 import { getJson } from './http-json.js';
 
-/** Shorter than any role change takes, so that none is missed. */
-const ASK_EVERY_MS = 250;
+/** Shorter than a role change takes, so that no change is missed. */
+const POLL_INTERVAL_MS = 250;
 
 const reportSchema = z.object({
   role: z.enum(['prefill', 'decode', 'mixed']),
@@ -24,14 +24,14 @@
   readonly engine: string;
   readonly from: EngineRole;
   readonly to: EngineRole;
-  /** Since the watch began. */
+  /** Time since the start of the watch. */
   readonly atMs: number;
 }
 
-/** Asks each engine for its report until it is stopped. */
+/** Polls the report of each engine until it is stopped. */
 export class RoleWatch {
   readonly changes: RoleChange[] = [];
-  /** Resolves when each engine has been asked once; changes count from then on. */
+  /** Resolves when each engine has been polled once; changes are recorded from then on. */
   readonly asked: Promise<unknown>;
   private readonly seen = new Map<string, z.infer<typeof reportSchema>>();
   private readonly startedAt = performance.now();
@@ -39,13 +39,13 @@
   private readonly running: Promise<unknown>;
 
   constructor(engines: readonly WatchedEngine[]) {
-    // One wait listens for each engine.
+    // One timer per engine listens to this signal; the limit avoids the leak warning.
     setMaxListeners(engines.length, this.stopped.signal);
-    this.asked = Promise.all(engines.map((engine) => this.ask(engine)));
+    this.asked = Promise.all(engines.map((engine) => this.poll(engine)));
     this.running = this.asked.then(() => Promise.all(engines.map((engine) => this.watch(engine))));
   }
 
-  /** Asks each engine a last time and ends. */
+  /** Polls each engine a last time and stops. */
   async stop(): Promise<void> {
     this.stopped.abort();
     await this.running;
@@ -53,12 +53,14 @@
 
   private async watch(engine: WatchedEngine): Promise<void> {
     do {
-      await wait(ASK_EVERY_MS, undefined, { signal: this.stopped.signal }).catch(() => undefined);
-      await this.ask(engine);
+      await wait(POLL_INTERVAL_MS, undefined, { signal: this.stopped.signal }).catch(
+        () => undefined,
+      );
+      await this.poll(engine);
     } while (!this.stopped.signal.aborted);
   }
 
-  private async ask({ name, endpoint }: WatchedEngine): Promise<void> {
+  private async poll({ name, endpoint }: WatchedEngine): Promise<void> {
     const answer = await getJson(endpoint, '/control/report').catch(() => null);
     const report = reportSchema.safeParse(answer?.json).data;
     if (report === undefined) return;
--- a/src/lab/fleet/running-fleet.ts
+++ b/src/lab/fleet/running-fleet.ts
@@ -1,4 +1,4 @@
-/** Starts all parts of a fleet as processes, puts its configuration in force, and ends it. */
+/** Starts all processes of a fleet, puts its configuration in force, and stops them. */
 import { randomBytes, randomUUID } from 'node:crypto';
 import { z } from 'zod';
 import type { Milliseconds } from '../../core/common/time.js';
@@ -42,7 +42,7 @@
 });
 const statusSchema = z.object({ enginesGranted: z.int(), configurationVersion: z.int() });
 
-/** A backend that runs. */
+/** A running engine or web backend. */
 export interface RunningBackend {
   readonly name: string;
   readonly zone: string;
@@ -50,7 +50,7 @@
   readonly process: PartProcess;
 }
 
-/** A daemon that runs. */
+/** A running daemon. */
 export interface RunningDaemonPart {
   readonly name: string;
   readonly zone: string;
@@ -60,13 +60,13 @@
   readonly process: PartProcess;
 }
 
-/** What the runner needs beside the fleet. */
+/** Options of the runner. */
 export interface FleetOptions {
-  /** Where each part's log goes; null keeps only the last lines. */
+  /** The folder for the log files; null keeps only the last lines in memory. */
   readonly logFolder: string | null;
-  /** Gives up starting. */
+  /** Aborts the start. */
   readonly signal: AbortSignal;
-  /** Hears of each step of starting and ending. */
+  /** Called with a description of each step of starting and stopping. */
   readonly onStep: (step: string) => void;
 }
 
@@ -76,7 +76,7 @@
   engines: readonly RunningBackend[] = [];
   webs: readonly RunningBackend[] = [];
   daemons: readonly RunningDaemonPart[] = [];
-  /** What went wrong with a part: an end that nobody asked for, or one that had to be forced. */
+  /** Failures of processes: an unexpected exit, or a stop that was not clean. */
   readonly problems: string[] = [];
   private readonly parts: PartProcess[] = [];
   private readonly fleetKey = randomBytes(FLEET_KEY_BYTES).toString('hex');
@@ -86,7 +86,7 @@
     private readonly options: FleetOptions,
   ) {}
 
-  /** Starts everything; resolves when the fleet takes requests. On failure, call `stop`. */
+  /** Starts all processes; resolves when the fleet accepts requests. On failure, call `stop`. */
   async start(): Promise<void> {
     const { definition } = this.fleet;
     const { onStep } = this.options;
@@ -104,7 +104,7 @@
     await Promise.all(this.daemons.map((daemon) => this.ready(daemon, version)));
   }
 
-  /** Ends the daemons first, which finish what runs, then what stands behind them. */
+  /** Stops the daemons first, which finish their requests, then the backends and the platform. */
   async stop(): Promise<void> {
     this.options.onStep('stopping the daemons');
     const daemons = this.daemons.map((daemon) => daemon.process);
@@ -114,13 +114,13 @@
     await Promise.all(others.map((part) => this.stopPart(part, 'SIGINT', STOP_GRACE_MS)));
   }
 
-  /** Kills everything that still runs, at once; a part that was killed is no problem. */
+  /** Kills all running processes immediately; this is not recorded in `problems`. */
   async kill(): Promise<void> {
     for (const part of this.parts) part.signal('SIGKILL');
     await Promise.all(this.parts.map((part) => part.exited));
   }
 
-  /** Starts a daemon that has ended anew, under the same name. Resolves once it listens. */
+  /** Waits for a daemon's exit and restarts it under the same name. Resolves when it listens. */
   async restartDaemon(name: string): Promise<RunningDaemonPart> {
     const before = this.daemons.find((daemon) => daemon.name === name);
     if (before === undefined) throw new Error(`there is no daemon ${name}`);
@@ -130,7 +130,7 @@
     return restarted;
   }
 
-  /** Starts an engine that has ended anew, under the same name. Resolves once it listens. */
+  /** Waits for an engine's exit and restarts it under the same name. Resolves when it listens. */
   async restartEngine(name: string): Promise<RunningBackend> {
     const before = this.engines.find((engine) => engine.name === name);
     const number = this.fleet.definition.engines.findIndex((engine) => engine.name === name);
@@ -193,11 +193,11 @@
     return { name, zone, ...ready, process };
   }
 
-  /** Asks the first daemon until it says `applied`; the same change id takes effect once. */
+  /** Retries on the first daemon until `applied`; the change id makes the retries idempotent. */
   private async applyConfiguration(): Promise<z.infer<typeof appliedSchema>> {
     const body = { id: randomUUID(), document: this.fleet.configuration, dryRun: false };
     let lastAnswer = 'no answer';
-    const ask = async () => {
+    const poll = async () => {
       const daemon = this.daemons[0];
       if (daemon === undefined) return null;
       const { status, json } = await postJson(daemon.operators, '/v1/commands', body);
@@ -205,33 +205,33 @@
       return appliedSchema.safeParse(json).data ?? null;
     };
     const what = 'the configuration to be applied';
-    return this.until(ask, what, CONFIGURATION_TIMEOUT_MS).catch((error: Error) => {
+    return this.until(poll, what, CONFIGURATION_TIMEOUT_MS).catch((error: Error) => {
       throw new Error(`${error.message}; last answer: ${lastAnswer}`);
     });
   }
 
-  /** Waits until a daemon is ready, holds the version, and may send requests to engines. */
+  /** Waits until a daemon is ready, has the version, and is granted engines to send requests to. */
   private async ready(daemon: RunningDaemonPart, version: number): Promise<void> {
     const { name, callers, operators } = daemon;
-    let last = 'no answer';
-    const ask = async () => {
+    let lastAnswer = 'no answer';
+    const poll = async () => {
       const readiness = await getJson(callers, '/readyz');
       const status = statusSchema.safeParse((await getJson(operators, '/v1/status')).json).data;
-      last = `readyz ${readiness.status}, ${JSON.stringify(status)}`;
+      lastAnswer = `readyz ${readiness.status}, ${JSON.stringify(status)}`;
       if (readiness.status !== 200 || status === undefined) return null;
       return status.enginesGranted > 0 && status.configurationVersion >= version ? true : null;
     };
-    await this.until(ask, `${name} to be ready`, READY_TIMEOUT_MS).catch((error: Error) => {
-      throw new Error(`${error.message}; last answer: ${last}`);
+    await this.until(poll, `${name} to be ready`, READY_TIMEOUT_MS).catch((error: Error) => {
+      throw new Error(`${error.message}; last answer: ${lastAnswer}`);
     });
   }
 
   private until<T>(
-    ask: () => Promise<T | null>,
+    poll: () => Promise<T | null>,
     what: string,
     timeoutMs: Milliseconds,
   ): Promise<T> {
-    return until(ask, { what, timeoutMs, signal: this.options.signal });
+    return until(poll, { what, timeoutMs, signal: this.options.signal });
   }
 
   private spawn(
@@ -242,14 +242,14 @@
     const { logFolder } = this.options;
     const part = new PartProcess({ name, command, environment, logFolder });
     this.parts.push(part);
-    void part.exited.then((exit) => this.noteExit(part, exit));
+    void part.exited.then((exit) => this.recordUnexpectedExit(part, exit));
     return part;
   }
 
-  private noteExit(part: PartProcess, exit: PartExit): void {
+  private recordUnexpectedExit(part: PartProcess, exit: PartExit): void {
     if (part.isStopping) return;
     const log = part.log.map((line) => `\n  ${line}`).join('');
-    this.problems.push(`${part.name} ended by itself (${exit.signal ?? exit.code})${log}`);
+    this.problems.push(`${part.name} exited unexpectedly (${exit.signal ?? exit.code})${log}`);
   }
 
   private async stopPart(
--- a/src/lab/fleet/shift.ts
+++ b/src/lab/fleet/shift.ts
@@ -1,23 +1,23 @@
-/** One shift: a fleet, its workload, and what came of it. */
+/** A shift: one run of a workload against a fleet, with its report. */
 import { Load, type LoadProgress, type LoadReport } from '../load/index.js';
 import type { Workload } from '../workload/index.js';
 import { OrderCheck, type OrderFindings } from './order-check.js';
 import { type RoleChange, RoleWatch } from './role-watch.js';
 import type { RunningFleet } from './running-fleet.js';
 
-const PATIENCE_MS = 30_000;
+const FINAL_TIMEOUT_MS = 30_000;
 
 /** How to run a shift. */
 export interface ShiftOptions {
   readonly workload: Workload;
   readonly maxRetries: number;
   readonly signal: AbortSignal;
-  /** Hears how it goes, every `progressEveryMs`. */
+  /** Called with the progress every `progressEveryMs`. */
   readonly onProgress: (progress: LoadProgress) => void;
   readonly progressEveryMs: number;
 }
 
-/** What came of a shift. */
+/** The results of a shift. */
 export interface ShiftReport {
   readonly load: LoadReport;
   readonly roleChanges: readonly RoleChange[];
@@ -33,7 +33,7 @@
     workload: options.workload,
     targets: fleet.daemons.map((daemon) => daemon.callers),
     maxRetries: options.maxRetries,
-    patienceMs: PATIENCE_MS,
+    patienceMs: FINAL_TIMEOUT_MS,
     signal: options.signal,
     onOutcome: (arrival, outcome) => orderCheck.note(arrival, outcome),
   });
@@ -45,7 +45,7 @@
   return { load: report, roleChanges: roleWatch.changes, orders };
 }
 
-/** What a shift saw that must never be, in words; empty when all is well. */
+/** Descriptions of the violated guarantees of a shift; empty if there are none. */
 export function violations(report: ShiftReport): string[] {
   const { outcomes } = report.load;
   const { orders } = report;
--- a/src/lab/fleet/until.ts
+++ b/src/lab/fleet/until.ts
@@ -1,28 +1,29 @@
-/** Waits for a condition that can only be asked for. */
+/** Polls for a condition that is not signalled by an event. */
 import { setTimeout as wait } from 'node:timers/promises';
 import type { Milliseconds } from '../../core/common/time.js';
 
-const ASK_AGAIN_MS: Milliseconds = 50;
+const POLL_INTERVAL_MS: Milliseconds = 50;
 
-/** How long to wait, and for what. */
+/** What to wait for, and how long. */
 export interface UntilOptions {
-  /** What is waited for, for the error's message. */
+  /** The condition, for the error message. */
   readonly what: string;
   readonly timeoutMs: Milliseconds;
   readonly signal: AbortSignal;
 }
 
-/** Asks until the answer is not null; rejects when it takes too long or is given up. */
+/** Polls until the result is not null; rejects on a time-out or an abort. A failed poll is retried. */
 export async function until<T>(
-  ask: () => Promise<T | null>,
+  poll: () => Promise<T | null>,
   { what, timeoutMs, signal }: UntilOptions,
 ): Promise<T> {
   const deadline = performance.now() + timeoutMs;
   for (;;) {
-    const answer = await ask().catch(() => null);
-    if (answer !== null) return answer;
-    if (signal.aborted) throw new Error(`given up waiting for ${what}`);
-    if (performance.now() > deadline) throw new Error(`waited ${timeoutMs} ms for ${what}`);
-    await wait(ASK_AGAIN_MS);
+    const result = await poll().catch(() => null);
+    if (result !== null) return result;
+    if (signal.aborted) throw new Error(`aborted while waiting for ${what}`);
+    if (performance.now() > deadline)
+      throw new Error(`timed out after ${timeoutMs} ms waiting for ${what}`);
+    await wait(POLL_INTERVAL_MS);
   }
 }
--- a/src/lab/hollow/hollow-daemons.ts
+++ b/src/lab/hollow/hollow-daemons.ts
@@ -1,6 +1,6 @@
 /**
- * Many daemons in one process, each with its own sockets: production's `startDaemon`, hollow only in
- * that they share a process. For scale runs.
+ * Hollow daemons for scale runs: many daemons in one process, each with its own sockets. They run the
+ * production code (`startDaemon`) and differ from real daemons only in sharing a process.
  */
 import type { DaemonMachine, Endpoint } from '../../core/registry/backend.js';
 import { startDaemon } from '../../daemon/daemon.js';
@@ -13,7 +13,7 @@
 export interface HollowDaemonsOptions {
   readonly platform: Endpoint;
   readonly fleetKey: string;
-  /** Number of the first; names are `daemon-<number>`. */
+  /** The number of the first daemon; names are `daemon-<number>`. */
   readonly first: number;
   readonly count: number;
   readonly zones: number;
@@ -25,7 +25,7 @@
   close(): void;
 }
 
-/** Starts the daemons one after another and puts them on the machine list. */
+/** Starts the daemons one after another and registers them in the machine list. */
 export async function startHollowDaemons(options: HollowDaemonsOptions): Promise<HollowDaemons> {
   const logger = createLogger({ level: 'error' });
   const list = new MachineRegistration(options.platform);
@@ -66,7 +66,7 @@
   return { kind: 'daemon', name, zone, state: 'live', ...daemon.peers };
 }
 
-/** The zone of a numbered machine: they are spread in turn. */
+/** The zone of a machine by its number; machines are assigned to zones round-robin. */
 export function zoneName(number: number, zones: number): string {
   return `zone-${number % zones}`;
 }
--- a/src/lab/hollow/hollow-engines.ts
+++ b/src/lab/hollow/hollow-engines.ts
@@ -7,14 +7,14 @@
 /** Which engines to run. */
 export interface HollowEnginesOptions {
   readonly platform: Endpoint;
-  /** Number of the first; names are `engine-<number>`. */
+  /** The number of the first engine; names are `engine-<number>`. */
   readonly first: number;
   readonly count: number;
   readonly zones: number;
   readonly models: number;
 }
 
-/** Starts the engines and puts them on the machine list. */
+/** Starts the engines one after another and registers them in the machine list. */
 export async function startHollowEngines(
   options: HollowEnginesOptions,
 ): Promise<readonly EngineServer[]> {
--- a/src/lab/hollow/linear-fit.ts
+++ b/src/lab/hollow/linear-fit.ts
@@ -1,4 +1,4 @@
-/** A straight line through measured points, by least squares. */
+/** Linear regression by least squares. */
 
 /** One measurement. */
 export interface Point {
@@ -6,27 +6,27 @@
   readonly y: number;
 }
 
-/** A line with the share of the variance that it explains. */
+/** A fitted line with its coefficient of determination. */
 export interface LinearFit {
   readonly slope: number;
   readonly intercept: number;
-  /** 1 for points on the line; null when all y are equal. */
+  /** The share of the variance that the line explains; null if all y are equal. */
   readonly rSquared: number | null;
 }
 
-/** Fits a line; null with fewer than two different x. */
+/** Fits a line; null with fewer than two distinct x. */
 export function fitLine(points: readonly Point[]): LinearFit | null {
   const meanX = mean(points.map(({ x }) => x));
   const meanY = mean(points.map(({ y }) => y));
-  const spreadX = sum(points.map(({ x }) => (x - meanX) ** 2));
-  if (spreadX === 0 || points.length === 0) {
+  const sumOfSquaresX = sum(points.map(({ x }) => (x - meanX) ** 2));
+  if (sumOfSquaresX === 0 || points.length === 0) {
     return null;
   }
-  const slope = sum(points.map(({ x, y }) => (x - meanX) * (y - meanY))) / spreadX;
+  const slope = sum(points.map(({ x, y }) => (x - meanX) * (y - meanY))) / sumOfSquaresX;
   const intercept = meanY - slope * meanX;
-  const spreadY = sum(points.map(({ y }) => (y - meanY) ** 2));
+  const sumOfSquaresY = sum(points.map(({ y }) => (y - meanY) ** 2));
   const residual = sum(points.map(({ x, y }) => (y - intercept - slope * x) ** 2));
-  return { slope, intercept, rSquared: spreadY === 0 ? null : 1 - residual / spreadY };
+  return { slope, intercept, rSquared: sumOfSquaresY === 0 ? null : 1 - residual / sumOfSquaresY };
 }
 
 function sum(values: readonly number[]): number {
--- a/src/lab/hollow/process-sample.ts
+++ b/src/lab/hollow/process-sample.ts
@@ -1,25 +1,25 @@
-/** What Linux says of a process: processor time, resident memory, bytes through its system calls. */
+/** Resource usage of a process from Linux's /proc: CPU time, resident memory, I/O bytes. */
 import { readFileSync } from 'node:fs';
 
-/** Clock ticks a second in /proc, the same on every common Linux. */
+/** Clock ticks per second in /proc (USER_HZ); 100 on every common Linux. */
 const TICKS_PER_SECOND = 100;
 const PAGE_BYTES = 4_096;
 const USER_TICKS_FIELD = 11;
 const SYSTEM_TICKS_FIELD = 12;
 const RESIDENT_PAGES_FIELD = 1;
 
-/** One reading. */
+/** One sample. */
 export interface ProcessSample {
   readonly cpuSeconds: number;
   readonly residentBytes: number;
-  /** Read and written by system calls: TCP and files; UDP is not in it. */
+  /** Bytes of read and write system calls: TCP and files, without UDP. */
   readonly ioBytes: number;
 }
 
-/** Reads a process's figures. */
+/** Reads the resource usage of a process. */
 export function sampleProcess(pid: number): ProcessSample {
   const stat = readFileSync(`/proc/${pid}/stat`, 'utf8');
-  // The name may hold blanks; fields are counted from behind its closing bracket.
+  // The process name may contain blanks, so fields are counted from after its closing bracket.
   const fields = stat.slice(stat.lastIndexOf(')') + 2).split(' ');
   const ticks = Number(fields[USER_TICKS_FIELD]) + Number(fields[SYSTEM_TICKS_FIELD]);
   const pages = readFileSync(`/proc/${pid}/statm`, 'utf8').split(' ')[RESIDENT_PAGES_FIELD];
--- a/src/lab/hollow/scale-run.ts
+++ b/src/lab/hollow/scale-run.ts
@@ -1,6 +1,7 @@
 /**
- * A scale run: hollow daemons and engines in shared processes beside real daemons of their own, over
- * real TCP and UDP on loopback; what control costs one daemon while no caller sends anything.
+ * A scale run: hollow daemons and engines that share processes, and real daemons in processes of
+ * their own, over TCP and UDP on loopback. Measures what the control plane costs one daemon while no
+ * caller sends requests.
  */
 
 import { randomBytes } from 'node:crypto';
@@ -17,37 +18,37 @@
 const DAEMONS_PER_PROCESS = 20;
 const ENGINES_PER_PROCESS = 60;
 const STOP_GRACE_MS = 10_000;
-const FORMED_TIMEOUT_MS = 120_000;
+const CONVERGENCE_TIMEOUT_MS = 120_000;
 const MILLISECONDS_PER_SECOND = 1_000;
 const NEVER_ABORTED = new AbortController().signal;
 
-/** What to run. */
+/** The size and the times of a run. */
 export interface ScaleOptions {
   readonly daemons: number;
   readonly engines: number;
   readonly zones: number;
-  /** Daemons, of those above, that get a process of their own. */
+  /** How many of `daemons` run in a process of their own. */
   readonly realDaemons: number;
   readonly settleMs: number;
   readonly measureMs: number;
-  /** The lab's entry point, started anew for each part. */
+  /** The lab's entry script, which each child process runs. */
   readonly labScript: string;
 }
 
-/** What control cost one daemon, on average over a kind of process. */
+/** The control-plane cost per daemon, averaged over the real or the hollow daemons. */
 export interface DaemonCost {
   readonly processes: number;
   readonly daemons: number;
-  /** Of one core, 0 to 1. */
+  /** Share of one core, 0 to 1. */
   readonly cpuShare: number;
   readonly residentBytes: number;
-  /** TCP bytes in and out a second: platform, engines, peer streams. */
+  /** TCP bytes in and out per second: platform, engines, peer streams. */
   readonly tcpBytesPerSecond: number;
-  /** Datagram and frame bytes to and from peers a second. */
+  /** Datagram and frame bytes to and from peers per second. */
   readonly peerBytesPerSecond: number;
 }
 
-/** The outcome of a run. */
+/** The result of a run. */
 export interface ScaleResult {
   readonly daemons: number;
   readonly engines: number;
@@ -55,7 +56,7 @@
   readonly measuredSeconds: number;
   readonly real: DaemonCost;
   readonly hollow: DaemonCost;
-  /** From the answer `recorded` or `applied` of a change to its being in force on every daemon. */
+  /** Time from sending a configuration change until it is in force on every daemon. */
   readonly changeInForceMs: number;
   readonly changeOutcome: string;
   readonly tableCallsPerSecond: number;
@@ -73,7 +74,7 @@
   readonly machines: { readonly calls: number };
 }
 
-/** Runs one size. */
+/** Runs one scale run. */
 export async function runScale(options: ScaleOptions): Promise<ScaleResult> {
   const parts: PartProcess[] = [];
   const environment = { [FLEET_KEY_VARIABLE]: randomBytes(16).toString('hex') };
@@ -119,8 +120,8 @@
   const hosts: DaemonHost[] = [];
   let first = 1;
   while (first <= options.daemons) {
-    const most = first <= options.realDaemons ? 1 : DAEMONS_PER_PROCESS;
-    const count = Math.min(most, options.daemons - first + 1);
+    const maxCount = first <= options.realDaemons ? 1 : DAEMONS_PER_PROCESS;
+    const count = Math.min(maxCount, options.daemons - first + 1);
     const part = start(
       `daemons-${first}`,
       hollowCommand('daemons', first, count, platform, options),
@@ -151,7 +152,7 @@
   platform: Endpoint,
   hosts: readonly DaemonHost[],
 ): Promise<ScaleResult> {
-  await formed(options, hosts);
+  await waitForMembership(options, hosts);
   const change = await timeChange(hosts);
   await wait(options.settleMs);
   const before = await readAll(platform, hosts);
@@ -174,8 +175,11 @@
   };
 }
 
-/** Resolves when every daemon counts all of them alive. */
-async function formed(options: ScaleOptions, hosts: readonly DaemonHost[]): Promise<void> {
+/** Waits until every daemon counts all daemons as alive. */
+async function waitForMembership(
+  options: ScaleOptions,
+  hosts: readonly DaemonHost[],
+): Promise<void> {
   for (const operator of hosts.flatMap((host) => host.operators)) {
     await until(
       async () => {
@@ -183,15 +187,15 @@
         return status.daemonsAlive === options.daemons ? true : null;
       },
       {
-        what: 'all daemons to know one another',
-        timeoutMs: FORMED_TIMEOUT_MS,
+        what: 'every daemon to count all daemons as alive',
+        timeoutMs: CONVERGENCE_TIMEOUT_MS,
         signal: NEVER_ABORTED,
       },
     );
   }
 }
 
-/** Puts a configuration in force and times until the last daemon has it. */
+/** Applies a configuration change and measures the time until the last daemon has it in force. */
 async function timeChange(
   hosts: readonly DaemonHost[],
 ): Promise<{ readonly inForceMs: number; readonly outcome: string }> {
@@ -210,20 +214,24 @@
         };
         return status.configurationVersion >= 1 ? true : null;
       },
-      { what: 'the change to be in force', timeoutMs: FORMED_TIMEOUT_MS, signal: NEVER_ABORTED },
+      {
+        what: 'the change to be in force',
+        timeoutMs: CONVERGENCE_TIMEOUT_MS,
+        signal: NEVER_ABORTED,
+      },
     );
   }
   return { inForceMs: Math.round(performance.now() - startedAt), outcome: kind };
 }
 
-interface Reading {
+interface Snapshot {
   readonly at: number;
   readonly counts: Counts;
   readonly samples: ReadonlyMap<DaemonHost, ProcessSample>;
   readonly peerBytes: ReadonlyMap<DaemonHost, number>;
 }
 
-async function readAll(platform: Endpoint, hosts: readonly DaemonHost[]): Promise<Reading> {
+async function readAll(platform: Endpoint, hosts: readonly DaemonHost[]): Promise<Snapshot> {
   const samples = new Map<DaemonHost, ProcessSample>();
   const peerBytes = new Map<DaemonHost, number>();
   for (const host of hosts) {
@@ -251,14 +259,14 @@
 
 function costOf(
   hosts: readonly DaemonHost[],
-  before: Reading,
-  after: Reading,
+  before: Snapshot,
+  after: Snapshot,
   isCounted: (host: DaemonHost) => boolean,
 ): DaemonCost {
   const counted = hosts.filter(isCounted);
   const daemons = counted.reduce((sum, host) => sum + host.operators.length, 0);
   const seconds = (after.at - before.at) / MILLISECONDS_PER_SECOND;
-  const grown = (read: (reading: Reading, host: DaemonHost) => number): number =>
+  const increase = (read: (snapshot: Snapshot, host: DaemonHost) => number): number =>
     counted.reduce((sum, host) => sum + read(after, host) - read(before, host), 0);
   const resident = counted.reduce(
     (sum, host) => sum + (after.samples.get(host)?.residentBytes ?? 0),
@@ -268,9 +276,11 @@
   return {
     processes: counted.length,
     daemons,
-    cpuShare: perDaemon(grown((r, host) => r.samples.get(host)?.cpuSeconds ?? 0) / seconds),
+    cpuShare: perDaemon(increase((r, host) => r.samples.get(host)?.cpuSeconds ?? 0) / seconds),
     residentBytes: perDaemon(resident),
-    tcpBytesPerSecond: perDaemon(grown((r, host) => r.samples.get(host)?.ioBytes ?? 0) / seconds),
-    peerBytesPerSecond: perDaemon(grown((r, host) => r.peerBytes.get(host) ?? 0) / seconds),
+    tcpBytesPerSecond: perDaemon(
+      increase((r, host) => r.samples.get(host)?.ioBytes ?? 0) / seconds,
+    ),
+    peerBytesPerSecond: perDaemon(increase((r, host) => r.peerBytes.get(host) ?? 0) / seconds),
   };
 }
