--- a/src/lab/load/answer-check.ts
+++ b/src/lab/load/answer-check.ts
@@ -1,4 +1,4 @@
-/** Compares answers with what the emulated model must write. */
+/** Compares answers with the expected output of the emulated model. */
 import { z } from 'zod';
 import { expectedTokens } from '../engine/index.js';
 import type { ModelArrivalRequest } from '../workload/index.js';
@@ -17,7 +17,7 @@
   usage: z.object({ completion_tokens: z.int().min(0) }).optional(),
 });
 
-/** A whole answer or one frame of it, reduced to what is checked. */
+/** A non-streamed answer or one frame of a stream, reduced to the checked fields. */
 export interface AnswerPart {
   readonly version: string;
   readonly text: string;
@@ -25,7 +25,7 @@
   readonly completionTokens: number | null;
 }
 
-/** Reads a whole answer's body or a frame's data; null where it has another form. */
+/** Parses the body of a non-streamed answer or the data of a frame; null if it is malformed. */
 export function readAnswerPart(json: string): AnswerPart | null {
   const parsed = answerSchema.safeParse(parseJson(json));
   if (!parsed.success) return null;
@@ -36,7 +36,7 @@
   };
 }
 
-/** Judges the parts of an answer that ended as if whole. */
+/** Checks the parts of an answer that ended normally. */
 export function judgeAnswer(
   request: ModelArrivalRequest,
   prompt: string,
@@ -47,7 +47,7 @@
   if (version.includes('+') !== (request.adapter !== null)) return wrong(`version ${version}`);
   const stated = parts.at(-1)?.completionTokens ?? null;
   if (stated !== request.outputTokens) {
-    return wrong(`states ${stated} of ${request.outputTokens} tokens`);
+    return wrong(`usage states ${stated} tokens, expected ${request.outputTokens}`);
   }
   const { model, adapter, outputTokens: count } = request;
   const expected = expectedTokens({ model, adapter, version, prompt, count }).join('');
@@ -56,7 +56,7 @@
   return wrong(differenceOf(received, expected));
 }
 
-/** Where a text leaves what was expected; the texts are the emulated model's, never a prompt. */
+/** Describes the first difference by its position only; it contains no text of the answer. */
 function differenceOf(received: string, expected: string): string {
   let at = 0;
   while (at < received.length && received[at] === expected[at]) at += 1;
--- a/src/lab/load/call.ts
+++ b/src/lab/load/call.ts
@@ -1,4 +1,4 @@
-/** Sends one request of a workload to a daemon and judges what comes back. */
+/** Sends one request of a workload to a daemon and checks the answer. */
 import type { Agent, Dispatcher } from 'undici';
 import type { Milliseconds } from '../../core/common/time.js';
 import { tileContent } from '../web/index.js';
@@ -8,26 +8,26 @@
 import { EventStreamReader } from './event-stream.js';
 import type { Outcome } from './outcome.js';
 
-/** Hears of the progress of a call; times are the caller's monotonic clock. */
+/** Receives the progress of a call; times are from the monotonic clock. */
 export interface CallObserver {
-  /** A token of a streamed answer came. */
+  /** Called for each received frame of a streamed answer that contains text. */
   token(at: Milliseconds): void;
-  /** The head of an answer came. */
+  /** Called when the status and headers of an answer arrive. */
   head?(status: number, headers: Dispatcher.ResponseData['headers']): void;
 }
 
-/** How a call is made. */
+/** Options of a call. */
 export interface CallOptions {
   readonly agent: Agent;
-  /** The daemon's callers' address, as `http://IP:PORT`. */
+  /** The daemon's address for callers, as `http://IP:PORT`. */
   readonly origin: string;
   readonly signal: AbortSignal;
   readonly observer: CallObserver;
-  /** Headers beside those of the arrival. */
+  /** Headers in addition to those of the arrival. */
   readonly headers?: Readonly<Record<string, string>>;
 }
 
-/** Errors of a connection that never came to be, so that nothing can have been sent. */
+/** Errors of connecting; no request can have been sent. */
 const CONNECT_ERRORS: ReadonlySet<string> = new Set([
   'ECONNREFUSED',
   'EHOSTUNREACH',
@@ -35,10 +35,10 @@
   'UND_ERR_CONNECT_TIMEOUT',
 ]);
 
-/** The load itself ended the call: an interruption, or no more patience. */
+/** The load itself aborted the call: it was interrupted, or its final time-out expired. */
 const CALLER_GAVE_UP = 'caller-gave-up';
 
-/** Makes one call. Never rejects. */
+/** Makes one call and returns its outcome. Never rejects. */
 export async function call(arrival: Arrival, options: CallOptions): Promise<Outcome> {
   const prompt = arrival.request.kind === 'model' ? promptText(arrival.request.prompt) : '';
   let response: Dispatcher.ResponseData;
@@ -54,11 +54,11 @@
     });
   } catch (error) {
     if (options.signal.aborted) return { kind: 'unknown', code: CALLER_GAVE_UP };
-    return notAnswered(error);
+    return outcomeOfFailedRequest(error);
   }
   options.observer.head?.(response.statusCode, response.headers);
   try {
-    return await judge(arrival, prompt, response, options.observer);
+    return await checkResponse(arrival, prompt, response, options.observer);
   } catch (error) {
     if (options.signal.aborted) return { kind: 'unknown', code: CALLER_GAVE_UP };
     return { kind: 'cut', detail: codeOf(error) };
@@ -101,7 +101,7 @@
   });
 }
 
-async function judge(
+async function checkResponse(
   arrival: Arrival,
   prompt: string,
   response: Dispatcher.ResponseData,
@@ -114,22 +114,22 @@
   const { request } = arrival;
   switch (request.kind) {
     case 'web-read':
-      return judgeTile(request.path, Buffer.from(await body.arrayBuffer()));
+      return checkTile(request.path, Buffer.from(await body.arrayBuffer()));
     case 'web-order':
-      return judgeOrder(request.requestKey, await body.text());
+      return checkOrder(request.requestKey, await body.text());
     case 'model':
-      if (request.streamed) return judgeStream(request, prompt, body, observer);
-      return judgeWhole(request, prompt, await body.text());
+      if (request.streamed) return checkStream(request, prompt, body, observer);
+      return checkNonStreamed(request, prompt, await body.text());
   }
 }
 
-function judgeWhole(request: ModelArrivalRequest, prompt: string, body: string): Outcome {
+function checkNonStreamed(request: ModelArrivalRequest, prompt: string, body: string): Outcome {
   const part = readAnswerPart(body);
-  if (part === null) return { kind: 'wrong', detail: 'an answer of another form' };
+  if (part === null) return { kind: 'wrong', detail: 'malformed answer' };
   return judgeAnswer(request, prompt, [part]);
 }
 
-async function judgeStream(
+async function checkStream(
   request: ModelArrivalRequest,
   prompt: string,
   body: AsyncIterable<Uint8Array>,
@@ -146,7 +146,7 @@
         continue;
       }
       const part = readAnswerPart(event.data);
-      if (part === null) return notAPart(event.data);
+      if (part === null) return outcomeOfUnreadableFrame(event.data);
       parts.push(part);
       if (part.text !== '') observer.token(performance.now());
     }
@@ -156,29 +156,30 @@
   return judgeAnswer(request, prompt, parts);
 }
 
-/** An error in the stream ends it visibly broken; any other form must not be. */
-function notAPart(data: string): Outcome {
+/** An error frame means that the answer was cut; any other frame without text is wrong. */
+function outcomeOfUnreadableFrame(data: string): Outcome {
   const parsed = parseJson(data) as { error?: { code?: unknown } } | null | undefined;
-  if (parsed?.error === undefined) return { kind: 'wrong', detail: 'a frame of another form' };
+  if (parsed?.error === undefined) return { kind: 'wrong', detail: 'malformed frame' };
   return { kind: 'cut', detail: `error in the stream: ${String(parsed.error.code)}` };
 }
 
-function judgeTile(path: string, body: Buffer): Outcome {
+function checkTile(path: string, body: Buffer): Outcome {
   const expected = tileContent(path, body.length);
   const right = body.length > 0 && body.equals(expected);
   return right
     ? { kind: 'finished', outputTokens: 0 }
-    : { kind: 'wrong', detail: `the bytes of another path than ${path}` };
+    : { kind: 'wrong', detail: `the bytes are not those of ${path}` };
 }
 
-function judgeOrder(requestKey: string, body: string): Outcome {
+function checkOrder(requestKey: string, body: string): Outcome {
   const answer = parseJson(body) as { key?: unknown; runs?: unknown } | null | undefined;
-  if (answer?.key !== requestKey) return { kind: 'wrong', detail: 'the answer of another order' };
+  if (answer?.key !== requestKey)
+    return { kind: 'wrong', detail: 'the answer belongs to another order' };
   if (answer.runs !== 1) return { kind: 'wrong', detail: `run ${String(answer.runs)} times` };
   return { kind: 'finished', outputTokens: 0 };
 }
 
-function notAnswered(error: unknown): Outcome {
+function outcomeOfFailedRequest(error: unknown): Outcome {
   const code = codeOf(error);
   if (CONNECT_ERRORS.has(code)) return { kind: 'refused', code, retryAfterMs: null };
   return { kind: 'unknown', code };
--- a/src/lab/load/error-answer.ts
+++ b/src/lab/load/error-answer.ts
@@ -1,4 +1,4 @@
-/** Reads the error answers of a daemon. */
+/** Parses the error answers of a daemon. */
 import { z } from 'zod';
 import type { Outcome } from './outcome.js';
 
@@ -11,7 +11,7 @@
   }),
 });
 
-/** What an answer with an error status means. An error that does not say is `unknown`. */
+/** The outcome of an answer with an error status; `unknown` if the body does not state it. */
 export function errorOutcome(status: number, retryAfter: unknown, body: string): Outcome {
   const parsed = errorSchema.safeParse(parseJson(body));
   if (!parsed.success) return { kind: 'unknown', code: `status-${status}-without-outcome` };
@@ -20,7 +20,7 @@
   return { kind: 'refused', code, retryAfterMs: retryAfterMs(retryAfter) };
 }
 
-/** A value from JSON text; undefined where it is not JSON. */
+/** Parses JSON text; undefined if it is not JSON. */
 export function parseJson(text: string): unknown {
   try {
     return JSON.parse(text);
--- a/src/lab/load/event-stream.ts
+++ b/src/lab/load/event-stream.ts
@@ -1,6 +1,6 @@
-/** Reads server-sent events from chunks of bytes. */
+/** Parses server-sent events from chunks of bytes. */
 
-/** One event; comments and unknown fields are left out. */
+/** One event, without comments and unknown fields. */
 export interface ServerSentEvent {
   readonly id: string | null;
   readonly data: string;
@@ -8,12 +8,12 @@
 
 const SEPARATOR = '\n\n';
 
-/** Takes bytes in any pieces and gives whole events. */
+/** Reassembles complete events from chunks that may split them anywhere. */
 export class EventStreamReader {
   private readonly decoder = new TextDecoder();
   private pending = '';
 
-  /** The events that end in this chunk. */
+  /** The events that this chunk completes. */
   read(chunk: Uint8Array): ServerSentEvent[] {
     this.pending += this.decoder.decode(chunk, { stream: true });
     const blocks = this.pending.split(SEPARATOR);
@@ -21,7 +21,7 @@
     return blocks.map(parseBlock).filter((event) => event !== null);
   }
 
-  /** Whether bytes of an event that never ended are left. */
+  /** Whether the bytes so far end with an incomplete event. */
   get isBroken(): boolean {
     return this.pending.trim() !== '';
   }
--- a/src/lab/load/load.ts
+++ b/src/lab/load/load.ts
@@ -1,4 +1,4 @@
-/** Sends a workload open-loop to the callers' addresses of daemons and reports what came of it. */
+/** Sends a workload to daemons as an open loop and reports the outcomes. */
 import { setMaxListeners } from 'node:events';
 import { setTimeout as wait } from 'node:timers/promises';
 import { Agent } from 'undici';
@@ -10,25 +10,25 @@
 import type { Outcome } from './outcome.js';
 import { type LoadReport, type OutcomeCounts, Tally } from './tally.js';
 
-/** Connections to one daemon at most; more requests wait in the load tool. */
+/** Maximum connections to one daemon; further requests wait in the load tool. */
 const CONNECTIONS_PER_TARGET = 512;
 
-/** How to send a workload. */
+/** Options of a load. */
 export interface LoadOptions {
   readonly workload: Workload;
-  /** Where daemons take callers; requests go round them in turn. */
+  /** The daemons' addresses for callers; requests are sent to them round-robin. */
   readonly targets: readonly Endpoint[];
-  /** How often a caller comes back after a refusal with `Retry-After`. */
+  /** Maximum retries of a request after refusals with `Retry-After`. */
   readonly maxRetries: number;
-  /** How long after the last request callers wait before they give up. */
+  /** Time after the last request was sent at which requests in flight are aborted. */
   readonly patienceMs: Milliseconds;
-  /** Ends the load early; what is in flight is given up. */
+  /** Ends the load early and aborts the requests in flight. */
   readonly signal?: AbortSignal;
-  /** Hears of each final outcome. */
+  /** Called with the final outcome of each request. */
   readonly onOutcome?: (arrival: Arrival, outcome: Outcome) => void;
 }
 
-/** How a load is going. */
+/** The progress of a load. */
 export interface LoadProgress extends OutcomeCounts {
   readonly sent: number;
   readonly inFlight: number;
@@ -38,27 +38,27 @@
   readonly elapsedMs: Milliseconds;
 }
 
-/** A load under way. */
+/** One run of a workload. */
 export class Load {
   private readonly tally = new Tally();
   private readonly inFlight = new Set<Promise<void>>();
   private readonly agent = new Agent({ connections: CONNECTIONS_PER_TARGET, pipelining: 1 });
-  private readonly giveUp = new AbortController();
+  private readonly abortController = new AbortController();
   private startedAt: Milliseconds = 0;
   private phase = '';
 
   constructor(private readonly options: LoadOptions) {}
 
-  /** Sends everything and waits for the outcomes. */
+  /** Sends all requests and waits for their outcomes. */
   async run(): Promise<LoadReport> {
     const { workload, signal } = this.options;
-    // Every call in flight listens; their number is the load's, not a leak.
-    setMaxListeners(0, this.giveUp.signal);
-    signal?.addEventListener('abort', () => this.giveUp.abort(), { once: true });
+    // Each call in flight adds a listener, so no limit applies and the leak warning is disabled.
+    setMaxListeners(0, this.abortController.signal);
+    signal?.addEventListener('abort', () => this.abortController.abort(), { once: true });
     this.startedAt = performance.now();
     for (const arrival of arrivals(workload)) {
       await this.waitUntil(this.startedAt + arrival.atMs);
-      if (this.giveUp.signal.aborted) break;
+      if (this.abortController.signal.aborted) break;
       this.start(arrival);
     }
     await this.finish();
@@ -76,23 +76,23 @@
   private async waitUntil(at: Milliseconds): Promise<void> {
     const delayMs = at - performance.now();
     if (delayMs <= 0) return;
-    await wait(delayMs, undefined, { signal: this.giveUp.signal }).catch(() => undefined);
+    await wait(delayMs, undefined, { signal: this.abortController.signal }).catch(() => undefined);
   }
 
   private start(arrival: Arrival): void {
     this.phase = arrival.phase;
     this.tally.sent();
-    const running = this.follow(arrival).finally(() => this.inFlight.delete(running));
+    const running = this.callWithRetries(arrival).finally(() => this.inFlight.delete(running));
     this.inFlight.add(running);
   }
 
-  /** Makes the call and comes back after refusals as often as allowed. */
-  private async follow(arrival: Arrival): Promise<void> {
+  /** Makes the call and retries after refusals, up to `maxRetries` times. */
+  private async callWithRetries(arrival: Arrival): Promise<void> {
     const startedAt = performance.now();
     for (let attempt = 0; ; attempt += 1) {
       const outcome = await this.callOnce(arrival, attempt);
-      const again = outcome.kind === 'refused' && attempt < this.options.maxRetries;
-      if (!again || outcome.retryAfterMs === null || this.giveUp.signal.aborted) {
+      const mayRetry = outcome.kind === 'refused' && attempt < this.options.maxRetries;
+      if (!mayRetry || outcome.retryAfterMs === null || this.abortController.signal.aborted) {
         this.tally.ended(arrival, outcome, performance.now() - startedAt);
         this.options.onOutcome?.(arrival, outcome);
         return;
@@ -115,13 +115,18 @@
       },
     };
     const origin = `http://${formatEndpoint(target)}`;
-    return call(arrival, { agent: this.agent, origin, signal: this.giveUp.signal, observer });
+    return call(arrival, {
+      agent: this.agent,
+      origin,
+      signal: this.abortController.signal,
+      observer,
+    });
   }
 
   private async finish(): Promise<void> {
-    const patience = setTimeout(() => this.giveUp.abort(), this.options.patienceMs);
+    const finalTimeout = setTimeout(() => this.abortController.abort(), this.options.patienceMs);
     await Promise.all(this.inFlight);
-    clearTimeout(patience);
+    clearTimeout(finalTimeout);
     await this.agent.destroy();
   }
 }
--- a/src/lab/load/outcome.ts
+++ b/src/lab/load/outcome.ts
@@ -1,24 +1,24 @@
-/** What became of a request, as its caller sees it. */
+/** The outcome of a request, as its caller sees it. */
 
-/** The five ways a request may end. */
+/** The kinds of outcome. */
 export const OUTCOME_KINDS = ['finished', 'refused', 'unknown', 'wrong', 'cut'] as const;
-/** One of the ways a request may end. */
+/** A kind of outcome. */
 export type OutcomeKind = (typeof OUTCOME_KINDS)[number];
 
-/** What became of one request. */
+/** The outcome of one request. */
 export type Outcome =
-  /** The whole right answer. Tokens are 0 for web requests. */
+  /** A complete and correct answer. Tokens are 0 for web requests. */
   | { readonly kind: 'finished'; readonly outputTokens: number }
-  /** Said to be not run, or the connection was refused. */
+  /** The answer states that the request was not run, or no connection was established. */
   | {
       readonly kind: 'refused';
       readonly code: string;
-      /** When the caller may come back; null where the answer does not say. */
+      /** When the caller may retry; null if the answer does not state it. */
       readonly retryAfterMs: number | null;
     }
-  /** It may have run: said so, or the connection broke before an answer began. */
+  /** The request may have run: the answer states so, or the connection broke before an answer. */
   | { readonly kind: 'unknown'; readonly code: string }
-  /** A whole answer that is not the right one. Never to be seen. */
+  /** An answer with incorrect content; always a fault of the system under test. */
   | { readonly kind: 'wrong'; readonly detail: string }
-  /** An answer that began and broke off. */
+  /** An answer that broke off after it began. */
   | { readonly kind: 'cut'; readonly detail: string };
--- a/src/lab/load/tally.ts
+++ b/src/lab/load/tally.ts
@@ -1,11 +1,11 @@
-/** Counts the outcomes of a load and keeps its times in HDR histograms. */
+/** Counts the outcomes of a load and records its durations in HDR histograms. */
 import type { Milliseconds } from '../../core/common/time.js';
 import { type Percentiles, SpanHistogram } from '../common/span-histogram.js';
 import type { Arrival } from '../workload/index.js';
 import type { Outcome, OutcomeKind } from './outcome.js';
 
 const MS_PER_SECOND = 1_000;
-const KEPT_DETAILS = 10;
+const MAX_DETAILS = 10;
 
 /** Counts by outcome. */
 export type OutcomeCounts = Readonly<Record<OutcomeKind, number>>;
@@ -14,31 +14,31 @@
 export interface LoadReport {
   readonly workload: string;
   readonly seed: number;
-  /** Since the first request until the last outcome. */
+  /** From the start of the load to the last outcome. */
   readonly durationMs: Milliseconds;
   readonly sent: number;
   readonly outcomes: OutcomeCounts;
-  /** Times that a caller came back after the `Retry-After` of a refusal. */
+  /** Number of retries after a refusal with `Retry-After`. */
   readonly retries: number;
   readonly goodput: {
     readonly outputTokensPerSecond: number;
     readonly requestsPerSecond: number;
   };
-  /** From sending until the first token of a streamed answer. */
+  /** From sending to the first token of a streamed answer. */
   readonly firstToken: Percentiles;
-  /** Between tokens of a streamed answer. */
+  /** Between consecutive tokens of a streamed answer. */
   readonly betweenTokens: Percentiles;
-  /** From sending until the end of an answer of any form that finished. */
+  /** From first sending to the end of an answer, for finished requests, retries included. */
   readonly wholeAnswer: Percentiles;
   readonly bySource: Readonly<Record<string, OutcomeCounts>>;
   readonly byPhase: Readonly<Record<string, OutcomeCounts>>;
-  /** How often each code of a refusal or an unknown outcome came. */
+  /** Refused and unknown outcomes by their code. */
   readonly codes: Readonly<Record<string, number>>;
-  /** The first few answers that were wrong or cut. */
+  /** Descriptions of the first wrong or cut answers. */
   readonly details: readonly string[];
 }
 
-/** The counts of a load that goes on. */
+/** The counts and durations of a load in progress. */
 export class Tally {
   private readonly total = emptyCounts();
   private readonly sources = new Map<string, Record<OutcomeKind, number>>();
@@ -52,27 +52,27 @@
   private sentCount = 0;
   private retryCount = 0;
 
-  /** A request was sent for the first time. */
+  /** Records the first sending of a request. */
   sent(): void {
     this.sentCount += 1;
   }
 
-  /** A caller came back after a refusal. */
+  /** Records a retry. */
   retried(): void {
     this.retryCount += 1;
   }
 
-  /** A streamed answer's first token. */
+  /** Records the first token of a streamed answer. */
   firstToken(afterMs: Milliseconds): void {
     this.firstTokens.record(afterMs);
   }
 
-  /** A later token. */
+  /** Records a later token of a streamed answer. */
   tokenGap(gapMs: Milliseconds): void {
     this.tokenGaps.record(gapMs);
   }
 
-  /** A request's final outcome. */
+  /** Records the final outcome of a request. */
   ended(arrival: Arrival, outcome: Outcome, tookMs: Milliseconds): void {
     this.total[outcome.kind] += 1;
     countsIn(this.sources, arrival.source.name)[outcome.kind] += 1;
@@ -94,7 +94,7 @@
     return { ...this.total, sent: this.sentCount, outputTokens: this.outputTokens };
   }
 
-  /** The report over a span of time. */
+  /** The report of a load that took `durationMs`. */
   report(workload: string, seed: number, durationMs: Milliseconds): LoadReport {
     const seconds = Math.max(durationMs, 1) / MS_PER_SECOND;
     return {
@@ -119,7 +119,7 @@
   }
 
   private keepDetail(detail: string): void {
-    if (this.details.length < KEPT_DETAILS) this.details.push(detail);
+    if (this.details.length < MAX_DETAILS) this.details.push(detail);
   }
 }
 
--- a/src/lab/network/index.ts
+++ b/src/lab/network/index.ts
@@ -1,2 +1,2 @@
-/** Network faults for tests over real TCP. */
+/** Network faults for tests over TCP. */
 export { Link } from './link.js';
--- a/src/lab/network/link.ts
+++ b/src/lab/network/link.ts
@@ -1,6 +1,6 @@
 /**
- * A TCP relay that stands for one network link in fault tests: whoever connects to the link is
- * connected to its target, under conditions that the test changes while it runs.
+ * A TCP relay that emulates one network link in fault tests: it connects each client to the target,
+ * under conditions (cut, delay, loss) that the test can change at any time.
  */
 import {
   type AddressInfo,
@@ -14,7 +14,7 @@
 import { Random } from '../workload/index.js';
 import { type DirectionConditions, Pipe } from './pipe.js';
 
-/** A direction as seen from whoever connects, or both. */
+/** A direction as seen from the connecting client, or both. */
 export type Direction = 'to-target' | 'from-target' | 'both';
 
 const NEVER = (): boolean => false;
@@ -57,8 +57,8 @@
   }
 
   /**
-   * Lets no byte through in a direction until `heal`. New connections are still taken, since a
-   * relay can't ignore them as a cut network does, but nothing comes of them.
+   * Holds all bytes in a direction until `heal`. New connections are still accepted, because a
+   * relay cannot drop connection attempts as a cut network does, but their bytes are held too.
    */
   cut(direction: Direction): void {
     this.change(direction, (conditions) => {
@@ -66,21 +66,21 @@
     });
   }
 
-  /** Lets bytes through again; those held arrive late, in order. */
+  /** Forwards bytes again; held bytes are delivered in order. */
   heal(direction: Direction = 'both'): void {
     this.change(direction, (conditions) => {
       conditions.isCut = false;
     });
   }
 
-  /** Makes bytes that come from now on arrive later. */
+  /** Delays bytes received from now on. */
   delay(direction: Direction, delayMs: Milliseconds): void {
     this.change(direction, (conditions) => {
       conditions.delayMs = delayMs;
     });
   }
 
-  /** Breaks a connection with a probability at each piece of bytes; seeded. 0 ends it. */
+  /** Breaks the connection with a seeded probability at each received chunk; 0 disables it. */
   lose(direction: Direction, probability: number, seed: number): void {
     const random = new Random(seed);
     const breaks = probability === 0 ? NEVER : () => random.unit() < probability;
@@ -94,7 +94,7 @@
     for (const connection of this.connections) this.break(connection);
   }
 
-  /** Breaks everything and takes no more connections. */
+  /** Breaks all connections and stops listening. */
   async close(): Promise<void> {
     const closed = new Promise((resolve) => this.server.close(resolve));
     this.breakConnections();
--- a/src/lab/network/pipe.ts
+++ b/src/lab/network/pipe.ts
@@ -1,29 +1,29 @@
-/** One direction of a relayed connection: bytes in order, late when delayed, held when cut. */
+/** One direction of a relayed connection: delivers bytes in order, with delay, or holds them. */
 import type { Socket } from 'node:net';
 import type { Milliseconds } from '../../core/common/time.js';
 
-/** Bytes that a pipe holds before it stops reading from its source. */
+/** Held bytes at which a pipe stops reading from its source. */
 const MAX_HELD_BYTES = 1024 * 1024;
 
-/** What a link does to one direction; changed in place while connections are open. */
+/** The conditions of one direction of a link; mutated in place while connections are open. */
 export interface DirectionConditions {
-  /** Holds all bytes, as a network does that drops packets which TCP then sends again. */
+  /** Holds all bytes: the effect of a network that drops packets until TCP's retransmissions pass. */
   isCut: boolean;
-  /** How much later bytes arrive. */
+  /** Delay added to each chunk. */
   delayMs: Milliseconds;
-  /** Decides for each piece of bytes whether the connection breaks instead of carrying it. */
+  /** Decides for each chunk whether the connection breaks instead of forwarding it. */
   breaks: () => boolean;
 }
 
-interface Held {
-  /** Null stands for the end of the source's bytes. */
+interface HeldChunk {
+  /** Null for the end of the source's stream. */
   readonly chunk: Buffer | null;
   readonly dueAt: Milliseconds;
 }
 
-/** Carries bytes from one socket to another. */
+/** Forwards bytes from one socket to another. */
 export class Pipe {
-  private held: Held[] = [];
+  private held: HeldChunk[] = [];
   private heldBytes = 0;
   private timer: NodeJS.Timeout | null = null;
   private isWaitingForDrain = false;
@@ -34,15 +34,15 @@
     private readonly conditions: DirectionConditions,
     private readonly onBreak: () => void,
   ) {
-    source.on('data', (chunk) => this.take(chunk));
-    source.on('end', () => this.take(null));
+    source.on('data', (chunk) => this.onChunk(chunk));
+    source.on('end', () => this.onChunk(null));
     destination.on('drain', () => {
       this.isWaitingForDrain = false;
       this.pump();
     });
   }
 
-  /** Sends on whatever may be sent now; called again when conditions change. */
+  /** Forwards the chunks that are due; also called when conditions change. */
   pump(): void {
     this.clearTimer();
     while (!this.conditions.isCut && !this.isWaitingForDrain && !this.destination.destroyed) {
@@ -59,13 +59,13 @@
     if (this.heldBytes < MAX_HELD_BYTES) this.source.resume();
   }
 
-  /** Drops what is held; the connection has ended. */
+  /** Drops held bytes after the connection has ended. */
   end(): void {
     this.clearTimer();
     this.held = [];
   }
 
-  private take(chunk: Buffer | null): void {
+  private onChunk(chunk: Buffer | null): void {
     if (chunk !== null && this.conditions.breaks()) {
       this.onBreak();
       return;
--- a/src/lab/platform/faults.ts
+++ b/src/lab/platform/faults.ts
@@ -1,18 +1,18 @@
-/** Faults of the platform's services, set by the admin call `POST /faults`; all deterministic. */
+/** Deterministic faults of the platform's services, set by the admin call `POST /faults`. */
 
 import { uniformFloat64 } from 'pure-rand/distribution/uniformFloat64';
 import { xoroshiro128plus } from 'pure-rand/generator/xoroshiro128plus';
 import type { RandomGenerator } from 'pure-rand/types/RandomGenerator';
 import { z } from 'zod';
 
-/** When a call's connection breaks: before it took effect, or after with the answer lost. */
+/** Selects the calls of a service that are lost. */
 const lossSchema = z.discriminatedUnion('kind', [
   z.strictObject({ kind: z.literal('none') }),
   /** The next `calls` calls. */
   z.strictObject({ kind: z.literal('next'), calls: z.int().positive() }),
-  /** Every nth call, counted from the setting of the fault. */
+  /** Every nth call, counted from when the fault was set. */
   z.strictObject({ kind: z.literal('every'), nth: z.int().positive() }),
-  /** Each call with a probability, drawn from a generator with the seed. */
+  /** Each call with a probability, from a generator with the given seed. */
   z.strictObject({
     kind: z.literal('random'),
     probability: z.number().min(0).max(1),
@@ -22,23 +22,23 @@
 
 const delay = z.int().min(0).max(600_000);
 
-/** The faults of one service. Absent keys in an admin call leave what was set. */
+/** The faults of one service. An admin call leaves faults unchanged whose keys are absent. */
 const serviceFaultsSchema = z.strictObject({
-  /** Answers 503, nothing done. */
+  /** Answers 503 without applying the call. */
   down: z.boolean(),
-  /** Milliseconds that a call waits before it takes effect. */
+  /** Milliseconds before a call takes effect. */
   slowMs: delay,
-  /** Milliseconds that the answer waits after the call took effect. */
+  /** Milliseconds between a call's effect and its answer. */
   slowAnswerMs: delay,
-  /** Calls that break before they take effect. */
+  /** Calls whose connection breaks before they take effect. */
   loseCalls: lossSchema,
-  /** Calls that take effect and whose answer never comes. */
+  /** Calls that take effect and whose answer is lost. */
   loseAnswers: lossSchema,
-  /** Loses only calls that write, so that reading back works. */
+  /** Applies losses to writing calls only, so that reads still succeed. */
   writesOnly: z.boolean(),
 });
 
-/** The services that can be at fault apart. */
+/** The services, each with its own faults. */
 export const SERVICES = ['table', 'objects', 'weights', 'machines'] as const;
 /** One of the platform's services. */
 export type Service = (typeof SERVICES)[number];
@@ -54,10 +54,10 @@
   objects: partial,
   weights: partial,
   machines: partial,
-  /** How far the machine list is behind, in milliseconds. */
+  /** The replication lag of the machine list, in milliseconds. */
   machineLagMs: delay.optional(),
 });
-/** A change of faults. */
+/** A change of the faults. */
 export type FaultsRequest = z.infer<typeof faultsRequestSchema>;
 
 /** No faults. */
@@ -70,7 +70,7 @@
   writesOnly: false,
 };
 
-/** Says of each call in turn whether it is lost. */
+/** Decides for each call in sequence whether it is lost. */
 export class LossSource {
   private calls = 0;
   private readonly random: RandomGenerator;
@@ -79,7 +79,7 @@
     this.random = xoroshiro128plus(loss.kind === 'random' ? loss.seed : 0);
   }
 
-  /** Counts one call and says whether it is lost. */
+  /** Counts one call and returns whether it is lost. */
   next(): boolean {
     this.calls += 1;
     switch (this.loss.kind) {
--- a/src/lab/platform/http-exchange.ts
+++ b/src/lab/platform/http-exchange.ts
@@ -1,4 +1,4 @@
-/** Small helpers over node:http for the stand-in: bodies in, answers out. */
+/** Helpers over node:http for the emulated platform: request bodies and answers. */
 import type { IncomingMessage, ServerResponse } from 'node:http';
 
 /** An answer that has not been sent yet. */
@@ -26,7 +26,7 @@
   return jsonAnswer(status, { error: { message } });
 }
 
-/** Reads a whole body, or null when it is longer than `maxBytes`. */
+/** Reads a complete body; null if it is longer than `maxBytes`. */
 export async function readBody(request: IncomingMessage, maxBytes: number): Promise<Buffer | null> {
   const chunks: Buffer[] = [];
   let bytes = 0;
@@ -37,14 +37,14 @@
   return bytes <= maxBytes ? Buffer.concat(chunks) : null;
 }
 
-/** Sends an answer with its length. */
+/** Sends an answer with its `content-length`. */
 export function send(response: ServerResponse, answer: Answer): void {
   const body = typeof answer.body === 'string' ? Buffer.from(answer.body) : answer.body;
   response.writeHead(answer.status, { ...answer.headers, 'content-length': body.length });
   response.end(body);
 }
 
-/** JSON from a body; undefined where it is not JSON. */
+/** Parses a JSON body; undefined if it is not JSON. */
 export function parseJson(body: Buffer): unknown {
   try {
     return JSON.parse(body.toString('utf8'));
--- a/src/lab/platform/index.ts
+++ b/src/lab/platform/index.ts
@@ -1,4 +1,4 @@
-/** The stand-in for the platform's services. */
+/** The emulated platform: table, objects, weights and machine list. */
 export type { FaultsRequest } from './faults.js';
 export { MachineRegistration } from './machine-registration.js';
 export { DEFAULT_PLATFORM_OPTIONS, PlatformModel, type PlatformOptions } from './model.js';
--- a/src/lab/platform/machine-list.ts
+++ b/src/lab/platform/machine-list.ts
@@ -1,4 +1,4 @@
-/** The machine list, which shows the fleet as it was some time ago. */
+/** The machine list, which shows the fleet with a configurable lag. */
 import type { Milliseconds } from '../../core/common/time.js';
 import { contentHash } from '../../core/peer/index.js';
 import type { Machine } from '../../core/registry/backend.js';
@@ -13,32 +13,32 @@
   readonly machines: readonly Machine[];
 }
 
-/** Keeps the changes that readers can't see yet. What a reader has seen is never taken back. */
+/** Holds changes until they become visible. The visible state never goes back in time. */
 export class MachineList {
   private readonly shown = new Map<string, Machine>();
-  /** Of what is shown; made when it is asked for. */
+  /** Revision of `shown`, computed on demand; null after a change. */
   private revision: string | null = null;
   private shownAsOf: Milliseconds | null = null;
   private pending: Change[] = [];
 
   constructor(private lagMs: Milliseconds) {}
 
-  /** Changes how far the list is behind. A longer lag freezes it until the time is made up. */
+  /** Sets the lag. A longer lag freezes the visible list until the lag has built up. */
   setLag(lagMs: Milliseconds): void {
     this.lagMs = lagMs;
   }
 
-  /** Adds a machine or replaces the one of the same name. */
+  /** Adds a machine or replaces the machine of the same name. */
   put(machine: Machine, now: Milliseconds): void {
     this.pending.push({ kind: 'put', at: now, machine });
   }
 
-  /** Takes a machine off the list. */
+  /** Removes a machine. */
   remove(name: string, now: Milliseconds): void {
     this.pending.push({ kind: 'remove', at: now, name });
   }
 
-  /** The list as it was `lagMs` ago, in the order of names. */
+  /** The list as of `lagMs` ago, sorted by name. */
   read(now: Milliseconds): MachineListView {
     const asOf = Math.max(this.shownAsOf ?? now - this.lagMs, now - this.lagMs);
     this.showUntil(asOf);
@@ -46,7 +46,7 @@
     return { ageMs: Math.max(0, now - asOf), machines };
   }
 
-  /** Names what is shown at the time: the same content has the same revision. */
+  /** The revision of the visible list: equal content has an equal revision. */
   revisionAt(now: Milliseconds): string {
     const { machines } = this.read(now);
     this.revision ??= contentHash(JSON.stringify(machines));
--- a/src/lab/platform/machine-registration.ts
+++ b/src/lab/platform/machine-registration.ts
@@ -1,9 +1,9 @@
-/** Puts a machine on the platform's list and takes it off again. */
+/** Adds machines to the platform's machine list and removes them. */
 import { request } from 'undici';
 import type { Endpoint, Machine } from '../../core/registry/backend.js';
 import { formatEndpoint } from '../../shell/settings/index.js';
 
-/** The part of the machine list that machines themselves use. */
+/** A client of the calls that register and remove machines. */
 export class MachineRegistration {
   private readonly url: string;
 
@@ -11,12 +11,12 @@
     this.url = `http://${formatEndpoint(platform)}/machines`;
   }
 
-  /** Adds the machine or replaces its row. Rejects when the platform can't be reached. */
+  /** Adds a machine or replaces its entry. Rejects if the platform does not confirm it. */
   async put(machine: Machine): Promise<void> {
     await this.call('POST', this.url, JSON.stringify({ machine }));
   }
 
-  /** Takes a machine off the list; a platform that has gone is no error. */
+  /** Removes a machine. Errors are ignored, because the platform may have stopped already. */
   async remove(name: string): Promise<void> {
     await this.call('DELETE', `${this.url}/${encodeURIComponent(name)}`, null).catch(
       () => undefined,
--- a/src/lab/platform/model.ts
+++ b/src/lab/platform/model.ts
@@ -1,5 +1,5 @@
 /**
- * The platform as a model without sockets or clocks: the same in virtual time and behind HTTP.
+ * The platform as a model without sockets or clocks, used in virtual time and behind HTTP.
  * Each call is first admitted (rate limit, faults), then, after `delayMs`, applied.
  */
 import type { Milliseconds } from '../../core/common/time.js';
@@ -11,14 +11,14 @@
 import type { RateLimit } from './token-bucket.js';
 import { VersionedTable } from './versioned-table.js';
 
-/** Limits and lag of the stand-in. */
+/** Rate limits and lag of the emulated platform. */
 export interface PlatformOptions {
   readonly limits: Readonly<Record<Service, RateLimit>>;
-  /** How far the machine list is behind. */
+  /** The lag of the machine list. */
   readonly machineLagMs: Milliseconds;
 }
 
-/** Limits that a small fleet meets in production; the machine list's is far above what it needs. */
+/** Rate limits of production for a small fleet; that of the machine list is far above its need. */
 export const DEFAULT_PLATFORM_OPTIONS: PlatformOptions = {
   limits: {
     table: { perSecond: 100, burst: 200 },
@@ -29,13 +29,13 @@
   machineLagMs: 500,
 };
 
-/** Answers to a table call that was admitted and applied. */
+/** The results of a table call that was admitted and applied. */
 export type AppliedTableResult = Extract<
   TableResult,
   { readonly kind: 'rows' | 'committed' | 'conflict' }
 >;
 
-/** All of the platform's services, updated in place by their owner. */
+/** The state of all platform services, mutated in place. */
 export class PlatformModel {
   readonly table = new VersionedTable();
   readonly objects = new ObjectStore();
@@ -50,12 +50,12 @@
     );
   }
 
-  /** Decides how a call on a service goes; apply it after `delayMs` if it is admitted. */
+  /** Applies rate limit and faults to a call. The caller applies an admitted call after `delayMs`. */
   admit(service: Service, writes: boolean, now: Milliseconds): Admission {
     return this.gate(service).admit(writes, now);
   }
 
-  /** Carries out a table call that was admitted. */
+  /** Applies a table call that was admitted. */
   applyTable(call: TableCall): AppliedTableResult {
     switch (call.kind) {
       case 'get':
@@ -69,7 +69,7 @@
     }
   }
 
-  /** Changes the faults that the request names and leaves the others. */
+  /** Sets the faults in the request and leaves the others unchanged. */
   setFaults(request: FaultsRequest): void {
     for (const service of SERVICES) {
       const change = request[service];
@@ -78,12 +78,12 @@
     if (request.machineLagMs !== undefined) this.machines.setLag(request.machineLagMs);
   }
 
-  /** The faults in force, by service. */
+  /** The current faults, by service. */
   faults(): Readonly<Record<Service, ServiceFaults>> {
     return this.byService((gate) => gate.current());
   }
 
-  /** How many calls each service had since the start. */
+  /** The counts of calls since the start, by service. */
   counts(): Readonly<Record<Service, ServiceCounts>> {
     return this.byService((gate) => gate.counts());
   }
--- a/src/lab/platform/routes.ts
+++ b/src/lab/platform/routes.ts
@@ -1,4 +1,4 @@
-/** Which service a path belongs to and what each call does to the model. */
+/** Maps request paths to services and to operations on the model. */
 import type { z } from 'zod';
 import type { Milliseconds } from '../../core/common/time.js';
 import { faultsRequestSchema, type Service } from './faults.js';
@@ -17,17 +17,17 @@
 const MAX_OBJECT_BYTES = 16 * KIBIBYTE * KIBIBYTE;
 const MAX_ADMIN_BODY_BYTES = 64 * KIBIBYTE;
 
-/** A call that has been routed. */
+/** The route of a call. */
 export interface Route {
-  /** Null for admin calls, which have neither rate limit nor faults. */
+  /** Null for admin calls, to which neither rate limit nor faults apply. */
   readonly service: Service | null;
   readonly writes: boolean;
   readonly maxBodyBytes: number;
-  /** Carries out the call on the model. */
+  /** Applies the call to the model. */
   readonly apply: (model: PlatformModel, body: Buffer, now: Milliseconds) => Answer;
 }
 
-/** The route of a request, or null when there is none. */
+/** The route of a request; null for an unknown path. */
 export function route(method: string, path: string): Route | null {
   const [, root = '', ...rest] = path.split('/').map(decodeURIComponent);
   const name = rest.join('/');
@@ -71,7 +71,7 @@
   }
 }
 
-/** `GET /machines` or `GET /machines/unless/<revision>`, which leaves out an unchanged list. */
+/** `GET /machines`, or `GET /machines/unless/<revision>`, which omits an unchanged list. */
 function listMachines(model: PlatformModel, rest: readonly string[], now: Milliseconds): Answer {
   const revision = model.machines.revisionAt(now);
   const { ageMs, machines } = model.machines.read(now);
--- a/src/lab/platform/server.ts
+++ b/src/lab/platform/server.ts
@@ -1,4 +1,4 @@
-/** The platform stand-in over HTTP: rate limits, delays and lost answers as the model decides. */
+/** The emulated platform over HTTP; the model decides on refusals, delays and losses. */
 import { createServer, type IncomingMessage, type Server, type ServerResponse } from 'node:http';
 import type { AddressInfo } from 'node:net';
 import { performance } from 'node:perf_hooks';
@@ -9,15 +9,15 @@
 import { type Route, route } from './routes.js';
 import type { Admission } from './service-gate.js';
 
-/** A listening stand-in. */
+/** A running emulated platform. */
 export interface PlatformServer extends Endpoint {
-  /** The services' state, for tests that set faults in process. */
+  /** The state of the services, for tests that set faults in the same process. */
   readonly model: PlatformModel;
-  /** Stops listening and breaks the connections. */
+  /** Stops listening and closes all connections. */
   close(): Promise<void>;
 }
 
-/** Starts a stand-in on an IP number; port 0 takes a free one. */
+/** Starts an emulated platform on an IP address; port 0 selects a free port. */
 export async function createPlatformServer(
   listen: Endpoint,
   options: PlatformOptions = DEFAULT_PLATFORM_OPTIONS,
@@ -45,7 +45,7 @@
   else send(response, answer);
 }
 
-/** Carries out a call; null when the connection is to break instead of an answer. */
+/** Admits and applies a call; null if the connection must break instead of an answer. */
 async function carryOut(model: PlatformModel, found: Route, body: Buffer): Promise<Answer | null> {
   if (found.service === null) return found.apply(model, body, performance.now());
   const admission = model.admit(found.service, found.writes, performance.now());
--- a/src/lab/platform/service-gate.ts
+++ b/src/lab/platform/service-gate.ts
@@ -1,21 +1,21 @@
-/** What stands before each service: its rate limit and its faults, with a count of the calls. */
+/** Admission to a service: its rate limit, its faults, and the counts of its calls. */
 import type { Milliseconds } from '../../core/common/time.js';
 import { LossSource, NO_FAULTS, type ServiceFaults } from './faults.js';
 import { type RateLimit, TokenBucket } from './token-bucket.js';
 
-/** What a service that is down tells its callers to wait. */
+/** The `retry-after-ms` of a service that is down. */
 const DOWN_RETRY_AFTER_MS = 500;
 
-/** How a call goes. */
+/** The decision on a call. */
 export type Admission =
   | { readonly kind: 'refused'; readonly status: 429 | 503; readonly retryAfterMs: Milliseconds }
   | {
       readonly kind: 'admitted';
-      /** The wait before the call takes effect. */
+      /** Delay before the call takes effect. */
       readonly delayMs: Milliseconds;
-      /** The wait before the answer leaves. */
+      /** Delay between the call's effect and its answer. */
       readonly answerDelayMs: Milliseconds;
-      /** `call`: breaks before it takes effect; `answer`: takes effect, then breaks. */
+      /** `call`: the connection breaks before the effect; `answer`: it breaks after the effect. */
       readonly lost: 'nothing' | 'call' | 'answer';
     };
 
@@ -27,7 +27,7 @@
   readonly lost: number;
 }
 
-/** The gate of one service. */
+/** Admission control of one service. */
 export class ServiceGate {
   private readonly bucket: TokenBucket;
   private faults: ServiceFaults = NO_FAULTS;
@@ -39,7 +39,7 @@
     this.bucket = new TokenBucket(limit);
   }
 
-  /** Changes the faults that are named. A loss that is named starts counting anew. */
+  /** Sets the given faults. A given loss restarts its count. */
   set(change: { readonly [Key in keyof ServiceFaults]?: ServiceFaults[Key] | undefined }): void {
     const given = Object.entries(change).filter(([, value]) => value !== undefined);
     this.faults = { ...this.faults, ...Object.fromEntries(given) };
@@ -47,7 +47,7 @@
     if (change.loseAnswers !== undefined) this.answerLoss = new LossSource(change.loseAnswers);
   }
 
-  /** The faults in force. */
+  /** The current faults. */
   current(): ServiceFaults {
     return this.faults;
   }
@@ -57,7 +57,7 @@
     return this.counted;
   }
 
-  /** Decides how one call goes. */
+  /** Decides on one call. */
   admit(writes: boolean, now: Milliseconds): Admission {
     this.count('calls');
     if (this.faults.down) {
--- a/src/lab/platform/stores.ts
+++ b/src/lab/platform/stores.ts
@@ -1,13 +1,13 @@
-/** The object store (names written once) and the weight store (which versions exist). */
+/** The object store (write-once names) and the weight store (existing model versions). */
 
-/** What became of a put. `exists`: the name holds other content. */
+/** The result of a put. `exists`: the name already has different content. */
 export type PutOutcome = 'stored' | 'unchanged' | 'exists';
 
 /** Objects by name; content never changes once written. */
 export class ObjectStore {
   private readonly objects = new Map<string, Uint8Array>();
 
-  /** Stores the content under a new name; the same content again is no error. */
+  /** Stores the content under a new name; repeating a put with equal content is no error. */
   put(name: string, content: Uint8Array): PutOutcome {
     const present = this.objects.get(name);
     if (present === undefined) {
@@ -23,7 +23,7 @@
   }
 }
 
-/** Names a model's version, or an adapter's version over a model. */
+/** Identifies a version of a model, or of an adapter of a model. */
 export interface WeightName {
   readonly model: string;
   readonly version: string;
@@ -35,12 +35,12 @@
 export class WeightStore {
   private readonly sizes = new Map<string, number>();
 
-  /** Adds weights of a size in bytes. */
+  /** Adds weights with their size in bytes. */
   add(name: WeightName, bytes: number): void {
     this.sizes.set(weightPath(name), bytes);
   }
 
-  /** The size in bytes, or null where there are no such weights. */
+  /** The size in bytes; null if there are no such weights. */
   bytes(name: WeightName): number | null {
     return this.sizes.get(weightPath(name)) ?? null;
   }
--- a/src/lab/platform/token-bucket.ts
+++ b/src/lab/platform/token-bucket.ts
@@ -1,17 +1,17 @@
-/** A token bucket over a clock that the caller reads; the stand-ins' rate limits. */
+/** A token bucket for the rate limits of the emulated platform; the caller passes the time. */
 import type { Milliseconds } from '../../core/common/time.js';
 
 const MS_PER_SECOND = 1_000;
 
-/** How many calls a service takes. */
+/** The rate limit of a service. */
 export interface RateLimit {
-  /** Calls a second, sustained. */
+  /** Sustained calls per second. */
   readonly perSecond: number;
-  /** Calls that an idle service takes at once. */
+  /** Calls that an idle service accepts at once. */
   readonly burst: number;
 }
 
-/** Takes one token a call and refills at a steady rate. */
+/** Takes one token per call and refills at a constant rate. */
 export class TokenBucket {
   private tokens: number;
   private refilledAt: Milliseconds | null = null;
@@ -20,7 +20,7 @@
     this.tokens = limit.burst;
   }
 
-  /** Takes a token and returns 0, or takes none and returns the milliseconds until there is one. */
+  /** Takes a token and returns 0; if there is none, returns the milliseconds until the next one. */
   take(now: Milliseconds): Milliseconds {
     this.refill(now);
     if (this.tokens >= 1) {
--- a/src/lab/platform/versioned-table.ts
+++ b/src/lab/platform/versioned-table.ts
@@ -1,19 +1,19 @@
-/** The transactional table: rows with versions that go on growing over deletion. */
+/** The transactional table: rows whose versions keep increasing across deletions. */
 import type { TableCheck, TableRow, TableWrite } from '../../core/platform/table.js';
 
 interface StoredRow {
-  /** Grows with each write, deletions included. */
+  /** Incremented by each write, including deletions. */
   readonly version: number;
-  /** Null once deleted; the entry stays so that the version is never reused. */
+  /** Null after a deletion; the entry is retained so that no version is reused. */
   readonly value: unknown;
 }
 
-/** What became of a transaction. */
+/** The result of a transaction. */
 export type TransactOutcome =
   | { readonly committed: true; readonly rows: readonly TableRow[] }
   | { readonly committed: false; readonly rows: readonly TableRow[] };
 
-/** The table, updated in place by its owner; values are held as given and must not be changed. */
+/** The table, mutated in place. Values are not copied, so callers must not mutate them. */
 export class VersionedTable {
   private readonly stored: Map<string, StoredRow>;
 
@@ -21,17 +21,17 @@
     this.stored = new Map(rows);
   }
 
-  /** A table with the same rows and versions that changes apart from this one. */
+  /** An independent copy with the same rows and versions. */
   clone(): VersionedTable {
     return new VersionedTable(this.stored);
   }
 
-  /** The rows under the keys, in the keys' order; an absent row has version 0 and value null. */
+  /** The rows of the keys, in order; an absent row has version 0 and value null. */
   get(keys: readonly string[]): readonly TableRow[] {
     return keys.map((key) => this.row(key));
   }
 
-  /** The present rows whose key starts with the prefix and comes after `after`, in key order. */
+  /** The existing rows whose key starts with the prefix and is greater than `after`, in key order. */
   scan(prefix: string, limit: number, after = ''): readonly TableRow[] {
     const keys: string[] = [];
     for (const [key, row] of this.stored) {
@@ -40,7 +40,7 @@
     return this.get(keys.sort().slice(0, limit));
   }
 
-  /** Carries out all writes if every check holds, and none otherwise. */
+  /** Applies all writes if every check holds, and none otherwise. */
   transact(checks: readonly TableCheck[], writes: readonly TableWrite[]): TransactOutcome {
     const failed = checks.filter((check) => this.row(check.key).version !== check.version);
     if (failed.length > 0) {
--- a/src/lab/platform/wire.ts
+++ b/src/lab/platform/wire.ts
@@ -1,4 +1,4 @@
-/** The bodies that the stand-in takes, with the limits of docs/PLATFORM-API.md. */
+/** Schemas of the request bodies, with the limits of docs/PLATFORM-API.md. */
 import { z } from 'zod';
 import { machineSchema } from '../../shell/platform/index.js';
 
--- a/src/lab/web/content.ts
+++ b/src/lab/web/content.ts
@@ -1,4 +1,4 @@
-/** What a sheet viewer serves: the content of a tile is a pure function of its path. */
+/** The tiles of the emulated sheet viewer; a tile's content is a pure function of its path. */
 import { EMPTY_HASH, hashText, hashToHexadecimal } from '../../core/common/hash.js';
 
 const DIGITS_PER_HASH = 16;
--- a/src/lab/web/order-ledger.ts
+++ b/src/lab/web/order-ledger.ts
@@ -1,8 +1,8 @@
-/** What an order server ran, by the caller's request key, so that a double run shows. */
+/** Counts the runs of an order server by the caller's request key, to detect duplicate runs. */
 
-const KEPT_KEYS = 100_000;
+const MAX_KEYS = 100_000;
 
-/** One key's runs. */
+/** The runs of one key. */
 export interface KeyRuns {
   readonly key: string;
   readonly path: string;
@@ -14,7 +14,7 @@
   readonly #runs = new Map<string, KeyRuns>();
   #total = 0;
 
-  /** Records a run and returns how many there have been under the key. */
+  /** Records a run and returns the number of runs of the key so far. */
   run(key: string, path: string): number {
     const runs = (this.#runs.get(key)?.runs ?? 0) + 1;
     this.#runs.set(key, { key, path, runs });
@@ -23,13 +23,13 @@
     return runs;
   }
 
-  /** The totals and all keys that are kept. */
+  /** The total number of runs and all retained keys. */
   page(): { readonly total: number; readonly keys: readonly KeyRuns[] } {
     return { total: this.#total, keys: [...this.#runs.values()] };
   }
 
   #forgetOldest(): void {
-    if (this.#runs.size <= KEPT_KEYS) return;
+    if (this.#runs.size <= MAX_KEYS) return;
     const oldest = this.#runs.keys().next();
     if (oldest.done !== true) this.#runs.delete(oldest.value);
   }
--- a/src/lab/web/server.ts
+++ b/src/lab/web/server.ts
@@ -1,5 +1,5 @@
 /**
- * An emulated plain web backend: a sheet viewer (GET: tiles by path) and an order server (POST:
+ * An emulated web backend: a sheet viewer (GET: tiles by path) and an order server (POST:
  * renewals and dispatch slips, counted by the header `x-request-key`).
  */
 import {
@@ -17,10 +17,10 @@
 
 /** Options of `createWebBackendServer`. */
 export interface WebBackendOptions {
-  /** An IP number and a port; port 0 takes a free one. */
+  /** An IP address and a port; port 0 selects a free port. */
   readonly listen: Endpoint;
   readonly name: string;
-  /** Time to serve one request. */
+  /** Processing time of one request. */
   readonly serviceMs?: number;
   readonly tileBytes?: number;
 }
@@ -28,15 +28,15 @@
 /** A running web backend. */
 export interface WebBackendServer {
   readonly endpoint: Endpoint;
-  /** What ran, as `GET /ledger` gives it. */
+  /** The ledger that `GET /ledger` returns. */
   readonly ledger: OrderLedger;
   /** Answers `/healthz` with 503 and closes each connection after its answer. */
   leave(): void;
-  /** Ends the server and all its connections. */
+  /** Closes the server and all its connections. */
   close(): Promise<void>;
 }
 
-/** The body of `POST /faults`: strikes the next POST that would run. For tests. */
+/** The body of `POST /faults`, for tests: a fault to inject into the next order. */
 const webFaultSchema = z.discriminatedUnion('kind', [
   z.strictObject({ kind: z.literal('break-before-run') }),
   z.strictObject({ kind: z.literal('break-after-run') }),
@@ -86,7 +86,7 @@
     if (path === '/leave' && request.method === 'POST') return this.#sendLeave(request, response);
     if (path === '/faults' && request.method === 'POST') return this.#armFault(request, response);
     if (request.method === 'POST') return this.#runOrder(path, request, response);
-    await this.#serve();
+    await this.#waitServiceTime();
     const tile = tileContent(path, this.#options.tileBytes ?? DEFAULT_TILE_BYTES);
     this.#send(response, 200, tile, { 'content-type': 'text/plain' });
   }
@@ -110,11 +110,11 @@
     this.#sendJson(response, 200, { armed: fault.data.kind });
   }
 
-  #break(response: ServerResponse): void {
+  #resetConnection(response: ServerResponse): void {
     response.socket?.resetAndDestroy();
   }
 
-  /** Runs once the body is whole; the run counts also where the caller has gone by the answer. */
+  /** Runs the order when its body is complete; the run counts even if the caller has disconnected. */
   async #runOrder(path: string, request: IncomingMessage, response: ServerResponse): Promise<void> {
     const key = request.headers['x-request-key'];
     const bytes = await readBody(request);
@@ -122,15 +122,15 @@
     if (typeof key !== 'string')
       return this.#sendJson(response, 400, { error: 'no x-request-key' });
     const fault = this.#faults.shift() ?? null;
-    if (fault?.kind === 'break-before-run') return this.#break(response);
+    if (fault?.kind === 'break-before-run') return this.#resetConnection(response);
     const runs = this.ledger.run(key, path);
-    if (fault?.kind === 'break-after-run') return this.#break(response);
+    if (fault?.kind === 'break-after-run') return this.#resetConnection(response);
     if (fault?.kind === 'stall') await delay(fault.forMs);
-    await this.#serve();
+    await this.#waitServiceTime();
     this.#sendJson(response, 200, { key, path, runs, by: this.#options.name });
   }
 
-  async #serve(): Promise<void> {
+  async #waitServiceTime(): Promise<void> {
     await delay(this.#options.serviceMs ?? DEFAULT_SERVICE_MS);
   }
 
@@ -160,7 +160,7 @@
   }
 }
 
-/** Reads a body to its end; null when it is too large. */
+/** Reads a body to its end; null if it is too large. */
 async function readBody(request: IncomingMessage): Promise<Buffer | null> {
   const chunks: Buffer[] = [];
   let length = 0;
--- a/src/lab/workload/definition.ts
+++ b/src/lab/workload/definition.ts
@@ -1,4 +1,4 @@
-/** The definition of a workload: sources of requests and the phases that their rates go through. */
+/** The definition of a workload: sources of requests, and phases that set their rates. */
 import { z } from 'zod';
 
 const MAX_TOKENS = 1_000_000;
@@ -10,7 +10,7 @@
 const distributionSchema = z.discriminatedUnion('kind', [
   z.strictObject({ kind: z.literal('fixed'), value: tokens }),
   z.strictObject({ kind: z.literal('uniform'), low: tokens, high: tokens }),
-  /** exp(N(ln median, sigma²)), cut off at both bounds. */
+  /** exp(N(ln median, sigma²)), clamped to both bounds. */
   z.strictObject({
     kind: z.literal('lognormal'),
     median: tokens,
@@ -26,7 +26,7 @@
   name,
   /** The tenant's API key; absent for anonymous callers. */
   apiKey: z.string().optional(),
-  /** The class of work; absent for the tenant's own. */
+  /** The class of work; absent for the tenant's default class. */
   className: z.string().optional(),
 };
 
@@ -35,28 +35,28 @@
   kind: z.literal('model'),
   ...sourceBase,
   model: name,
-  /** Adapters to draw from evenly; empty for the model itself. */
+  /** Adapters to draw from uniformly; empty to request the base model. */
   adapters: z.array(name).default([]),
-  /** The share of chat completions; the others are plain completions. */
+  /** Share of chat completions, 0 to 1; the other requests are plain completions. */
   chatShare: share.default(0),
   streamedShare: share.default(0.5),
   promptTokens: distributionSchema,
   outputTokens: distributionSchema,
-  /** Prompts begin with one of so many shared prefixes (0: none) of so many tokens. */
+  /** Number of shared prefixes, each `prefixTokens` long, that prompts begin with; 0: none. */
   sharedPrefixes: z.int().min(0).max(10_000).default(0),
   prefixTokens: z.int().min(0).max(MAX_TOKENS).default(0),
 });
 
-/** Reads of a web service, repeatable. */
+/** Repeatable reads of a web service. */
 const webReadSourceSchema = z.strictObject({
   kind: z.literal('web-read'),
   ...sourceBase,
-  /** Paths are `<prefix><number>`. */
+  /** Paths are `<prefix><number>`, with numbers from 1 to `paths`. */
   prefix: z.string().startsWith('/'),
   paths: z.int().min(1).default(1_000),
 });
 
-/** Orders to a web service: not repeatable, a share of them with an Idempotency-Key. */
+/** Non-repeatable orders to a web service; a share of them carries an `Idempotency-Key`. */
 const webOrderSourceSchema = z.strictObject({
   kind: z.literal('web-order'),
   ...sourceBase,
@@ -76,19 +76,19 @@
 
 const rate = z.number().min(0, 'write 0 or more requests a second');
 
-/** Requests a second at the phase's start and end, changing evenly between; one number is both. */
+/** Requests per second: constant, or changing linearly from the start to the end of the phase. */
 const rateSchema = z.union([rate, z.strictObject({ from: rate, to: rate })]);
 
 const phaseSchema = z.strictObject({
   name,
   durationMs: z.int().positive(),
-  /** Rates by the name of the source; a source that is absent sends nothing. */
+  /** Rates by source name; an absent source sends no requests. */
   rates: z.record(name, rateSchema),
 });
 /** A phase of a workload. */
 export type Phase = z.infer<typeof phaseSchema>;
 
-/** A whole workload. */
+/** The schema of a workload file. */
 export const workloadSchema = z
   .strictObject({
     name,
@@ -106,10 +106,10 @@
       }
     }
   });
-/** A whole workload. */
+/** A workload definition. */
 export type Workload = z.infer<typeof workloadSchema>;
 
-/** The workload with its phases stretched or shortened by a factor; rates stay. */
+/** The workload with all phase durations multiplied by a factor and unchanged rates. */
 export function stretched(workload: Workload, factor: number): Workload {
   const phases = workload.phases.map((phase) => ({
     ...phase,
--- a/src/lab/workload/distribution.ts
+++ b/src/lab/workload/distribution.ts
@@ -2,7 +2,7 @@
 import type { Distribution } from './definition.js';
 import type { Random } from './random.js';
 
-/** One draw, a whole number within the distribution's bounds. */
+/** Draws an integer within the bounds of the distribution. */
 export function draw(distribution: Distribution, random: Random): number {
   switch (distribution.kind) {
     case 'fixed':
--- a/src/lab/workload/index.ts
+++ b/src/lab/workload/index.ts
@@ -1,4 +1,4 @@
-/** Workloads: definitions and the requests that follow from them, without sending any. */
+/** Workloads: definitions, and the generation of requests from them. */
 export {
   type Arrival,
   arrivals,
--- a/src/lab/workload/random.ts
+++ b/src/lab/workload/random.ts
@@ -1,13 +1,13 @@
-/** Seeded random numbers for workloads: one independent stream for each purpose. */
+/** Seeded random numbers for workloads, with one independent stream per purpose. */
 import { uniformFloat64 } from 'pure-rand/distribution/uniformFloat64';
 import { uniformInt } from 'pure-rand/distribution/uniformInt';
 import { xoroshiro128plus } from 'pure-rand/generator/xoroshiro128plus';
 import type { RandomGenerator } from 'pure-rand/types/RandomGenerator';
 
-/** Spreads the numbers of streams over the seeds (the golden ratio in 32 bits). */
+/** Spreads stream numbers over the seeds (the golden ratio as a 32-bit fraction). */
 const STREAM_STRIDE = 0x9e3779b9;
 
-/** A generator; the same seed and stream always give the same numbers. */
+/** A generator that yields the same numbers for the same seed and stream. */
 export class Random {
   private readonly generator: RandomGenerator;
 
@@ -15,12 +15,12 @@
     this.generator = xoroshiro128plus((seed + Math.imul(stream, STREAM_STRIDE)) | 0);
   }
 
-  /** A number from 0 (included) to 1 (excluded). */
+  /** A number in [0, 1). */
   unit(): number {
     return uniformFloat64(this.generator);
   }
 
-  /** A whole number between both bounds, each included. */
+  /** An integer between both bounds, inclusive. */
   integer(low: number, high: number): number {
     return uniformInt(this.generator, low, high);
   }
@@ -31,7 +31,7 @@
     return radius * Math.cos(2 * Math.PI * this.unit());
   }
 
-  /** A waiting time of a Poisson process, in the unit in which the rate is given. */
+  /** An inter-arrival time of a Poisson process, in the time unit of the rate. */
   exponential(rate: number): number {
     return -Math.log(1 - this.unit()) / rate;
   }
