--- a/test/lab/fleet.test.ts
+++ b/test/lab/fleet.test.ts
@@ -1,4 +1,4 @@
-/** Fleet files, parts as processes, and the comparison of orders. */
+/** Fleet files, child processes of a fleet, and the comparison of orders. */
 import assert from 'node:assert/strict';
 import { createHash } from 'node:crypto';
 import { mkdtempSync, rmSync, writeFileSync } from 'node:fs';
@@ -18,7 +18,7 @@
   return new PartProcess({ name: 'part', command: ['-e', text], logFolder: null });
 }
 
-test('the two fleets of the package are whole and their callers are known', () => {
+test('both bundled fleets load, and every API key of their workloads belongs to a tenant', () => {
   const sizes = { scanhuis: [4, 8, 4, 4], roasting: [3, 13, 3, 3] };
   for (const [name, size] of Object.entries(sizes)) {
     const { definition, configuration, workload } = loadFleet(fleetPath(name));
@@ -35,7 +35,7 @@
   }
 });
 
-test('a fault in a fleet file is told with the file and the key', () => {
+test('errors in a fleet file are reported with the file and the key', () => {
   const folder = mkdtempSync(join(tmpdir(), 'threadfork-fleet-'));
   const path = join(folder, 'bad.yaml');
   const machines = 'engines: [{name: e, zone: b}]\ndaemons: [{name: e, zone: a}]\n';
@@ -47,7 +47,7 @@
   rmSync(folder, { recursive: true });
 });
 
-test('a part is ready by its line, and its end and log are known', async () => {
+test('a child process is ready after its ready line, and reports its exit and log', async () => {
   const good = script('console.log(JSON.stringify({ready:true,port:5}));setInterval(()=>{},1e6)');
   assert.deepEqual(await good.ready(), { ready: true, port: 5 });
   assert.deepEqual(await good.stop('SIGTERM', 5_000), { code: null, signal: 'SIGTERM' });
@@ -59,7 +59,7 @@
   assert.equal((await stubborn.stop('SIGTERM', 10)).signal, 'SIGKILL');
 });
 
-test('machines list themselves, leave at SIGTERM, and exit 0', async () => {
+test('machines register themselves, deregister at SIGTERM, and exit with code 0', async () => {
   const platform = await createPlatformServer(
     { address: '127.0.0.1', port: 0 },
     { ...DEFAULT_PLATFORM_OPTIONS, machineLagMs: 0 },
@@ -82,7 +82,7 @@
   await platform.close();
 });
 
-test('orders that ran twice, though refused, or not at all are found', () => {
+test('the order check finds orders that ran twice, ran although refused, or never ran', () => {
   const refused: Outcome = { kind: 'refused', code: 'overloaded', retryAfterMs: null };
   const finished: Outcome = { kind: 'finished', outputTokens: 0 };
   const outcomes = new Map<string, Outcome>([
--- a/test/lab/linear-fit.test.ts
+++ b/test/lab/linear-fit.test.ts
@@ -1,9 +1,9 @@
-/** The lines that the capacity page is worked out from. */
+/** The linear regression behind the figures of the capacity page. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import { fitLine } from '../../src/lab/hollow/linear-fit.js';
 
-test('a line through exact points is found, with all of the variance explained', () => {
+test('points on a line give its slope and intercept, with rSquared 1', () => {
   const points = [1, 2, 5].map((x) => ({ x, y: 3 * x + 4 }));
   const fit = fitLine(points);
   assert.ok(fit !== null);
@@ -12,7 +12,7 @@
   assert.ok(Math.abs((fit.rSquared ?? 0) - 1) < 1e-9);
 });
 
-test('scattered points are explained in part, one x not at all', () => {
+test('scattered points give a lower rSquared; a single distinct x gives no fit', () => {
   const fit = fitLine([
     { x: 0, y: 0 },
     { x: 1, y: 2 },
--- a/test/lab/load.test.ts
+++ b/test/lab/load.test.ts
@@ -1,4 +1,4 @@
-/** The load tool's verdicts, against emulated backends and against servers that spoil answers. */
+/** The outcomes of the load tool, against emulated backends and servers that corrupt answers. */
 import assert from 'node:assert/strict';
 import { createServer, type IncomingMessage, type Server, type ServerResponse } from 'node:http';
 import type { AddressInfo } from 'node:net';
@@ -49,8 +49,8 @@
   return { address: '127.0.0.1', port: (server.address() as AddressInfo).port };
 }
 
-/** The frames of a right answer to a streamed completion. */
-function rightFrames(body: string): string[] {
+/** The frames of a correct answer to a streamed completion. */
+function correctFrames(body: string): string[] {
   const { prompt } = JSON.parse(body) as { prompt: string };
   const version = 'v1+v2';
   const source = { model: 'labels', adapter: 'latin', version, prompt, count: OUTPUT_TOKENS };
@@ -65,17 +65,19 @@
 
 const STREAMED = { ...MODEL_SOURCE, chatShare: 0, streamedShare: 1 };
 
-async function outcomesOf(spoil: (frames: string[]) => string[]): Promise<LoadReport['outcomes']> {
+async function outcomesOf(
+  corrupt: (frames: string[]) => string[],
+): Promise<LoadReport['outcomes']> {
   const target = await serve((_request, body, response) => {
     response.writeHead(200, { 'content-type': 'text/event-stream' });
-    response.end(spoil(rightFrames(body)).join(''));
+    response.end(corrupt(correctFrames(body)).join(''));
   });
   const { outcomes, sent } = await run(target, STREAMED);
   assert.ok(sent > 10);
   return outcomes;
 }
 
-test('all answers of an emulated engine are right, whole and streamed, plain and chat', async () => {
+test('all answers of an emulated engine are finished: streamed or not, plain and chat', async () => {
   const engine = await createEngineServer({
     listen: LOOPBACK,
     name: 'e1',
@@ -91,15 +93,15 @@
   assert.equal(report.betweenTokens.count, report.firstToken.count * (OUTPUT_TOKENS - 1));
 });
 
-test('the stand-in frames are right as they are, so that what spoils them shows', async () => {
+test('the uncorrupted frames of the test server are accepted', async () => {
   const outcomes = await outcomesOf((frames) => frames);
   assert.ok(outcomes.finished > 10);
   assert.equal(outcomes.wrong + outcomes.cut + outcomes.refused + outcomes.unknown, 0);
 });
 
-test('a lost, doubled, swapped or foreign token is wrong', async () => {
-  const foreign = rightFrames(JSON.stringify({ prompt: 'another prompt' }));
-  const spoils: ((frames: string[]) => string[])[] = [
+test('a lost, duplicated, swapped or foreign token makes an answer wrong', async () => {
+  const foreign = correctFrames(JSON.stringify({ prompt: 'another prompt' }));
+  const corruptions: ((frames: string[]) => string[])[] = [
     (frames) => frames.toSpliced(1, 1),
     (frames) => frames.toSpliced(1, 0, frames[1] ?? ''),
     ([first = '', second = '', ...rest]) => [second, first, ...rest],
@@ -109,24 +111,24 @@
     (frames) => frames.map((frame) => frame.replace('"system_fingerprint":"v1+v2",', '')),
     (frames) => frames.filter((frame) => !frame.includes('usage')),
   ];
-  for (const spoil of spoils) {
-    const outcomes = await outcomesOf(spoil);
-    assert.ok(outcomes.wrong > 10 && outcomes.finished === 0, `${spoil}`);
+  for (const corrupt of corruptions) {
+    const outcomes = await outcomesOf(corrupt);
+    assert.ok(outcomes.wrong > 10 && outcomes.finished === 0, `${corrupt}`);
   }
 });
 
-test('a stream without its end, or with an error in it, is cut', async () => {
+test('a stream that ends without [DONE] or contains an error frame is cut', async () => {
   const fault = 'data: {"error":{"code":"backend-broken"}}\n\n';
-  for (const spoil of [
+  for (const corrupt of [
     (frames: string[]) => frames.slice(0, -1),
     (frames: string[]) => [...frames.slice(0, 2), fault],
   ]) {
-    const outcomes = await outcomesOf(spoil);
+    const outcomes = await outcomesOf(corrupt);
     assert.ok(outcomes.cut > 10 && outcomes.finished === 0);
   }
 });
 
-test('refused, unknown and cut are told apart; a caller comes back once after Retry-After', async () => {
+test('refused, unknown and cut are distinguished; a caller retries after Retry-After', async () => {
   const seen = new Map<string, number>();
   const refusal = '{"error":{"code":"overloaded","outcome":"refused: not run"}}';
   const refusing = await serve((_request, body, response) => {
@@ -147,12 +149,12 @@
   });
   const broken = await run(breaking, { ...MODEL_SOURCE, streamedShare: 0 });
   assert.equal(broken.outcomes.cut, broken.sent);
-  const silent = await serve((_request, _body, response) => response.writeHead(500).end());
-  const said = await run(silent, MODEL_SOURCE);
-  assert.equal(said.outcomes.unknown, said.sent);
+  const failing = await serve((_request, _body, response) => response.writeHead(500).end());
+  const withoutOutcome = await run(failing, MODEL_SOURCE);
+  assert.equal(withoutOutcome.outcomes.unknown, withoutOutcome.sent);
 });
 
-test('what the load itself gives up within an answer is unknown, not cut', async () => {
+test('a request that the load itself aborts during the answer is unknown, not cut', async () => {
   const hanging = await serve((_request, _body, response) => {
     response.writeHead(200, { 'content-type': 'text/event-stream' });
     response.write(': waiting\n\n');
@@ -165,7 +167,7 @@
   assert.equal(report.outcomes.cut, 0);
 });
 
-test('web reads and orders are checked; a second run of an order is wrong', async () => {
+test('web reads and orders are checked; a second run of an order makes the answer wrong', async () => {
   const web = await createWebBackendServer({ listen: LOOPBACK, name: 'w1', serviceMs: 0 });
   cleanUps.push(() => web.close());
   const reads = { kind: 'web-read', name: 'labels', prefix: '/sheets/' };
--- a/test/lab/network.test.ts
+++ b/test/lab/network.test.ts
@@ -1,4 +1,4 @@
-/** The TCP relay of the fault tests. */
+/** The TCP relay that emulates a network link in fault tests. */
 import assert from 'node:assert/strict';
 import { once } from 'node:events';
 import {
@@ -35,7 +35,7 @@
   await new Promise((resolve) => echo.close(resolve));
 });
 
-/** Resolves when a socket has closed, by a reset too. */
+/** Resolves when a socket has closed, also after a reset. */
 function closed(socket: Socket): Promise<unknown> {
   return socket.closed ? Promise.resolve() : new Promise((done) => socket.once('close', done));
 }
@@ -54,21 +54,21 @@
   return { link, client, answers };
 }
 
-/** A whole exchange over another link, in which time earlier bytes reach the relay. */
+/** A complete exchange over another link, which gives earlier bytes time to reach the relay. */
 async function roundTrip(): Promise<void> {
   const { client } = await connected();
   client.destroy();
   await closed(client);
 }
 
-test('bytes pass both ways, and the end of one direction leaves the other open', async () => {
+test('bytes are relayed both ways, and the end of one direction leaves the other open', async () => {
   const { client, answers } = await connected();
   client.end('last');
   await once(client, 'end');
   assert.equal(answers.join(''), 'firstlastbye');
 });
 
-test('a cut towards the target holds requests; healing delivers them late and in order', async () => {
+test('a cut towards the target holds requests; healing delivers them in order', async () => {
   const { link, client, answers } = await connected();
   link.cut('to-target');
   client.write('held-1 ');
@@ -80,7 +80,7 @@
   assert.equal(answers.join(''), 'firstheld-1 held-2');
 });
 
-test('a cut from the target lets the request through and holds its answer', async () => {
+test('a cut from the target forwards the request and holds its answer until it heals', async () => {
   const { link, client, answers } = await connected();
   link.cut('from-target');
   const arrived = once([...sockets].at(-1) as Socket, 'data');
@@ -93,7 +93,7 @@
   assert.deepEqual(answers, ['first', 'one-way']);
 });
 
-test('a delay makes bytes arrive no earlier', async () => {
+test('delays in both directions add up over a round trip', async () => {
   const { link, client } = await connected();
   link.delay('both', 40);
   const sentAt = performance.now();
@@ -102,7 +102,7 @@
   assert.ok(performance.now() - sentAt >= 80);
 });
 
-test('loss and breaking close connections on both sides', async () => {
+test('loss closes the connection, and breakConnections closes both of its sides', async () => {
   const lossy = await connected();
   lossy.link.lose('to-target', 1, 1);
   lossy.client.write('lost');
@@ -115,12 +115,12 @@
   assert.equal(broken.link.openConnections, 0);
 });
 
-test('a held direction stops reading at its bound and delivers everything after healing', async () => {
+test('a cut direction stops reading at its buffer limit and delivers all bytes after healing', async () => {
   const { link, client } = await connected();
   link.cut('to-target');
   const size = 8 * 1024 * 1024;
   let back = 0;
-  const whole = new Promise<void>((resolve) => {
+  const allReceived = new Promise<void>((resolve) => {
     client.on('data', (chunk) => {
       back += chunk.length;
       if (back === size) resolve();
@@ -130,5 +130,5 @@
   await roundTrip();
   assert.ok(client.bytesWritten > 0 && client.writableLength > 0);
   link.heal();
-  await whole;
+  await allReceived;
 });
--- a/test/lab/tiny-fleet.test.ts
+++ b/test/lab/tiny-fleet.test.ts
@@ -1,4 +1,4 @@
-/** A tiny fleet of real processes through a short shift, and role changes as engines report them. */
+/** A short shift on a tiny fleet of processes, and the detection of role changes from reports. */
 import assert from 'node:assert/strict';
 import { mkdtempSync, rmSync, writeFileSync } from 'node:fs';
 import { tmpdir } from 'node:os';
@@ -23,9 +23,9 @@
 configuration: ${resolve('examples/configurations/scanhuis.yaml')}
 workload: ${resolve('examples/workloads/scanhuis-shift.yaml')}
 `;
-const SHORT = 0.02;
+const DURATION_FACTOR = 0.02;
 
-test('a fleet of processes answers a shift whole and ends cleanly', async () => {
+test('a fleet of processes finishes all requests of a shift and stops cleanly', async () => {
   const folder = mkdtempSync(join(tmpdir(), 'threadfork-tiny-'));
   const path = join(folder, 'tiny.yaml');
   writeFileSync(path, FLEET);
@@ -35,7 +35,7 @@
   const running = new RunningFleet(fleet, { logFolder: null, signal, onStep: () => undefined });
   try {
     await running.start();
-    const workload = stretched(fleet.workload, SHORT);
+    const workload = stretched(fleet.workload, DURATION_FACTOR);
     const progress = { onProgress: () => undefined, progressEveryMs: 1_000 };
     const report = await runShift(running, { workload, maxRetries: 0, signal, ...progress });
     assert.ok(report.load.sent > 5);
@@ -47,7 +47,7 @@
   assert.deepEqual(running.problems, []);
 });
 
-test('a role change is counted once, from what the engine reports', async () => {
+test('a role change in the reports of an engine is recorded once', async () => {
   const engine = await createEngineServer({
     listen: { address: '127.0.0.1', port: 0 },
     name: 'e1',
--- a/test/lab/workload.test.ts
+++ b/test/lab/workload.test.ts
@@ -1,4 +1,4 @@
-/** Workload generation: the same for the same seed, with the stated rates and sizes. */
+/** Workload generation: deterministic by seed, with the defined rates and sizes. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import {
@@ -37,7 +37,7 @@
 const of = (all: readonly Arrival[], source: string, phase: string) =>
   all.filter((arrival) => arrival.source.name === source && arrival.phase === phase);
 
-test('the same seed gives the same requests and another seed gives others', () => {
+test('equal seeds give equal requests and different seeds give different ones', () => {
   const first = [...arrivals(workload(7))];
   assert.deepEqual(first, [...arrivals(workload(7))]);
   assert.notDeepEqual(
@@ -46,20 +46,20 @@
   );
 });
 
-test('arrivals are in order, numbered, and follow the rates of the phases', () => {
+test('arrivals are ordered by time, numbered, and follow the rates of the phases', () => {
   const all = [...arrivals(workload(1))];
   assert.ok(all.every(({ index, atMs }, n) => index === n && atMs >= (all[n - 1]?.atMs ?? 0)));
-  const within = (count: number, mean: number) =>
+  const assertNear = (count: number, mean: number) =>
     assert.ok(Math.abs(count - mean) < 4 * Math.sqrt(mean), `${count} of about ${mean}`);
-  within(of(all, 'labels', 'night').length, 1_000);
-  within(of(all, 'labels', 'dawn').length, 500);
-  within(of(all, 'orders', 'dawn').length, 800);
+  assertNear(of(all, 'labels', 'night').length, 1_000);
+  assertNear(of(all, 'labels', 'dawn').length, 500);
+  assertNear(of(all, 'orders', 'dawn').length, 800);
   assert.equal(of(all, 'orders', 'night').length, 0);
   const early = of(all, 'labels', 'dawn').filter(({ atMs }) => atMs < 30_000).length;
-  within(early, 375);
+  assertNear(early, 375);
 });
 
-test('a change of one source leaves the times of the others as they were', () => {
+test('changing one source leaves the arrival times of the others unchanged', () => {
   const plain = workload(3);
   const changed = { ...plain, phases: plain.phases.map((p) => ({ ...p, rates: { ...p.rates } })) };
   for (const phase of changed.phases) phase.rates.labels = 5;
@@ -67,7 +67,7 @@
   assert.deepEqual(times(changed), times(plain));
 });
 
-test('prompts have the stated length and share their prefix', () => {
+test('prompts have the described length and share the defined number of prefixes', () => {
   const prompts = [...arrivals(workload(1))].flatMap(({ request }) =>
     request.kind === 'model' ? [request.prompt] : [],
   );
@@ -82,7 +82,7 @@
   );
 });
 
-test('a rate for a source that does not exist is refused; stretching keeps the rates', () => {
+test('a rate for an unknown source is rejected; scaling the durations keeps the rates', () => {
   const bad = { ...workload(1), phases: [{ name: 'x', durationMs: 1, rates: { lables: 1 } }] };
   assert.match(workloadSchema.safeParse(bad).error?.message ?? '', /lables, which is no source/);
   const half = stretched(workload(1), 0.5);
