--- a/bench/admission-operations.ts
+++ b/bench/admission-operations.ts
@@ -1,4 +1,4 @@
-/** How long admission's operations take with 7,300 tenants and thousands waiting. */
+/** Benchmark of admission queue operations with 7,300 tenants and thousands of waiting requests. */
 import { AdmissionQueue } from '../src/core/admission/index.js';
 import { configurationSchema } from '../src/core/configuration/document.js';
 import type { RequestDescription } from '../src/core/requests/types.js';
@@ -14,7 +14,7 @@
   readonly tenants: number;
 }
 
-/** Measures the pass-through and the queued path. */
+/** Measures immediate dispatch, queueing and refusal. */
 export function benchAdmission(): AdmissionTimes[] {
   return [measureOpen(), measureBacklogged(), measureShedding()];
 }
--- a/bench/hand-over-simulation.ts
+++ b/bench/hand-over-simulation.ts
@@ -1,7 +1,7 @@
 /**
- * What roles are worth where prompts can be handed over: a closed loop of requests over emulated
- * engines, in virtual time and with perfect knowledge, all `mixed` or split. Routing's errors and
- * stale reports are left out on purpose: this bounds what a role planner can gain.
+ * Measures the gain of separate prefill and decode roles with KV hand-over: a closed loop of requests
+ * over emulated engines, all `mixed` or split, in virtual time. Routing uses exact, current load, so
+ * that the result is an upper bound of what a role planner can gain.
  */
 import { EMPTY_HASH } from '../src/core/common/hash.js';
 import type { EngineRole } from '../src/core/registry/backend.js';
@@ -10,18 +10,18 @@
 import { Random } from '../src/lab/workload/random.js';
 import { type SteppedEngine, scheduleSteps } from './engine-steps.js';
 
-/** What is simulated. */
+/** The parameters of a simulation. */
 export interface HandOverScenario {
   readonly seed: number;
   readonly engines: readonly { readonly role: EngineRole; readonly accelerator: AcceleratorName }[];
   readonly promptTokens: number;
   readonly outputTokens: number;
-  /** Requests in hand at any time. */
+  /** Number of concurrent callers; each has one request in flight. */
   readonly callers: number;
   readonly durationMs: number;
 }
 
-/** What came out, after the warm-up. */
+/** The results, without the warm-up. */
 export interface HandOverOutcome {
   readonly finishedPerSecond: number;
   readonly firstTokenP95Ms: number;
@@ -31,12 +31,12 @@
 const MODEL = 'labels';
 const WARM_UP_SHARE = 0.25;
 const IMPORT_RETRY_MS = 20;
-const MAX_TOKENS_SPREAD = 0.5;
+const TOKEN_COUNT_SPREAD = 0.5;
 
 interface Engine extends SteppedEngine {
   readonly role: EngineRole;
   readonly speed: number;
-  /** Requests assigned, handed-over ones under way included. */
+  /** Assigned requests, including those whose KV is being transferred to this engine. */
   assigned: number;
 }
 
@@ -58,8 +58,8 @@
   readonly #scenario: HandOverScenario;
   readonly #clock = new VirtualClock();
   readonly #random: Random;
-  readonly #readers: Engine[];
-  readonly #writers: Engine[];
+  readonly #prefillEngines: Engine[];
+  readonly #decodingEngines: Engine[];
   readonly #requests = new Map<string, Request>();
   readonly #firstToken: number[] = [];
   readonly #betweenTokens: number[] = [];
@@ -70,8 +70,8 @@
     this.#scenario = scenario;
     this.#random = new Random(scenario.seed, 2);
     const engines = scenario.engines.map((engine, place) => this.#engine(engine, place));
-    this.#readers = engines.filter((engine) => engine.role === 'prefill');
-    this.#writers = engines.filter((engine) => engine.role !== 'prefill');
+    this.#prefillEngines = engines.filter((engine) => engine.role === 'prefill');
+    this.#decodingEngines = engines.filter((engine) => engine.role !== 'prefill');
   }
 
   run(): HandOverOutcome {
@@ -95,10 +95,10 @@
     return { role, model, speed: accelerator === 'new' ? 2.5 : 1, assigned: 0, scheduledFor: -1 };
   }
 
-  /** A request goes to a mixed engine, or to a reader when those are less loaded or all there is. */
+  /** Sends a request to the least loaded prefill or mixed engine. */
   #start(): void {
     const { promptTokens, outputTokens } = this.#scenario;
-    const engine = leastAssigned([...this.#readers, ...this.#mixedWriters()]);
+    const engine = leastAssigned([...this.#prefillEngines, ...this.#mixedEngines()]);
     if (engine === undefined) {
       return;
     }
@@ -115,19 +115,19 @@
     this.#submit(request, engine, null);
   }
 
-  #mixedWriters(): Engine[] {
-    return this.#writers.filter((engine) => engine.role === 'mixed');
+  #mixedEngines(): Engine[] {
+    return this.#decodingEngines.filter((engine) => engine.role === 'mixed');
   }
 
   #spread(tokens: number): number {
-    const factor = 1 + MAX_TOKENS_SPREAD * (2 * this.#random.unit() - 1);
+    const factor = 1 + TOKEN_COUNT_SPREAD * (2 * this.#random.unit() - 1);
     return Math.max(1, Math.round(tokens * factor));
   }
 
   #submit(request: Request, engine: Engine, kvHandle: string | null): void {
     const { id, promptTokens: tokens, outputTokens: maxTokens } = request;
-    const whole = { kind: 'completion', streamed: true, maxTokens, resumeOffset: 0 } as const;
-    const isRead = engine.role === 'prefill';
+    const completion = { kind: 'completion', streamed: true, maxTokens, resumeOffset: 0 } as const;
+    const isPrefill = engine.role === 'prefill';
     request.engine = engine;
     if (kvHandle === null) {
       engine.assigned += 1;
@@ -138,22 +138,22 @@
       name: MODEL,
       version: null,
       describe: () => ({ tokens, digest: EMPTY_HASH, blockHashes: [] }),
-      work: isRead ? { kind: 'prefill' } : { ...whole, kvHandle },
+      work: isPrefill ? { kind: 'prefill' } : { ...completion, kvHandle },
     });
     this.#schedule(engine);
   }
 
   #schedule(engine: Engine): void {
-    scheduleSteps(this.#clock, engine, (output) => this.#take(engine, output));
+    scheduleSteps(this.#clock, engine, (output) => this.#onOutput(engine, output));
   }
 
-  #take(engine: Engine, output: EngineOutput): void {
+  #onOutput(engine: Engine, output: EngineOutput): void {
     const request = 'attempt' in output ? this.#requests.get(output.attempt) : undefined;
     if (request === undefined) {
       return;
     }
     if (output.kind === 'token') {
-      this.#noteToken(request);
+      this.#recordToken(request);
     } else if (output.kind === 'prefilled') {
       engine.assigned -= 1;
       this.#handOver(request, engine, output.kvHandle);
@@ -167,7 +167,7 @@
 
   #handOver(request: Request, from: Engine, handle: string): void {
     const held = from.model.exportKv(this.#clock.now, handle);
-    const to = leastAssigned(this.#writers);
+    const to = leastAssigned(this.#decodingEngines);
     if (held === null || to === undefined) {
       return;
     }
@@ -185,7 +185,7 @@
     this.#submit(request, to, handle);
   }
 
-  #noteToken(request: Request): void {
+  #recordToken(request: Request): void {
     const now = this.#clock.now;
     if (this.#isWarm()) {
       if (request.lastTokenAt === null) {
--- a/bench/hand-over.ts
+++ b/bench/hand-over.ts
@@ -1,4 +1,4 @@
-/** `npm run bench:hand-over`: all engines mixed against splits with KV hand-over, as JSON lines. */
+/** `npm run bench:hand-over`: compares all-mixed fleets with role splits, as JSON lines. */
 import type { EngineRole } from '../src/core/registry/backend.js';
 import { type HandOverOutcome, simulateHandOver } from './hand-over-simulation.js';
 
@@ -14,7 +14,7 @@
   { mix: 'catalogue reads', promptTokens: 6_000, outputTokens: 60 },
 ] as const;
 
-/** The first engines are the new ones: prompts are read there, where arithmetic gained most. */
+/** Prefill engines come first, on new accelerators, whose gain is largest in arithmetic throughput. */
 function engines(prefill: number, others: EngineRole) {
   return Array.from({ length: NEW_ENGINES + OLD_ENGINES }, (_, place) => ({
     role: place < prefill ? ('prefill' as const) : others,
--- a/bench/herding.ts
+++ b/bench/herding.ts
@@ -1,4 +1,4 @@
-/** `npm run bench:herding`: the routing policies at report lags of 0.1, 1 and 5 s, as JSON lines. */
+/** `npm run bench:herding`: routing policies at report lags of 0.1, 1 and 5 s, as JSON lines. */
 import {
   expectedFinish,
   leastOutstanding,
--- a/bench/http/bench-http.ts
+++ b/bench/http/bench-http.ts
@@ -1,26 +1,26 @@
 /**
- * Whole and streamed answers through a daemon and through the bare pass-through, in turns within one
- * run, before the same backends.
+ * Compares non-streamed and streamed answers through a daemon and through a minimal pass-through proxy,
+ * in alternating rounds of one run, with the same backends.
  */
 import { type Load, type LoadResult, load } from './load.js';
 import { BenchProcesses, processorMs, type Subject } from './processes.js';
 
-/** The two subjects under one kind of load. */
+/** The comparison of daemon and pass-through under one kind of load. */
 export interface HttpComparison {
   readonly case: 'whole' | 'streamed';
   readonly unit: 'requests' | 'tokens';
   readonly callers: number;
   readonly daemonPerSecond: number;
   readonly passThroughPerSecond: number;
-  /** The median over the rounds of the daemon's rate over the pass-through's. */
+  /** The median over the rounds of the daemon's rate divided by the pass-through's rate. */
   readonly ratio: number;
   readonly ratios: readonly number[];
-  /** The same for what a second of the subject's processor time gives. */
+  /** The same for the rates per second of CPU time of each process. */
   readonly ratioByProcessorTime: number;
-  /** The share of the time that the subject's process used a processor. */
+  /** CPU time divided by elapsed time of the daemon's process; above 1 with several threads. */
   readonly daemonBusy: number;
   readonly passThroughBusy: number;
-  /** Answers that were not 200 or not whole, of both. */
+  /** Answers of both that were incomplete or had a status other than 200. */
   readonly bad: number;
 }
 
@@ -30,7 +30,7 @@
 const WHOLE: Load = { streamed: false, callers: 64, durationMs: ROUND_MS };
 const STREAMED: Load = { streamed: true, callers: 512, durationMs: ROUND_MS };
 
-/** Starts the processes, compares and ends them. */
+/** Starts the processes, runs the comparisons and stops the processes. */
 export async function benchHttp(): Promise<HttpComparison[]> {
   const processes = new BenchProcesses();
   try {
@@ -53,40 +53,40 @@
   readonly bad: number;
 }
 
-async function compare(processes: BenchProcesses, what: Load): Promise<HttpComparison> {
+async function compare(processes: BenchProcesses, spec: Load): Promise<HttpComparison> {
   const { daemon, passThrough } = processes;
-  const warmUp = { ...what, durationMs: WARM_UP_MS };
+  const warmUp = { ...spec, durationMs: WARM_UP_MS };
   await load(daemon.callers, warmUp);
   await load(passThrough.callers, warmUp);
   const rounds: Round[] = [];
   for (let round = 0; round < ROUNDS; round += 1) {
-    rounds.push(await measureRound(daemon, passThrough, what, round % 2 === 0));
+    rounds.push(await measureRound(daemon, passThrough, spec, round % 2 === 0));
   }
-  return summary(what, rounds);
+  return summary(spec, rounds);
 }
 
-/** The subject that goes first changes with each round, against drift of the machine's own load. */
+/** Alternates which subject runs first, so that drift of the machine's load affects both equally. */
 async function measureRound(
   daemon: Subject,
   passThrough: Subject,
-  what: Load,
+  spec: Load,
   daemonFirst: boolean,
 ): Promise<Round> {
   if (daemonFirst) {
-    const first = await measure(daemon, what);
-    return { daemon: first, passThrough: await measure(passThrough, what) };
+    const first = await measure(daemon, spec);
+    return { daemon: first, passThrough: await measure(passThrough, spec) };
   }
-  const first = await measure(passThrough, what);
-  return { daemon: await measure(daemon, what), passThrough: first };
+  const first = await measure(passThrough, spec);
+  return { daemon: await measure(daemon, spec), passThrough: first };
 }
 
-async function measure(subject: Subject, what: Load): Promise<Measured> {
+async function measure(subject: Subject, spec: Load): Promise<Measured> {
   const processorBefore = processorMs(subject);
   const startedAt = performance.now();
-  const result = await load(subject.callers, what);
+  const result = await load(subject.callers, spec);
   const processor = processorMs(subject) - processorBefore;
   const elapsed = performance.now() - startedAt;
-  const units = unitsOf(what, result);
+  const units = unitsOf(spec, result);
   return {
     perSecond: (units * 1_000) / result.elapsedMs,
     perProcessorSecond: (units * 1_000) / processor,
@@ -99,16 +99,16 @@
   return streamed ? tokens : answers;
 }
 
-function summary(what: Load, rounds: readonly Round[]): HttpComparison {
+function summary(spec: Load, rounds: readonly Round[]): HttpComparison {
   const ratios = rounds.map(({ daemon, passThrough }) => daemon.perSecond / passThrough.perSecond);
   const byProcessor = rounds.map(
     ({ daemon, passThrough }) => daemon.perProcessorSecond / passThrough.perProcessorSecond,
   );
   const middle = (value: (round: Round) => number) => median(rounds.map(value));
   return {
-    case: what.streamed ? 'streamed' : 'whole',
-    unit: what.streamed ? 'tokens' : 'requests',
-    callers: what.callers,
+    case: spec.streamed ? 'streamed' : 'whole',
+    unit: spec.streamed ? 'tokens' : 'requests',
+    callers: spec.callers,
     daemonPerSecond: Math.round(middle(({ daemon }) => daemon.perSecond)),
     passThroughPerSecond: Math.round(middle(({ passThrough }) => passThrough.perSecond)),
     ratio: rounded(median(ratios)),
--- a/bench/http/emulated-backend.ts
+++ b/bench/http/emulated-backend.ts
@@ -1,6 +1,6 @@
 /**
- * The benchmark's backend, a process: the least that is an engine by docs/ENGINE-API.md, with answers
- * that cost it next to nothing. Whole answers come at once, streams a token each step.
+ * The backend process of the benchmark: a minimal engine (docs/ENGINE-API.md) with fixed answers
+ * that cost little CPU time. It sends non-streamed answers immediately, streams one token per step.
  *
  *     node emulated-backend.js NAME
  */
@@ -67,7 +67,7 @@
 
 function answerPost(request: IncomingMessage, response: ServerResponse, body: string): void {
   if (request.url === '/control/orders') {
-    takeOrder(response, body);
+    handleOrder(response, body);
     return;
   }
   const attempt = String(request.headers['x-threadfork-attempt'] ?? 'none');
@@ -123,7 +123,7 @@
   };
 }
 
-function takeOrder(response: ServerResponse, body: string): void {
+function handleOrder(response: ServerResponse, body: string): void {
   const order = JSON.parse(body);
   fence = order.fence;
   lastOrder = { id: order.id, state: 'done' };
--- a/bench/http/load.ts
+++ b/bench/http/load.ts
@@ -1,20 +1,20 @@
-/** Closed-loop callers: each sends its next request as soon as it has had its answer. */
+/** Closed-loop callers: each sends its next request when it has received the previous answer. */
 import { type Dispatcher, Pool } from 'undici';
 import type { Endpoint } from '../../src/core/registry/backend.js';
 import { MODEL, PROMPT_CHARACTERS, STREAM_TOKENS, WHOLE_TOKENS } from './shapes.js';
 
-/** What is sent. */
+/** The parameters of a load. */
 export interface Load {
   readonly streamed: boolean;
   readonly callers: number;
   readonly durationMs: number;
 }
 
-/** What came back within the time. */
+/** The answers received within the duration. */
 export interface LoadResult {
   readonly answers: number;
   readonly tokens: number;
-  /** Answers that were not 200 or not whole. */
+  /** Answers that were incomplete or had a status other than 200. */
   readonly bad: number;
   readonly elapsedMs: number;
 }
@@ -22,22 +22,22 @@
 const FRAME_END = Buffer.from('\n\n');
 const DONE = Buffer.from('data: [DONE]\n\n');
 
-/** Loads an endpoint for a while. Requests still running at the end are waited for, not counted. */
-export async function load(to: Endpoint, what: Load): Promise<LoadResult> {
-  const pool = new Pool(`http://${to.address}:${to.port}`, { connections: what.callers });
+/** Loads an endpoint for `durationMs`. Answers that end later are awaited but not counted. */
+export async function load(to: Endpoint, spec: Load): Promise<LoadResult> {
+  const pool = new Pool(`http://${to.address}:${to.port}`, { connections: spec.callers });
   const startedAt = performance.now();
-  const endsAt = startedAt + what.durationMs;
+  const endsAt = startedAt + spec.durationMs;
   const counts = { answers: 0, frames: 0, bad: 0 };
   const caller = async (number: number) => {
     for (let turn = 0; performance.now() < endsAt; turn += 1) {
-      await call(pool, what, promptOf(number, turn), counts, endsAt);
+      await call(pool, spec, promptOf(number, turn), counts, endsAt);
     }
   };
-  await Promise.all(Array.from({ length: what.callers }, (_, number) => caller(number)));
+  await Promise.all(Array.from({ length: spec.callers }, (_, number) => caller(number)));
   await pool.close();
   const { answers, frames, bad } = counts;
-  const tokens = what.streamed ? frames : answers * WHOLE_TOKENS;
-  return { answers, tokens, bad, elapsedMs: what.durationMs };
+  const tokens = spec.streamed ? frames : answers * WHOLE_TOKENS;
+  return { answers, tokens, bad, elapsedMs: spec.durationMs };
 }
 
 interface Counts {
@@ -90,8 +90,8 @@
   }
 
   onResponseEnd(): void {
-    const whole = this.streamed ? this.#last.includes(DONE) : this.#bytes > 0;
-    if (this.#status !== 200 || !whole || (this.streamed && this.#frames < STREAM_TOKENS)) {
+    const isComplete = this.streamed ? this.#last.includes(DONE) : this.#bytes > 0;
+    if (this.#status !== 200 || !isComplete || (this.streamed && this.#frames < STREAM_TOKENS)) {
       this.counts.bad += 1;
     } else if (performance.now() <= this.endsAt) {
       this.counts.answers += 1;
@@ -105,10 +105,10 @@
   }
 
   #countFrames(chunk: Buffer): void {
-    const counts = performance.now() <= this.endsAt;
+    const isInTime = performance.now() <= this.endsAt;
     for (let at = chunk.indexOf(FRAME_END); at >= 0; at = chunk.indexOf(FRAME_END, at + 2)) {
       this.#frames += 1;
-      this.counts.frames += counts && this.#frames <= STREAM_TOKENS ? 1 : 0;
+      this.counts.frames += isInTime && this.#frames <= STREAM_TOKENS ? 1 : 0;
     }
   }
 }
--- a/bench/http/pass-through.ts
+++ b/bench/http/pass-through.ts
@@ -1,6 +1,5 @@
 /**
- * What threadfork is measured against, a process: `node:http` and `undici` with no decisions but a
- * round of the backends.
+ * The baseline process of the benchmark: a minimal round-robin proxy with `node:http` and `undici`.
  *
  *     node pass-through.js ADDRESS:PORT...
  */
--- a/bench/http/processes.ts
+++ b/bench/http/processes.ts
@@ -11,16 +11,16 @@
 import { MachineRegistration } from '../../src/lab/platform/index.js';
 import { MODEL, VERSION } from './shapes.js';
 
-/** Backend processes; enough that they are not what limits. */
+/** Number of backend processes; enough that they are not the bottleneck. */
 const BACKENDS = 3;
 const ZONE = 'bench-a';
 const TIMEOUT_MS = 20_000;
 const STOP_GRACE_MS = 5_000;
 const MS_PER_SECOND = 1_000;
-/** Clock ticks a second in /proc: USER_HZ, which Linux fixes at 100. */
+/** Clock ticks per second in /proc: USER_HZ, which Linux fixes at 100. */
 const TICKS_PER_SECOND = 100;
 
-/** A process under test. */
+/** A proxy process under test. */
 export interface Subject {
   readonly callers: Endpoint;
   readonly process: PartProcess;
@@ -42,7 +42,7 @@
     return started(this.#passThrough);
   }
 
-  /** Starts all; resolves when both subjects take requests. */
+  /** Starts all processes; resolves when daemon and pass-through accept requests. */
   async start(): Promise<void> {
     const platform = endpointOf(await this.#spawn('platform', platformCommand()).ready());
     const weight = { model: MODEL, version: VERSION, bytes: 1 };
@@ -54,7 +54,7 @@
     await this.#startDaemon(platform, list);
   }
 
-  /** Ends all by their process ids. */
+  /** Stops all processes. */
   async stop(): Promise<void> {
     await Promise.all(this.#parts.map((part) => part.stop('SIGTERM', STOP_GRACE_MS)));
   }
@@ -98,7 +98,7 @@
   }
 }
 
-/** The processor time that a process has used, in milliseconds (Linux only). */
+/** The CPU time that a process has used, in milliseconds (Linux only). */
 export function processorMs({ process }: Subject): number {
   const stat = readFileSync(`/proc/${process.pid}/stat`, 'utf8');
   const fields = stat.slice(stat.lastIndexOf(')') + 2).split(' ');
@@ -128,9 +128,9 @@
   return status === 200 && granted === BACKENDS ? true : null;
 }
 
-function waitFor(what: string, ask: () => Promise<true | null>): Promise<true> {
+function waitFor(what: string, poll: () => Promise<true | null>): Promise<true> {
   const { signal } = new AbortController();
-  return until(ask, { what, timeoutMs: TIMEOUT_MS, signal });
+  return until(poll, { what, timeoutMs: TIMEOUT_MS, signal });
 }
 
 function scriptPath(relative: string): string {
--- a/bench/http/shapes.ts
+++ b/bench/http/shapes.ts
@@ -1,14 +1,14 @@
-/** What the benchmark's callers ask for and its emulated backend answers. */
+/** Constants shared by the callers and the emulated backend of the benchmark. */
 
-/** The model that the backend holds. */
+/** The model that the backend has loaded. */
 export const MODEL = 'labels';
-/** Its version. */
+/** The version of the model. */
 export const VERSION = 'v1';
-/** Tokens of a whole answer. */
+/** Tokens of a non-streamed answer. */
 export const WHOLE_TOKENS = 50;
 /** Tokens of a streamed answer. */
 export const STREAM_TOKENS = 100;
-/** The time between two tokens of a stream. */
+/** The interval between two tokens of a stream. */
 export const STREAM_STEP_MS = 10;
-/** Characters of a prompt; about 400 tokens. */
+/** Characters of a prompt, about 400 tokens. */
 export const PROMPT_CHARACTERS = 1_600;
--- a/bench/main.ts
+++ b/bench/main.ts
@@ -1,7 +1,7 @@
 /**
- * `npm run bench [-- --json] [-- --only routing|plan|admission|path|http]`: the speed of routing
- * decisions, of admission and of the whole request path, and of HTTP through a daemon against a bare pass-through, all measured in this run.
- * Writes nothing but its result on standard output.
+ * `npm run bench [-- --json] [-- --only routing|plan|admission|path|http]`: measures routing decisions,
+ * plans, admission, the complete request path, and HTTP through a daemon compared with a minimal
+ * pass-through proxy. Writes only the result to standard output.
  */
 import { parseArgs } from 'node:util';
 import { benchAdmission } from './admission-operations.js';
--- a/bench/measure.ts
+++ b/bench/measure.ts
@@ -1,6 +1,6 @@
-/** Times many short operations one by one with the process's monotonic clock. */
+/** Times many short operations individually with the monotonic clock. */
 
-/** Times of one operation in microseconds. */
+/** The distribution of the times of an operation, in microseconds. */
 export interface OperationTimes {
   readonly operations: number;
   readonly medianMicroseconds: number;
@@ -10,8 +10,8 @@
 const WARM_UP_SHARE = 0.2;
 
 /**
- * Runs an operation `count` times after a warm-up and gives the distribution of its times.
- * @param between runs before each operation, untimed
+ * Runs an operation `count` times after a warm-up and returns the distribution of its times.
+ * @param between runs before each operation, outside the measured time
  */
 export function timeOperations(
   count: number,
--- a/bench/plan-decision.ts
+++ b/bench/plan-decision.ts
@@ -1,4 +1,4 @@
-/** How long a plan for a model request takes with 820 engines, by the sums alone, spread, and by engines' paces. */
+/** Benchmark of planning a model request with 820 engines, without and with spread and engine paces. */
 import {
   type EngineChoiceInput,
   type EngineLoad,
@@ -47,8 +47,8 @@
   fleet.speedOf(SERVICE).setInitialEstimate(7_000, TARGET_MS);
   if (paces.length > 0) fleet.paces.applyKnown([pacesOf(servers, paces)], 0);
   const head = { relay: 'r', incarnation: 1, sequence: 1, isComplete: true };
-  const told = { work: servers.map(workAt), reads: [], demand: [], reach: [] };
-  fleet.peerLoads.applySums({ ...head, ...told }, [], 0);
+  const advertised = { work: servers.map(workAt), reads: [], demand: [], reach: [] };
+  fleet.peerLoads.applySums({ ...head, ...advertised }, [], 0);
   for (let part = 0; part < PARTS; part += 1) {
     fleet.prefixIndex.confirm(idAt((part * 2) % ENGINES), `part-${part}`, PROMPT.sharedTokens);
   }
--- a/bench/request-path.ts
+++ b/bench/request-path.ts
@@ -1,6 +1,6 @@
 /**
- * What one whole request costs in the request path's own bookkeeping, without any input or output:
- * arrival and dispatch, first byte, end, through `Traffic` as the daemon's fold drives it.
+ * Benchmark of the state handling of one complete request, without I/O: arrival and dispatch, first
+ * byte, and completion, through `Traffic` as the daemon drives it.
  */
 import { configurationSchema } from '../src/core/configuration/document.js';
 import { Traffic } from '../src/core/daemon/traffic.js';
@@ -19,7 +19,7 @@
   readonly case: string;
 }
 
-/** Measures whole requests from arrival to end. */
+/** Measures complete requests from arrival to end. */
 export function benchRequestPath(): RequestPathTimes[] {
   const traffic = createTraffic();
   let description = describe(0);
@@ -49,7 +49,7 @@
     }
   }
   throw new Error(
-    'the request was not dispatched; the benchmark has fallen behind the request path',
+    'the request was not dispatched; adapt the benchmark to the current request path',
   );
 }
 
--- a/bench/routing-decision.ts
+++ b/bench/routing-decision.ts
@@ -1,4 +1,4 @@
-/** How long a routing decision takes with 820 engines, by policy and in the harder cases. */
+/** Benchmark of routing decisions with 820 engines, by policy and with most or all engines full. */
 import { configurationSchema } from '../src/core/configuration/document.js';
 import type { EngineReport, EngineView } from '../src/core/registry/backend.js';
 import {
@@ -57,7 +57,7 @@
   let target = targetOf(0);
   let decision: RoutingDecision | null = null;
   const between = (turn: number) => {
-    note(decision, turn, { index, outstanding, prefixes, target, activeRequests });
+    recordTurn(decision, turn, { index, outstanding, prefixes, target, activeRequests });
     target = targetOf(turn);
     context.now = turn;
     context.entropy = Math.imul(turn, 0x9e3779b9) >>> 0;
@@ -80,7 +80,7 @@
   return { policy: policy.name, case: name, engines: ENGINES, ...times };
 }
 
-interface Books {
+interface RoutingState {
   readonly index: FleetIndex;
   readonly outstanding: OutstandingTable;
   readonly prefixes: PrefixIndex;
@@ -88,9 +88,9 @@
   readonly activeRequests: number;
 }
 
-/** One millisecond a decision: two engines report, a request starts and an earlier one ends. */
-function note(decision: RoutingDecision | null, turn: number, books: Books): void {
-  const { index, outstanding, prefixes, target, activeRequests } = books;
+/** Emulates the millisecond per decision: two engines report, a request starts, an earlier one ends. */
+function recordTurn(decision: RoutingDecision | null, turn: number, state: RoutingState): void {
+  const { index, outstanding, prefixes, target, activeRequests } = state;
   for (const place of [(2 * turn) % ENGINES, (2 * turn + 1) % ENGINES]) {
     index.setView(viewOf(place, activeRequests, turn - REPORT_LAG_MS));
   }
--- a/bench/routing-simulation.ts
+++ b/bench/routing-simulation.ts
@@ -1,6 +1,6 @@
 /**
- * Routing on stale reports, in virtual time: several daemons with views of their own send Poisson
- * traffic to emulated engines through `chooseEngine`. The same seed gives the same figures.
+ * Simulates routing on stale reports, in virtual time: several daemons, each with its own view, send
+ * Poisson traffic to emulated engines through `chooseEngine`. Deterministic by seed.
  */
 import { EMPTY_HASH } from '../src/core/common/hash.js';
 import { configurationSchema } from '../src/core/configuration/document.js';
@@ -20,28 +20,28 @@
 import { Random } from '../src/lab/workload/random.js';
 import { type SteppedEngine, scheduleSteps } from './engine-steps.js';
 
-/** What is simulated. */
+/** The parameters of a simulation. */
 export interface RoutingScenario {
   readonly seed: number;
   readonly daemons: number;
   readonly engines: number;
   readonly zones: number;
-  /** Every second engine is of the old generation when set. */
+  /** Whether every second engine has an accelerator of the old generation. */
   readonly mixedGenerations: boolean;
-  /** How often every daemon gets a report of every engine, and how old its load then is. */
+  /** The interval of an engine's reports and the age of a report when daemons receive it. */
   readonly reportLagMs: number;
   readonly requestsPerSecond: number;
   readonly promptTokens: number;
   readonly outputTokens: number;
-  /** Prompts begin with one of so many shared prefixes of 2,048 tokens; 0: none. */
+  /** Number of shared prefixes of 2,048 tokens that prompts begin with; 0: none. */
   readonly sharedPrefixes: number;
   readonly durationMs: number;
   readonly createPolicy: () => RoutingPolicy;
-  /** Whether daemons correct views by what they have sent themselves. */
+  /** Whether daemons add the requests that they have sent themselves to the reported load. */
   readonly correctsByOwnSends: boolean;
 }
 
-/** What came out; times in milliseconds. */
+/** The results of a simulation; times in milliseconds. */
 export interface RoutingOutcome {
   readonly finished: number;
   readonly refused: number;
@@ -49,7 +49,7 @@
   readonly p50Ms: number;
   readonly p95Ms: number;
   readonly p99Ms: number;
-  /** The largest number of requests in hand at any engine, over the mean of all, by time. */
+  /** The maximum of the engines' active requests divided by their mean, averaged over time. */
   readonly imbalance: number;
   /** The share of requests that stayed in their daemon's zone. */
   readonly localShare: number;
@@ -74,7 +74,7 @@
   cacheEventsSeen: number;
 }
 
-interface Sent {
+interface SentRequest {
   readonly daemon: Daemon;
   readonly at: number;
 }
@@ -90,7 +90,7 @@
   readonly #random: Random;
   readonly #engines: Engine[];
   readonly #daemons: Daemon[];
-  readonly #sent = new Map<string, Sent>();
+  readonly #sent = new Map<string, SentRequest>();
   readonly #times: number[] = [];
   #requests = 0;
   #refused = 0;
@@ -145,7 +145,7 @@
     };
   }
 
-  /** A report reaches all daemons one lag after it was taken; the next is taken then. */
+  /** A report reaches all daemons `reportLagMs` after it was taken; the next is taken at that time. */
   #reportRegularly(engine: Engine): void {
     const lag = this.#scenario.reportLagMs;
     const takenAt = this.#clock.now;
--- a/bench/waiting-room.ts
+++ b/bench/waiting-room.ts
@@ -1,4 +1,4 @@
-/** How long the decision on a request takes at a daemon where thousands wait: it goes, waits or is refused. */
+/** Benchmark of placing a request (go, wait or refuse) while thousands of requests wait. */
 import { RetryLine, type RoomPlace, WaitingRoom } from '../src/core/admission/index.js';
 import {
   type PlaceInput,
@@ -22,7 +22,7 @@
   readonly tenants: number;
 }
 
-/** Measures each way that a decision can come out, beside the backlog. */
+/** Measures each outcome of the decision, with a backlog of waiting requests. */
 export function benchWaitingRoom(): RoomTimes[] {
   return [
     measure('go, and the next goes', 50),
@@ -31,7 +31,7 @@
   ];
 }
 
-/** @param queueMs the wait at the best engine, by which the request goes, waits or is refused */
+/** @param queueMs the wait at the best engine, which determines the outcome of the decision */
 function measure(name: string, queueMs: number): RoomTimes {
   const room = new WaitingRoom({ maxWaitingPerClass: 2 * BACKLOG });
   const retries = new RetryLine();
--- a/report/report-command.ts
+++ b/report/report-command.ts
@@ -1,4 +1,4 @@
-/** `npm run report`: one HTML file about runs of a scenario with one seed. */
+/** `npm run report`: writes an HTML report on runs of a scenario with one seed. */
 import { writeFileSync } from 'node:fs';
 import { Command, Option, UsageError } from 'clipanion';
 import { policyOption, scenarioOption } from '../src/lab/commands/experiment-options.js';
@@ -11,23 +11,27 @@
 const MAX_SEED = 0x7fffffff;
 const MAX_STRETCH = 100;
 
-/** Runs the policies and writes the page. */
+/** Runs the policies and writes the report. */
 export class ReportCommand extends LabCommand {
   static override paths = [Command.Default];
   static override usage = Command.Usage({
-    description: 'Write one HTML file, which loads nothing, with plots of runs of a scenario.',
+    description: 'Write a self-contained HTML file with plots of runs of a scenario.',
     examples: [
       [
-        'The planner beside a bound',
+        'The planner compared with the threshold policy',
         '$0 --scenario noise-only --policies planner,threshold --seed 1 --out report.html',
       ],
     ],
   });
 
   scenario = Option.String('--scenario', { required: true, description: 'name or YAML file' });
-  policies = Option.String('--policies', 'planner', { description: 'names, by commas' });
-  seed = Option.String('--seed', '1', { description: 'seed of everything that varies' });
-  stretch = Option.String('--stretch', '1', { description: 'make the phases longer or shorter' });
+  policies = Option.String('--policies', 'planner', {
+    description: 'comma-separated policy names',
+  });
+  seed = Option.String('--seed', '1', { description: 'seed of the random numbers' });
+  stretch = Option.String('--stretch', '1', {
+    description: 'factor for the duration of all phases',
+  });
   out = Option.String('--out', { required: true, description: 'the HTML file to write' });
 
   protected override async carryOut(): Promise<number> {
--- a/scripts/generate-docs.ts
+++ b/scripts/generate-docs.ts
@@ -1,5 +1,5 @@
 /**
- * Writes the generated parts of docs/: `npm run docs`.
+ * Writes the generated sections of docs/: `npm run docs`.
  */
 import { writeFileSync } from 'node:fs';
 import { join } from 'node:path';
--- a/scripts/generated-pages.ts
+++ b/scripts/generated-pages.ts
@@ -1,5 +1,5 @@
 /**
- * The parts of the documentation that are generated from the code.
+ * Generates the sections of the documentation that are derived from the code.
  */
 import { readFileSync } from 'node:fs';
 import { join } from 'node:path';
@@ -7,9 +7,9 @@
 import { settingsKeys } from '../src/shell/settings/index.js';
 import { markdownTable } from './markdown-table.js';
 
-/** A page as it should stand. */
+/** A page with its expected content. */
 export interface GeneratedPage {
-  /** Path from the project's root. */
+  /** Path relative to the project root. */
   readonly path: string;
   readonly content: string;
 }
@@ -17,7 +17,7 @@
 const SETTINGS_BEGIN = '<!-- generated: settings (npm run docs) -->';
 const SETTINGS_END = '<!-- end of generated settings -->';
 
-/** All pages that hold generated parts, as they should stand. */
+/** All pages with generated sections, with their expected content. */
 export function generatedPages(root: string): readonly GeneratedPage[] {
   return [
     { path: 'docs/EVENTS.md', content: eventsPage(CATALOGUE) },
--- a/scripts/known-red.ts
+++ b/scripts/known-red.ts
@@ -1,10 +1,10 @@
 /**
- * KNOWN-RED.txt: the tests that are known to fail for a fault that is not mended yet. The test run
- * passes over these only, and says so.
+ * KNOWN-RED.txt lists tests that are known to fail because of a fault that is not fixed yet. A test
+ * run tolerates failures of these tests only, and prints them.
  */
 import { err, ok, type Result } from 'neverthrow';
 
-/** No more faults than this may wait at a time. */
+/** Maximum number of listed tests. */
 const MAX_KNOWN_RED = 3;
 
 /** A line of KNOWN-RED.txt: `test | cause | issue`. */
@@ -12,11 +12,11 @@
   /** `<test file's path> > <suite> > … > <test>`, as the run prints it. */
   readonly test: string;
   readonly cause: string;
-  /** The number of the issue that will mend it. */
+  /** The number of the issue for the fault. */
   readonly issue: string;
 }
 
-/** Reads the list; blank lines and lines that start with `#` don't count. */
+/** Parses the list; blank lines and lines that start with `#` are ignored. */
 export function parseKnownRed(text: string): Result<readonly KnownRedTest[], readonly string[]> {
   const lines = text.split('\n').map((line) => line.trim());
   const entries = lines.filter((line) => line !== '' && !line.startsWith('#'));
@@ -45,34 +45,34 @@
   readonly kind: 'passed' | 'failed' | 'skipped';
 }
 
-/** What is said of a whole run. */
+/** The verdict on a test run. */
 export interface Verdict {
   readonly isGood: boolean;
   readonly lines: readonly string[];
 }
 
-/** Judges a run: only listed tests may fail, none may be skipped, and all listed ones must run. */
+/** Judges a run: only listed tests may fail, no test may be skipped, and all listed tests must run. */
 export function judge(
   outcomes: readonly TestOutcome[],
   knownRed: readonly KnownRedTest[],
 ): Verdict {
   const listed = new Map(knownRed.map((entry) => [entry.test, entry]));
-  const faults = [
-    ...outcomes.flatMap((outcome) => faultOf(outcome, listed.has(outcome.test))),
+  const problems = [
+    ...outcomes.flatMap((outcome) => problemsOf(outcome, listed.has(outcome.test))),
     ...notRun(outcomes, knownRed),
     ...(outcomes.length === 0 ? ['no test ran'] : []),
   ];
-  const notes = outcomes.flatMap((outcome) => noteOf(outcome, listed.get(outcome.test)));
-  return { isGood: faults.length === 0, lines: [...notes, ...faults] };
+  const notes = outcomes.flatMap((outcome) => notesOn(outcome, listed.get(outcome.test)));
+  return { isGood: problems.length === 0, lines: [...notes, ...problems] };
 }
 
-function faultOf(outcome: TestOutcome, isListed: boolean): readonly string[] {
+function problemsOf(outcome: TestOutcome, isListed: boolean): readonly string[] {
   if (outcome.kind === 'skipped') return [`skipped or todo, which is not allowed: ${outcome.test}`];
   if (outcome.kind === 'failed' && !isListed) return [`failed: ${outcome.test}`];
   return [];
 }
 
-function noteOf(outcome: TestOutcome, entry: KnownRedTest | undefined): readonly string[] {
+function notesOn(outcome: TestOutcome, entry: KnownRedTest | undefined): readonly string[] {
   if (entry === undefined) return [];
   if (outcome.kind === 'failed') {
     return [`known red, passed over: ${entry.test} (${entry.cause}; issue ${entry.issue})`];
--- a/scripts/markdown-table.ts
+++ b/scripts/markdown-table.ts
@@ -1,8 +1,8 @@
 /**
- * Writes Markdown tables with padded columns.
+ * Formats Markdown tables with padded columns.
  */
 
-/** A table of the given head and rows. */
+/** Formats a table with the given header and rows. */
 export function markdownTable(
   head: readonly string[],
   rows: readonly (readonly string[])[],
--- a/scripts/run-tests.ts
+++ b/scripts/run-tests.ts
@@ -3,8 +3,8 @@
  *
  *     node dist/scripts/run-tests.js [--known-red FILE] [SOURCE.ts…]
  *
- * Without files it runs every `test/**` file. Ends with node:test's own summary lines; exit code 0
- * when every test passed (known red ones aside), 1 when not, 2 when the list can't be used.
+ * Without files it runs every `test/**` file. The output ends with node:test's summary lines. Exit
+ * code 0: all tests passed, except listed ones; 1: a test failed; 2: the list is invalid.
  */
 import { existsSync, readdirSync, readFileSync } from 'node:fs';
 import { join, resolve } from 'node:path';
@@ -17,7 +17,7 @@
 
 const DIST_ROOT = fileURLToPath(new URL('..', import.meta.url));
 const PROJECT_ROOT = resolve(DIST_ROOT, '..');
-/** Test files at once; few enough that tests with real sockets keep their pace on small machines. */
+/** Test files run in parallel; few, so that tests with sockets are not slowed down on small machines. */
 const CONCURRENT_FILES = 6;
 const FILE_TIMEOUT_MS = 180_000;
 const EXIT_RED = 1;
@@ -46,23 +46,23 @@
   process.exit(EXIT_USAGE);
 }
 
-/** Whether an event is the first of node:test's closing summary lines. */
+/** Whether an event is the first of node:test's final summary lines. */
 function opensSummary(event: TestEvent): boolean {
   return event.type === 'test:diagnostic' && /^tests \d+$/.test(event.data.message);
 }
 
-const isWholeRun = positionals.length === 0;
-const sources = isWholeRun ? allTestSources() : positionals;
+const isFullRun = positionals.length === 0;
+const sources = isFullRun ? allTestSources() : positionals;
 const listed = readKnownRed(values['known-red']);
-// Of a part of the tests, only the listed ones in that part can be judged.
-const knownRed = isWholeRun
+// In a partial run, only the listed tests of the given files are expected to run.
+const knownRed = isFullRun
   ? listed
   : listed.filter((entry) => sources.some((source) => entry.test.startsWith(source)));
 const outcomes = new TestOutcomes(DIST_ROOT);
 let isJudged = false;
 let isGood = false;
 
-/** Passes the events on, with the verdict just before the summary. */
+/** Forwards the events and inserts the verdict before the summary. */
 async function* withVerdict(events: AsyncIterable<TestEvent>): AsyncGenerator<TestEvent, void> {
   for await (const event of events) {
     outcomes.observe(event);
@@ -84,5 +84,5 @@
   timeout: FILE_TIMEOUT_MS,
 });
 for await (const text of tap(withVerdict(events))) process.stdout.write(text);
-// node:test sets the exit code for any failure; the verdict decides it here.
+// Overrides the exit code of node:test, which is set for any failure, also of a listed test.
 process.exitCode = isGood ? 0 : EXIT_RED;
--- a/scripts/test-outcomes.ts
+++ b/scripts/test-outcomes.ts
@@ -1,5 +1,5 @@
 /**
- * Reads the outcomes of single tests off the event stream of node:test.
+ * Extracts the outcomes of individual tests from the event stream of node:test.
  */
 import { relative } from 'node:path';
 import type { TestEvent } from 'node:test/reporters';
@@ -9,10 +9,10 @@
 type FailEvent = Extract<TestEvent, { type: 'test:fail' }>;
 type StartEvent = Extract<TestEvent, { type: 'test:start' }>;
 
-/** Collects outcomes; a suite that fails only through its tests is not counted again. */
+/** Collects outcomes; a suite that fails only because of its tests is not counted in addition. */
 export class TestOutcomes {
   readonly #outcomes: TestOutcome[] = [];
-  /** The names from the outermost suite to the test last started, by file. */
+  /** The names from the outermost suite to the last started test, by file. */
   readonly #running = new Map<string, string[]>();
 
   constructor(private readonly distRoot: string) {}
@@ -22,14 +22,14 @@
     return this.#outcomes;
   }
 
-  /** Takes in the next event of the stream. */
+  /** Records an event of the stream. */
   observe(event: TestEvent): void {
     if (event.type === 'test:start') this.#path(event);
     if (event.type === 'test:pass' && event.data.details.type !== 'suite') {
-      this.#add(event, isPassedOver(event) ? 'skipped' : 'passed');
+      this.#add(event, isSkipped(event) ? 'skipped' : 'passed');
     }
     if (event.type === 'test:fail' && failureType(event) !== 'subtestsFailed') {
-      this.#add(event, isPassedOver(event) ? 'skipped' : 'failed');
+      this.#add(event, isSkipped(event) ? 'skipped' : 'failed');
     }
   }
 
@@ -43,12 +43,12 @@
     names[nesting] = name;
     this.#running.set(file, names);
     const source = relative(this.distRoot, file).replace(/\.js$/, '.ts');
-    // A file that dies as a whole is reported as a test named after the file.
+    // A test file whose process fails is reported as a test named after the file.
     return name === file ? source : [source, ...names].join(' > ');
   }
 }
 
-function isPassedOver(event: PassEvent | FailEvent): boolean {
+function isSkipped(event: PassEvent | FailEvent): boolean {
   return event.data.skip !== undefined || event.data.todo !== undefined;
 }
 
