--- a/src/lab/model/catalogue.ts
+++ b/src/lab/model/catalogue.ts
@@ -1,6 +1,6 @@
 /**
- * What `npm run model` checks: the models with their scopes, and the mutations that each take one
- * protection away and must be found out.
+ * The models that `npm run model` checks, with their scopes, and the mutations: each mutation removes
+ * one protection, and the exploration must then find a violation.
  */
 import { CLAIMS_PROPERTIES, type ClaimsScope, claimsModel } from './claims/index.js';
 import {
@@ -14,7 +14,7 @@
 import { STOP_PROPERTY, stopModel } from './stop/index.js';
 import { STREAMS_PROPERTY, streamsModel } from './streams/index.js';
 
-/** Explores a model; the plain explorer or the one of `xstate/graph`. */
+/** Explores a model: either the plain explorer or the one built on `xstate/graph`. */
 export type Explorer = <World, Step>(
   model: Model<World, Step>,
   limits: Limits,
@@ -27,22 +27,22 @@
 /** A model in one scope. */
 export interface CatalogueEntry {
   readonly name: string;
-  /** Deep scopes take minutes and are left out unless asked for. */
+  /** Deep scopes take minutes and are checked only with `--deep`. */
   readonly isDeep: boolean;
   readonly check: Check;
 }
 
-/** A protection taken away. One that guards two promises stands here twice. */
+/** A model with one protection removed. A protection that guards two properties has two entries. */
 export interface Mutation {
   readonly name: string;
-  /** What is taken away, and how. */
+  /** Which protection is removed, and how. */
   readonly description: string;
-  /** The property that breaks. */
+  /** The property that the mutated model must violate. */
   readonly property: string;
   readonly check: Check;
 }
 
-/** The control model's scopes: which faults may happen together, and how often. */
+/** The control model's scopes: which faults may occur in one run, and how often. */
 const CONTROL_SCOPES: readonly { readonly scope: ControlScope; readonly isDeep: boolean }[] = [
   { scope: { kills: 1, lateMessages: 1 }, isDeep: false },
   { scope: { kills: 1, requests: 1 }, isDeep: false },
@@ -125,43 +125,43 @@
 export const MUTATIONS: readonly Mutation[] = [
   {
     name: 'no-fence',
-    description: 'the engine takes orders under any fence',
+    description: 'the engine accepts orders under any fence',
     property: CONTROL_PROPERTIES.deposed,
     check: checkOf(controlModel('control', { kills: 1, lateMessages: 1 }, { fences: false })),
   },
   {
     name: 'no-margin',
-    description: 'leases leave no room for clock drift',
+    description: 'leases have no margin for clock drift',
     property: CONTROL_PROPERTIES.deposed,
     check: checkOf(controlModel('control', { storeOutages: 1, clockLags: 1 }, { margins: false })),
   },
   {
     name: 'no-margin',
-    description: 'grants leave no room for clock drift',
+    description: 'grants have no margin for clock drift',
     property: CONTROL_PROPERTIES.dispatch,
     check: checkOf(controlModel('control', { requests: 1, dispatcherLags: 1 }, { margins: false })),
   },
   {
     name: 'no-barrier',
-    description: 'orders go out without waiting for grants to lapse or the engine to be idle',
+    description: 'orders are sent without waiting for grants to expire or the engine to be idle',
     property: CONTROL_PROPERTIES.cut,
     check: checkOf(controlModel('control', { requests: 1 }, { barrier: false })),
   },
   {
     name: 'resend-without-read-back',
-    description: 'a lost answer is taken for a refusal, and the order is given anew',
+    description: 'a lost answer is treated as a refusal, and the order is issued again',
     property: CONTROL_PROPERTIES.conflicting,
     check: checkOf(controlModel('control', { kills: 1, lateMessages: 1 }, { readBack: false })),
   },
   {
     name: 'version-compare-dropped',
-    description: 'the table takes writes whatever version they were made from',
+    description: 'the table applies writes without comparing row versions',
     property: CONTROL_PROPERTIES.deposed,
     check: checkOf(controlModel('control', {}, { versionCompare: false })),
   },
   {
     name: 'version-compare-dropped',
-    description: 'a daemon brings a lower configuration version into force',
+    description: 'a daemon puts a lower configuration version in force',
     property: CONFIGURATION_PROPERTY,
     check: checkOf(
       configurationModel(
@@ -173,13 +173,13 @@
   },
   {
     name: 'claim-skipped',
-    description: 'work is dispatched without its idempotency key having been claimed',
+    description: 'work is dispatched without claiming its idempotency key first',
     property: CLAIMS_PROPERTIES.once,
     check: checkOf(claimsModel('claims', {}, { claims: false })),
   },
   {
     name: 'not-run-after-dispatch',
-    description: 'a connection that broke is told as work that was not run',
+    description: 'a broken connection is reported to the caller as work that was not run',
     property: CLAIMS_PROPERTIES.outcome,
     check: checkOf(
       claimsModel('claims', { breaks: 1, retryBudget: 0 }, { truthfulRefusals: false }),
@@ -187,13 +187,13 @@
   },
   {
     name: 'offset-check-dropped',
-    description: 'frames are passed on whatever attempt and offset they carry',
+    description: 'frames are forwarded without checking their attempt and offset',
     property: STREAMS_PROPERTY,
     check: checkOf(streamsModel('streams', { repeated: 1 }, { offsetCheck: false })),
   },
   {
     name: 'leave-ignored',
-    description: 'the router does not heed that an engine leaves',
+    description: 'the router ignores that an engine is leaving',
     property: LEAVING_PROPERTY,
     check: checkOf(leavingModel('leaving', { leavesHeeded: false })),
   },
--- a/src/lab/model/claims/draft.ts
+++ b/src/lab/model/claims/draft.ts
@@ -1,6 +1,6 @@
 /**
- * A claims world while a step is being taken: effects of the request reducer are carried out on it,
- * and broken properties are noted where they show.
+ * A mutable claims world during one step: carries out the effects of the request reducer and records
+ * violations.
  */
 import type { FailureOutcome } from '../../../core/errors/fault.js';
 import type { TableCall, TableEffect, TableResult } from '../../../core/platform/table.js';
@@ -29,12 +29,12 @@
   once: '6 work that must not run twice ran twice',
 } as const;
 
-/** What befalls the first table call of a step. */
+/** The fault of the first table call of a step. */
 export type ClaimsTableFault = 'none' | 'late-call' | 'slow-answer' | 'unavailable';
 
 type Mutable<T> = { -readonly [K in keyof T]: T[K] };
 
-/** A world in the making. */
+/** The claims world during one step. */
 export class ClaimsDraft {
   readonly world: Mutable<ClaimsWorld>;
   readonly violations: Violation[] = [];
@@ -47,7 +47,7 @@
     this.#fault = fault;
   }
 
-  /** Whether the fault that was asked for has found its table call. */
+  /** Whether a table call has been made that the requested fault applied to. */
   get isFaultSpent(): boolean {
     return this.#fault === 'none';
   }
@@ -74,7 +74,7 @@
     });
   }
 
-  /** Feeds an event to a request's reducer at a time on its daemon's clock. */
+  /** Feeds an event to a request's reducer; `now` is the time by its daemon's clock. */
   feed(index: number, event: RequestEvent, now: number): void {
     const { state } = this.request(index);
     if (state === null) return;
@@ -83,7 +83,7 @@
     for (const effect of next.effects) this.#carryOut(index, effect);
   }
 
-  /** Reports an attempt's fate, unless nobody waits for it. */
+  /** Reports the end of an attempt, unless its sender no longer waits for it. */
   report(attempt: Attempt, event: AttemptEvent): void {
     if (!attempt.isAwaited) return;
     this.setAttempt(attempt.id, { isAwaited: false });
@@ -96,21 +96,21 @@
     return result;
   }
 
-  /** Work begins at the backend. */
+  /** The backend begins an attempt's work. */
   begin(attempt: Attempt): void {
     this.world.runs += 1;
     this.setAttempt(attempt.id, { phase: 'running' });
     if (this.world.runs > 1) {
-      const detail = `${attempt.id} begins, the work's run number ${this.world.runs}`;
+      const detail = `${attempt.id} begins, run number ${this.world.runs}`;
       this.violations.push({ property: CLAIMS_PROPERTIES.once, detail });
     }
     if (this.request(attempt.request).told === 'not run') {
-      const detail = `${attempt.id} begins after its caller was told that it was not run`;
+      const detail = `${attempt.id} begins after its caller got "not run"`;
       this.violations.push({ property: CLAIMS_PROPERTIES.outcome, detail });
     }
   }
 
-  /** The whole answer has come, and goes to the caller unless it has had another. */
+  /** The complete answer has arrived; the caller gets it unless it has had another outcome. */
   answered(attempt: Attempt): void {
     const { told } = this.request(attempt.request);
     if (told === null) this.setRequest(attempt.request, { told: 'answered' });
@@ -155,15 +155,15 @@
         break;
       case 'refuse':
       case 'abort':
-        this.#tell(index, toldBy(effect.fault.outcome));
+        this.#reportToCaller(index, reportedBy(effect.fault.outcome));
         break;
       case 'replay':
-        this.#tell(index, 'replayed');
+        this.#reportToCaller(index, 'replayed');
         break;
     }
   }
 
-  /** A connection is closed: what was on its way may still arrive, what runs may run on. */
+  /** Closes an attempt's connection: a request in flight may still arrive, running work may go on. */
   #cancel(id: string): void {
     const attempt = this.world.attempts.find((each) => each.id === id);
     if (attempt === undefined) return;
@@ -171,12 +171,12 @@
     this.setAttempt(id, { phase, isAwaited: false });
   }
 
-  #tell(index: number, told: Told): void {
+  #reportToCaller(index: number, told: Told): void {
     this.setRequest(index, { told });
     if (told !== 'not run') return;
     const attempt = this.world.attempts.find((each) => each.request === index);
     if (attempt === undefined || attempt.phase === 'ended') return;
-    const detail = `the caller of ${attempt.id} is told that it was not run, and it is ${attempt.phase}`;
+    const detail = `the caller of ${attempt.id} gets "not run" while the attempt is ${attempt.phase}`;
     this.violations.push({ property: CLAIMS_PROPERTIES.outcome, detail });
   }
 
@@ -201,12 +201,12 @@
     this.answer(index, result);
   }
 
-  /** Hands a table result to the request that asked for it. */
+  /** Passes a table result to the request that made the call. */
   answer(index: number, result: TableResult): void {
     this.feed(index, { kind: 'table-result', result }, 0);
   }
 }
 
-function toldBy(outcome: FailureOutcome): Told {
+function reportedBy(outcome: FailureOutcome): Told {
   return outcome === 'refused-not-run' ? 'not run' : 'unknown';
 }
--- a/src/lab/model/claims/index.ts
+++ b/src/lab/model/claims/index.ts
@@ -1,4 +1,6 @@
-/** The claims model: idempotency claims and the three outcomes over the request reducer. */
+/**
+ * The claims model: idempotency claims, and the outcomes that the request reducer reports to callers.
+ */
 import type { AttemptEvent } from '../../../core/requests/index.js';
 import type { Model, Outcome } from '../explorer.js';
 import { ClaimsDraft, type ClaimsTableFault } from './draft.js';
@@ -16,10 +18,10 @@
 
 export { CLAIMS_PROPERTIES } from './draft.js';
 
-/** How often each fault may happen in one run; none where not stated. */
+/** How often each fault may occur in one run; a fault left out does not occur. */
 export type ClaimsScope = Partial<ClaimsBudget>;
 
-/** One thing that may happen. */
+/** One possible step. */
 type ClaimsStep =
   | {
       readonly kind: 'arrive' | 'retry-settling' | 'deadline' | 'caller-gone';
@@ -119,11 +121,11 @@
   if (fault === 'late-call') draft.spend('lateTableCalls');
   if (fault === 'slow-answer') draft.spend('slowTableAnswers');
   if (fault === 'unavailable') draft.spend('unavailable');
-  take(draft, step);
+  performStep(draft, step);
   return draft.isFaultSpent ? { world: draft.world, violations: draft.violations } : null;
 }
 
-function take(draft: ClaimsDraft, step: ClaimsStep): void {
+function performStep(draft: ClaimsDraft, step: ClaimsStep): void {
   switch (step.kind) {
     case 'arrive': {
       const state = arrivedRequest(step.request, draft.request(step.request).daemon);
@@ -187,7 +189,7 @@
   draft.report(attempt, brokenEvent(draft, id));
 }
 
-/** A mutated shell takes a connection that broke before an answer for work that was not run. */
+/** The mutated shell reports a connection that broke before an answer as work that was not run. */
 function brokenEvent(draft: ClaimsDraft, attempt: string): AttemptEvent {
   if (!draft.protections.truthfulRefusals) {
     return { kind: 'refused-not-run', attempt, reason: 'connection-broken' };
@@ -203,7 +205,7 @@
   };
 }
 
-/** What the dead daemon had sent stays on its way. */
+/** Kills the first daemon; the attempts that it sent stay in flight. */
 function kill(draft: ClaimsDraft): void {
   draft.spend('kills');
   const { world } = draft;
@@ -222,7 +224,7 @@
   const requests = world.requests.map(({ state, hasArrived, told }) => {
     if (state === null) return [hasArrived, told];
     const { description, ...rest } = state;
-    return [{ ...rest, phase: timeless(state.phase) }, told];
+    return [{ ...rest, phase: withoutTimes(state.phase) }, told];
   });
   const { table, isFirstAlive, isFirstKnownGone, attempts, messages, budget, runs } = world;
   const late = messages.map((message) => JSON.stringify(message)).sort();
@@ -238,7 +240,7 @@
   ]);
 }
 
-function timeless(phase: object): object {
+function withoutTimes(phase: object): object {
   return { ...phase, nextAt: 0, since: 0 };
 }
 
@@ -254,7 +256,7 @@
     case 'kill':
       return 'daemon a is killed';
     case 'learn-of-kill':
-      return 'daemon b learns that a is gone';
+      return 'daemon b learns that a is dead';
     case 'deliver':
       return `a late table ${step.message.kind} arrives${fault}`;
     case 'begin':
--- a/src/lab/model/claims/world.ts
+++ b/src/lab/model/claims/world.ts
@@ -1,6 +1,6 @@
 /**
- * The world of the claims model: three requests with one idempotency key and work that must not run
- * twice, at two daemons that run the production request reducer, a table and one backend.
+ * The world of the claims model: three requests that share one idempotency key and whose work must not
+ * run twice, two daemons that run the production request reducer, a table and one backend.
  */
 import type { TableCall, TableResult } from '../../../core/platform/table.js';
 import {
@@ -10,16 +10,16 @@
 } from '../../../core/requests/index.js';
 import { EMPTY_TABLE, type ModelTable } from '../table.js';
 
-/** How often each kind of fault may happen in one run. */
+/** How often each kind of fault may occur in one run. */
 export interface ClaimsBudget {
   readonly kills: number;
-  /** Table calls whose sender gives up on them while they are still on the way. */
+  /** Table calls that time out at the sender while they are still in flight. */
   readonly lateTableCalls: number;
-  /** Table calls that take effect at once and are answered at any later time. */
+  /** Table calls that take effect at once and whose answer may arrive at any later time. */
   readonly slowTableAnswers: number;
-  /** Table calls that are turned away. */
+  /** Table calls that are refused because the table is down. */
   readonly unavailable: number;
-  /** Connections to the backend that break after bytes may have left. */
+  /** Connections to the backend that break after bytes may have been sent. */
   readonly breaks: number;
   readonly refusals: number;
   readonly deadlines: number;
@@ -28,7 +28,7 @@
   readonly retryBudget: number;
 }
 
-/** No fault at all. */
+/** A budget without faults; the retry budget is not empty. */
 export const NO_CLAIMS_FAULTS: ClaimsBudget = {
   kills: 0,
   lateTableCalls: 0,
@@ -41,15 +41,15 @@
   retryBudget: 1,
 };
 
-/** Protections that a mutation takes away. */
+/** Protections that a mutation removes. */
 export interface ClaimsProtections {
   /** A claim is written before the work is dispatched. */
   readonly claims: boolean;
-  /** Only work that was certainly not handed over is said not to have run. */
+  /** "Not run" is reported only for work that was certainly not handed over. */
   readonly truthfulRefusals: boolean;
 }
 
-/** What a caller was told. */
+/** The outcome that was reported to a caller. */
 export type Told = 'answered' | 'not run' | 'unknown' | 'replayed';
 
 /** A request at one of the daemons. */
@@ -61,37 +61,37 @@
   readonly told: Told | null;
 }
 
-/** Work on its way to the backend, or there. */
+/** An attempt in flight to the backend, or at the backend. */
 export interface Attempt {
   readonly id: string;
   readonly request: number;
-  /** `astray`: its sender has given up on it, but it may still arrive. */
+  /** `astray`: the sender no longer waits for it, but it may still arrive. */
   readonly phase: 'sent' | 'astray' | 'running' | 'ended';
-  /** Whether its sender still waits for how it ends. */
+  /** Whether its sender still waits for its end. */
   readonly isAwaited: boolean;
 }
 
-/** A table call or answer whose sender has given up on it, or still waits for it. */
+/** A table call whose sender has stopped waiting, or an answer that the daemon still waits for. */
 export type LateMessage =
   | { readonly kind: 'call'; readonly call: TableCall }
   | { readonly kind: 'answer'; readonly request: number; readonly result: TableResult };
 
-/** Everything there is. */
+/** The complete state of the model. */
 export interface ClaimsWorld {
   readonly table: ModelTable;
-  /** Whether the first daemon lives. */
+  /** Whether the first daemon runs. */
   readonly isFirstAlive: boolean;
-  /** Whether the second daemon knows that the first is gone. */
+  /** Whether the second daemon knows that the first is dead. */
   readonly isFirstKnownGone: boolean;
   readonly requests: readonly ClaimsRequest[];
   readonly attempts: readonly Attempt[];
   readonly messages: readonly LateMessage[];
   readonly budget: ClaimsBudget;
-  /** How often the work of the key was begun. */
+  /** How often the work of the idempotency key was started. */
   readonly runs: number;
 }
 
-/** When the requests' deadline passes, by the daemons' clocks. */
+/** The requests' deadline by the daemons' clocks. */
 export const DEADLINE_MS = 1_000_000;
 const DAEMON_OF_REQUEST = [0, 1, 1] as const;
 
@@ -100,7 +100,7 @@
   return index === 0 ? 'a' : 'b';
 }
 
-/** A request of the model as it arrives. */
+/** The reducer state of a request on arrival. */
 export function arrivedRequest(index: number, daemon: number): RequestState {
   const description: RequestDescription = {
     id: `${daemonName(daemon)}-1-${index}`,
--- a/src/lab/model/command.ts
+++ b/src/lab/model/command.ts
@@ -1,4 +1,4 @@
-/** `npm run model`: checks the protocol's models, or shows what a missing protection breaks. */
+/** `npm run model`: checks the protocol's models, or shows which property a mutation violates. */
 import { performance } from 'node:perf_hooks';
 import { Command, Option, UsageError } from 'clipanion';
 import { EXIT_DONE, EXIT_FAILED } from '../commands/exit-codes.js';
@@ -24,27 +24,30 @@
     details: `
       Explores every state of small worlds (controllers, a table, engines, requests, operators,
       and kills, pauses, late, repeated and lost messages) and checks the invariants. With
-      --mutate one protection is taken away, and a shortest way to break a promise is printed.
-      Exits 1 when a property was broken.
+      --mutate one protection is removed, and a shortest trace to a violation is printed.
+      Exits 1 when a property is violated.
     `,
     examples: [
-      ['All models of the CI', '$0 model --json'],
-      ['What the fences are for', '$0 model --mutate no-fence'],
-      ['Larger scopes, for minutes', '$0 model --deep'],
+      ['All models that CI checks', '$0 model --json'],
+      ['A violation that fences prevent', '$0 model --mutate no-fence'],
+      ['Larger scopes, which take minutes', '$0 model --deep'],
     ],
   });
 
   json = Option.Boolean('--json', false, { description: 'print the result as JSON' });
   mutate = Option.String('--mutate', {
-    description: `take one protection away: ${mutationNames()}`,
+    description: `remove one protection: ${mutationNames()}`,
+  });
+  deep = Option.Boolean('--deep', false, { description: 'also check the larger scopes' });
+  only = Option.String('--only', {
+    description: 'check only models whose name contains this text',
   });
-  deep = Option.Boolean('--deep', false, { description: 'larger scopes too' });
-  only = Option.String('--only', { description: 'only models whose name contains this' });
   maxStates = Option.String('--max-states', String(DEFAULT_MAX_STATES), {
-    description: 'where the plain explorer stops',
+    description: 'number of states at which the plain explorer stops',
   });
   explorer = Option.String('--explorer', {
-    description: 'graph (xstate/graph) or plain, which needs less memory; plain with --deep',
+    description:
+      'graph (xstate/graph) or plain, which needs less memory; default graph, with --deep plain',
   });
 
   protected override async carryOut(): Promise<number> {
@@ -68,7 +71,7 @@
   private checkMutation(name: string): Exploration[] {
     const mutations = MUTATIONS.filter((mutation) => mutation.name === name);
     if (mutations.length === 0) {
-      throw new UsageError(`--mutate ${name}: no such mutation. Write one of ${mutationNames()}.`);
+      throw new UsageError(`--mutate ${name}: no such mutation; use one of ${mutationNames()}.`);
     }
     return mutations.map(({ check, property }) => {
       return check(this.chosenExplorer(), this.limits(property), seconds);
--- a/src/lab/model/configuration/draft.ts
+++ b/src/lab/model/configuration/draft.ts
@@ -1,4 +1,4 @@
-/** A world of the configuration model in the making: what a step does to daemons, table and messages. */
+/** A mutable configuration world during one step: applies the step to daemons, table and messages. */
 import {
   type ConfigurationEvent,
   type ConfigurationState,
@@ -25,18 +25,18 @@
 /** The name of the configuration model's property. */
 export const CONFIGURATION_PROPERTY = '9 configuration reverts or differs';
 
-/** Protections that a mutation takes away. */
+/** Protections that a mutation removes. */
 export interface ConfigurationProtections {
   /** A daemon refuses a version that is lower than the one in force. */
   readonly versionCompare: boolean;
 }
 
-/** What befalls the next call to the table. */
+/** The fault of the first table call of a step. */
 export type TableFault = 'none' | 'late-call' | 'slow-answer';
 
 type Mutable<T> = { -readonly [K in keyof T]: T[K] };
 
-/** A world in the making. */
+/** The configuration world during one step. */
 export class ConfigurationDraft {
   readonly world: Mutable<ConfigurationWorld>;
   readonly violations: Violation[] = [];
@@ -75,7 +75,7 @@
     this.feed(index, { kind: 'tick' });
   }
 
-  /** One event of a daemon, in the order of the daemon's own fold. */
+  /** Feeds an event to a daemon's reducers, in the same order as the daemon does. */
   feed(index: number, event: ConfigurationEvent): void {
     const daemon = this.daemon(index);
     const context = { now: daemon.now, entropy: 0 };
@@ -85,35 +85,35 @@
     }
     const before = daemon.configuration;
     const { membership } = this.daemon(index);
-    const next = stepConfiguration(this.#asCompared(before), event, context, membership);
-    const configuration = this.#restored(before, next.state);
+    const next = stepConfiguration(this.#hideInForce(before), event, context, membership);
+    const configuration = this.#restoreInForce(before, next.state);
     this.setDaemon(index, { configuration });
-    this.#compare(index, before, configuration);
-    this.#noteInForce(index, before, configuration);
+    this.#checkNotReverted(index, before, configuration);
+    this.#recordInForce(index, before, configuration);
     for (const effect of next.effects) {
       if (effect.kind === 'table') this.#table(index, effect.token, effect.call);
       if (effect.kind === 'peer-send') this.#send(index, effect);
-      if (effect.kind === 'change-answer') this.#answered(effect.outcome);
+      if (effect.kind === 'change-answer') this.#recordAnswer(effect.outcome);
     }
   }
 
-  /** Without the comparison a daemon does not know what it has in force. */
-  #asCompared(state: ConfigurationState): ConfigurationState {
+  /** Without the comparison the reducer does not see which version is in force. */
+  #hideInForce(state: ConfigurationState): ConfigurationState {
     return this.#protections.versionCompare ? state : { ...state, inForce: null };
   }
 
-  #restored(before: ConfigurationState, after: ConfigurationState): ConfigurationState {
+  #restoreInForce(before: ConfigurationState, after: ConfigurationState): ConfigurationState {
     const isForgotten = !this.#protections.versionCompare && after.inForce === null;
     return isForgotten ? { ...after, inForce: before.inForce } : after;
   }
 
-  #compare(index: number, before: ConfigurationState, after: ConfigurationState): void {
+  #checkNotReverted(index: number, before: ConfigurationState, after: ConfigurationState): void {
     const [from, to] = [before.inForce?.version ?? -1, after.inForce?.version ?? -1];
     if (to >= from) return;
-    this.#violate(`version ${to} takes the place of ${from} at ${DAEMON_NAMES[index]}`);
+    this.#violate(`version ${to} replaces version ${from} at ${DAEMON_NAMES[index]}`);
   }
 
-  #noteInForce(index: number, before: ConfigurationState, after: ConfigurationState): void {
+  #recordInForce(index: number, before: ConfigurationState, after: ConfigurationState): void {
     if (after.inForce === null || after.inForce === before.inForce) return;
     const { membership, now } = this.daemon(index);
     const event = { kind: 'version-in-force', version: after.inForce.version } as const;
@@ -121,7 +121,7 @@
     this.setDaemon(index, { membership: state });
   }
 
-  #answered(outcome: { readonly kind: string; readonly version?: number }): void {
+  #recordAnswer(outcome: { readonly kind: string; readonly version?: number }): void {
     this.world.answers = [...this.world.answers, outcome.kind].sort();
     if (outcome.kind !== 'applied') return;
     this.world.applied = Math.max(this.world.applied, outcome.version ?? 0);
@@ -165,7 +165,10 @@
     this.#put({ kind: 'peer', to: effect.to.port, header, message, channel });
   }
 
-  /** Two copies of one message are as good as one, as each may be delivered or lost. */
+  /**
+   * Adds a message in flight unless an equal one is: each copy may be delivered or lost, so one copy
+   * stands for both.
+   */
   #put(message: ConfigurationMessage): void {
     const number = intern(message);
     if (this.world.messages.some((each) => intern(each) === number)) return;
@@ -192,7 +195,7 @@
     }
   }
 
-  /** All that was sent in streams ends with the daemon's life. */
+  /** Restarts a daemon. Messages in streams are lost, as its connections close. */
   restart(): void {
     this.spend('restarts');
     const incarnation = this.daemon(RESTARTED).incarnation + 1;
@@ -203,7 +206,10 @@
     });
   }
 
-  /** What was applied is in force wherever a daemon serves, and one version is one document. */
+  /**
+   * Checks that a daemon that serves has the highest applied version in force or a newer one, and that
+   * a version is the same document everywhere.
+   */
   checkWorld(): void {
     const documents = new Map<number, string>();
     const row = rowOf(this.world.table, CURRENT_KEY);
@@ -221,8 +227,8 @@
       }
       documents.set(version, text);
       if (configuration.ready && version < this.world.applied) {
-        const told = `version ${this.world.applied} was applied`;
-        this.#violate(`${told}, and ${DAEMON_NAMES[index]} serves under version ${version}`);
+        const applied = `version ${this.world.applied} was applied`;
+        this.#violate(`${applied}, and ${DAEMON_NAMES[index]} serves under version ${version}`);
       }
     }
   }
--- a/src/lab/model/configuration/index.ts
+++ b/src/lab/model/configuration/index.ts
@@ -1,4 +1,4 @@
-/** The configuration model: versions that spread between daemons and never go back. */
+/** The configuration model: versions spread between daemons and are never reverted. */
 import type { Model, Outcome } from '../explorer.js';
 import { intern, internAs } from '../intern.js';
 import { ConfigurationDraft, type ConfigurationProtections } from './draft.js';
@@ -16,7 +16,7 @@
 
 export { CONFIGURATION_PROPERTY, type ConfigurationProtections } from './draft.js';
 
-/** How often each thing may happen in one run, where it differs from a plain run. */
+/** How often each kind of event may occur in one run, where it differs from a plain run. */
 export type ConfigurationScope = Partial<ConfigurationBudget>;
 
 const TICK_MS = 1_000;
@@ -49,13 +49,13 @@
   const draft = new ConfigurationDraft(world, protections, fault);
   if (fault === 'late-call') draft.spend('lateTableCalls');
   if (fault === 'slow-answer') draft.spend('slowTableAnswers');
-  take(draft, step);
+  performStep(draft, step);
   if (!draft.isFaultSpent) return null;
   draft.checkWorld();
   return { world: draft.world, violations: draft.violations };
 }
 
-function take(draft: ConfigurationDraft, step: ConfigurationStep): void {
+function performStep(draft: ConfigurationDraft, step: ConfigurationStep): void {
   switch (step.kind) {
     case 'tick':
       draft.advance(step.daemon, TICK_MS);
--- a/src/lab/model/configuration/steps.ts
+++ b/src/lab/model/configuration/steps.ts
@@ -1,4 +1,4 @@
-/** What may happen in a world of the configuration model, and how it is told. */
+/** The possible steps of the configuration model, and their descriptions for traces. */
 import type { TableFault } from './draft.js';
 import {
   type ConfigurationMessage,
@@ -7,7 +7,7 @@
   RESTARTED,
 } from './world.js';
 
-/** One thing that may happen. */
+/** One possible step. */
 export type ConfigurationStep =
   | {
       readonly kind: 'tick' | 'long-tick' | 'change';
@@ -23,7 +23,7 @@
   | { readonly kind: 'restart' }
   | { readonly kind: 'learn-of-restart' };
 
-/** All that may happen next. */
+/** All steps that are possible in a world. */
 export function stepsOf(world: ConfigurationWorld): ConfigurationStep[] {
   const { budget } = world;
   const faults: TableFault[] = ['none'];
@@ -65,10 +65,10 @@
     case 'restart':
       return 'daemon b restarts';
     case 'learn-of-restart':
-      return 'daemon a learns of the new life of b';
+      return 'daemon a learns of the new incarnation of b';
     case 'deliver': {
       const { message } = step;
-      const copy = step.keepsCopy ? ', and a copy stays on its way' : '';
+      const copy = step.keepsCopy ? ', and a copy stays in flight' : '';
       const what = message.kind === 'peer' ? message.message.kind : message.kind;
       return `delivered: ${what}${copy}${fault}`;
     }
--- a/src/lab/model/configuration/world.ts
+++ b/src/lab/model/configuration/world.ts
@@ -18,13 +18,13 @@
 import type { TableCall, TableResult } from '../../../core/platform/table.js';
 import { EMPTY_TABLE, type ModelTable } from '../table.js';
 
-/** How often each thing may happen in one run. */
+/** How often each kind of event may occur in one run. */
 export interface ConfigurationBudget {
   /** Changes by operators: the first at daemon a, the second at daemon b. */
   readonly changes: number;
-  /** Ticks of a second of each daemon. */
+  /** Ticks of one second of each daemon. */
   readonly ticks: number;
-  /** Times that a daemon's clock runs on past every deadline. */
+  /** Times that a daemon's clock advances past every deadline. */
   readonly longTicks: number;
   readonly restarts: number;
   readonly duplicates: number;
@@ -32,7 +32,7 @@
   readonly slowTableAnswers: number;
 }
 
-/** Nothing but two changes and a few ticks. */
+/** Two changes and a few ticks, without faults. */
 export const PLAIN_CONFIGURATION_RUN: ConfigurationBudget = {
   changes: 2,
   ticks: 2,
@@ -52,14 +52,14 @@
   readonly membership: MembershipState;
 }
 
-/** Something on its way between daemons, or between a daemon and the table. */
+/** A message in flight between daemons, or between a daemon and the table. */
 export type ConfigurationMessage =
   | {
       readonly kind: 'peer';
       readonly to: number;
       readonly header: PeerHeader;
       readonly message: PeerMessage;
-      /** A stream ends with the life of either end. */
+      /** A stream ends when the daemon at either end ends. */
       readonly channel: PeerChannel;
     }
   | { readonly kind: 'table-call'; readonly call: TableCall }
@@ -71,19 +71,19 @@
       readonly result: TableResult;
     };
 
-/** Everything there is. */
+/** The complete state of the model. */
 export interface ConfigurationWorld {
   readonly table: ModelTable;
   readonly daemons: readonly ConfigurationDaemon[];
   readonly messages: readonly ConfigurationMessage[];
   readonly budget: ConfigurationBudget;
-  /** The highest version that an operator was told is in force. */
+  /** The highest version that an operator got the answer `applied` for. */
   readonly applied: number;
-  /** What operators were told. */
+  /** The kinds of the answers to operators, sorted. */
   readonly answers: readonly string[];
 }
 
-/** Before the model begins, by more than a daemon waits for others to be listed. */
+/** Longer before the model's start than a daemon waits for the machine list to be complete. */
 const LISTED_LONG_AGO = -3_600_000;
 
 /** The daemons' names, by index. */
@@ -110,7 +110,7 @@
   };
 }
 
-/** A daemon of a new life that knows the other one. */
+/** A daemon at the start of an incarnation that knows the other daemon. */
 export function startedDaemon(
   index: number,
   incarnation: number,
@@ -118,19 +118,19 @@
 ): ConfigurationDaemon {
   const { name, zone, endpoint } = memberOf(index, incarnation);
   const created = createMembership({ name, zone, endpoint, incarnation });
-  // It has been listed for long, so the machine list lacks nobody.
+  // It was listed long ago, so it considers the machine list complete.
   const membership = { ...created, ownListingAt: LISTED_LONG_AGO };
   return {
     incarnation,
     now: 0,
     ticks: 0,
-    // The first read is not put off, so that it may meet everything else.
+    // The first read is not delayed, so that it can coincide with every other step.
     configuration: { ...createConfiguration({ name, endpoint }), nextReadAt: 0 },
     membership: withMember(membership, 1 - index, otherIncarnation),
   };
 }
 
-/** Membership with the present life of another daemon. */
+/** Membership with the current incarnation of another daemon. */
 export function withMember(
   membership: MembershipState,
   index: number,
@@ -140,7 +140,7 @@
   return { ...membership, members: new Map(membership.members).set(member.name, member) };
 }
 
-/** The change that an operator asks daemon `index` for. */
+/** The change that an operator requests from daemon `index`. */
 export function changeRequest(index: number): ChangeRequest {
   const id = `change-${DAEMON_NAMES[index]}`;
   return {
@@ -156,7 +156,7 @@
   };
 }
 
-/** The world before anything has happened. */
+/** The world before the first step. */
 export function initialConfigurationWorld(budget: ConfigurationBudget): ConfigurationWorld {
   return {
     table: EMPTY_TABLE,
--- a/src/lab/model/control/apply.ts
+++ b/src/lab/model/control/apply.ts
@@ -1,5 +1,5 @@
 /**
- * What a step of the control model does.
+ * Applies the steps of the control model.
  */
 import type { OrderAnswer } from '../../../core/orders/index.js';
 import {
@@ -23,10 +23,10 @@
   TICK_MS,
 } from './world.js';
 
-/** How many intents one epoch may begin. */
-const MOST_INTENTS = 2;
+/** How many intents one epoch may begin; bounds the state space. */
+const MAX_INTENTS_PER_EPOCH = 2;
 
-/** Takes a step. Null when a table fault was asked for and no table call was made. */
+/** Applies a step. Null when the step has a table fault but made no table call. */
 export function applyStep(
   world: ControlWorld,
   step: ControlStep,
@@ -36,18 +36,18 @@
   const draft = new Draft(world, protections, fault);
   if (fault === 'late-call') draft.spend('lateTableCalls');
   if (fault === 'slow-answer') draft.spend('slowTableAnswers');
-  take(draft, step, protections);
+  performStep(draft, step, protections);
   if (!draft.isFaultSpent || exceedsScope(draft.world)) return null;
   checkWorld(draft);
   return { world: draft.world, violations: draft.violations };
 }
 
-/** The scope of the model: only so many intents under one epoch. */
+/** Whether a world lies outside the model's scope: an epoch has begun too many intents. */
 function exceedsScope(world: ControlWorld): boolean {
-  return world.daemons.some((daemon) => daemon.controller.intents > MOST_INTENTS);
+  return world.daemons.some((daemon) => daemon.controller.intents > MAX_INTENTS_PER_EPOCH);
 }
 
-function take(draft: Draft, step: ControlStep, protections: Protections): void {
+function performStep(draft: Draft, step: ControlStep, protections: Protections): void {
   const { world } = draft;
   switch (step.kind) {
     case 'advance':
@@ -134,7 +134,10 @@
   draft.setDaemon(index, { report: reportOf(draft.world.engine), askedAt });
 }
 
-/** A process that is killed leaves what it has sent on its way. Nobody waits for it any more. */
+/**
+ * Kills a daemon. Its orders and table calls stay in flight as late messages; its queries and all
+ * answers to it are dropped, as nobody waits for them.
+ */
 function kill(draft: Draft, index: number): void {
   draft.spend('kills');
   draft.setDaemon(index, { status: 'dead', due: false, storeDown: false });
@@ -145,7 +148,7 @@
   });
 }
 
-/** The sender gives up on a message, which may still arrive. */
+/** The sender times out on a message; an order or a request may still arrive. */
 function giveUp(draft: Draft, message: Message): void {
   draft.spend('lateMessages');
   draft.take(message);
@@ -222,21 +225,21 @@
   return !message.late && status !== 'dead' && incarnation === message.from.incarnation;
 }
 
-/** Without read-back a lost answer is taken for a refusal. */
+/** Without read-back a lost answer is treated as a refusal. */
 function answerOrder(
   draft: Draft,
   message: Extract<Message, { kind: 'order' | 'order-answer' }>,
   answer: OrderAnswer,
 ): void {
   const { order, from } = message;
-  const taken =
+  const treatedAs =
     answer.kind === 'lost' && !draft.protections.readBack ? refusedAnswer(order) : answer;
   draft.stepController(from.daemon, {
     kind: 'order-answer',
     engine: order.engine,
     orderId: order.id,
     fence: order.fence,
-    answer: taken,
+    answer: treatedAs,
   });
 }
 
@@ -254,7 +257,7 @@
   draft.stepController(from.daemon, { kind: 'order-state', engine, orderId, state });
 }
 
-/** A busy engine refuses a request without running it. */
+/** An engine that carries out an order refuses the request without running it. */
 function deliverRequest(draft: Draft): void {
   const { engine } = draft.world;
   if (runningOrder(engine) !== null) return;
--- a/src/lab/model/control/describe.ts
+++ b/src/lab/model/control/describe.ts
@@ -1,5 +1,5 @@
 /**
- * Steps of the control model in words, for traces.
+ * Describes steps of the control model in words, for traces.
  */
 import type { TableFault } from './draft.js';
 import type { ControlStep } from './steps.js';
@@ -11,17 +11,17 @@
     case 'advance':
       return step.laggard === null
         ? 'a tick passes'
-        : `a tick passes, unseen by ${nameOf(step.laggard)}`;
+        : `a tick passes, but not on the clock of ${nameOf(step.laggard)}`;
     case 'turn': {
       const poll = step.polls ? 'polls the engine and acts' : 'acts';
       return `${nameOf(step.daemon)} ${poll}${describeFault(step.fault)}`;
     }
     case 'deliver': {
-      const copy = step.mode === 'once' ? '' : ', and a copy stays on its way';
+      const copy = step.mode === 'once' ? '' : ', and a copy stays in flight';
       return `delivered: ${describeMessage(step.message)}${copy}${describeFault(step.fault)}`;
     }
     case 'give-up':
-      return `its sender gives up on: ${describeMessage(step.message)}`;
+      return `its sender times out on: ${describeMessage(step.message)}`;
     case 'finish-order':
       return `the engine ends its order: ${step.state}`;
     case 'finish-request':
@@ -31,9 +31,9 @@
     case 'dispatch':
       return 'the dispatcher sends a request';
     case 'crash-engine':
-      return 'the engine crashes and starts anew';
+      return 'the engine crashes and boots again';
     case 'reverse-role':
-      return 'the desired role is taken back';
+      return 'the desired role is reverted';
     default:
       return `${step.kind} ${nameOf(step.daemon)}`;
   }
--- a/src/lab/model/control/draft.ts
+++ b/src/lab/model/control/draft.ts
@@ -1,6 +1,6 @@
 /**
- * A world while a step is being taken: effects of the reducers are carried out on it, and broken
- * properties are noted where they show.
+ * A mutable control world during one step: carries out the effects of the reducers and records
+ * violations.
  */
 import type { ControllerEvent, ControllerOutput } from '../../../core/controller/index.js';
 import { stepController } from '../../../core/controller/index.js';
@@ -33,10 +33,10 @@
 
 type Mutable<T> = { -readonly [K in keyof T]: T[K] };
 
-/** What befalls the first table call of a step. */
+/** The fault of the first table call of a step. */
 export type TableFault = 'none' | 'late-call' | 'slow-answer';
 
-/** A world in the making. */
+/** The control world during one step. */
 export class Draft {
   readonly world: Mutable<ControlWorld>;
   readonly violations: Violation[] = [];
@@ -49,7 +49,7 @@
     this.#fault = fault;
   }
 
-  /** Whether the fault that was asked for has found its table call. */
+  /** Whether a table call has been made that the requested fault applied to. */
   get isFaultSpent(): boolean {
     return this.#fault === 'none';
   }
@@ -112,14 +112,14 @@
     this.#carryOut(index, effects);
   }
 
-  /** Hands a table result to the reducer that asked for it. */
+  /** Passes a table result to the reducer that made the call. */
   answerTable(index: number, token: string, result: TableResult): void {
     const event = { kind: 'table-result', token, result } as const;
     if (token.startsWith('lease/')) this.stepLease(index, event);
     else this.stepController(index, event);
   }
 
-  /** Carries a call out on the table. A mutated table ignores the versions that a write checks. */
+  /** Applies a call to the table. A mutated table ignores the versions that a write checks. */
   callTable(call: TableCall): TableResult {
     const dropped = call.kind === 'transact' && !this.protections.versionCompare;
     const { table, result } = applyCall(this.world.table, dropped ? { ...call, checks: [] } : call);
@@ -175,13 +175,13 @@
       const detail = `${daemon.name} sends ${order.id} while the lease is with ${holder}`;
       this.violate(CONTROL_PROPERTIES.deposed, detail);
     }
-    const sent = this.protections.barrier && this.protections.onlyIfIdle;
+    const keepsFlag = this.protections.barrier && this.protections.onlyIfIdle;
     const from = { daemon: index, incarnation: daemon.incarnation };
-    const onlyIfIdle = order.onlyIfIdle && sent;
+    const onlyIfIdle = order.onlyIfIdle && keepsFlag;
     this.put({ kind: 'order', from, order: { ...order, onlyIfIdle }, late: false });
   }
 
-  /** What a controller is told of the engine. Without the barrier it is always taken for idle. */
+  /** The controller's view of the engine. Without the barrier the engine always appears idle. */
   #controllerView(daemon: ControlDaemon): EngineView {
     const view = viewOf(daemon, this.protections);
     if (this.protections.barrier || view.report === null) return view;
@@ -189,7 +189,7 @@
   }
 }
 
-/** What a daemon knows of the engine from the last report that it asked for. */
+/** A daemon's view of the engine, from the last report that it requested. */
 export function viewOf(
   daemon: { readonly report: EngineReport | null; readonly askedAt: number },
   protections: Protections,
--- a/src/lab/model/control/index.ts
+++ b/src/lab/model/control/index.ts
@@ -1,4 +1,4 @@
-/** The control model: lease, controller, fenced orders, engine and drain barrier together. */
+/** The control model: lease, controller, fenced orders, engine and drain barrier combined. */
 
 import { runningOrder } from '../engine.js';
 import type { Model } from '../explorer.js';
@@ -19,10 +19,10 @@
 
 export { CONTROL_PROPERTIES };
 
-/** How often each fault may happen in one run; none where not stated. */
+/** How often each fault may occur in one run; a fault left out does not occur. */
 export type ControlScope = Partial<FaultBudget>;
 
-/** Builds the control model with a budget of faults and, for mutations, without a protection. */
+/** Builds the control model with a budget of faults; a mutation sets a protection to false. */
 export function controlModel(
   name: string,
   scope: ControlScope,
--- a/src/lab/model/control/key.ts
+++ b/src/lab/model/control/key.ts
@@ -1,6 +1,6 @@
 /**
- * The key that tells two states of the control model apart. What can't change what happens next is
- * left out or made relative: times to the clock, row versions to one another, call counters.
+ * The key that identifies a state of the control model. Whatever cannot influence later steps is left
+ * out, such as call counters, or made relative: times to the clock, row versions to one another.
  */
 import type { ControllerState, EngineControl } from '../../../core/controller/index.js';
 import { type LeaseRow, type LeaseState, leaseKey } from '../../../core/lease/index.js';
@@ -25,12 +25,12 @@
 
 type Rank = (version: number) => number;
 
-/** How long until a time; 0 once it has passed. */
+/** The milliseconds until a time; 0 once it has passed. */
 function until(time: number, now: number): number {
   return Math.max(0, time - now);
 }
 
-/** Ranks the versions of the lease row: only their order matters, as each write takes a new one. */
+/** Ranks the versions of the lease row: only their order matters, as each write assigns a new one. */
 function rankVersions(world: ControlWorld): Rank {
   const versions = new Set<number>([0, rowOf(world.table, LEASE_KEY).version]);
   for (const { lease } of world.daemons) {
@@ -59,7 +59,7 @@
   const rank = rankVersions(world);
   const messages = world.messages.map((message) => messageKey(world, message, rank)).sort();
   const [first, second] = world.daemons.map((daemon) => {
-    return rememberedDaemonKey(daemon, clockOf(world, daemon), rank);
+    return cachedDaemonKey(daemon, clockOf(world, daemon), rank);
   });
   const rows = Object.values(world.table).map((row) => rowKey(row, rank));
   const dispatcher = dispatcherKey(world.dispatcher, clockOf(world, world.dispatcher));
@@ -72,32 +72,32 @@
   return `${rank(row.version)}.${leaseRowKey(row.value as LeaseRow | null)}`;
 }
 
-/** The renewals only serve to change the row's version. */
+/** The key of a lease row without its renewals, which serve only to change the row's version. */
 function leaseRowKey(row: LeaseRow | null): number | string {
   if (row === null) return '';
   return internAs(row, ({ holder, incarnation, epoch }) => ['lease', holder, incarnation, epoch]);
 }
 
-interface RememberedKey {
+interface CachedKey {
   readonly now: number;
   readonly rank: number;
   readonly key: string;
 }
 
-const rememberedKeys = new WeakMap<ControlDaemon, RememberedKey>();
+const cachedKeys = new WeakMap<ControlDaemon, CachedKey>();
 
-/** Most steps leave one of the daemons as it was, and with it this part of the key. */
-function rememberedDaemonKey(daemon: ControlDaemon, now: number, rank: Rank): string {
+/** The cached key of a daemon: most steps change at most one of the daemons. */
+function cachedDaemonKey(daemon: ControlDaemon, now: number, rank: Rank): string {
   const observed = daemon.lease.observed === null ? 0 : rank(daemon.lease.observed.version);
-  const remembered = rememberedKeys.get(daemon);
-  if (remembered?.now === now && remembered.rank === observed) return remembered.key;
+  const cached = cachedKeys.get(daemon);
+  if (cached?.now === now && cached.rank === observed) return cached.key;
   const key = daemonKey(daemon, now, rank);
-  rememberedKeys.set(daemon, { now, rank: observed, key });
+  cachedKeys.set(daemon, { now, rank: observed, key });
   return key;
 }
 
 function daemonKey(daemon: ControlDaemon, now: number, rank: Rank): string {
-  // Nothing of a dead daemon matters but the name of its next life.
+  // Of a dead daemon only the incarnation matters, as the next one is derived from it.
   if (daemon.status === 'dead') return `${daemon.incarnation}`;
   const { incarnation, status, lag, due, storeDown } = daemon;
   const flags = `${incarnation},${status},${lag},${Number(due)},${Number(storeDown)}`;
@@ -154,7 +154,7 @@
 ): string {
   const { intent, closedAt, busyAt, drainStartedAt } = control;
   const parts: (number | string)[] = [
-    internAs(control, timeless),
+    internAs(control, withoutTimes),
     until(control.retryAt, now),
     until(control.nextChangeAt, now),
   ];
@@ -173,8 +173,8 @@
   return parts.join();
 }
 
-/** What of an engine's control is not a time or a token. */
-function timeless(control: EngineControl): unknown {
+/** An engine's control state without times and tokens. */
+function withoutTimes(control: EngineControl): unknown {
   const { intent, write, closedAt, busyAt, drainStartedAt } = control;
   return {
     ...control,
--- a/src/lab/model/control/properties.ts
+++ b/src/lab/model/control/properties.ts
@@ -1,5 +1,5 @@
 /**
- * The properties of the control model, each named after the invariant of the brief that it is for.
+ * The properties of the control model, each named after the invariant that it checks.
  */
 import {
   type IntentRow,
@@ -19,11 +19,14 @@
   return rowOf(world.table, intentKey(ENGINE)).value as IntentRow | null;
 }
 
-/** An order was accepted: it must be the one that the table names, from the newest epoch known. */
+/**
+ * Checks an accepted order: its epoch must not be older than one accepted before, and an order that
+ * starts must be the one in the engine's intent row.
+ */
 export function checkOrderTaken(draft: Draft, before: ModelEngine, order: Order): void {
   const { world } = draft;
   if (order.fence.epoch < world.highestEpoch) {
-    const detail = `${order.id} of epoch ${order.fence.epoch} accepted after ${world.highestEpoch}`;
+    const detail = `${order.id} of epoch ${order.fence.epoch} accepted after epoch ${world.highestEpoch}`;
     draft.violate(CONTROL_PROPERTIES.deposed, detail);
   }
   world.highestEpoch = Math.max(world.highestEpoch, order.fence.epoch);
@@ -52,14 +55,14 @@
   }
 }
 
-/** A request is sent: not while an order may be on its way to this life of the engine. */
+/** Checks a dispatch: none is allowed while an order may be in flight to this boot of the engine. */
 export function checkDispatch(draft: Draft): void {
   const row = intentOf(draft.world);
   if (row === null || row.phase !== 'ordered' || row.boot !== bootId(draft.world.engine)) return;
   draft.violate(CONTROL_PROPERTIES.dispatch, `a request is sent while ${row.orderId} is ordered`);
 }
 
-/** What must hold of every state. */
+/** Checks the properties that must hold in every state. */
 export function checkWorld(draft: Draft): void {
   const { world } = draft;
   const row = intentOf(world);
@@ -72,7 +75,7 @@
   const taken = world.engine.taken.find((each) => each.order.id === row.orderId);
   const isTrue = row.outcome === 'done' ? taken?.state === 'done' : taken?.state !== 'done';
   if (!isTrue) {
-    const detail = `${row.orderId} settled as ${row.outcome}, the engine says ${taken?.state}`;
+    const detail = `${row.orderId} settled as ${row.outcome}, the engine reports ${taken?.state}`;
     draft.violate(CONTROL_PROPERTIES.conflicting, detail);
   }
 }
--- a/src/lab/model/control/steps.ts
+++ b/src/lab/model/control/steps.ts
@@ -1,8 +1,8 @@
 /**
- * What may happen in the control model.
+ * The possible steps of the control model.
  *
- * Time advances by a tick only when every live daemon has had its turn and nothing that was sent in
- * this tick is still on its way, unless its sender has given up on it (`late`).
+ * Time advances by a tick only when every live daemon has had its turn and no message is in flight
+ * other than late ones, whose sender has stopped waiting, and answers to daemons that are not live.
  */
 import { mayDispatch } from '../../../core/registry/grant.js';
 import { runningOrder } from '../engine.js';
@@ -15,13 +15,13 @@
   type Protections,
 } from './world.js';
 
-/** One thing that may happen. */
+/** One possible step. */
 export type ControlStep =
   | { readonly kind: 'advance'; readonly laggard: number | 'dispatcher' | null }
   | {
       readonly kind: 'turn';
       readonly daemon: number;
-      /** Whether the daemon has heard from the engine in this tick. */
+      /** Whether the daemon has polled the engine in this tick. */
       readonly polls: boolean;
       readonly fault: TableFault;
     }
@@ -41,7 +41,7 @@
   | { readonly kind: 'crash-engine' }
   | { readonly kind: 'reverse-role' };
 
-/** All steps that may be taken. */
+/** All steps that are possible in a world. */
 export function stepsOf(world: ControlWorld, protections: Protections): ControlStep[] {
   return [
     ...turnSteps(world),
@@ -56,7 +56,7 @@
 function turnSteps(world: ControlWorld): ControlStep[] {
   return world.daemons.flatMap((daemon, index): ControlStep[] => {
     if (daemon.status !== 'live' || !daemon.due) return [];
-    // What a daemon without the lease knows of the engine has no bearing on what it does.
+    // The actions of a daemon without the lease do not depend on the engine's report.
     const polls = daemon.lease.held === null ? [false] : [true, false];
     return tableFaults(world).flatMap((fault) => {
       return polls.map((each) => ({ kind: 'turn', daemon: index, polls: each, fault }) as const);
@@ -102,7 +102,7 @@
   return message.kind === 'request' || world.daemons[message.from.daemon]?.status === 'live';
 }
 
-/** Answers wait for a paused daemon; those to a former life are dropped when sent. */
+/** Answers wait while their daemon is paused; answers to an earlier incarnation are dropped when sent. */
 function isReceivable(world: ControlWorld, message: Message): boolean {
   return !isToDaemon(message) || isSenderLive(world, message);
 }
@@ -140,7 +140,7 @@
     case 'live': {
       const steps: ControlStep[] = [];
       if (daemon.storeDown) steps.push({ kind: 'store-up', daemon: index });
-      // Only what befalls the holder matters to the engine: an observer holds nothing.
+      // Only faults of the lease holder can affect the engine.
       if (daemon.lease.held === null) return steps;
       if (budget.kills > 0) steps.push({ kind: 'kill', daemon: index });
       if (budget.pauses > 0) steps.push({ kind: 'pause', daemon: index });
@@ -153,9 +153,9 @@
 }
 
 function advanceSteps(world: ControlWorld): ControlStep[] {
-  const isWaited = world.messages.some((message) => !message.late && isReceivable(world, message));
+  const isAwaited = world.messages.some((message) => !message.late && isReceivable(world, message));
   const isDue = world.daemons.some((daemon) => daemon.status === 'live' && daemon.due);
-  if (isWaited || isDue) return [];
+  if (isAwaited || isDue) return [];
   const steps: ControlStep[] = [{ kind: 'advance', laggard: null }];
   if (world.budget.clockLags > 0) {
     for (const [index] of world.daemons.entries()) steps.push({ kind: 'advance', laggard: index });
--- a/src/lab/model/control/world.ts
+++ b/src/lab/model/control/world.ts
@@ -23,32 +23,32 @@
 /** The model's one engine. */
 export const ENGINE = 'engine-1';
 
-/** How often each kind of fault may happen in one run. */
+/** How often each kind of fault may occur in one run. */
 export interface FaultBudget {
   readonly kills: number;
   readonly restarts: number;
   readonly pauses: number;
-  /** Orders, queries and requests whose sender gives up on them while they are still on the way. */
+  /** Orders, queries and requests that time out at the sender while they are still in flight. */
   readonly lateMessages: number;
   readonly duplicates: number;
-  /** Table calls whose sender gives up on them while they are still on the way. */
+  /** Table calls that time out at the sender while they are still in flight. */
   readonly lateTableCalls: number;
-  /** Table calls that take effect at once and are answered at any later time. */
+  /** Table calls that take effect at once and whose answer may arrive at any later time. */
   readonly slowTableAnswers: number;
-  /** Spells in which a daemon can't reach the table. */
+  /** Periods in which one daemon can't reach the table. */
   readonly storeOutages: number;
   readonly engineCrashes: number;
   /** Times that the clock of a daemon that competes for the lease falls a tick behind. */
   readonly clockLags: number;
-  /** Times that the dispatching daemon's clock does. */
+  /** Times that the clock of the dispatching daemon falls a tick behind. */
   readonly dispatcherLags: number;
   readonly requests: number;
-  /** Times that the desired role is taken back. */
+  /** Times that the desired role is reverted. */
   readonly reversals: number;
   readonly failedOrders: number;
 }
 
-/** No fault at all. */
+/** A budget without faults. */
 export const NO_FAULTS: FaultBudget = {
   kills: 0,
   restarts: 0,
@@ -66,14 +66,14 @@
   failedOrders: 0,
 };
 
-/** Protections that a mutation takes away. */
+/** Protections that a mutation removes. */
 export interface Protections {
   readonly fences: boolean;
   readonly margins: boolean;
   readonly barrier: boolean;
   readonly readBack: boolean;
   readonly versionCompare: boolean;
-  /** Orders are refused by a busy engine. Not among the mutations of the brief. */
+  /** Orders carry `onlyIfIdle`, so that a busy engine refuses them. No mutation removes this alone. */
   readonly onlyIfIdle: boolean;
 }
 
@@ -101,15 +101,15 @@
   readonly name: string;
   readonly incarnation: number;
   readonly status: 'live' | 'paused' | 'dead';
-  /** How many ticks its clock is behind. */
+  /** By how many ticks its clock is behind. */
   readonly lag: number;
-  /** It has yet to act in this tick. */
+  /** Whether it has yet to act in this tick. */
   readonly due: boolean;
   readonly storeDown: boolean;
   readonly lease: LeaseState;
   readonly controller: ControllerState;
   readonly report: EngineReport | null;
-  /** When the report was asked for, by its own clock. */
+  /** When the report was requested, by the daemon's own clock. */
   readonly askedAt: number;
 }
 
@@ -120,13 +120,13 @@
   readonly askedAt: number;
 }
 
-/** Who sent a message, and in which life. */
+/** The daemon that sent a message, and its incarnation. */
 interface Sender {
   readonly daemon: number;
   readonly incarnation: number;
 }
 
-/** Something on its way. A message that is `late` may arrive at any time; its sender has given up. */
+/** A message in flight. A `late` message may arrive at any time, and its sender has stopped waiting. */
 export type Message =
   | {
       readonly kind: 'table-call';
@@ -165,7 +165,7 @@
     }
   | { readonly kind: 'request'; readonly late: boolean };
 
-/** Everything there is. */
+/** The complete state of the model. */
 export interface ControlWorld {
   readonly now: number;
   readonly table: ModelTable;
@@ -175,11 +175,11 @@
   readonly messages: readonly Message[];
   readonly desiredRole: EngineRole;
   readonly budget: FaultBudget;
-  /** The highest epoch that this life of the engine has been told. Kept for the properties only. */
+  /** The highest epoch that the engine has accepted since it booted. Used only to check properties. */
   readonly highestEpoch: number;
 }
 
-/** A daemon of a new life. */
+/** A daemon at the start of an incarnation. */
 export function startedDaemon(
   name: string,
   incarnation: number,
@@ -214,7 +214,7 @@
   };
 }
 
-/** The world before anything has happened. */
+/** The world before the first step. */
 export function initialWorld(budget: FaultBudget, protections: Protections): ControlWorld {
   return {
     now: 10 * TICK_MS,
--- a/src/lab/model/engine.ts
+++ b/src/lab/model/engine.ts
@@ -1,5 +1,5 @@
 /**
- * A model engine as a value: the smallest engine that keeps docs/ENGINE-API.md.
+ * A model engine as an immutable value: the smallest engine that conforms to docs/ENGINE-API.md.
  */
 
 import type { Order, OrderAnswer } from '../../core/orders/index.js';
@@ -13,18 +13,18 @@
   LoadedModel,
 } from '../../core/registry/backend.js';
 
-/** An order that an engine has taken in this life. */
+/** An order that an engine has accepted since it booted. */
 interface TakenOrder {
   readonly order: Order;
   readonly state: EngineOrderState;
 }
 
-/** An engine in one of its lives. */
+/** An engine during one boot. */
 export interface ModelEngine {
   readonly name: string;
   readonly boot: number;
   readonly fence: Fence | null;
-  /** The id that set the fence; an equal fence under another id is refused. */
+  /** The id of the order that set the fence; an equal fence under another id is refused. */
   readonly fencedBy: string | null;
   readonly intake: Intake;
   readonly role: EngineRole;
@@ -57,17 +57,17 @@
   return `boot-${engine.boot}`;
 }
 
-/** The order that keeps the engine away, if any. */
+/** The order that the engine is carrying out, if any; it serves no requests meanwhile. */
 export function runningOrder(engine: ModelEngine): Order | null {
   return engine.taken.find((taken) => taken.state === 'running')?.order ?? null;
 }
 
-/** Which of an engine's protections a mutation leaves out. */
+/** The engine's protections; a mutation sets one to false. */
 export interface EngineProtections {
   readonly fences: boolean;
 }
 
-/** Takes an order as docs/ENGINE-API.md says. */
+/** Accepts or refuses an order as docs/ENGINE-API.md specifies. */
 export function takeOrder(
   engine: ModelEngine,
   order: Order,
@@ -139,14 +139,14 @@
   }
 }
 
-/** What the engine says of an order. */
+/** The state of an order as the engine reports it. */
 export function orderState(engine: ModelEngine, orderId: string): EngineOrderState | 'unknown' {
   return engine.taken.find((taken) => taken.order.id === orderId)?.state ?? 'unknown';
 }
 
 const reports = new WeakMap<ModelEngine, EngineReport>();
 
-/** The engine's report: one object for each value of an engine, so that it is cheap to compare. */
+/** The engine's report, cached per engine value: one shared object is cheap to compare. */
 export function reportOf(engine: ModelEngine): EngineReport {
   const known = reports.get(engine);
   if (known !== undefined) return known;
--- a/src/lab/model/explorer.ts
+++ b/src/lab/model/explorer.ts
@@ -1,29 +1,29 @@
 /**
- * Exhaustive breadth-first exploration of a finite model. Breadth first, so that the first
- * violation found has a shortest trace. States are told apart by a key, so that states that can't
- * behave differently may share one. See docs/decisions/model-checker.md for why not `xstate/graph`.
+ * Exhaustive breadth-first exploration of a finite model. Breadth-first order gives the first
+ * violation found a shortest trace. States are identified by a key; states that can't behave
+ * differently may share a key. See docs/decisions/model-checker.md for why not `xstate/graph`.
  */
 
-/** A broken property. */
+/** A violated property. */
 export interface Violation {
-  /** The property's name, after the invariant that it stands for. */
+  /** The property's name, after the invariant that it checks. */
   readonly property: string;
   readonly detail: string;
 }
 
-/** What one step leads to. */
+/** The world after one step, and the violations that the step caused. */
 export interface Outcome<World> {
   readonly world: World;
   readonly violations: readonly Violation[];
 }
 
-/** A model: what there is at first, what may happen, and what tells two states apart. */
+/** A model: its initial state, the possible steps, and the key that identifies a state. */
 export interface Model<World, Step> {
   readonly name: string;
   readonly initial: World;
-  /** The steps that may be taken. */
+  /** The steps that are possible in this world. */
   steps(world: World): readonly Step[];
-  /** Takes a step; null when it turns out to make no difference to another one offered. */
+  /** Takes a step; null when the step has the same effect as another one offered. */
   apply(world: World, step: Step): Outcome<World> | null;
   key(world: World): string;
   describe(step: Step): string;
@@ -31,29 +31,29 @@
   goals(world: World): readonly string[];
 }
 
-/** Where an exploration stops. */
+/** When an exploration stops. */
 export interface Limits {
   readonly maxStates: number;
-  /** Stop when this property breaks, with a shortest trace; null stops when any does. */
+  /** Stops at the first violation of this property; null stops at the first violation of any. */
   readonly stopAt: string | null;
 }
 
-/** A violation and how it came about. */
+/** A violation and the steps that lead to it. */
 export interface Counterexample extends Violation {
   readonly trace: readonly string[];
 }
 
-/** What an exploration found. */
+/** The result of an exploration. */
 export interface Exploration {
   readonly model: string;
   readonly states: number;
   readonly transitions: number;
-  /** The most steps on a shortest path to any state. */
+  /** The length in steps of the longest shortest path to any state. */
   readonly depth: number;
   /** The first violation of each property. */
   readonly violations: readonly Counterexample[];
   readonly goals: readonly string[];
-  /** False when `maxStates` ended the exploration before all states were seen. */
+  /** False when `maxStates` ended the exploration before all states were visited. */
   readonly complete: boolean;
   readonly seconds: number;
 }
@@ -68,7 +68,7 @@
   readonly index: number;
 }
 
-/** Explores a model. `now` gives seconds, for the figure only. */
+/** Explores a model. `now` returns seconds and is used only to report the duration. */
 export function explore<World, Step>(
   model: Model<World, Step>,
   limits: Limits,
@@ -94,7 +94,7 @@
         const trace = [...traceOf(visits, node.index), model.describe(step)];
         violations.set(violation.property, { ...violation, trace });
       }
-      // Nothing is explored beyond a violation.
+      // States after a violation are not explored.
       if (outcome.violations.length > 0) continue;
       const key = model.key(outcome.world);
       if (seen.has(key)) continue;
@@ -133,7 +133,7 @@
   };
 }
 
-/** Whether a violation is the one that the search is for. */
+/** Whether this violation ends the exploration. */
 export function endsSearch(limits: Limits, violation: Violation): boolean {
   return limits.stopAt === null || limits.stopAt === violation.property;
 }
--- a/src/lab/model/graph-explorer.ts
+++ b/src/lab/model/graph-explorer.ts
@@ -1,7 +1,7 @@
 /**
  * Explores a model with `xstate/graph`: the model is wrapped into actor logic whose snapshots are
- * worlds, and the library walks all of them breadth first. Once a violation has shown, no further
- * world is opened, so the first one has a shortest trace.
+ * worlds, and the library visits all of them breadth first. Once the violation that ends the search
+ * is found, no further world is expanded, so that violation has a shortest trace.
  */
 import { fromTransition, type TransitionSnapshot } from 'xstate';
 import { type AdjacencyMap, getAdjacencyMap } from 'xstate/graph';
@@ -14,7 +14,7 @@
   type Outcome,
 } from './explorer.js';
 
-/** A step that can be taken, with what it leads to. */
+/** A possible step, with its outcome. */
 interface StepEvent<World> {
   readonly type: 'step';
   readonly index: number;
@@ -29,7 +29,10 @@
   readonly index: number;
 }
 
-/** Explores a model whole: `maxStates` is not heeded. `now` gives seconds, for the figure only. */
+/**
+ * Explores a model completely: `maxStates` is ignored. `now` returns seconds and is used only to
+ * report the duration.
+ */
 export function exploreGraph<World, Step>(
   model: Model<World, Step>,
   limits: Limits,
@@ -39,7 +42,7 @@
   const initial: Outcome<World> = { world: model.initial, violations: [] };
   const keyOf = keyFunction(model);
   const outcomes = new Map<string, Outcome<World>>();
-  // One object for each state: the copies that other paths lead to are let go at once.
+  // One object per state, so that equal states reached by other paths can be garbage collected.
   const shared = (outcome: Outcome<World>): Outcome<World> => {
     const key = keyOf(outcome);
     const known = outcomes.get(key) ?? outcome;
@@ -96,7 +99,7 @@
   readonly events: readonly StepEvent<World>[];
 }
 
-/** A world's key, made once for each outcome. A violation makes a state of its own. */
+/** A state's key, computed once per outcome. Violated properties are part of the key. */
 function keyFunction<World, Step>(model: Model<World, Step>): (outcome: Outcome<World>) => string {
   const known = new WeakMap<Outcome<World>, string>();
   return (outcome) => {
@@ -126,7 +129,7 @@
   start: string,
 ): Map<string, Visit> {
   const visits = new Map<string, Visit>([[start, { depth: 0, parent: '', index: 0 }]]);
-  // A map is walked in the order of insertion, which makes this a breadth-first walk.
+  // A map is iterated in insertion order, entries added meanwhile included: a breadth-first search.
   for (const [key, { depth }] of visits) {
     for (const event of nodes.get(key)?.events ?? []) {
       const target = keyOf(event.outcome);
--- a/src/lab/model/intern.ts
+++ b/src/lab/model/intern.ts
@@ -1,19 +1,19 @@
 /**
- * Gives equal values one small number, so that keys of states are short and are made quickly.
- * Values must not change once interned: the number of an object is remembered by its identity.
+ * Maps equal values to one small number, so that state keys are short and fast to compute.
+ * Interned values must be immutable: the number of an object is cached by its identity.
  */
 
 const numbersByText = new Map<string, number>();
 const numbersByObject = new WeakMap<object, number>();
 
-/** The number of a value: equal for values with equal JSON. */
+/** The number of a value; values with equal JSON have equal numbers. */
 export function intern(value: object): number {
   const known = numbersByObject.get(value);
   if (known !== undefined) return known;
   return remember(value, JSON.stringify(value));
 }
 
-/** The number of what `project` makes of an object, computed once for each object. */
+/** The number of the projection of an object, computed once for each object. */
 export function internAs<T extends object>(object: T, project: (object: T) => unknown): number {
   const known = numbersByObject.get(object);
   if (known !== undefined) return known;
--- a/src/lab/model/leaving/index.ts
+++ b/src/lab/model/leaving/index.ts
@@ -1,6 +1,6 @@
 /**
- * The leaving model: one engine that leaves by its own word, by the machine list or by an operator's
- * command, and one daemon that hears of it late, or not at all, and routes with production's router.
+ * The leaving model: one engine that leaves by its own report, by the machine list or by an operator's
+ * command, and one daemon that learns of it late, or not at all, and routes with the production router.
  */
 import { configurationSchema } from '../../../core/configuration/document.js';
 
@@ -20,13 +20,13 @@
 /** The name of the leaving model's property. */
 export const LEAVING_PROPERTY = '7 a leaving back end receives new work';
 
-/** Protections that a mutation takes away. */
+/** Protections that a mutation removes. */
 export interface LeavingProtections {
-  /** The daemon heeds that an engine leaves. */
+  /** The daemon takes into account that an engine is leaving. */
   readonly leavesHeeded: boolean;
 }
 
-/** How long after an engine's own word new work may still be sent to it. */
+/** How long after an engine has reported that it leaves new work may still be sent to it. */
 const LEAVE_LIMIT_MS = 3_000;
 const TICK_MS = 500;
 const HORIZON_MS = 6_000;
@@ -43,12 +43,12 @@
 
 interface LeavingWorld {
   readonly now: number;
-  /** When the engine said that it leaves; null while it stays. */
+  /** When the engine began to report that it leaves; null before. */
   readonly leftAt: number | null;
-  /** What the daemon's last reading of the machine list says. */
+  /** The engine's state in the machine list that the daemon read last. */
   readonly listed: 'live' | 'leaving';
   readonly drained: boolean;
-  /** The daemon's last report, with the time at which it was asked for. */
+  /** The last report that the daemon received, and below the time at which it was requested. */
   readonly report: EngineReport | null;
   readonly askedAt: number;
   readonly dispatched: boolean;
@@ -116,7 +116,7 @@
 
 const ENGINE = startedEngine(MACHINE.name, 1, [{ model: 'labels', version: '1', adapters: [] }]);
 
-/** Asks production's router whether it would send a request to the engine now. */
+/** Whether the production router would send a request to the engine now. */
 function routesToEngine(world: LeavingWorld, protections: LeavingProtections): boolean {
   const { leavesHeeded } = protections;
   const state = leavesHeeded ? world.listed : 'live';
@@ -163,10 +163,11 @@
   const { now, leftAt, listed, drained } = world;
   const causes: string[] = [];
   if (leftAt !== null && now >= leftAt + LEAVE_LIMIT_MS) {
-    causes.push(`${now - leftAt} ms after it said that it leaves`);
+    causes.push(`${now - leftAt} ms after it reported that it is leaving`);
   }
-  if (listed === 'leaving') causes.push('though the machine list that was read says leaving');
-  if (drained) causes.push('though the configuration in force drains it');
+  if (listed === 'leaving')
+    causes.push('although the machine list that was read lists it as leaving');
+  if (drained) causes.push('although the configuration in force drains it');
   return causes.map((cause) => {
     return { property: LEAVING_PROPERTY, detail: `work is sent to the engine ${cause}` };
   });
--- a/src/lab/model/main.ts
+++ b/src/lab/model/main.ts
@@ -1,5 +1,5 @@
 #!/usr/bin/env node
-/** Entry point of the model checker alone: `npm run model`. */
+/** Entry point of the model checker without the other lab commands: `npm run model`. */
 import { Builtins, Cli } from 'clipanion';
 import { ModelCommand } from './command.js';
 
--- a/src/lab/model/result.ts
+++ b/src/lab/model/result.ts
@@ -1,20 +1,20 @@
 /** The result of a model check, for people and for scripts. */
 import type { Counterexample, Exploration } from './explorer.js';
 
-/** What all explorations of one run found. */
+/** The combined result of all explorations of one run. */
 export interface ModelResult {
   readonly states: number;
   readonly transitions: number;
-  /** The longest of the shortest paths to any state, over all models. */
+  /** The maximum depth over all models. */
   readonly depth: number;
   readonly violations: readonly (Counterexample & { readonly model: string })[];
-  /** False when a limit ended an exploration before all its states were seen. */
+  /** False when a limit ended an exploration before all its states were visited. */
   readonly complete: boolean;
   readonly seconds: number;
   readonly models: readonly Exploration[];
 }
 
-/** Adds explorations up. */
+/** Combines explorations into one result. */
 export function combine(models: readonly Exploration[]): ModelResult {
   return {
     states: sum(models.map(({ states }) => states)),
@@ -29,11 +29,11 @@
   };
 }
 
-/** The result as lines. */
+/** The result as lines of text. */
 export function resultText(result: ModelResult): string {
   const lines = result.models.map(({ model, states, transitions, depth, complete, seconds }) => {
-    const whole = complete ? '' : ', not complete';
-    return `${model}: ${states} states, ${transitions} transitions, depth ${depth}, ${seconds} s${whole}`;
+    const suffix = complete ? '' : ', not complete';
+    return `${model}: ${states} states, ${transitions} transitions, depth ${depth}, ${seconds} s${suffix}`;
   });
   const { states, transitions, violations, seconds } = result;
   const total = `${states} states, ${transitions} transitions, ${violations.length} violations, ${seconds} s`;
--- a/src/lab/model/stop/index.ts
+++ b/src/lab/model/stop/index.ts
@@ -1,7 +1,7 @@
 /**
- * The stop model: a whole daemon's fold with two requests in hand and a planned stop at any moment.
- * The fold updates its traffic in place, so that a world is the history of what happened, and each
- * step replays it.
+ * The stop model: a daemon's complete reducer with two open requests and a planned stop at any moment.
+ * The reducer mutates its traffic state in place, so a world is stored as the history of its steps, and
+ * each step replays the history.
  */
 import {
   createDaemonState,
@@ -19,9 +19,9 @@
 /** The name of the stop model's property. */
 export const STOP_PROPERTY = '8 a planned stop cuts a request';
 
-/** Protections that a mutation takes away. */
+/** Protections that a mutation removes. */
 export interface StopProtections {
-  /** A stopping daemon exits only once it has nothing in hand. */
+  /** A stopping daemon exits only once it has no open requests. */
   readonly drain: boolean;
 }
 
@@ -49,17 +49,17 @@
     | 'table-answer-lost'
     | 'stop'
     | 'tick';
-  /** Which request it is about; -1 for none. */
+  /** The index of the request that the step concerns; -1 for none. */
   readonly request: number;
 }
 
-/** What the caller and the backend see of a request. */
+/** The state of a request as the caller and the backend see it. */
 interface SeenRequest {
   readonly hasArrived: boolean;
-  /** The caller has its final answer, or has gone. */
+  /** The caller has its final answer, or has disconnected. */
   readonly isAnswered: boolean;
   readonly isBegun: boolean;
-  /** The attempt that runs at the backend. */
+  /** The attempt that runs at the backend; null for none. */
   readonly attempt: string | null;
   readonly call: { readonly token: string; readonly call: TableCall } | null;
 }
@@ -70,7 +70,7 @@
   readonly ticks: number;
   readonly stopped: boolean;
   readonly exited: boolean;
-  /** What the fold holds of the requests. */
+  /** The reducer's state of the requests, as text. */
   readonly held: string;
 }
 
@@ -99,7 +99,7 @@
   if (!world.stopped) steps.push({ kind: 'stop', request: -1 });
   if (world.ticks < MAX_TICKS) steps.push({ kind: 'tick', request: -1 });
   for (const [request, seen] of world.requests.entries()) {
-    // A connection that was open before the stop may still bring a request.
+    // A connection that was open before the stop may still carry a new request.
     if (!seen.hasArrived) steps.push({ kind: 'arrive', request });
     if (seen.attempt !== null) {
       steps.push({ kind: 'complete', request }, { kind: 'break', request });
@@ -140,7 +140,7 @@
 
   run(history: readonly StopStep[]): Outcome<StopWorld> {
     this.#feed({ kind: 'machines-listed', machines: [MACHINE] });
-    for (const step of history) this.#take(step);
+    for (const step of history) this.#performStep(step);
     const held = [...this.#state.traffic.requests.values()].map((state) => {
       const { phase, claim, attempts, brokenAttempts, detached } = state;
       const step = 'step' in phase ? phase.step : '';
@@ -157,7 +157,7 @@
     return { world, violations: this.#violations };
   }
 
-  #take(step: StopStep): void {
+  #performStep(step: StopStep): void {
     const { request } = step;
     const id = REQUESTS[request] ?? '';
     switch (step.kind) {
@@ -269,7 +269,7 @@
     }
   }
 
-  /** The process ends: whoever waits for an answer, or for its outcome's record, is cut. */
+  /** The process exits: callers that still wait are cut off, and pending outcome records are lost. */
   #exit(): void {
     if (this.#exited) return;
     this.#exited = true;
@@ -287,7 +287,7 @@
   return (REQUESTS as readonly string[]).indexOf(request);
 }
 
-/** The first must not run twice and carries a key; the second is a plain page. */
+/** The first request must not run twice and carries an idempotency key; the second is repeatable. */
 function describeRequest(index: number): RequestDescription {
   const isKeyed = index === 0;
   return {
--- a/src/lab/model/streams/index.ts
+++ b/src/lab/model/streams/index.ts
@@ -1,6 +1,6 @@
 /**
  * The streams model: the production frame reader and request reducer between a caller and engines
- * that repeat frames, send another attempt's, leave some out, end early and break.
+ * that repeat frames, send frames of another attempt, skip tokens, end early and break connections.
  */
 import {
   newRequest,
@@ -15,27 +15,27 @@
 /** The name of the streams model's property. */
 export const STREAMS_PROPERTY = '4 an answer is not whole or not only its own';
 
-/** How often each kind of flaw may happen in one run. */
+/** How often each kind of flaw may occur in one run. */
 export interface StreamsBudget {
   /** Frames that were sent before. */
   readonly repeated: number;
-  /** Frames of an earlier attempt, with its own content. */
+  /** Frames of another attempt, with foreign content. */
   readonly foreign: number;
-  /** Tokens that are left out. */
+  /** Tokens that the engine skips. */
   readonly gaps: number;
   /** End markers before the last token. */
   readonly earlyEnds: number;
   readonly breaks: number;
 }
 
-/** Protections that a mutation takes away. */
+/** Protections that a mutation removes. */
 export interface StreamsProtections {
   /** Frames are checked by attempt and offset. */
   readonly offsetCheck: boolean;
 }
 
 const PLAIN_RUN: StreamsBudget = { repeated: 0, foreign: 0, gaps: 0, earlyEnds: 0, breaks: 0 };
-/** The whole answer: the model's caller must get just this. */
+/** The complete answer, token by token; the caller must get exactly this. */
 const ANSWER = ['once', 'upon', 'a', 'time'] as const;
 const USAGE = 'usage';
 const MAX_FRAME_BYTES = 1_000;
@@ -53,9 +53,9 @@
 /** An attempt with its connection. */
 interface StreamAttempt {
   readonly id: string;
-  /** The first token that the engine was asked for. */
+  /** The offset of the first token that the engine was asked for. */
   readonly start: number;
-  /** The next token that the engine sends; one above the last when only the usage is left. */
+  /** The offset of the next token to send; the answer's length when only the usage is left. */
   readonly next: number;
 }
 
@@ -63,9 +63,9 @@
   readonly request: RequestState;
   readonly attempt: StreamAttempt | null;
   readonly formerAttempt: string | null;
-  /** What the caller has had. */
+  /** The tokens that the caller has received. */
   readonly received: readonly string[];
-  /** The first offset that the caller has not had. */
+  /** The offset of the next token that the caller has not received. */
   readonly nextOffset: number;
   readonly usageSeen: boolean;
   readonly ended: 'whole' | 'broken' | null;
@@ -172,10 +172,10 @@
 
 function broken(world: StreamsWorld): StreamsWorld {
   const budget = { ...world.budget, breaks: world.budget.breaks - 1 };
-  return breakOff({ ...world, budget }, 'connection-broken');
+  return breakAttempt({ ...world, budget }, 'connection-broken');
 }
 
-/** Lets the production reader take one frame, and does what its reader of streams does then. */
+/** Passes one frame to the production reader and acts on the result as the stream handler does. */
 function receive(
   world: StreamsWorld,
   step: Extract<StreamsStep, { kind: 'frame' }>,
@@ -185,7 +185,7 @@
   if (attempt === null) return world;
   const received = [...world.received];
   let usageSeen = world.usageSeen;
-  const takeData = (bytes: Buffer, start: number, end: number): FrameKind => {
+  const handleData = (bytes: Buffer, start: number, end: number): FrameKind => {
     const text = bytes.toString('utf8', start, end);
     if (text !== USAGE) {
       if (usageSeen) return 'malformed';
@@ -196,18 +196,18 @@
     usageSeen = true;
     return 'usage';
   };
-  const sink = { frame: takeData, done: () => {} };
+  const sink = { frame: handleData, done: () => {} };
   const reader = new FrameReader(attempt.id, world.nextOffset, MAX_FRAME_BYTES, sink);
   reader.push(Buffer.from(wireOf(step.frame, attempt, world.nextOffset, protections)));
   const { nextOffset } = reader;
-  const moved = moveOn({ ...world, received, nextOffset, usageSeen }, step);
+  const moved = advance({ ...world, received, nextOffset, usageSeen }, step);
   const begun = received.length > 0 && !world.request.headersForwarded ? firstByte(moved) : moved;
-  if (reader.fault !== null) return breakOff(begun, reader.fault);
+  if (reader.fault !== null) return breakAttempt(begun, reader.fault);
   if (!reader.done) return begun;
-  return usageSeen ? complete(begun) : breakOff(begun, 'ended-early');
+  return usageSeen ? complete(begun) : breakAttempt(begun, 'ended-early');
 }
 
-/** A mutated reader takes every frame for the one that it waits for. */
+/** A frame's bytes. Without the offset check every frame carries the expected attempt and offset. */
 function wireOf(
   frame: Frame,
   attempt: StreamAttempt,
@@ -221,7 +221,7 @@
   return `id: ${id}\ndata: ${frame.data}\n\n`;
 }
 
-function moveOn(
+function advance(
   world: StreamsWorld,
   { flaw }: Extract<StreamsStep, { kind: 'frame' }>,
 ): StreamsWorld {
@@ -247,7 +247,7 @@
   return feed({ ...world, ended: 'whole', attempt: null }, { kind: 'attempt', event });
 }
 
-function breakOff(world: StreamsWorld, reason: string): StreamsWorld {
+function breakAttempt(world: StreamsWorld, reason: string): StreamsWorld {
   const attempt = world.attempt?.id ?? '';
   const event = {
     kind: 'broken',
@@ -290,8 +290,8 @@
 function violationsOf(world: StreamsWorld): Violation[] {
   const { received, ended } = world;
   const isPrefix = received.every((token, index) => token === ANSWER[index]);
-  const isWhole = received.length === ANSWER.length;
-  if (isPrefix && (ended !== 'whole' || isWhole)) return [];
+  const isComplete = received.length === ANSWER.length;
+  if (isPrefix && (ended !== 'whole' || isComplete)) return [];
   const how = ended === null ? 'so far' : `and it ended ${ended}`;
   return [{ property: STREAMS_PROPERTY, detail: `the caller has "${received.join(' ')}" ${how}` }];
 }
--- a/src/lab/model/table.ts
+++ b/src/lab/model/table.ts
@@ -1,21 +1,21 @@
 /**
- * The table service as a value: the smallest table that keeps docs/PLATFORM-API.md.
+ * The table service as an immutable value: the smallest table that conforms to docs/PLATFORM-API.md.
  */
 import type { TableCall, TableResult, TableRow } from '../../core/platform/table.js';
 
-/** All rows by key. A deleted row stays, with a null value, so that its versions go on growing. */
+/** All rows by key. A deleted row stays with value null, so that its versions keep increasing. */
 export type ModelTable = Readonly<Record<string, TableRow>>;
 
 /** A table without rows. */
 export const EMPTY_TABLE: ModelTable = {};
 
-/** A row as it reads; absent and deleted rows have version 0 and value null. */
+/** A row as a read returns it; absent and deleted rows have version 0 and value null. */
 export function rowOf(table: ModelTable, key: string): TableRow {
   const row = table[key];
   return row === undefined || row.value === null ? { key, version: 0, value: null } : row;
 }
 
-/** Applies a call at once and gives its answer. */
+/** Applies a call and returns the changed table with the answer. */
 export function applyCall(
   table: ModelTable,
   call: TableCall,
--- a/test/model/control-model.test.ts
+++ b/test/model/control-model.test.ts
@@ -16,15 +16,15 @@
 ];
 
 for (const { scope, goals } of SCOPES) {
-  test(`the control model holds with ${JSON.stringify(scope)}`, () => {
+  test(`no property of the control model is violated with ${JSON.stringify(scope)}`, () => {
     const result = explore(controlModel('control', scope), LIMITS, seconds);
     assert.deepEqual(result.violations, []);
     assert.equal(result.complete, true);
-    for (const goal of goals) assert.ok(result.goals.includes(goal), `never reached: ${goal}`);
+    for (const goal of goals) assert.ok(result.goals.includes(goal), `goal never reached: ${goal}`);
   });
 }
 
-test('both explorers see the same states and equally short counterexamples', () => {
+test('both explorers visit the same states and find equally short counterexamples', () => {
   const model = controlModel('control', { kills: 1 });
   const plain = explore(model, LIMITS, seconds);
   const graph = exploreGraph(model, LIMITS, seconds);
--- a/test/model/dispatch-agreement.test.ts
+++ b/test/model/dispatch-agreement.test.ts
@@ -4,9 +4,9 @@
 import { chooseEngine } from '../../src/core/routing/index.js';
 import { choice, indexOf, machine, report, view } from '../routing/fixtures.js';
 
-// The control model's dispatcher asks `mayDispatch`; production's router decides for itself. This
-// holds the two to the same answer.
-test('the router sends to an engine just when the model’s dispatcher would', () => {
+// The control model's dispatcher uses `mayDispatch`, while the production router has its own check.
+// The model is valid only if both agree.
+test('the router sends to an engine exactly when the dispatcher of the control model would', () => {
   let sent = 0;
   for (const state of ['live', 'leaving'] as const) {
     for (const intake of ['open', 'closed'] as const) {
--- a/test/model/mutations.test.ts
+++ b/test/model/mutations.test.ts
@@ -18,15 +18,15 @@
 ];
 
 for (const mutation of MUTATIONS) {
-  test(`without its protection the model breaks: ${mutation.name}: ${mutation.property}`, () => {
+  test(`mutation ${mutation.name} violates the property: ${mutation.property}`, () => {
     const limits = { maxStates: 100_000, stopAt: mutation.property };
     const { violations } = mutation.check(exploreGraph, limits, () => performance.now() / 1_000);
     const found = violations.find(({ property }) => property === mutation.property);
-    assert.ok(found, `${mutation.property} still holds`);
+    assert.ok(found, `no violation found of: ${mutation.property}`);
     assert.ok(found.trace.length > 0);
   });
 }
 
-test('every protection that must bite is taken away once', () => {
+test('there is a mutation for every required protection', () => {
   assert.deepEqual([...new Set(MUTATIONS.map(({ name }) => name))].sort(), [...REQUIRED].sort());
 });
