--- a/fuzz/campaign.ts
+++ b/fuzz/campaign.ts
@@ -1,4 +1,4 @@
-/** Runs schedules and says what they broke, with what is needed to replay each case. */
+/** Runs random schedules and reports broken promises, with the seed and paths that replay them. */
 import fc from 'fast-check';
 import type { Violation } from '../src/lab/simulation/index.js';
 import { ACTIONS } from './commands.js';
@@ -6,18 +6,18 @@
 
 const MAX_ACTIONS = 30;
 
-/** What a campaign is to do. */
+/** The options of a campaign. */
 export interface CampaignOptions {
   readonly seed: number;
   readonly schedules: number;
-  /** Stops early once this time is used up; null for no limit. */
+  /** Stops after this time; null for no limit. */
   readonly timeLimitMs: number | null;
-  /** Replays one case: fast-check's paths of a failure, and of its commands. */
+  /** With `replayPath`, replays one failing case: fast-check's paths of the case and of its commands. */
   readonly path?: string;
   readonly replayPath?: string;
 }
 
-/** A failing schedule, shrunk as far as time allowed. */
+/** A failing schedule, shrunk as far as the time limit allowed. */
 export interface FailingCase {
   readonly violations: readonly Violation[];
   readonly actions: readonly string[];
@@ -26,17 +26,17 @@
   readonly replayPath: string;
 }
 
-/** What a campaign found. */
+/** The result of a campaign. */
 export interface CampaignResult {
   readonly schedules: number;
-  /** Actions carried out, those of shrinking included. */
+  /** The number of actions carried out, including those during shrinking. */
   readonly steps: number;
   readonly requests: { readonly answered: number; readonly failed: number };
   readonly ordersRun: number;
   readonly failure: FailingCase | null;
 }
 
-/** A schedule broke a promise. */
+/** Thrown when a schedule broke a promise. */
 class BrokenPromiseError extends Error {
   constructor(readonly violations: readonly Violation[]) {
     super(violations.map(({ promise, detail }) => `${promise}: ${detail}`).join('; '));
@@ -96,7 +96,7 @@
   };
 }
 
-/** fast-check states the path of shrunk commands in their text only. */
+/** fast-check exposes the path of shrunk commands only in their text. */
 function replayPathOf(commands: Iterable<unknown>): string {
   return /replayPath="([^"]*)"/.exec(String(commands))?.[1] ?? '';
 }
--- a/fuzz/commands.ts
+++ b/fuzz/commands.ts
@@ -2,10 +2,10 @@
 import fc from 'fast-check';
 import { DAEMONS, ENGINES, type FuzzWorld, type RequestPlan, ZONES } from './world.js';
 
-/** The model that commands are checked against: none, the oracle judges. */
+/** The empty model of fast-check's commands: the oracle checks the outcome instead. */
 export type NoModel = Record<string, never>;
 
-/** One action of a schedule: done on the world, then time passes. */
+/** One action of a schedule: applied to the world, after which virtual time advances. */
 class Action implements fc.Command<NoModel, FuzzWorld> {
   constructor(
     private readonly name: string,
@@ -92,7 +92,7 @@
   const engine = ENGINES[index] ?? ENGINES[0];
   return new Action(`${engine} ${leaving ? 'leaves' : 'stays'}`, afterMs, (world) => {
     const node = world.fleet.engine(engine);
-    // An engine that is down says nothing.
+    // An engine that is down reports nothing.
     if (node?.isUp === true) {
       node.setLeaving(leaving);
       world.oracle.setLeaving(engine, leaving);
@@ -144,7 +144,7 @@
   );
 
 const statement = fc.oneof(
-  fc.tuple(role, engineIndex).map(([asked, index]) => `ask role ${asked} for ${ENGINES[index]}`),
+  fc.tuple(role, engineIndex).map(([wanted, index]) => `ask role ${wanted} for ${ENGINES[index]}`),
   engineIndex.map((index) => `release role of ${ENGINES[index]}`),
   engineIndex.map((index) => `drain ${ENGINES[index]}`),
   engineIndex.map((index) => `return ${ENGINES[index]}`),
@@ -158,7 +158,7 @@
       new Action(`daemon ${daemon + 1}: ${text}`, afterMs, (world) => world.command(daemon, text)),
   );
 
-/** Every kind of action; requests and operators are the commonest. */
+/** All kinds of actions; requests and operator commands are repeated to make them more frequent. */
 export const ACTIONS: fc.Arbitrary<fc.Command<NoModel, FuzzWorld>>[] = [
   sendRequests,
   sendRequests,
--- a/fuzz/main.ts
+++ b/fuzz/main.ts
@@ -1,5 +1,5 @@
 #!/usr/bin/env node
-/** Entry point of the fuzzer; apart from `threadfork-lab` because it needs development packages. */
+/** Entry point of the fuzzer; separate from `threadfork-lab` because it needs development packages. */
 import { Builtins, Cli, Command, Option } from 'clipanion';
 import { runCampaign } from './campaign.js';
 
@@ -7,17 +7,19 @@
 const MILLISECONDS_PER_SECOND = 1_000;
 const UNBOUNDED_SCHEDULES = 1_000_000;
 
-/** Runs schedules of faults over simulated fleets. */
+/** Runs random schedules of faults on simulated fleets. */
 class FuzzCommand extends Command {
   static override paths = [Command.Default];
   static override usage = Command.Usage({
-    description: 'Run random schedules of faults over simulated fleets against an oracle.',
+    description:
+      'Run random schedules of faults on simulated fleets and check them with an oracle.',
     details: `
       Each schedule runs production reducers in virtual time. Exit code 0: no promise was broken;
-      1: one was, and the shortest schedule found is printed with the seed and path that replay it.
+      1: a promise was broken; the shortest schedule found is printed with the seed and paths that
+      replay it.
     `,
     examples: [
-      ['A minute of schedules', '$0 --seconds 60 --seed 7'],
+      ['Schedules for one minute', '$0 --seconds 60 --seed 7'],
       ['Replay a case', '$0 --seed 7 --path 12:0:3 --replay-path AAB:F --schedules 1'],
     ],
   });
@@ -26,7 +28,7 @@
   schedules = Option.String('--schedules', { description: 'number of schedules' });
   seed = Option.String('--seed', '1', { description: 'seed of the schedules' });
   casePath = Option.String('--path', { description: 'path of a failing case to replay' });
-  replayPath = Option.String('--replay-path', { description: "path of that case's commands" });
+  replayPath = Option.String('--replay-path', { description: "path of the case's commands" });
   json = Option.Boolean('--json', false, { description: 'print JSON' });
 
   override async execute(): Promise<number> {
--- a/fuzz/world.ts
+++ b/fuzz/world.ts
@@ -1,4 +1,4 @@
-/** The fleet that schedules run on, with its oracle and the requests' numbering. */
+/** The simulated fleet that schedules run on, with its oracle. */
 import { configurationSchema } from '../src/core/configuration/document.js';
 import { resourceOfPool } from '../src/core/controller/index.js';
 import { epochKey } from '../src/core/lease/index.js';
@@ -6,7 +6,7 @@
 import { DEFAULT_POOL } from '../src/core/registry/backend.js';
 import { Oracle, SimulatedFleet } from '../src/lab/simulation/index.js';
 
-/** Zones of the fuzzed fleet; every part lives in one of them. */
+/** Zones of the fuzzed fleet; every daemon and engine is in one of them. */
 export const ZONES = ['zone-a', 'zone-b'] as const;
 /** Daemons by index. */
 export const DAEMONS = ['daemon-1', 'daemon-2', 'daemon-3'] as const;
@@ -16,12 +16,12 @@
 const MODEL = 'labels';
 const ADAPTER = 'latin';
 const WARM_UP_MS = 6_000;
-/** After the last action all faults are healed and the fleet has this long to end everything. */
+/** After the last action all faults are healed, and the fleet has this long to end all requests. */
 const SETTLE_MS = 90_000;
-/** Short, so that schedules hold several changes; the protocol's own times are the real ones. */
-const ENGINE_TIMES = { roleChangeMs: 1_500, loadMs: 2_000, kvHandleLifeMs: 30_000 };
+/** Short, so that a schedule contains several changes; the protocol's own durations are unchanged. */
+const ENGINE_DURATIONS = { roleChangeMs: 1_500, loadMs: 2_000, kvHandleLifeMs: 30_000 };
 
-/** A fleet under a schedule. */
+/** A fleet that a schedule acts on. */
 export class FuzzWorld {
   readonly oracle = new Oracle();
   readonly fleet: SimulatedFleet;
@@ -41,7 +41,7 @@
           models: [
             { model: MODEL, version: 'v1', adapters: [{ adapter: ADAPTER, version: 'v1' }] },
           ],
-          ...ENGINE_TIMES,
+          ...ENGINE_DURATIONS,
         })),
       },
       this.oracle,
@@ -93,7 +93,7 @@
     );
   }
 
-  /** Gives an operator's statement to a daemon. */
+  /** Submits an operator's statement to a daemon. */
   command(daemonIndex: number, text: string): void {
     const daemon = this.fleet.daemon(DAEMONS[daemonIndex % DAEMONS.length] ?? DAEMONS[0]);
     this.#changes += 1;
@@ -102,7 +102,7 @@
     }
   }
 
-  /** Heals everything, lets the fleet settle and judges what is left. */
+  /** Heals all faults, lets the fleet settle and checks that every request has its answer. */
   finish(): void {
     const { fleet } = this;
     fleet.network.heal();
@@ -156,7 +156,7 @@
   readonly streamed: boolean;
   readonly repeatable: boolean;
   readonly adapter: boolean;
-  /** Requests with one key share an idempotency key; null for none. */
+  /** The number of the idempotency key, which requests may share; null for none. */
   readonly key: number | null;
   readonly promptRepeats: number;
   readonly outputTokens: number;
--- a/src/lab/simulation/index.ts
+++ b/src/lab/simulation/index.ts
@@ -1,4 +1,4 @@
-/** A whole fleet in virtual time: production reducers, emulated engines, callers and faults. */
+/** A simulated fleet in virtual time: production reducers, emulated engines, callers and faults. */
 export type { CallerOutcome, FleetObserver, IssuedRequest, PromptShape } from './observer.js';
 export { type BrokenPromise, Oracle, type OutcomeCounts, type Violation } from './oracle.js';
 export type { SimulatedDaemon } from './simulated-daemon.js';
--- a/src/lab/simulation/observer.ts
+++ b/src/lab/simulation/observer.ts
@@ -1,11 +1,11 @@
-/** What the simulation tells its observers, such as an oracle or a report. */
+/** The events that the simulation reports to its observers, such as an oracle or a report. */
 import type { AttemptId, BackendName, DaemonName, OrderId } from '../../core/common/identifiers.js';
 import type { ChangeOutcome } from '../../core/configuration/index.js';
 import type { Fault } from '../../core/errors/fault.js';
 import type { Order, OrderAnswer } from '../../core/orders/index.js';
 import type { RequestDescription } from '../../core/requests/index.js';
 
-/** How a caller's request ended, in the caller's own eyes. */
+/** How a caller's request ended, as the caller saw it. */
 export type CallerOutcome =
   | { readonly kind: 'answered'; readonly tokens: readonly string[] }
   | { readonly kind: 'replayed' }
@@ -24,26 +24,26 @@
 /** A caller's request. */
 export interface IssuedRequest {
   readonly description: RequestDescription;
-  /** The prompt; with a `shape`, a short text that only stands for it. */
+  /** The prompt; with a `shape`, a short text in place of the prompt. */
   readonly prompt: string;
-  /** What an engine sees of a prompt whose text was never made. */
+  /** The prompt's length and blocks when its text is not generated. */
   readonly shape?: PromptShape;
   readonly outputTokens: number;
   readonly issuedAt: number;
 }
 
-/** Hears of everything that callers, engines and operators see. */
+/** Receives every event that callers, engines and operators see. */
 export interface FleetObserver {
   requestIssued(request: IssuedRequest): void;
   /** A caller has received the next token of its answer. */
   tokenReceived?(request: IssuedRequest): void;
   requestEnded(request: IssuedRequest, outcome: CallerOutcome): void;
   attemptAccepted(engine: BackendName, attempt: AttemptId): void;
-  /** An order took the engine away from an active attempt. */
+  /** An order interrupted an active attempt at the engine. */
   attemptCut(engine: BackendName, attempt: AttemptId): void;
   orderAnswered(order: Order, answer: OrderAnswer): void;
   orderEnded(engine: BackendName, order: OrderId, state: 'done' | 'failed'): void;
-  /** A daemon begins a new life, of which nothing earlier is kept. */
+  /** A daemon starts a new incarnation, without any state of an earlier one. */
   daemonStarted?(daemon: DaemonName): void;
   configurationInForce(daemon: DaemonName, version: number): void;
   changeAnswered(daemon: DaemonName, outcome: ChangeOutcome): void;
--- a/src/lab/simulation/oracle.ts
+++ b/src/lab/simulation/oracle.ts
@@ -1,7 +1,6 @@
 /**
- * A simple oracle over everything that callers, engines and operators of a simulated fleet see. It
- * knows nothing of how threadfork works; it holds the promises of docs/INVARIANTS.md against what
- * happened.
+ * An oracle that checks everything that callers, engines and operators of a simulated fleet see
+ * against the promises of docs/INVARIANTS.md. It does not depend on how threadfork works.
  */
 import type { AttemptId, BackendName, DaemonName, OrderId } from '../../core/common/identifiers.js';
 import type { ChangeOutcome } from '../../core/configuration/index.js';
@@ -9,7 +8,7 @@
 import { expectedTokens } from '../engine/index.js';
 import type { CallerOutcome, FleetObserver, IssuedRequest } from './observer.js';
 
-/** The promise that was broken. */
+/** The name of a broken promise. */
 export type BrokenPromise =
   | 'conflicting-orders'
   | 'planned-change-cut'
@@ -21,14 +20,14 @@
   | 'configuration-reverted'
   | 'no-final-answer';
 
-/** One broken promise with what showed it. */
+/** One broken promise, with the event that broke it. */
 export interface Violation {
   readonly promise: BrokenPromise;
   readonly at: number;
   readonly detail: string;
 }
 
-/** What an oracle asks of the fleet it watches. */
+/** What an oracle reads from the fleet that it observes. */
 export interface OracleSurroundings {
   now(): number;
   /** The epoch that the table holds for the lease behind an engine's orders. */
@@ -37,10 +36,10 @@
   intendedOrder(engine: BackendName): OrderId | null;
 }
 
-/** How long after its leave was known an engine may still be given work. */
+/** How long after an engine's leave became known it may still be given work. */
 const LEAVE_LIMIT_MS = 3_000;
 
-/** The versions that a right answer may be of. */
+/** The versions that a correct answer may come from. */
 export interface KnownVersions {
   readonly models: readonly string[];
   readonly adapters: readonly string[];
@@ -55,7 +54,7 @@
   outcome: CallerOutcome | null;
 }
 
-/** Counts of what callers saw. */
+/** Counts of the outcomes that callers saw. */
 export interface OutcomeCounts {
   answered: number;
   refusedNotRun: number;
@@ -65,7 +64,7 @@
   replayed: number;
 }
 
-/** The oracle. */
+/** Checks the promises and collects violations. */
 export class Oracle implements FleetObserver {
   readonly violations: Violation[] = [];
   readonly counts: OutcomeCounts = {
@@ -84,18 +83,18 @@
   readonly #leavingSince = new Map<BackendName, number>();
   readonly #known: KnownVersions;
   #promisedVersion = 0;
-  #surroundings: OracleSurroundings | null = null;
+  #environment: OracleSurroundings | null = null;
 
   constructor(known: KnownVersions = FUZZED_VERSIONS) {
     this.#known = known;
   }
 
-  /** Connects the oracle to the fleet; call before anything happens. */
-  watch(surroundings: OracleSurroundings): void {
-    this.#surroundings = surroundings;
+  /** Connects the oracle to the fleet; call it before the simulation runs. */
+  watch(environment: OracleSurroundings): void {
+    this.#environment = environment;
   }
 
-  /** An engine's leave is known to everyone who may ask, or is taken back. */
+  /** Records that an engine reports that it is leaving, or no longer does. */
   setLeaving(engine: BackendName, leaving: boolean): void {
     if (leaving) {
       this.#leavingSince.set(engine, this.#now());
@@ -136,10 +135,7 @@
       this.#judgeRuns(record, attempt);
     }
     if (isNotRun(record.outcome)) {
-      this.#report(
-        'refusal-untrue',
-        `${attempt} ran after its caller was told that it was not run`,
-      );
+      this.#report('refusal-untrue', `${attempt} ran after its caller got "not run"`);
     }
   }
 
@@ -168,16 +164,16 @@
     }
   }
 
-  /** The engine crashed: what it ran is gone, and its next life has not said that it leaves. */
+  /** Records a crash: the engine's order is lost, and its next boot does not report that it leaves. */
   engineCrashed(engine: BackendName): void {
     this.#running.delete(engine);
     this.#leavingSince.delete(engine);
   }
 
   /**
-   * A new life may begin with any version that was not promised: a version that was recorded but not
-   * accepted can be out of reach of a daemon that starts while the store is down, and nothing that an
-   * operator has seen accepted is lost by that.
+   * Forgets the daemon's version: a new incarnation may start with any version that is not lower than
+   * the highest one that an operator saw applied. A higher version that was recorded but not yet
+   * applied may be unreachable for a daemon that starts while the store is down.
    */
   daemonStarted(daemon: DaemonName): void {
     this.#versions.delete(daemon);
@@ -188,7 +184,7 @@
     if (version < Math.max(known, this.#promisedVersion)) {
       this.#report(
         'configuration-reverted',
-        `${daemon} put version ${version} in force after ${known}; ${this.#promisedVersion} was promised`,
+        `${daemon} put version ${version} in force after ${known}; version ${this.#promisedVersion} was reported as applied`,
       );
     }
     this.#versions.set(daemon, Math.max(known, version));
@@ -200,7 +196,7 @@
     }
   }
 
-  /** At the end, with all faults healed for long: every request must have had its final answer. */
+  /** Checks that every request has its final answer; call it after all faults have healed and settled. */
   conclude(): void {
     for (const { issued, outcome } of this.#requests.values()) {
       if (outcome === null) {
@@ -240,18 +236,18 @@
     if (outcome.kind === 'replayed' || outcome.kind === 'unreachable') {
       return;
     }
-    const whole = outcome.kind === 'answered';
-    if (!isPrefixOfSomeVersion(record.issued, outcome.tokens, whole, this.#known)) {
-      const given = outcome.tokens.length;
+    const complete = outcome.kind === 'answered';
+    if (!isPrefixOfSomeVersion(record.issued, outcome.tokens, complete, this.#known)) {
+      const received = outcome.tokens.length;
       const { id } = record.issued.description;
       this.#report(
         'foreign-or-partial-answer',
-        `${id} got ${given} tokens that are not its answer`,
+        `${id} got ${received} tokens that are not its answer`,
       );
     }
   }
 
-  /** Runs are counted by idempotency key where there is one, else by request. */
+  /** Counts runs by idempotency key, or by request when there is no key. */
   #judgeRuns(record: RequestRecord, attempt: AttemptId): void {
     const { id, tenant, idempotencyKey } = record.issued.description;
     const key = idempotencyKey === null ? id : `${tenant}/${idempotencyKey}`;
@@ -263,18 +259,21 @@
   }
 
   /**
-   * An order of an epoch that is over may only be the one that its successor has adopted: the one
-   * that the engine's intent row names.
+   * An engine may accept an order of an earlier epoch only if the current lease holder has adopted it,
+   * that is, if the engine's intent row names the order.
    */
   #judgeAuthority(order: Order): void {
-    const surroundings = this.#surroundings;
-    if (surroundings === null) {
+    const environment = this.#environment;
+    if (environment === null) {
       return;
     }
-    const intended = surroundings.intendedOrder(order.engine);
-    const epoch = surroundings.epochInTable(order.engine);
+    const intended = environment.intendedOrder(order.engine);
+    const epoch = environment.epochInTable(order.engine);
     if (order.fence.epoch < epoch && intended !== order.id) {
-      this.#report('deposed-order', `${order.id} of epoch ${order.fence.epoch} ran in ${epoch}`);
+      this.#report(
+        'deposed-order',
+        `${order.id} of epoch ${order.fence.epoch} ran in epoch ${epoch}`,
+      );
     }
   }
 
@@ -283,7 +282,7 @@
   }
 
   #now(): number {
-    return this.#surroundings?.now() ?? 0;
+    return this.#environment?.now() ?? 0;
   }
 }
 
@@ -300,11 +299,11 @@
 function isPrefixOfSomeVersion(
   issued: IssuedRequest,
   tokens: readonly string[],
-  whole: boolean,
+  complete: boolean,
   known: KnownVersions,
 ): boolean {
   const { target } = issued.description;
-  if (target.kind !== 'model' || (whole && tokens.length !== issued.outputTokens)) {
+  if (target.kind !== 'model' || (complete && tokens.length !== issued.outputTokens)) {
     return false;
   }
   const { model, adapter } = target;
--- a/src/lab/simulation/simulated-caller.ts
+++ b/src/lab/simulation/simulated-caller.ts
@@ -1,4 +1,4 @@
-/** Callers of the simulated fleet: send a request to a daemon and see what comes back. */
+/** Callers of the simulated fleet: they send requests to daemons and report the outcomes. */
 import type { CallerOutcome, FleetObserver, IssuedRequest } from './observer.js';
 import type { SimulatedDaemon } from './simulated-daemon.js';
 import type { HttpOutcome } from './simulated-http.js';
@@ -16,37 +16,37 @@
     private readonly observer: FleetObserver,
   ) {}
 
-  /** Sends one request to a daemon; `giveUpAfterMs` closes the connection early. */
+  /** Sends one request to a daemon; the caller disconnects after `giveUpAfterMs` unless it is null. */
   send(issued: IssuedRequest, daemon: SimulatedDaemon, giveUpAfterMs: number | null): void {
     const tokens: string[] = [];
-    let over = false;
+    let ended = false;
     const end = (outcome: CallerOutcome): void => {
-      if (!over) {
-        over = true;
+      if (!ended) {
+        ended = true;
         this.observer.requestEnded(issued, outcome);
       }
     };
     this.observer.requestIssued(issued);
-    const back = (run: () => void): void =>
+    const sendBack = (run: () => void): void =>
       this.network.sendReliably(daemon.name, CALLER_NODE, run);
     this.network.sendReliably(CALLER_NODE, daemon.name, () => {
-      const taken = daemon.takeRequest({
+      const accepted = daemon.takeRequest({
         issued,
         deliver: (token) =>
-          back(() => {
+          sendBack(() => {
             tokens.push(token);
             this.observer.tokenReceived?.(issued);
           }),
-        end: (outcome) => back(() => end(callerOutcome(outcome, tokens))),
-        reset: () => back(() => end({ kind: 'disconnected', tokens })),
+        end: (outcome) => sendBack(() => end(callerOutcome(outcome, tokens))),
+        reset: () => sendBack(() => end({ kind: 'disconnected', tokens })),
       });
-      if (!taken) {
-        back(() => end({ kind: 'unreachable' }));
+      if (!accepted) {
+        sendBack(() => end({ kind: 'unreachable' }));
       }
     });
     if (giveUpAfterMs !== null) {
       this.clock.at(this.clock.now + giveUpAfterMs, () => {
-        if (!over) {
+        if (!ended) {
           end({ kind: 'disconnected', tokens });
           this.network.sendReliably(CALLER_NODE, daemon.name, () =>
             daemon.callerGone(issued.description.id),
--- a/src/lab/simulation/simulated-daemon.ts
+++ b/src/lab/simulation/simulated-daemon.ts
@@ -1,6 +1,6 @@
 /**
- * A daemon as a node of the simulation: the production reducer under a drifting local clock, with
- * simulated shells. It can be paused, killed and started anew under its name.
+ * A daemon as a node of the simulation: the production reducer with a drifting local clock and
+ * simulated shells. It can be paused, killed and restarted under its name.
  */
 import type { DaemonName, ZoneName } from '../../core/common/identifiers.js';
 import type { ChangeOutcome, ChangeRequest } from '../../core/configuration/index.js';
@@ -27,16 +27,16 @@
 const TICK_MS = 100;
 const MAX_ENTROPY = 0xffffffff;
 
-/** Who a simulated daemon is. */
+/** The identity of a simulated daemon. */
 export interface SimulatedDaemonIdentity {
   readonly name: DaemonName;
   readonly zone: ZoneName;
   readonly endpoint: Endpoint;
-  /** How fast its clock runs; 1 is true time. */
+  /** The rate of its clock relative to virtual time. */
   readonly clockRate: number;
 }
 
-/** What it lives among. */
+/** The parts of the simulation that a daemon uses. */
 export interface SimulatedSurroundings {
   readonly clock: VirtualClock;
   readonly random: Random;
@@ -47,25 +47,25 @@
   daemonAt(endpoint: Endpoint): SimulatedDaemon | undefined;
 }
 
-interface Life {
+interface RunningDaemon {
   state: DaemonState;
   readonly http: SimulatedHttp;
   readonly engines: SimulatedEngineCalls;
-  readonly bornAt: number;
+  readonly startedAt: number;
   readonly incarnation: number;
   readonly changes: Map<string, (outcome: ChangeOutcome) => void>;
 }
 
-/** A node with a daemon. */
+/** A node that runs a daemon, or none while the daemon is down. */
 export class SimulatedDaemon {
-  #life: Life | null = null;
+  #running: RunningDaemon | null = null;
   #pausedUntil = 0;
   #inbox: DaemonEvent[] = [];
   #changes = 0;
 
   constructor(
     readonly identity: SimulatedDaemonIdentity,
-    private readonly surroundings: SimulatedSurroundings,
+    private readonly environment: SimulatedSurroundings,
   ) {
     this.start();
   }
@@ -75,23 +75,23 @@
   }
 
   get isUp(): boolean {
-    return this.#life !== null;
+    return this.#running !== null;
   }
 
   /** The core's state; null while the daemon is down. */
   get state(): DaemonState | null {
-    return this.#life?.state ?? null;
+    return this.#running?.state ?? null;
   }
 
-  /** Starts a new life; nothing of an earlier one is kept. */
+  /** Starts a new incarnation without any state of an earlier one. */
   start(): void {
-    if (this.#life !== null) {
+    if (this.#running !== null) {
       return;
     }
-    const { clock, network } = this.surroundings;
+    const { clock, network } = this.environment;
     const incarnation = Math.floor(clock.now) + 1;
     const { name, zone, endpoint } = this.identity;
-    const life: Life = {
+    const running: RunningDaemon = {
       state: createDaemonState({
         name,
         zone,
@@ -104,36 +104,36 @@
         node: name,
         clock,
         network,
-        engine: (engine) => this.surroundings.engine(engine),
-        emit: (event) => this.#receiveIn(life, event),
+        engine: (engine) => this.environment.engine(engine),
+        emit: (event) => this.#receiveIn(running, event),
       }),
       engines: new SimulatedEngineCalls({
         daemon: name,
         network,
-        engine: (engine) => this.surroundings.engine(engine),
+        engine: (engine) => this.environment.engine(engine),
         localNow: () => this.localNow(),
-        emit: (event) => this.#receiveIn(life, event),
+        emit: (event) => this.#receiveIn(running, event),
       }),
-      bornAt: clock.now,
+      startedAt: clock.now,
       incarnation,
       changes: new Map(),
     };
-    this.#life = life;
-    this.surroundings.observer.daemonStarted?.(name);
-    this.#tick(life);
+    this.#running = running;
+    this.environment.observer.daemonStarted?.(name);
+    this.#tick(running);
   }
 
-  /** Ends the life at once. */
+  /** Kills the daemon at once. */
   kill(): void {
-    this.#life?.http.die();
-    this.#life = null;
+    this.#running?.http.die();
+    this.#running = null;
     this.#inbox = [];
     this.#pausedUntil = 0;
   }
 
-  /** Stops the process for a while: nothing is taken in, and the clock goes on. */
+  /** Suspends the process: events wait in the inbox while the clock advances. */
   pause(durationMs: number): void {
-    const { clock } = this.surroundings;
+    const { clock } = this.environment;
     this.#pausedUntil = clock.now + durationMs;
     clock.at(this.#pausedUntil, () => this.#wake());
   }
@@ -143,13 +143,13 @@
     this.receive({ kind: 'stop' });
   }
 
-  /** Takes a caller's request; false when nobody listens. */
+  /** Accepts a caller's request; false when the daemon is down or stopping. */
   takeRequest(request: HeldRequest): boolean {
-    const life = this.#life;
-    if (life === null || life.state.stopping) {
+    const running = this.#running;
+    if (running === null || running.state.stopping) {
       return false;
     }
-    life.http.hold(request);
+    running.http.hold(request);
     const local = this.localNow();
     const { issued } = request;
     const remaining = issued.description.deadline - issued.description.arrivedAt;
@@ -160,49 +160,49 @@
 
   /** The caller has closed its connection. */
   callerGone(request: string): void {
-    this.#life?.http.callerGone(request);
+    this.#running?.http.callerGone(request);
     this.receive({ kind: 'caller-gone', request });
   }
 
-  /** Submits an operator's change; the answer never comes when the daemon dies before. */
+  /** Submits an operator's change; `done` is not called when the daemon dies before it answers. */
   change(request: Omit<ChangeRequest, 'token'>, done: (outcome: ChangeOutcome) => void): void {
-    const life = this.#life;
-    if (life === null) {
+    const running = this.#running;
+    if (running === null) {
       return;
     }
     this.#changes += 1;
     const token = `change-${this.#changes}`;
-    life.changes.set(token, done);
+    running.changes.set(token, done);
     this.receive({ kind: 'change', request: { ...request, token } });
   }
 
-  /** Takes an event in, now or at the end of a pause. */
+  /** Handles an event now, or at the end of the current pause. */
   receive(event: DaemonEvent): void {
-    const life = this.#life;
-    if (life !== null) {
-      this.#receiveIn(life, event);
+    const running = this.#running;
+    if (running !== null) {
+      this.#receiveIn(running, event);
     }
   }
 
   /** The daemon's own monotonic clock. */
   localNow(): number {
-    const bornAt = this.#life?.bornAt ?? 0;
-    return (this.surroundings.clock.now - bornAt) * this.identity.clockRate;
+    const startedAt = this.#running?.startedAt ?? 0;
+    return (this.environment.clock.now - startedAt) * this.identity.clockRate;
   }
 
-  #receiveIn(life: Life, event: DaemonEvent): void {
-    if (this.#life !== life) {
+  #receiveIn(running: RunningDaemon, event: DaemonEvent): void {
+    if (this.#running !== running) {
       return;
     }
-    if (this.surroundings.clock.now < this.#pausedUntil) {
+    if (this.environment.clock.now < this.#pausedUntil) {
       this.#inbox.push(event);
       return;
     }
-    this.#step(life, event);
+    this.#step(running, event);
   }
 
   #wake(): void {
-    if (this.surroundings.clock.now < this.#pausedUntil) {
+    if (this.environment.clock.now < this.#pausedUntil) {
       return;
     }
     const waiting = this.#inbox;
@@ -212,51 +212,51 @@
     }
   }
 
-  #tick(life: Life): void {
-    if (this.#life !== life) {
+  #tick(running: RunningDaemon): void {
+    if (this.#running !== running) {
       return;
     }
-    const { clock } = this.surroundings;
+    const { clock } = this.environment;
     const isPaused = clock.now < this.#pausedUntil;
     if (!isPaused) {
-      this.#step(life, { kind: 'tick' });
+      this.#step(running, { kind: 'tick' });
     }
     const next = isPaused ? this.#pausedUntil : clock.now + TICK_MS / this.identity.clockRate;
-    clock.at(next, () => this.#tick(life));
+    clock.at(next, () => this.#tick(running));
   }
 
-  #step(life: Life, event: DaemonEvent): void {
-    const entropy = this.surroundings.random.integer(0, MAX_ENTROPY);
-    const { state, effects } = stepDaemon(life.state, event, { now: this.localNow(), entropy });
-    life.state = state;
+  #step(running: RunningDaemon, event: DaemonEvent): void {
+    const entropy = this.environment.random.integer(0, MAX_ENTROPY);
+    const { state, effects } = stepDaemon(running.state, event, { now: this.localNow(), entropy });
+    running.state = state;
     for (const effect of effects) {
-      this.#perform(life, effect);
+      this.#perform(running, effect);
     }
   }
 
-  #perform(life: Life, effect: DaemonEffect): void {
+  #perform(running: RunningDaemon, effect: DaemonEffect): void {
     switch (effect.kind) {
       case 'dispatch':
       case 'refuse':
       case 'abort':
       case 'cancel':
       case 'replay':
-        life.http.perform(effect);
+        running.http.perform(effect);
         break;
       case 'table':
-        this.surroundings.platform.table(this.name, effect.call, (result) =>
-          this.#receiveIn(life, { kind: 'table-result', token: effect.token, result }),
+        this.environment.platform.table(this.name, effect.call, (result) =>
+          this.#receiveIn(running, { kind: 'table-result', token: effect.token, result }),
         );
         break;
       case 'object':
-        this.surroundings.platform.object(this.name, effect.call, (result) =>
-          this.#receiveIn(life, { kind: 'object-result', token: effect.token, result }),
+        this.environment.platform.object(this.name, effect.call, (result) =>
+          this.#receiveIn(running, { kind: 'object-result', token: effect.token, result }),
         );
         break;
       case 'list-machines':
-        this.surroundings.platform.machines(this.name, (machines) =>
+        this.environment.platform.machines(this.name, (machines) =>
           this.#receiveIn(
-            life,
+            running,
             machines === null
               ? { kind: 'machines-unavailable' }
               : { kind: 'machines-listed', machines },
@@ -264,23 +264,23 @@
         );
         break;
       case 'peer-send':
-        this.#sendToPeer(life, effect);
+        this.#sendToPeer(running, effect);
         break;
       case 'ask-report':
-        life.engines.askReport(effect.engine);
+        running.engines.askReport(effect.engine);
         break;
       case 'send-order':
-        life.engines.sendOrder(effect, this.#maySend(life, effect.order));
+        running.engines.sendOrder(effect, this.#maySend(running, effect.order));
         break;
       case 'query-order':
-        life.engines.askOrder(effect);
+        running.engines.askOrder(effect);
         break;
       case 'change-answer':
-        this.surroundings.observer.changeAnswered(this.name, effect.outcome);
-        life.changes.get(effect.token)?.(effect.outcome);
+        this.environment.observer.changeAnswered(this.name, effect.outcome);
+        running.changes.get(effect.token)?.(effect.outcome);
         break;
       case 'configuration-in-force':
-        this.surroundings.observer.configurationInForce(this.name, effect.configuration.version);
+        this.environment.observer.configurationInForce(this.name, effect.configuration.version);
         break;
       case 'stop-ready':
         this.kill();
@@ -294,13 +294,13 @@
     }
   }
 
-  #sendToPeer(life: Life, effect: PeerEffect): void {
-    const { network } = this.surroundings;
-    const peer = this.surroundings.daemonAt(effect.to);
+  #sendToPeer(running: RunningDaemon, effect: PeerEffect): void {
+    const { network } = this.environment;
+    const peer = this.environment.daemonAt(effect.to);
     if (peer === undefined) {
       return;
     }
-    const header = this.#header(life);
+    const header = this.#header(running);
     const { message } = effect;
     const from = this.identity.endpoint;
     const deliver = (): void => peer.receive({ kind: 'peer-received', from, header, message });
@@ -311,19 +311,19 @@
     }
   }
 
-  #header(life: Life): PeerHeader {
+  #header(running: RunningDaemon): PeerHeader {
     return {
       sender: this.name,
-      incarnation: life.incarnation,
+      incarnation: running.incarnation,
       sentAt: this.localNow(),
-      inForce: life.state.configuration.inForce?.version ?? null,
-      highestVersion: life.state.configuration.highestVersion,
+      inForce: running.state.configuration.inForce?.version ?? null,
+      highestVersion: running.state.configuration.highestVersion,
     };
   }
 
-  #maySend(life: Life, order: Order): boolean {
-    const machine = life.state.digest.engines.get(order.engine);
-    const duty = machine === undefined ? undefined : life.state.duties.get(poolOf(machine));
+  #maySend(running: RunningDaemon, order: Order): boolean {
+    const machine = running.state.digest.engines.get(order.engine);
+    const duty = machine === undefined ? undefined : running.state.duties.get(poolOf(machine));
     const authority = duty === undefined ? null : authorityOf(duty.lease);
     return maySendUnder(authority, order.fence.epoch, this.localNow());
   }
--- a/src/lab/simulation/simulated-engine-calls.ts
+++ b/src/lab/simulation/simulated-engine-calls.ts
@@ -1,6 +1,6 @@
 /**
- * What a simulated daemon asks of engines over the simulated network: reports, orders, and what became
- * of an order. An engine that is down, cut off, or whose answer was lost counts as silent.
+ * A simulated daemon's calls to engines over the simulated network: report requests, orders and order
+ * state queries. An engine that is down or cut off, or whose answer is lost, counts as silent.
  */
 import type { DaemonName } from '../../core/common/identifiers.js';
 import type { DaemonEffect, DaemonEvent } from '../../core/daemon/index.js';
@@ -11,18 +11,18 @@
 type SendOrder = Extract<DaemonEffect, { kind: 'send-order' }>;
 type AskOrder = Extract<DaemonEffect, { kind: 'query-order' }>;
 
-/** What the calls are made through. */
+/** What engine calls depend on. */
 export interface SimulatedEngineCallsOptions {
   readonly daemon: DaemonName;
   readonly network: SimulatedNetwork;
   engine(name: string): SimulatedEngine | undefined;
   /** The daemon's own clock. */
   localNow(): number;
-  /** Takes what came of a call, in the life that made it. */
+  /** Passes the result of a call to the daemon incarnation that made it. */
   emit(event: DaemonEvent): void;
 }
 
-/** One life's calls to engines. */
+/** The calls to engines of one daemon incarnation. */
 export class SimulatedEngineCalls {
   readonly #options: SimulatedEngineCallsOptions;
 
@@ -30,7 +30,7 @@
     this.#options = options;
   }
 
-  /** Asks an engine for its report. */
+  /** Requests an engine's report. */
   askReport(name: string): void {
     const { localNow, emit } = this.#options;
     const engine = this.#options.engine(name);
@@ -47,7 +47,7 @@
     );
   }
 
-  /** @param maySend whether the daemon still holds what the order is given under */
+  /** @param maySend whether the daemon still holds the lease under which the order is given */
   sendOrder({ order }: SendOrder, maySend: boolean): void {
     const { engine: name, id, fence } = order;
     const answered = (answer: OrderAnswer): void =>
@@ -64,7 +64,7 @@
     );
   }
 
-  /** Asks what became of an order. */
+  /** Queries the state of an order. */
   askOrder({ engine: name, orderId }: AskOrder): void {
     const engine = this.#options.engine(name);
     this.#call(
--- a/src/lab/simulation/simulated-engine.ts
+++ b/src/lab/simulation/simulated-engine.ts
@@ -1,4 +1,4 @@
-/** An emulated engine as a node of the simulation: it crashes, comes back as a new boot, leaves. */
+/** An emulated engine as a node of the simulation: it may crash, boot again, and leave. */
 import type { AttemptId } from '../../core/common/identifiers.js';
 import type { Order, OrderAnswer } from '../../core/orders/index.js';
 import type { EngineMachine, EngineReport } from '../../core/registry/backend.js';
@@ -13,14 +13,14 @@
 import type { FleetObserver } from './observer.js';
 import type { VirtualClock } from './virtual-clock.js';
 
-/** What happens to an attempt, told to the daemon that sent it. */
+/** Receives the events of an attempt on behalf of the daemon that sent it. */
 export interface AttemptListener {
   output(output: EngineOutput): void;
-  /** The engine went away: its connections are reset. */
+  /** The engine crashed: its connections are reset. */
   reset(): void;
 }
 
-/** A node with an emulated engine. */
+/** A node that runs an emulated engine, or none while the engine is down. */
 export class SimulatedEngine {
   #model: EngineModel | null;
   #boots = 1;
@@ -33,7 +33,7 @@
     private readonly clock: VirtualClock,
     private readonly observer: FleetObserver,
   ) {
-    this.#model = this.#newLife();
+    this.#model = this.#boot();
   }
 
   get name(): string {
@@ -44,14 +44,14 @@
     return this.#model !== null;
   }
 
-  /** What the engine says of itself; null while it is down. */
+  /** The engine's report; null while it is down. */
   report(): EngineReport | null {
     const report = this.#model?.report(this.clock.now) ?? null;
     this.#collect();
     return report;
   }
 
-  /** Takes a request; null while it is down. */
+  /** Submits a request; null while the engine is down. */
   submit(
     request: EngineRequest,
     listener: AttemptListener,
@@ -65,14 +65,14 @@
     return answer;
   }
 
-  /** Ends an attempt. */
+  /** Cancels an attempt. */
   cancel(attempt: AttemptId): void {
     this.#model?.cancel(this.clock.now, attempt);
     this.#listeners.delete(attempt);
     this.#collect();
   }
 
-  /** Takes an order; null while it is down. */
+  /** Gives an order to the engine; null while it is down. */
   order(order: Order): OrderAnswer | null {
     const answer = this.#model?.order(this.clock.now, order) ?? null;
     if (answer !== null) {
@@ -82,17 +82,17 @@
     return answer;
   }
 
-  /** What became of an order; null while it is down. */
+  /** The state of an order; null while the engine is down. */
   orderState(id: string): ReturnType<EngineModel['orderState']> | null {
     return this.#model?.orderState(this.clock.now, id) ?? null;
   }
 
-  /** Sets the engine's own word that it is leaving. */
+  /** Sets whether the engine reports that it is leaving. */
   setLeaving(leaving: boolean): void {
     this.#model?.setLeaving(leaving);
   }
 
-  /** Loses everything and comes back after a while. */
+  /** Crashes: all state is lost, connections are reset, and the engine boots again after `downMs`. */
   crash(downMs: number): void {
     if (this.#model === null) {
       return;
@@ -105,11 +105,11 @@
     }
     this.clock.at(this.clock.now + downMs, () => {
       this.#boots += 1;
-      this.#model = this.#newLife();
+      this.#model = this.#boot();
     });
   }
 
-  #newLife(): EngineModel {
+  #boot(): EngineModel {
     const boot = `${this.machine.name}/${this.#boots}`;
     return new EngineModel({ ...this.options, boot }, this.clock.now);
   }
@@ -120,7 +120,7 @@
       return;
     }
     for (const output of model.advance(this.clock.now)) {
-      this.#tell(output);
+      this.#notify(output);
     }
     const due = model.nextDueAt();
     if (due === null || this.#scheduledFor === due) {
@@ -135,7 +135,7 @@
     });
   }
 
-  #tell(output: EngineOutput): void {
+  #notify(output: EngineOutput): void {
     if (output.kind === 'order-ended') {
       this.observer.orderEnded(this.name, output.order, output.state);
       return;
--- a/src/lab/simulation/simulated-fleet.ts
+++ b/src/lab/simulation/simulated-fleet.ts
@@ -1,4 +1,4 @@
-/** A whole fleet in virtual time: platform, engines, daemons, callers and their network. */
+/** A simulated fleet in virtual time: platform, engines, daemons, callers and their network. */
 
 import { ok } from 'neverthrow';
 import type { ZoneName } from '../../core/common/identifiers.js';
@@ -33,7 +33,7 @@
   readonly zone: ZoneName;
 }
 
-/** What a fleet is made of. */
+/** The parts of a fleet. */
 export interface FleetOptions {
   readonly seed: number;
   readonly engines: readonly FleetEngine[];
@@ -42,7 +42,7 @@
   readonly network?: Partial<NetworkOptions>;
 }
 
-/** The fleet. Everything that happens follows from the options and the calls made on it. */
+/** The fleet. It is deterministic in its options and the calls made on it. */
 export class SimulatedFleet {
   readonly clock = new VirtualClock();
   readonly network: SimulatedNetwork;
@@ -69,7 +69,7 @@
     });
   }
 
-  /** Runs for a while. */
+  /** Advances virtual time, running all events up to then. */
   run(durationMs: number): void {
     this.clock.runUntil(this.clock.now + durationMs);
   }
@@ -90,7 +90,7 @@
     return [...this.#daemons.values()];
   }
 
-  /** Puts a whole document in force through a daemon. */
+  /** Puts a complete configuration document in force through a daemon. */
   putDocument(
     daemon: SimulatedDaemon,
     id: string,
@@ -101,7 +101,7 @@
     daemon.change({ id, digest: id, ifVersion: null, dryRun: false, apply }, done);
   }
 
-  /** Gives an operator's statement to a daemon. */
+  /** Submits an operator's statement to a daemon. */
   command(
     daemon: SimulatedDaemon,
     id: string,
@@ -146,7 +146,7 @@
     };
     this.network.place(daemon.name, daemon.zone);
     this.platform.model.machines.put(machine, this.clock.now);
-    const surroundings: SimulatedSurroundings = {
+    const environment: SimulatedSurroundings = {
       clock: this.clock,
       random: new Random(seed, 100 + index),
       network: this.network,
@@ -156,7 +156,7 @@
       daemonAt: ({ address }) => this.#daemonsByAddress.get(address),
     };
     const clockRate = 1 + MAX_CLOCK_DRIFT * (2 * this.random.unit() - 1);
-    const node = new SimulatedDaemon({ ...daemon, endpoint, clockRate }, surroundings);
+    const node = new SimulatedDaemon({ ...daemon, endpoint, clockRate }, environment);
     this.#daemons.set(daemon.name, node);
     this.#daemonsByAddress.set(endpoint.address, node);
   }
@@ -168,7 +168,7 @@
     throw new Error(statement.error.message);
   }
   if (statement.value.kind !== 'change') {
-    throw new Error('a query changes nothing; give a command');
+    throw new Error('the statement is a query; give a command that changes the configuration');
   }
   return statement.value.commands;
 }
--- a/src/lab/simulation/simulated-http.ts
+++ b/src/lab/simulation/simulated-http.ts
@@ -1,7 +1,6 @@
 /**
- * The callers' HTTP shell of one simulated daemon: carries out the request effects of the core on
- * the simulated network, checks each token's attempt and offset as the real one does, and reports
- * what attempts met.
+ * The HTTP shell of one simulated daemon: performs the core's request effects on the simulated network,
+ * checks each token's attempt and offset as the production shell does, and reports attempt events.
  */
 
 import { EMPTY_HASH, type Hash64 } from '../../core/common/hash.js';
@@ -20,14 +19,14 @@
 import type { NodeName, SimulatedNetwork } from './simulated-network.js';
 import type { VirtualClock } from './virtual-clock.js';
 
-/** A stream that says nothing for this long is broken. */
+/** A stream without any event for this long counts as broken. */
 const STALL_TIMEOUT_MS = 30_000;
 const HTTP_OK = 200;
 
-/** A caller's request as the shell holds it. */
+/** A caller's open request, with the callbacks to its connection. */
 export interface HeldRequest {
   readonly issued: IssuedRequest;
-  /** Hands a token to the caller. */
+  /** Delivers a token to the caller. */
   deliver(token: string): void;
   /** Gives the caller its final answer. */
   end(outcome: HttpOutcome): void;
@@ -35,7 +34,7 @@
   reset(): void;
 }
 
-/** How the shell ends a caller's request; the tokens are those delivered before. */
+/** The outcome that the shell gives a caller; tokens have been delivered separately before. */
 export type HttpOutcome =
   | { readonly kind: 'answered' }
   | Extract<CallerOutcome, { kind: 'replayed' }>
@@ -44,7 +43,7 @@
       readonly fault: Extract<CallerOutcome, { kind: 'failed' }>['fault'];
     };
 
-/** What the shell needs of the daemon and the fleet. */
+/** What the shell uses of the daemon and the fleet. */
 export interface SimulatedHttpOptions {
   readonly node: NodeName;
   readonly clock: VirtualClock;
@@ -61,22 +60,22 @@
   attempt: AttemptId | null;
   nextOffset: number;
   headersForwarded: boolean;
-  lastHeardAt: number;
+  lastReceivedAt: number;
   /** Identifies the output of the engine that took the latest attempt. */
   digest: Hash64;
-  /** The version that wrote what the caller has had; null before its first token. */
+  /** The version that generated the tokens delivered so far; null before the first token. */
   version: string | null;
 }
 
 type DispatchEffect = Extract<RequestEffect, { kind: 'dispatch' }>;
 type TokenOutput = Extract<EngineOutput, { kind: 'token' }>;
 
-/** The version in which an engine took an attempt; null until it has. */
+/** The version under which an engine accepted an attempt; null until it has. */
 interface ServedVersion {
   version: string | null;
 }
 
-/** The shell. */
+/** Performs request effects for one daemon incarnation. */
 export class SimulatedHttp {
   readonly #requests = new Map<RequestId, OpenRequest>();
   readonly #options: SimulatedHttpOptions;
@@ -86,7 +85,7 @@
     this.#options = options;
   }
 
-  /** Takes a caller's request in. */
+  /** Registers a caller's request. */
   hold(request: HeldRequest): void {
     const now = this.#options.clock.now;
     this.#requests.set(request.issued.description.id, {
@@ -94,13 +93,13 @@
       attempt: null,
       nextOffset: 0,
       headersForwarded: false,
-      lastHeardAt: now,
+      lastReceivedAt: now,
       digest: EMPTY_HASH,
       version: null,
     });
   }
 
-  /** Carries out an effect. */
+  /** Performs an effect. */
   perform(effect: RequestEffect): void {
     const request = this.#requests.get(effect.request);
     if (request === undefined) {
@@ -123,7 +122,7 @@
     }
   }
 
-  /** The caller has gone: nothing more is delivered. */
+  /** The caller has disconnected: nothing more is delivered. */
   callerGone(id: RequestId): void {
     this.#requests.delete(id);
   }
@@ -169,7 +168,7 @@
       return;
     }
     request.attempt = effect.attempt;
-    request.lastHeardAt = this.#options.clock.now;
+    request.lastReceivedAt = this.#options.clock.now;
     this.#dispatched.set(effect.attempt, engine);
     network.call<AttemptEvent | 'accepted'>(
       node,
@@ -181,13 +180,13 @@
         } else if (result.kind === 'answered' && result.answer !== 'accepted') {
           this.#report(effect, result.answer);
         }
-        // Lost: the attempt may run; the watch on silence breaks it.
+        // Lost: the attempt may be running; the stall timer breaks it.
       },
     );
-    this.#watchSilence(request, effect);
+    this.#watchForStall(request, effect);
   }
 
-  /** Runs at the engine. */
+  /** Submits the attempt to the engine; runs when the call arrives there. */
   #serve(
     request: OpenRequest,
     effect: DispatchEffect,
@@ -201,7 +200,7 @@
     }
     const { network, node } = this.#options;
     const served: ServedVersion = { version: null };
-    const taken = engine.submit(
+    const submitted = engine.submit(
       {
         attempt: effect.attempt,
         priority: effect.priority,
@@ -225,15 +224,15 @@
           network.sendReliably(engine.name, node, () => this.#break(request, effect, 'reset')),
       },
     );
-    if (taken === null) {
+    if (submitted === null) {
       return false;
     }
-    if (taken.kind === 'accepted') {
-      request.digest = taken.prompt.digest;
-      served.version = taken.version;
+    if (submitted.kind === 'accepted') {
+      request.digest = submitted.prompt.digest;
+      served.version = submitted.version;
       answer('accepted');
     } else {
-      answer({ kind: 'refused-not-run', attempt: effect.attempt, reason: taken.code });
+      answer({ kind: 'refused-not-run', attempt: effect.attempt, reason: submitted.code });
     }
     return true;
   }
@@ -247,7 +246,7 @@
     if (request.attempt !== effect.attempt) {
       return;
     }
-    request.lastHeardAt = this.#options.clock.now;
+    request.lastReceivedAt = this.#options.clock.now;
     switch (output.kind) {
       case 'token':
         this.#receiveToken(request, effect, output, served);
@@ -339,18 +338,18 @@
     });
   }
 
-  #watchSilence(request: OpenRequest, effect: DispatchEffect): void {
+  #watchForStall(request: OpenRequest, effect: DispatchEffect): void {
     const { clock } = this.#options;
     const check = (): void => {
       if (request.attempt !== effect.attempt) {
         return;
       }
-      const silentUntil = request.lastHeardAt + STALL_TIMEOUT_MS;
-      if (clock.now >= silentUntil) {
+      const stalledAt = request.lastReceivedAt + STALL_TIMEOUT_MS;
+      if (clock.now >= stalledAt) {
         this.#break(request, effect, 'stall');
         return;
       }
-      clock.at(silentUntil, check);
+      clock.at(stalledAt, check);
     };
     clock.at(clock.now + STALL_TIMEOUT_MS, check);
   }
--- a/src/lab/simulation/simulated-network.ts
+++ b/src/lab/simulation/simulated-network.ts
@@ -1,6 +1,6 @@
 /**
  * The network between simulated nodes: delay with jitter, loss and duplication of datagrams, and
- * cuts in one direction or both. A cut holds nothing back: what was sent into it is gone.
+ * cuts in one direction or both. Messages sent into a cut are dropped, not delayed.
  */
 import type { Milliseconds } from '../../core/common/time.js';
 import type { Random } from '../workload/index.js';
@@ -13,17 +13,17 @@
 export interface NetworkOptions {
   readonly sameZoneDelayMs: Milliseconds;
   readonly crossZoneDelayMs: Milliseconds;
-  /** Largest relative addition to a delay. */
+  /** The largest relative addition to a delay. */
   readonly jitter: number;
   /** Probability that a datagram is lost. */
   readonly datagramLoss: number;
-  /** Probability that a datagram comes twice. */
+  /** Probability that a datagram is delivered twice. */
   readonly datagramDuplication: number;
-  /** After this long without an answer, a caller gives a call up as lost. */
+  /** A call without an answer for this long counts as lost. */
   readonly callTimeoutMs: Milliseconds;
 }
 
-/** A fleet in one region. */
+/** Properties of links within one region. */
 export const DEFAULT_NETWORK: NetworkOptions = {
   sameZoneDelayMs: 0.3,
   crossZoneDelayMs: 1.5,
@@ -33,7 +33,7 @@
   callTimeoutMs: 1_000,
 };
 
-/** How a call over the network went. `not-sent`: the far side never saw it. */
+/** The result of a call. `not-sent`: the receiver did not get or did not serve it. */
 export type CallResult<Answer> =
   | { readonly kind: 'answered'; readonly answer: Answer }
   | { readonly kind: 'not-sent' }
@@ -44,11 +44,11 @@
   lastArrival: number;
   /** When the pending messages were sent. */
   sentAt: number;
-  /** Messages under way that were sent last, all at one moment; null once they have arrived. */
+  /** Messages in flight that were sent at `sentAt`, the latest send time; null once they have arrived. */
   pending: (() => void)[] | null;
 }
 
-/** The network. */
+/** Delivers messages between nodes in virtual time. */
 export class SimulatedNetwork {
   readonly #cuts = new Set<string>();
   readonly #zones = new Map<NodeName, string>();
@@ -60,7 +60,7 @@
     private readonly options: NetworkOptions,
   ) {}
 
-  /** Places a node in a zone. Nodes without one, such as callers, are not cut off with any. */
+  /** Places a node in a zone. Zone cuts do not affect nodes without a zone, such as callers. */
   place(node: NodeName, zone: string): void {
     this.#zones.set(node, zone);
   }
@@ -86,12 +86,12 @@
     this.#cuts.clear();
   }
 
-  /** Whether messages pass in that direction now. */
+  /** Whether messages currently pass in that direction. */
   passes(from: NodeName, to: NodeName): boolean {
     return this.#cuts.size === 0 || !this.#cuts.has(linkKey(from, to));
   }
 
-  /** Sends a datagram: it may be lost, come twice and overtake another. */
+  /** Sends a datagram, which may be lost, duplicated or reordered. */
   sendDatagram(from: NodeName, to: NodeName, deliver: () => void): void {
     const lost = this.random.unit() < this.options.datagramLoss;
     if (lost || !this.passes(from, to)) {
@@ -104,8 +104,8 @@
   }
 
   /**
-   * Sends over a connection, which keeps the order: it arrives unless the link is cut when it is
-   * sent. What is sent at one moment arrives at one moment.
+   * Sends over a connection, which preserves order. The message arrives unless the link is cut at the
+   * time of sending. Messages sent at the same time arrive at the same time.
    */
   sendReliably(from: NodeName, to: NodeName, deliver: () => void): void {
     if (!this.passes(from, to)) {
@@ -127,17 +127,17 @@
     });
   }
 
-  /** Calls a node: `serve` runs there and may answer later; null from `serve` means it is down. */
+  /** Calls a node: `serve` runs there and may answer later; false from `serve` means not served. */
   call<Answer>(
     from: NodeName,
     to: NodeName,
     serve: (answer: (value: Answer) => void) => boolean,
     done: (result: CallResult<Answer>) => void,
   ): void {
-    let over = false;
+    let settled = false;
     const finish = (result: CallResult<Answer>): void => {
-      if (!over) {
-        over = true;
+      if (!settled) {
+        settled = true;
         done(result);
       }
     };
--- a/src/lab/simulation/simulated-platform.ts
+++ b/src/lab/simulation/simulated-platform.ts
@@ -9,13 +9,13 @@
 /** The platform's node name. */
 export const PLATFORM_NODE: NodeName = 'platform';
 
-/** A platform call's answer, or what became of a call that was not admitted or lost its answer. */
+/** The result of a platform call: its answer, a refusal, or a loss of the call or the answer. */
 type Served<Answer> =
   | { readonly kind: 'answer'; readonly value: Answer }
   | { readonly kind: 'refused'; readonly retryAfterMs: number }
   | { readonly kind: 'lost' };
 
-/** The platform. */
+/** Serves platform calls over the simulated network. */
 export class SimulatedPlatform {
   readonly model: PlatformModel;
   readonly #objects = new Map<string, unknown>();
@@ -28,7 +28,7 @@
     this.model = new PlatformModel(options);
   }
 
-  /** A table call from a node. */
+  /** Makes a table call from a node. */
   table(from: NodeName, call: TableCall, done: (result: TableResult) => void): void {
     const writes = call.kind === 'transact';
     this.#call(
@@ -40,7 +40,7 @@
     );
   }
 
-  /** An object store call from a node. */
+  /** Makes an object store call from a node. */
   object(from: NodeName, call: ObjectCall, done: (result: ObjectResult) => void): void {
     const writes = call.kind === 'put';
     this.#call(
@@ -52,7 +52,7 @@
     );
   }
 
-  /** The machine list for a node; null when it could not be read. */
+  /** Reads the machine list from a node; null when it could not be read. */
   machines(from: NodeName, done: (machines: readonly Machine[] | null) => void): void {
     const read = (): readonly Machine[] => this.model.machines.read(this.clock.now).machines;
     this.#call(from, 'machines', false, read, (served) =>
@@ -89,7 +89,9 @@
       }
       return true;
     };
-    this.network.call<Served<Answer>>(from, PLATFORM_NODE, serve, (result) => done(flat(result)));
+    this.network.call<Served<Answer>>(from, PLATFORM_NODE, serve, (result) =>
+      done(servedOf(result)),
+    );
   }
 
   #carryOut<Answer>(
@@ -112,7 +114,7 @@
 
 const UNREACHABLE_RETRY_AFTER_MS = 1_000;
 
-function flat<Answer>(result: CallResult<Served<Answer>>): Served<Answer> {
+function servedOf<Answer>(result: CallResult<Served<Answer>>): Served<Answer> {
   switch (result.kind) {
     case 'answered':
       return result.answer;
--- a/src/lab/simulation/virtual-clock.ts
+++ b/src/lab/simulation/virtual-clock.ts
@@ -1,4 +1,4 @@
-/** Virtual time: a heap of events by time, ties in the order of their scheduling. */
+/** Virtual time: a heap of events ordered by time, then by order of scheduling. */
 
 interface Scheduled {
   readonly at: number;
@@ -6,17 +6,17 @@
   readonly run: () => void;
 }
 
-/** More events than this at one moment are an endless loop in what is simulated. */
-const MAX_EVENTS_AT_ONCE = 200_000;
+/** More events than this at one time are taken for an endless loop in the simulated system. */
+const MAX_EVENTS_AT_ONE_TIME = 200_000;
 
-/** A clock that jumps from event to event. */
+/** A clock that advances from event to event. */
 export class VirtualClock {
   now = 0;
   readonly #heap: Scheduled[] = [];
   #scheduled = 0;
   #eventsNow = 0;
 
-  /** Schedules an event; one in the past happens now. */
+  /** Schedules an event; an event in the past runs at the current time. */
   at(time: number, run: () => void): void {
     this.#scheduled += 1;
     this.#heap.push({ at: Math.max(time, this.now), order: this.#scheduled, run });
@@ -40,8 +40,10 @@
 
   #countEvent(at: number): void {
     this.#eventsNow = at === this.now ? this.#eventsNow + 1 : 0;
-    if (this.#eventsNow > MAX_EVENTS_AT_ONCE) {
-      throw new Error(`virtual time stands still at ${at} ms`);
+    if (this.#eventsNow > MAX_EVENTS_AT_ONE_TIME) {
+      throw new Error(
+        `too many events at ${at} ms of virtual time: the simulation does not advance`,
+      );
     }
   }
 
@@ -54,25 +56,25 @@
   }
 
   #rise(start: number): void {
-    let place = start;
-    while (place > 0) {
-      const parent = (place - 1) >> 1;
-      if (!this.#swapIfBefore(place, parent)) {
+    let index = start;
+    while (index > 0) {
+      const parent = (index - 1) >> 1;
+      if (!this.#swapIfBefore(index, parent)) {
         return;
       }
-      place = parent;
+      index = parent;
     }
   }
 
   #sink(): void {
-    let place = 0;
+    let index = 0;
     for (;;) {
-      const left = 2 * place + 1;
+      const left = 2 * index + 1;
       const child = this.#isBefore(left + 1, left) ? left + 1 : left;
-      if (!this.#swapIfBefore(child, place)) {
+      if (!this.#swapIfBefore(child, index)) {
         return;
       }
-      place = child;
+      index = child;
     }
   }
 
