--- a/src/lab/experiment/bounds.ts
+++ b/src/lab/experiment/bounds.ts
@@ -1,6 +1,6 @@
 /**
- * Bounds to hold the planner against: the best fixed split, a threshold without hysteresis, and an
- * oracle that knows the requests' rates in advance.
+ * Reference policies to compare the planner with: the best fixed split, a threshold without hysteresis,
+ * and an oracle that knows the request rates in advance.
  */
 import type { Milliseconds } from '../../core/common/time.js';
 import type { Phase } from '../workload/index.js';
@@ -15,20 +15,20 @@
 import { type ExperimentOptions, runExperiment } from './run.js';
 import type { Scenario } from './scenario-file.js';
 
-/** Splits are chosen on this seed, which is never among the measured ones. */
-const CHOOSING_SEED = 0;
-/** Parts of the fleet by which splits differ. */
+/** Splits are selected on this seed, which is never one of the measured seeds. */
+const SELECTION_SEED = 0;
+/** Candidate splits differ in steps of this fraction of the fleet: one quarter. */
 const SPLIT_STEPS = 4;
-/** How much of a phase the oracle tries its splits on. */
+/** The oracle tries its splits on at most this much of a phase. */
 const PHASE_TRIAL_MS = 90_000;
-/** The oracle acts ahead by about the time of one drain and role change. */
+/** The oracle acts ahead of a phase by about the duration of one drain and role change. */
 const ORACLE_LEAD_MS = 15_000;
-/** Prompt tokens to one output token above which the threshold takes the mix for reading. */
-const READING_RATIO = 15;
-/** Part of the fleet that the threshold puts into role `decode` when questions prevail. */
+/** Prompt tokens per output token above which the threshold considers the mix prefill-heavy. */
+const PREFILL_RATIO = 15;
+/** The share of the fleet that the threshold puts into role `decode` when the mix is not prefill-heavy. */
 const THRESHOLD_DECODE_SHARE = 0.5;
 
-/** Splits in steps of a quarter of the fleet that leave an engine which takes whole requests. */
+/** Splits in steps of a quarter of the fleet that leave at least one engine not in role `prefill`. */
 function candidateSplits(engines: number): readonly Split[] {
   const sizes = Array.from({ length: SPLIT_STEPS + 1 }, (_, step) =>
     Math.round((engines * step) / SPLIT_STEPS),
@@ -40,35 +40,36 @@
   );
 }
 
-/** The fixed split with the most goodput in this scenario. */
+/** The fixed split with the highest goodput in this scenario. */
 export function bestFixedSplit(scenario: Scenario, stretch: number): RolePolicy {
   const split = bestSplit({ scenario, stretch });
   return fixedSplit(split, `best-fixed (${splitName(split)})`);
 }
 
-/** Follows the mix of the last seconds at once, however often it crosses the threshold. */
+/** Follows the mix since the last decision immediately, however often it crosses the threshold. */
 export function thresholdPolicy(): RolePolicy {
   const allMixed: Split = { prefill: 0, decode: 0 };
   return {
     name: 'threshold',
     initialRoles: (engines) => splitRoles(engines, allMixed),
     decide: (engines, { arrivedPromptTokens, arrivedOutputTokens }) => {
-      const reads = arrivedPromptTokens > READING_RATIO * arrivedOutputTokens;
-      const decode = reads ? 0 : Math.round(engines.length * THRESHOLD_DECODE_SHARE);
+      const isPrefillHeavy = arrivedPromptTokens > PREFILL_RATIO * arrivedOutputTokens;
+      const decode = isPrefillHeavy ? 0 : Math.round(engines.length * THRESHOLD_DECODE_SHARE);
       return splitRoles(engines, { prefill: 0, decode });
     },
   };
 }
 
 /**
- * Knows each phase's rates in advance and takes the split that did best on a trial of that phase
- * alone, shortly before the phase begins; where the best fixed split does better, it stays with that.
+ * Knows each phase's rates in advance and switches, shortly before a phase begins, to the split with the
+ * highest goodput in a trial of that phase alone. Uses the best fixed split if that scores higher in a
+ * trial of the whole scenario.
  */
 export function oraclePolicy(scenario: Scenario, stretch: number): RolePolicy {
-  const following = followingPolicy(scenario, stretch);
-  const staying = bestFixedSplit(scenario, stretch);
+  const perPhase = perPhasePolicy(scenario, stretch);
+  const fixed = bestFixedSplit(scenario, stretch);
   const tokens = (policy: RolePolicy): number => trialTokens({ scenario, stretch, policy });
-  const chosen = tokens(following) > tokens(staying) ? following : staying;
+  const chosen = tokens(perPhase) > tokens(fixed) ? perPhase : fixed;
   return { ...chosen, name: 'oracle' };
 }
 
@@ -77,7 +78,7 @@
   readonly split: Split;
 }
 
-function followingPolicy(scenario: Scenario, stretch: number): RolePolicy {
+function perPhasePolicy(scenario: Scenario, stretch: number): RolePolicy {
   const plan = planPhases(scenario, stretch);
   const at = (engines: readonly PolicyEngine[], atMs: Milliseconds) => {
     const planned = plan.find(({ endsAtMs }) => atMs < endsAtMs) ?? plan.at(-1);
@@ -108,7 +109,7 @@
   return { ...scenario, definition: { ...scenario.definition, workload } };
 }
 
-/** The first of the splits with the most goodput; ties go to the simpler one. */
+/** The candidate split with the highest goodput; on a tie the first, which has fewer prefill engines. */
 function bestSplit(trial: Pick<ExperimentOptions, 'scenario' | 'stretch'>): Split {
   const engines = trial.scenario.fleet.definition.engines.length;
   const tried = candidateSplits(engines).map((split) => ({
@@ -119,5 +120,5 @@
 }
 
 function trialTokens(trial: Omit<ExperimentOptions, 'seed'>): number {
-  return runExperiment({ ...trial, seed: CHOOSING_SEED }).goodput.tokens_per_second;
+  return runExperiment({ ...trial, seed: SELECTION_SEED }).goodput.tokens_per_second;
 }
--- a/src/lab/experiment/compare.ts
+++ b/src/lab/experiment/compare.ts
@@ -1,17 +1,17 @@
-/** Compares policies over several seeds; every policy gets the same requests for a seed. */
+/** Compares policies over several seeds; for one seed all policies get the same requests. */
 import { type Estimate, estimate } from './interval.js';
 import type { RolePolicy } from './policy.js';
 import type { ExperimentResult } from './result.js';
 import { runExperiment } from './run.js';
 import type { Scenario } from './scenario-file.js';
 
-/** What to compare. */
+/** The options of a comparison. */
 export interface ComparisonOptions {
   readonly scenario: Scenario;
   readonly policies: readonly RolePolicy[];
   readonly seeds: readonly number[];
   readonly stretch?: number;
-  /** Told after each run. */
+  /** Called after each run. */
   readonly onRun?: (result: ExperimentResult) => void;
 }
 
@@ -20,9 +20,9 @@
   readonly policy: string;
   readonly tokens_per_second: Estimate;
   readonly requests_per_second: Estimate;
-  /** Finished tokens as a share of those asked for. */
+  /** Goodput tokens as a share of the requested tokens. */
   readonly share_of_offered: Estimate;
-  /** This policy's goodput in tokens over the first policy's, seed by seed. */
+  /** This policy's goodput in tokens divided by the first policy's, per seed. */
   readonly ratio_to_first: Estimate;
   readonly role_changes: Estimate;
   readonly first_token_p95_ms: Estimate;
@@ -35,7 +35,7 @@
   readonly violations: number;
 }
 
-/** A comparison. */
+/** The result of a comparison. */
 export interface Comparison {
   readonly scenario: string;
   readonly seeds: readonly number[];
--- a/src/lab/experiment/course.ts
+++ b/src/lab/experiment/course.ts
@@ -1,4 +1,4 @@
-/** The course of a run: points at even distances, for queue figures and plots. */
+/** The time series of a run: points at equal intervals, for queue figures and plots. */
 import type { Milliseconds } from '../../core/common/time.js';
 import type { EngineReport } from '../../core/registry/backend.js';
 import type { SimulatedFleet } from '../simulation/index.js';
@@ -8,7 +8,7 @@
 const MS_PER_SECOND = 1_000;
 const SHOWN_PERCENTILE = 95;
 
-/** Collects points. */
+/** Collects the points of a run. */
 export class Course {
   readonly points: CoursePoint[] = [];
   #lastAtMs = 0;
@@ -18,7 +18,7 @@
     private readonly measurements: Measurements,
   ) {}
 
-  /** Takes the point at a time since the first request; gives the counts since the last. */
+  /** Records the point at `atMs` after the run's start; returns the counts since the last point. */
   take(atMs: Milliseconds, reports: readonly EngineReport[]): IntervalCounts {
     const { measurements } = this;
     const firstTokenMs = measurements.intervalFirstTokens.at(SHOWN_PERCENTILE);
--- a/src/lab/experiment/engines.ts
+++ b/src/lab/experiment/engines.ts
@@ -4,7 +4,7 @@
 import type { Roles } from './policy.js';
 import type { Scenario } from './scenario-file.js';
 
-/** The engines, in their roles at the start; `mixed` where none is stated. */
+/** The engines with their initial roles; `mixed` where no role is given. */
 export function fleetEngines(scenario: Scenario, roles: Roles): readonly FleetEngine[] {
   const { engines, engineDefaults } = scenario.fleet.definition;
   const { speedFactor, maxBatch, roleChangeMs } = scenario.definition.engines;
@@ -22,13 +22,13 @@
   }));
 }
 
-/** What every engine holds at the start: the configuration's models. */
+/** The models that every engine has loaded at the start: those of the configuration. */
 export function engineModels({ fleet }: Scenario): readonly LoadedModel[] {
   return Object.entries(fleet.configuration.models).map(([model, { version, adapters }]) => ({
     model,
     version,
     adapters: Object.entries(adapters)
-      .map(([adapter, stated]) => ({ adapter, version: stated.version }))
+      .map(([adapter, entry]) => ({ adapter, version: entry.version }))
       .sort((one, other) => (one.adapter < other.adapter ? -1 : 1)),
   }));
 }
--- a/src/lab/experiment/interval.ts
+++ b/src/lab/experiment/interval.ts
@@ -1,6 +1,6 @@
-/** Means with confidence intervals, by Student's t distribution. */
+/** Means with confidence intervals from Student's t distribution. */
 
-/** A mean with the 95 % confidence interval of it; bounds null for fewer than two values. */
+/** A mean with its 95 % confidence interval; the bounds are null for fewer than two values. */
 export interface Estimate {
   readonly mean: number;
   readonly low: number | null;
@@ -13,10 +13,10 @@
   2.131, 2.12, 2.11, 2.101, 2.093, 2.086, 2.08, 2.074, 2.069, 2.064, 2.06, 2.056, 2.052, 2.048,
   2.045, 2.042,
 ] as const;
-/** The same with very many; below the true value for 31 and more by at most 4 %. */
+/** The quantile for more degrees of freedom; at most 4 % below the exact value for 31 and more. */
 const NORMAL_QUANTILE = 1.96;
 
-/** The mean of independent values and its interval. */
+/** The mean of independent values with its confidence interval. */
 export function estimate(values: readonly number[]): Estimate {
   const count = values.length;
   const mean = values.reduce((sum, value) => sum + value, 0) / Math.max(1, count);
--- a/src/lab/experiment/measurements.ts
+++ b/src/lab/experiment/measurements.ts
@@ -1,4 +1,4 @@
-/** Measures a run: everything that callers and engines see, judged by the simulation's oracle. */
+/** Measures a run from the events that callers and engines see, checked by the simulation's oracle. */
 import type { AttemptId, BackendName, DaemonName, OrderId } from '../../core/common/identifiers.js';
 import type { Milliseconds } from '../../core/common/time.js';
 import type { ChangeOutcome } from '../../core/configuration/index.js';
@@ -13,7 +13,7 @@
 } from '../simulation/index.js';
 import type { GoodputFigures } from './result.js';
 
-/** Counts since the last point of the course. */
+/** Counts since the last point of the time series. */
 export interface IntervalCounts {
   finishedTokens: number;
   finishedRequests: number;
@@ -30,7 +30,7 @@
 ]);
 const MAX_VIOLATIONS = 5;
 
-/** The measurements of one run. Virtual time; hands everything on to the oracle. */
+/** The measurements of one run, in virtual time. Forwards every event to the oracle. */
 export class Measurements implements FleetObserver {
   readonly firstTokens = new SpanHistogram();
   readonly tokenGaps = new SpanHistogram();
@@ -48,9 +48,9 @@
   sent = 0;
   interval: IntervalCounts = emptyInterval();
   #offeredTokens = 0;
-  #inTime = { tokens: 0, requests: 0 };
+  #finishedInTime = { tokens: 0, requests: 0 };
   #endOfSending = Number.POSITIVE_INFINITY;
-  readonly #lastHeardAt = new Map<IssuedRequest, Milliseconds>();
+  readonly #lastReceivedAt = new Map<IssuedRequest, Milliseconds>();
   readonly #roleOrders = new Set<OrderId>();
 
   constructor(
@@ -58,17 +58,17 @@
     private readonly now: () => Milliseconds,
   ) {}
 
-  /** Requests without their end yet. */
+  /** The number of requests that have not ended yet. */
   get open(): number {
-    return this.#lastHeardAt.size;
+    return this.#lastReceivedAt.size;
   }
 
-  /** Answers that end after this time are no goodput. */
+  /** Sets the time after which answers that end do not count as goodput. */
   setEndOfSending(at: Milliseconds): void {
     this.#endOfSending = at;
   }
 
-  /** The counts since the last call. */
+  /** Returns the counts since the last call and resets them. */
   takeInterval(): IntervalCounts {
     const counts = this.interval;
     this.interval = emptyInterval();
@@ -77,23 +77,23 @@
     return counts;
   }
 
-  /** What was asked for, over the time in which requests were sent. */
+  /** The requested tokens and requests per second, over the time in which requests were sent. */
   offered(durationMs: Milliseconds): GoodputFigures {
     return perSecond({ tokens: this.#offeredTokens, requests: this.sent }, durationMs);
   }
 
-  /** What was finished in that time. */
+  /** The finished tokens and requests per second, over the same time. */
   goodput(durationMs: Milliseconds): GoodputFigures {
-    return perSecond(this.#inTime, durationMs);
+    return perSecond(this.#finishedInTime, durationMs);
   }
 
-  /** Attempts that an order took the engine from. */
+  /** The number of attempts that an order interrupted. */
   get plannedCuts(): number {
     const cuts = this.oracle.violations.filter(({ promise }) => promise === 'planned-change-cut');
     return cuts.length;
   }
 
-  /** The first few broken promises that no other figure counts. */
+  /** The first broken promises that no other figure counts, at most `MAX_VIOLATIONS`. */
   otherViolations(): readonly string[] {
     return this.oracle.violations
       .filter(({ promise }) => !COUNTED_ELSEWHERE.has(promise))
@@ -107,17 +107,17 @@
     this.#offeredTokens += request.outputTokens;
     this.interval.arrivedOutputTokens += request.outputTokens;
     this.interval.arrivedPromptTokens += promptTokensOf(request);
-    this.#lastHeardAt.set(request, request.issuedAt);
+    this.#lastReceivedAt.set(request, request.issuedAt);
   }
 
   tokenReceived(request: IssuedRequest): void {
-    const lastHeardAt = this.#lastHeardAt.get(request);
-    if (!request.description.streamed || lastHeardAt === undefined) return;
-    const gapMs = this.now() - lastHeardAt;
-    const isFirst = lastHeardAt === request.issuedAt;
+    const lastReceivedAt = this.#lastReceivedAt.get(request);
+    if (!request.description.streamed || lastReceivedAt === undefined) return;
+    const gapMs = this.now() - lastReceivedAt;
+    const isFirst = lastReceivedAt === request.issuedAt;
     (isFirst ? this.firstTokens : this.tokenGaps).record(gapMs);
     (isFirst ? this.intervalFirstTokens : this.intervalTokenGaps).record(gapMs);
-    this.#lastHeardAt.set(request, this.now());
+    this.#lastReceivedAt.set(request, this.now());
   }
 
   requestEnded(request: IssuedRequest, outcome: CallerOutcome): void {
@@ -126,7 +126,7 @@
     const isWrong = this.oracle.violations
       .slice(known)
       .some(({ promise }) => promise === 'foreign-or-partial-answer');
-    this.#lastHeardAt.delete(request);
+    this.#lastReceivedAt.delete(request);
     const ending = isWrong ? 'wrong' : endingOf(outcome);
     this.endings[ending] += 1;
     if (ending === 'finished') this.#countFinished(request);
@@ -164,8 +164,8 @@
     this.interval.finishedTokens += outputTokens;
     this.interval.finishedRequests += 1;
     if (this.now() > this.#endOfSending) return;
-    this.#inTime.tokens += outputTokens;
-    this.#inTime.requests += 1;
+    this.#finishedInTime.tokens += outputTokens;
+    this.#finishedInTime.requests += 1;
   }
 
   #countCode(code: string): void {
--- a/src/lab/experiment/policies.ts
+++ b/src/lab/experiment/policies.ts
@@ -1,15 +1,18 @@
-/** The policies that experiments know, by their names on the command line. */
+/** The policies of experiments, by their names on the command line. */
 import { bestFixedSplit, oraclePolicy, thresholdPolicy } from './bounds.js';
 import { fixedSplit, PLANNER, type RolePolicy } from './policy.js';
 import type { Scenario } from './scenario-file.js';
 
 const FIXED_SPLIT = /^fixed:(\d{1,4})p(\d{1,4})d$/;
 
-/** What `--policies` takes, for messages and usage texts. */
+/** The values of `--policies`, for messages and usage texts. */
 export const POLICY_NAMES =
   'planner, best-fixed, threshold, oracle, fixed:<N>p<M>d (N engines prefill, M decode, the rest mixed)';
 
-/** The policy of a name; null when there is none. Bounds that choose need runs of the scenario. */
+/**
+ * The policy of a name; null when there is none. `best-fixed` and `oracle` run trials of the scenario to
+ * select their splits.
+ */
 export function policyNamed(name: string, scenario: Scenario, stretch = 1): RolePolicy | null {
   switch (name) {
     case 'planner':
--- a/src/lab/experiment/policy.ts
+++ b/src/lab/experiment/policy.ts
@@ -1,4 +1,4 @@
-/** What decides roles in an experiment: the production planner, or a bound to hold it against. */
+/** Policies that decide engine roles in an experiment: the production planner or a reference policy. */
 import type { BackendName } from '../../core/common/identifiers.js';
 import type { Milliseconds } from '../../core/common/time.js';
 import type { EngineReport, EngineRole } from '../../core/registry/backend.js';
@@ -13,23 +13,23 @@
 /** Roles by engine. */
 export type Roles = ReadonlyMap<BackendName, EngineRole>;
 
-/** What a policy may look at when it decides. */
+/** What a policy knows when it decides. */
 export interface PolicyObservation {
-  /** Since the first request could be sent. */
+  /** The time since requests began to be sent. */
   readonly atMs: Milliseconds;
   /** Reports of the engines that are up. */
   readonly reports: readonly EngineReport[];
-  /** Tokens asked for since the last decision. */
+  /** Tokens of the requests sent since the last decision. */
   readonly arrivedPromptTokens: number;
   readonly arrivedOutputTokens: number;
 }
 
-/** Decides roles. A policy that isn't the planner states every engine's role as an operator would. */
+/** Decides engine roles. Policies other than the planner set every engine's role by operator commands. */
 export interface RolePolicy {
   readonly name: string;
-  /** The roles at the start; null leaves them to the production planner. */
+  /** The initial roles; null leaves all roles to the production planner. */
   initialRoles(engines: readonly PolicyEngine[]): Roles | null;
-  /** The roles wanted now; absent for a policy that leaves them as they are. */
+  /** The roles from now on; absent for a policy that never changes roles. */
   decide?(engines: readonly PolicyEngine[], observation: PolicyObservation): Roles;
 }
 
@@ -39,14 +39,14 @@
   readonly decode: number;
 }
 
-/** The name of a split, as `--policies` takes it. */
+/** The name of a split in the format of `--policies`. */
 export function splitName({ prefill, decode }: Split): string {
   return `fixed:${prefill}p${decode}d`;
 }
 
 /**
- * Roles by a split. Newer accelerators gain most in reading prompts and go to `prefill` first; older
- * ones go to `decode` first.
+ * Assigns roles by a split. Newer accelerators gain most in prefill and are assigned `prefill` first;
+ * older ones are assigned `decode` first.
  */
 export function splitRoles(engines: readonly PolicyEngine[], { prefill, decode }: Split): Roles {
   const newestFirst = [
@@ -55,17 +55,17 @@
   ];
   const firstDecode = newestFirst.length - decode;
   return new Map(
-    newestFirst.map(({ name }, place) => {
-      if (place < prefill) return [name, 'prefill'];
-      return [name, place >= firstDecode ? 'decode' : 'mixed'];
+    newestFirst.map(({ name }, index) => {
+      if (index < prefill) return [name, 'prefill'];
+      return [name, index >= firstDecode ? 'decode' : 'mixed'];
     }),
   );
 }
 
-/** The production planner, on an idle start. */
+/** The production planner, without initial roles. */
 export const PLANNER: RolePolicy = { name: 'planner', initialRoles: () => null };
 
-/** A split that stays. */
+/** A split that never changes. */
 export function fixedSplit(split: Split, name = splitName(split)): RolePolicy {
   return { name, initialRoles: (engines) => splitRoles(engines, split) };
 }
--- a/src/lab/experiment/requests.ts
+++ b/src/lab/experiment/requests.ts
@@ -1,4 +1,4 @@
-/** Turns a workload's arrivals into simulated callers' requests, without any prompt's text. */
+/** Turns a workload's arrivals into requests of simulated callers, without generating prompt texts. */
 import { createHash } from 'node:crypto';
 import { PREFIX_BLOCK_CHARACTERS } from '../../core/common/prefix-blocks.js';
 import type { ConfigurationDocument } from '../../core/configuration/document.js';
@@ -9,28 +9,28 @@
 const TOKENS_PER_BLOCK = PREFIX_BLOCK_CHARACTERS / CHARACTERS_PER_TOKEN;
 const DEFAULT_CLASS = 'interactive';
 
-/** Who sends a request. */
+/** The tenant and class of a request's caller. */
 interface Caller {
   readonly tenant: string;
   readonly className: string;
 }
 
-/** Makes requests for a configuration. */
+/** Creates requests under a configuration. */
 export class RequestFactory {
   readonly #callers = new Map<string, Caller>();
 
   constructor(private readonly document: ConfigurationDocument) {}
 
-  /** The request of an arrival, sent at a time of the simulation's clock. */
-  request(arrival: Arrival, asked: ModelArrivalRequest, now: number): IssuedRequest {
+  /** The request of an arrival, sent at `now` by the simulation's clock. */
+  request(arrival: Arrival, modelRequest: ModelArrivalRequest, now: number): IssuedRequest {
     const { tenant, className } = this.#caller(arrival);
     const deadlineMs = this.document.classes[className]?.deadlineMs ?? 0;
-    const shape = promptShape(asked);
-    const { prefixSeed, seed } = asked.prompt;
+    const shape = promptShape(modelRequest);
+    const { prefixSeed, seed } = modelRequest.prompt;
     return {
       prompt: `${prefixSeed ?? 'none'} ${seed} ${arrival.index}`,
       shape,
-      outputTokens: asked.outputTokens,
+      outputTokens: modelRequest.outputTokens,
       issuedAt: now,
       description: {
         id: `request-${arrival.index}`,
@@ -38,13 +38,13 @@
         className,
         target: {
           kind: 'model',
-          model: asked.model,
-          adapter: asked.adapter,
+          model: modelRequest.model,
+          adapter: modelRequest.adapter,
           promptTokens: shape.tokens,
-          maxOutputTokens: asked.outputTokens,
+          maxOutputTokens: modelRequest.outputTokens,
           prefixHashes: shape.blockHashes,
         },
-        streamed: asked.streamed,
+        streamed: modelRequest.streamed,
         repeatable: true,
         idempotencyKey: null,
         bodyDigest: null,
@@ -75,7 +75,10 @@
   }
 }
 
-/** Blocks of a shared prefix are equal for all requests that share it; all others are unique. */
+/**
+ * The prompt's length and block hashes. Blocks of a shared prefix are equal in all requests that share
+ * it; all others are unique.
+ */
 function promptShape({ prompt }: ModelArrivalRequest): PromptShape {
   const shared = prompt.prefixSeed === null ? 0 : prompt.prefixTokens;
   const blocks = Math.floor(prompt.tokens / TOKENS_PER_BLOCK);
--- a/src/lab/experiment/result.ts
+++ b/src/lab/experiment/result.ts
@@ -1,8 +1,8 @@
-/** What one run of a scenario measured. */
+/** The measurements of one run of a scenario. */
 import type { Milliseconds } from '../../core/common/time.js';
 import type { Percentiles } from '../common/span-histogram.js';
 
-/** Engines by what they do at one moment. `away`: changing role, or down. */
+/** The number of engines in each role at one time. `away`: busy with an order, or down. */
 export interface RoleCounts {
   readonly prefill: number;
   readonly decode: number;
@@ -10,7 +10,7 @@
   readonly away: number;
 }
 
-/** One point of a run's course; rates are over the time since the point before. */
+/** One point of a run's time series; rates are over the time since the previous point. */
 export interface CoursePoint {
   readonly at_s: number;
   readonly finished_tokens_per_second: number;
@@ -28,50 +28,50 @@
   readonly between_tokens_p95_ms: Milliseconds | null;
 }
 
-/** Mean and highest of the points of a run's course. */
+/** Mean and maximum over the points of a run's time series. */
 export interface QueueFigures {
   readonly mean: number;
   readonly highest: number;
 }
 
-/** What one run measured. The field names are part of the command's interface. */
+/** The result of one run. The field names are part of the command's interface. */
 export interface ExperimentResult {
   readonly scenario: string;
   readonly policy: string;
   readonly seed: number;
-  /** How long requests were sent. */
+  /** The time in seconds during which requests were sent. */
   readonly duration_s: number;
   readonly sent: number;
-  /** What was asked for, in output tokens and requests a second. */
+  /** Requested output tokens and requests per second. */
   readonly offered: GoodputFigures;
-  /** Whole and right answers that ended while requests were sent. */
+  /** Complete and correct answers that ended while requests were being sent. */
   readonly goodput: GoodputFigures;
   /** Role changes that engines carried out after the start. */
   readonly role_changes: number;
   readonly shifts: number;
-  /** Whole and right answers, those that ended later among them. */
+  /** Complete and correct answers, including those that ended later. */
   readonly finished: number;
   readonly refused: number;
   readonly unknown: number;
-  /** Answers that ended without their end, and attempts that an order took the engine from. */
+  /** Answers that broke off after their first token, and attempts that an order interrupted. */
   readonly cut: number;
   readonly wrong: number;
-  /** Every other broken promise that the oracle saw, in words; the first few. */
+  /** Descriptions of the first other broken promises that the oracle found. */
   readonly violations: readonly string[];
-  /** From the sending of a request until the first token of a streamed answer. */
+  /** Milliseconds from sending a request until the first token of a streamed answer. */
   readonly first_token: Percentiles;
-  /** Between tokens of a streamed answer. */
+  /** Milliseconds between tokens of a streamed answer. */
   readonly between_tokens: Percentiles;
   readonly queues: {
     readonly waiting_in_daemons: QueueFigures;
     readonly queued_in_engines: QueueFigures;
   };
-  /** How often each code of a refusal or failure came. */
+  /** The number of refusals and failures by code. */
   readonly codes: Readonly<Record<string, number>>;
   readonly course: readonly CoursePoint[];
 }
 
-/** Output tokens and requests a second. */
+/** Output tokens and requests per second. */
 export interface GoodputFigures {
   readonly tokens_per_second: number;
   readonly requests_per_second: number;
--- a/src/lab/experiment/run.ts
+++ b/src/lab/experiment/run.ts
@@ -1,4 +1,4 @@
-/** Runs a scenario in virtual time. The same options give the same result, byte for byte. */
+/** Runs a scenario in virtual time. Equal options give byte-identical results. */
 import type { Milliseconds } from '../../core/common/time.js';
 import type { ConfigurationDocument } from '../../core/configuration/document.js';
 import { resourceOfPool } from '../../core/controller/index.js';
@@ -15,24 +15,24 @@
 import type { ExperimentResult } from './result.js';
 import type { Scenario } from './scenario-file.js';
 
-/** What to run. */
+/** The options of a run. */
 export interface ExperimentOptions {
   readonly scenario: Scenario;
   readonly seed: number;
   readonly policy: RolePolicy;
-  /** Makes the phases longer or shorter; 1 when absent. */
+  /** The factor by which the durations of phases are multiplied; 1 when absent. */
   readonly stretch?: number;
 }
 
 const MS_PER_SECOND = 1_000;
-/** For the daemons to find each other and the engines, before and after the configuration. */
+/** Time to discover daemons and engines; waited before and again after the configuration is set. */
 const WARM_UP_MS = 4_000;
-/** How often a policy decides and a point of the course is taken. */
+/** How often a policy decides and a point of the time series is recorded. */
 const DECISION_INTERVAL_MS = 5_000;
-/** After the last request, how long answers are waited for at most. */
+/** The maximum wait for answers after the last request. */
 const MAX_SETTLE_MS = 900_000;
-/** Tells the stream of callers' choices of daemons from the workload's. */
-const CALLER_STREAM = 7_000;
+/** Random stream of the callers' choices of daemons, separate from the workload's. */
+const CALLER_RANDOM_STREAM = 7_000;
 
 /** Runs a scenario. */
 export function runExperiment(options: ExperimentOptions): ExperimentResult {
@@ -45,10 +45,10 @@
   readonly #engines: readonly PolicyEngine[];
   readonly #fleet: SimulatedFleet;
   readonly #measurements: Measurements;
-  readonly #course: Course;
+  readonly #timeSeries: Course;
   readonly #requests: RequestFactory;
   readonly #document: ConfigurationDocument;
-  readonly #callerDraws: Random;
+  readonly #callerRandom: Random;
   #roles: Roles;
   #changes = 0;
   #startedAt = 0;
@@ -64,14 +64,14 @@
     this.#roles = initial ?? new Map();
     this.#document = withRoles(configuration, initial);
     this.#requests = new RequestFactory(configuration);
-    this.#callerDraws = new Random(seed, CALLER_STREAM);
+    this.#callerRandom = new Random(seed, CALLER_RANDOM_STREAM);
     const oracle = new Oracle(knownVersions(scenario));
     this.#measurements = new Measurements(oracle, () => this.#fleet.clock.now);
     this.#fleet = new SimulatedFleet(
       { seed, daemons: definition.daemons, engines: fleetEngines(scenario, this.#roles) },
       this.#measurements,
     );
-    this.#course = new Course(this.#fleet, this.#measurements);
+    this.#timeSeries = new Course(this.#fleet, this.#measurements);
     oracle.watch({
       now: () => this.#fleet.clock.now,
       epochInTable: () => this.#epoch(),
@@ -120,7 +120,7 @@
   #send(arrival: Arrival): void {
     if (arrival.request.kind !== 'model') return;
     const daemons = this.#fleet.daemons();
-    const daemon = daemons[this.#callerDraws.integer(0, daemons.length - 1)];
+    const daemon = daemons[this.#callerRandom.integer(0, daemons.length - 1)];
     if (daemon === undefined) return;
     const issued = this.#requests.request(arrival, arrival.request, this.#fleet.clock.now);
     this.#fleet.callers.send(issued, daemon, null);
@@ -128,15 +128,15 @@
 
   #decide(atMs: Milliseconds): void {
     const reports = this.#reports();
-    const { arrivedPromptTokens, arrivedOutputTokens } = this.#course.take(atMs, reports);
+    const { arrivedPromptTokens, arrivedOutputTokens } = this.#timeSeries.take(atMs, reports);
     const { policy } = this.#options;
     const observation = { atMs, reports, arrivedPromptTokens, arrivedOutputTokens };
     const wanted = policy.decide?.(this.#engines, observation);
-    if (wanted !== undefined) this.#askRoles(wanted);
+    if (wanted !== undefined) this.#setRoles(wanted);
   }
 
-  /** States roles as an operator does: the controller drains each engine before its change. */
-  #askRoles(wanted: Roles): void {
+  /** Sets roles by an operator command, so the controller drains each engine before its role change. */
+  #setRoles(wanted: Roles): void {
     const commands = [...wanted]
       .filter(([engine, role]) => this.#roles.get(engine) !== role)
       .map(([engine, role]) => `ask role ${role} for ${engine}`);
@@ -192,9 +192,9 @@
       violations: measured.otherViolations(),
       first_token: measured.firstTokens.percentiles(),
       between_tokens: measured.tokenGaps.percentiles(),
-      queues: this.#course.queues(),
+      queues: this.#timeSeries.queues(),
       codes: measured.codes,
-      course: this.#course.points,
+      course: this.#timeSeries.points,
     };
   }
 
@@ -213,8 +213,8 @@
 
 function withRoles(document: ConfigurationDocument, roles: Roles | null): ConfigurationDocument {
   if (roles === null) return document;
-  const asked = [...roles].map(([name, role]) => [name, { drained: false, role }] as const);
-  return { ...document, backends: Object.fromEntries(asked) };
+  const backends = [...roles].map(([name, role]) => [name, { drained: false, role }] as const);
+  return { ...document, backends: Object.fromEntries(backends) };
 }
 
 function knownVersions(scenario: Scenario) {
--- a/src/lab/experiment/scenario-file.ts
+++ b/src/lab/experiment/scenario-file.ts
@@ -1,4 +1,4 @@
-/** Reads scenario files; each fault is told with its file, line and remedy. */
+/** Reads scenario files; each problem is reported with its file, line and remedy. */
 import { readFileSync } from 'node:fs';
 import { dirname, resolve } from 'node:path';
 import { err, ok, type Result } from 'neverthrow';
@@ -23,7 +23,7 @@
   return readText(path).andThen((text) => parseScenario(path, text));
 }
 
-/** Reads a scenario from its text; `path` is the file that it stands in. */
+/** Reads a scenario from its text; `path` is the path of its file. */
 export function parseScenario(
   path: string,
   text: string,
@@ -85,7 +85,7 @@
   ];
 }
 
-/** A union fails in each of its ways; the one that came furthest is what was meant. */
+/** Each variant of a union fails; the deepest failing path is taken as that of the intended variant. */
 function deepestPath(issue: z.core.$ZodIssueInvalidUnion): readonly PropertyKey[] {
   const inner = issue.errors.flat().map((each) => each.path);
   const deepest = inner.reduce<readonly PropertyKey[]>(
--- a/src/lab/experiment/scenario.ts
+++ b/src/lab/experiment/scenario.ts
@@ -1,15 +1,15 @@
-/** The definition of a scenario: a fleet, the requests it gets, and what to expect of it. */
+/** The definition of a scenario: a fleet, its engines' properties and the requests it gets. */
 import { z } from 'zod';
 import { workloadSchema } from '../workload/index.js';
 
-/** A scenario as its YAML file states it. */
+/** A scenario as defined in its YAML file. */
 export const scenarioSchema = z
   .strictObject({
-    /** What happens in it, for readers of reports. */
+    /** What happens in the scenario, for readers of reports. */
     about: z.string().min(1),
-    /** The fleet's file, by a path relative to the scenario's own. */
+    /** The path of the fleet's file, relative to the scenario's file. */
     fleet: z.string().endsWith('.yaml'),
-    /** What all engines have in this scenario instead of the fleet's own values. */
+    /** Properties that all engines have in this scenario, in place of the fleet's values. */
     engines: z
       .strictObject({
         speedFactor: z.number().positive().optional(),
@@ -17,9 +17,9 @@
         roleChangeMs: z.int().min(0).optional(),
       })
       .prefault({}),
-    /** Lasting changes of the mix; two role changes for each are the budget. */
+    /** Number of lasting changes of the request mix; the budget is two role changes per shift. */
     shifts: z.int().min(0),
-    /** Requests. The simulation sends to models only. */
+    /** The requests. The simulation supports only requests to models. */
     workload: workloadSchema,
   })
   .superRefine(({ workload }, context) => {
--- a/src/lab/scale/engine-report.ts
+++ b/src/lab/scale/engine-report.ts
@@ -1,9 +1,9 @@
-/** What the simulated engines answer. */
+/** The report with which every simulated engine answers a poll. */
 import type { Milliseconds } from '../../core/common/time.js';
 import type { EngineReport } from '../../core/registry/backend.js';
 
-/** `load.ageMs` holds the true time of asking, so that tests can judge what daemons conclude. */
-export function reportOf(engine: string, askedAt: Milliseconds): EngineReport {
+/** `load.ageMs` holds the virtual time of the poll, so that tests can check the daemons' conclusions. */
+export function reportOf(engine: string, polledAt: Milliseconds): EngineReport {
   return {
     engine,
     boot: `${engine}-1764000000000`,
@@ -17,7 +17,7 @@
     maxBatch: 32,
     activeRequests: 3,
     load: {
-      ageMs: askedAt,
+      ageMs: polledAt,
       running: 3,
       queued: 1,
       queuedPrefillTokens: 900,
--- a/src/lab/scale/fleet-options.ts
+++ b/src/lab/scale/fleet-options.ts
@@ -1,10 +1,10 @@
-/** What a simulated fleet is made of and what is watched of it. */
+/** The options of a simulated fleet, and what is recorded about its daemons. */
 import type { Milliseconds } from '../../core/common/time.js';
 import type { LogFields } from '../../core/logging/log-event.js';
 import type { SimulatedDaemon } from './simulated-daemon.js';
 import type { NetworkFaults } from './simulated-network.js';
 
-/** What a simulation is made of. */
+/** The options of a simulation. */
 export interface FleetOptions {
   readonly seed: number;
   readonly daemons: number;
@@ -12,17 +12,17 @@
   readonly engines?: number;
   readonly network?: Partial<NetworkFaults>;
   readonly machineLagMs?: Milliseconds;
-  /** Encodes, authenticates and decodes each message, so that bytes and CPU are true to life. */
+  /** Encodes, authenticates and decodes each message, so that bytes and processor time are realistic. */
   readonly wire?: boolean;
 }
 
-/** What one daemon has sent and received. */
+/** Counts of messages and their bytes. */
 export interface Traffic {
   messages: number;
   bytes: number;
 }
 
-/** A daemon's place, which outlives its lives. */
+/** A daemon's slot in the fleet, which persists across restarts of the daemon. */
 export interface Place {
   readonly name: string;
   readonly zone: string;
@@ -30,7 +30,7 @@
   readonly sent: Traffic;
   /** Null while it is down. */
   daemon: SimulatedDaemon | null;
-  /** Counts lives, so that what was meant for an earlier one is dropped. */
+  /** Incremented at each start and kill, so that events for an earlier incarnation are dropped. */
   life: number;
   clockOffset: Milliseconds;
   pausedUntil: Milliseconds;
--- a/src/lab/scale/fleet-simulation.ts
+++ b/src/lab/scale/fleet-simulation.ts
@@ -21,8 +21,8 @@
 /** Clocks start anywhere below this, so that nothing works only because clocks agree. */
 const MAX_CLOCK_OFFSET_MS: Milliseconds = 1_000_000;
 const ENGINE_DELAY_MS: Milliseconds = 2;
-const MAX_POLLS_KEPT = 8;
-/** The frame's length and its two tags. */
+const MAX_RECORDED_POLLS = 8;
+/** The bytes that a frame's length field and its two authentication tags add. */
 const STREAM_OVERHEAD_BYTES = 36;
 
 const DEFAULT_NETWORK: NetworkFaults = {
@@ -32,26 +32,26 @@
   maxDelayMs: 2,
 };
 
-/** A simulated fleet; deterministic in its seed. */
+/** A simulated fleet; deterministic for a given seed. */
 export class FleetSimulation {
   readonly time = new VirtualTime();
   readonly network: SimulatedNetwork;
   readonly store: SimulatedStore;
   readonly places: readonly Place[];
   readonly answers = new Map<string, ChangeOutcome>();
-  /** What the daemons logged, in order. */
+  /** The daemons' log lines, in order. */
   readonly logged: LoggedLine[] = [];
-  /** Who asked each engine last, the latest at the end. */
+  /** The daemons that polled each engine last, the latest at the end. */
   readonly polls = new Map<string, readonly string[]>();
   /** Processor time spent in steps, encoding and decoding, in milliseconds of real time. */
   processorMs = 0;
   private readonly random: Random;
-  private readonly byPort = new Map<number, Place>();
+  private readonly slotsByPort = new Map<number, Place>();
   private readonly engines: readonly Machine[];
   private readonly authenticator = createAuthenticator('a fleet key for simulations');
   private incarnations = 1_000;
   private list: readonly Machine[] = [];
-  private listReadAt: Milliseconds = -TICK_MS;
+  private machineListReadAt: Milliseconds = -TICK_MS;
 
   constructor(private readonly options: FleetOptions) {
     this.random = new Random(options.seed);
@@ -60,7 +60,7 @@
     const machineLagMs = options.machineLagMs ?? DEFAULT_PLATFORM_OPTIONS.machineLagMs;
     const platform = new PlatformModel({ ...DEFAULT_PLATFORM_OPTIONS, machineLagMs });
     this.store = new SimulatedStore(this.time, platform);
-    this.places = Array.from({ length: options.daemons }, (_, index) => this.createPlace(index));
+    this.places = Array.from({ length: options.daemons }, (_, index) => this.createSlot(index));
     this.engines = Array.from({ length: options.engines ?? 0 }, (_, index) => ({
       kind: 'engine' as const,
       name: `engine-${index}`,
@@ -75,69 +75,69 @@
     }
   }
 
-  /** Starts every place that is down. */
+  /** Starts every daemon that is down. */
   startAll(): void {
-    for (const place of this.places) {
-      if (place.daemon === null) this.start(place);
+    for (const slot of this.places) {
+      if (slot.daemon === null) this.start(slot);
     }
   }
 
-  /** Starts a daemon in a new life and lists it. */
-  start(place: Place): void {
-    place.life += 1;
-    place.pausedUntil = 0;
-    place.clockOffset = this.random.integer(0, MAX_CLOCK_OFFSET_MS);
+  /** Starts a new incarnation of a daemon and adds it to the machine list. */
+  start(slot: Place): void {
+    slot.life += 1;
+    slot.pausedUntil = 0;
+    slot.clockOffset = this.random.integer(0, MAX_CLOCK_OFFSET_MS);
     this.incarnations += 1;
-    const endpoint = { address: '10.0.0.1', port: place.port };
-    const { name, zone } = place;
+    const endpoint = { address: '10.0.0.1', port: slot.port };
+    const { name, zone } = slot;
     const identity = { name, zone, endpoint, incarnation: this.incarnations };
-    place.daemon = new SimulatedDaemon(identity, this.surroundings(place, place.life));
+    slot.daemon = new SimulatedDaemon(identity, this.environment(slot, slot.life));
     const machine = { kind: 'daemon', name, zone, state: 'live', ...endpoint } as const;
     this.store.platform.machines.put(machine, this.time.now);
-    this.every(place, TICK_MS, (daemon) => daemon.tick());
-    this.every(place, LIST_INTERVAL_MS, (daemon) => daemon.list(this.listedMachines()));
+    this.every(slot, TICK_MS, (daemon) => daemon.tick());
+    this.every(slot, LIST_INTERVAL_MS, (daemon) => daemon.list(this.listedMachines()));
   }
 
-  /** Ends a daemon at once; it stays listed. */
-  kill(place: Place): void {
-    place.daemon = null;
-    place.life += 1;
+  /** Kills a daemon at once; it stays on the machine list. */
+  kill(slot: Place): void {
+    slot.daemon = null;
+    slot.life += 1;
   }
 
-  /** Takes a daemon off the machine list. */
-  delist(place: Place): void {
-    this.store.platform.machines.remove(place.name, this.time.now);
+  /** Removes a daemon from the machine list. */
+  delist(slot: Place): void {
+    this.store.platform.machines.remove(slot.name, this.time.now);
   }
 
-  /** Stops a daemon's process for a while; what arrives waits. */
-  pause(place: Place, milliseconds: Milliseconds): void {
-    place.pausedUntil = this.time.now + milliseconds;
+  /** Suspends a daemon's process; events that arrive are delivered after the pause. */
+  pause(slot: Place, milliseconds: Milliseconds): void {
+    slot.pausedUntil = this.time.now + milliseconds;
   }
 
-  /** Runs for a time. */
+  /** Advances virtual time, running all events up to then. */
   run(milliseconds: Milliseconds): void {
     this.time.runUntil(this.time.now + milliseconds);
   }
 
-  /** Runs until the condition holds; the time that it took, or null when it was too long. */
+  /** Runs until the condition holds; returns the time taken, or null when the limit was reached. */
   runUntil(holds: () => boolean, limitMs: Milliseconds): Milliseconds | null {
     const start = this.time.now;
     const held = this.time.runWhile(() => !holds(), start + limitMs);
     return held ? this.time.now - start : null;
   }
 
-  /** Puts a change to a daemon; its outcome appears in `answers` under the token. */
-  change(place: Place, request: ChangeRequest): void {
-    place.daemon?.change(request);
+  /** Submits a change to a daemon; its outcome appears in `answers` under the token. */
+  change(slot: Place, request: ChangeRequest): void {
+    slot.daemon?.change(request);
   }
 
-  /** The daemons that run. */
+  /** The daemons that are running. */
   get running(): readonly SimulatedDaemon[] {
-    return this.places.flatMap((place) => (place.daemon === null ? [] : [place.daemon]));
+    return this.places.flatMap((slot) => (slot.daemon === null ? [] : [slot.daemon]));
   }
 
-  private createPlace(index: number): Place {
-    const place: Place = {
+  private createSlot(index: number): Place {
+    const slot: Place = {
       name: `daemon-${index}`,
       zone: `zone-${index % this.options.zones}`,
       port: 7_000 + index,
@@ -147,71 +147,70 @@
       clockOffset: 0,
       pausedUntil: 0,
     };
-    this.byPort.set(place.port, place);
-    return place;
+    this.slotsByPort.set(slot.port, slot);
+    return slot;
   }
 
-  /** Read from the model at most once in each tick: many daemons ask for it. */
+  /** The machine list, read from the model at most once per tick, as many daemons use it. */
   private listedMachines(): readonly Machine[] {
-    if (this.time.now >= this.listReadAt + TICK_MS) {
-      this.listReadAt = this.time.now;
+    if (this.time.now >= this.machineListReadAt + TICK_MS) {
+      this.machineListReadAt = this.time.now;
       this.list = this.store.platform.machines.read(this.time.now).machines;
     }
     return this.list;
   }
 
-  private every(
-    place: Place,
-    interval: Milliseconds,
-    run: (daemon: SimulatedDaemon) => void,
-  ): void {
-    const { life } = place;
+  private every(slot: Place, interval: Milliseconds, run: (daemon: SimulatedDaemon) => void): void {
+    const { life } = slot;
     const repeat = (): void => {
-      if (place.life === life) {
-        this.hand(place, life, run);
-        this.time.schedule(Math.max(interval, place.pausedUntil - this.time.now), repeat);
+      if (slot.life === life) {
+        this.deliver(slot, life, run);
+        this.time.schedule(Math.max(interval, slot.pausedUntil - this.time.now), repeat);
       }
     };
     this.time.schedule(this.random.unit() * interval, repeat);
   }
 
-  /** Hands something to a life of a daemon, after its pause if it is in one. */
-  private hand(place: Place, life: number, run: (daemon: SimulatedDaemon) => void): void {
-    const pause = place.pausedUntil - this.time.now;
+  /**
+   * Runs an event on a daemon, after its pause if it is paused; dropped when the incarnation that the
+   * event is for has ended.
+   */
+  private deliver(slot: Place, life: number, run: (daemon: SimulatedDaemon) => void): void {
+    const pause = slot.pausedUntil - this.time.now;
     if (pause > 0) {
-      this.time.schedule(pause, () => this.hand(place, life, run));
-    } else if (place.daemon !== null && place.life === life) {
+      this.time.schedule(pause, () => this.deliver(slot, life, run));
+    } else if (slot.daemon !== null && slot.life === life) {
       const start = performance.now();
-      run(place.daemon);
+      run(slot.daemon);
       this.processorMs += performance.now() - start;
     }
   }
 
-  private surroundings(place: Place, life: number) {
+  private environment(slot: Place, life: number) {
     return {
       context: (): StepContext => ({
-        now: this.time.now + place.clockOffset,
+        now: this.time.now + slot.clockOffset,
         entropy: this.random.integer(0, 0xffffffff),
       }),
-      send: (effect: PeerEffect, header: PeerHeader) => this.send(place, effect, header),
+      send: (effect: PeerEffect, header: PeerHeader) => this.send(slot, effect, header),
       callTable: (effect: { token: string; call: Parameters<SimulatedStore['callTable']>[0] }) =>
         this.store.callTable(effect.call, (result) => {
           const event = { kind: 'table-result', token: effect.token, result } as const;
-          this.hand(place, life, (daemon) => daemon.receiveResult(event));
+          this.deliver(slot, life, (daemon) => daemon.receiveResult(event));
         }),
       callObject: (effect: { token: string; call: Parameters<SimulatedStore['callObject']>[0] }) =>
         this.store.callObject(effect.call, (result) => {
           const event = { kind: 'object-result', token: effect.token, result } as const;
-          this.hand(place, life, (daemon) => daemon.receiveResult(event));
+          this.deliver(slot, life, (daemon) => daemon.receiveResult(event));
         }),
-      pollEngine: (engine: string) => this.pollEngine(place, life, engine),
+      pollEngine: (engine: string) => this.pollEngine(slot, life, engine),
       answer: (token: string, outcome: ChangeOutcome) => {
         this.answers.set(token, outcome);
       },
       log: ({ event, fields }: LogEffect) => {
         this.logged.push({
           at: this.time.now,
-          daemon: place.name,
+          daemon: slot.name,
           number: event.number,
           fields,
         });
@@ -219,18 +218,21 @@
     };
   }
 
-  private pollEngine(place: Place, life: number, engine: string): void {
-    const askedAt = this.time.now + place.clockOffset;
+  private pollEngine(slot: Place, life: number, engine: string): void {
+    const askedAt = this.time.now + slot.clockOffset;
     const report = reportOf(engine, this.time.now);
-    this.polls.set(engine, [...(this.polls.get(engine) ?? []), place.name].slice(-MAX_POLLS_KEPT));
+    this.polls.set(
+      engine,
+      [...(this.polls.get(engine) ?? []), slot.name].slice(-MAX_RECORDED_POLLS),
+    );
     this.time.schedule(ENGINE_DELAY_MS, () => {
       const event = { kind: 'engine-report', report, askedAt } as const;
-      this.hand(place, life, (daemon) => daemon.receivePoll(event));
+      this.deliver(slot, life, (daemon) => daemon.receivePoll(event));
     });
   }
 
   private send(from: Place, effect: PeerEffect, header: PeerHeader): void {
-    const to = this.byPort.get(effect.to.port);
+    const to = this.slotsByPort.get(effect.to.port);
     from.sent.messages += 1;
     const wire = this.options.wire === true ? this.encode(effect, header) : null;
     if (wire !== null) {
@@ -242,7 +244,7 @@
     }
     const source = { address: '10.0.0.1', port: from.port };
     this.network.carry(from, to, effect.channel, () => {
-      this.hand(to, to.life, (daemon) => {
+      this.deliver(to, to.life, (daemon) => {
         const envelope = wire === null ? { header, message: effect.message } : this.decode(wire);
         daemon.receive({ kind: 'peer-received', from: source, ...envelope });
       });
--- a/src/lab/scale/simulated-daemon.ts
+++ b/src/lab/scale/simulated-daemon.ts
@@ -1,6 +1,6 @@
 /**
- * The control part of a daemon in virtual time: the reducers of membership, configuration and
- * digests that production uses, with a clock of their own.
+ * The control plane of a daemon in virtual time: the production reducers of membership, configuration
+ * and digests, with a local clock.
  */
 import type { StepContext } from '../../core/common/transition.js';
 import {
@@ -33,7 +33,7 @@
 import type { TableEffect } from '../../core/platform/table.js';
 import type { Machine } from '../../core/registry/backend.js';
 
-/** What a simulated daemon asks of the simulation. */
+/** What a simulated daemon uses of the simulation. */
 export interface DaemonSurroundings {
   context(): StepContext;
   send(effect: PeerEffect, header: PeerHeader): void;
@@ -47,7 +47,7 @@
 type Effect = MembershipEffect | ConfigurationEffect | DigestEffect;
 type StoreEvent = Extract<ConfigurationEvent, { kind: 'table-result' | 'object-result' }>;
 
-/** One life of a daemon. */
+/** One incarnation of a daemon. */
 export class SimulatedDaemon {
   membership: MembershipState;
   configuration: ConfigurationState;
@@ -55,7 +55,7 @@
 
   constructor(
     readonly identity: MembershipIdentity,
-    private readonly surroundings: DaemonSurroundings,
+    private readonly environment: DaemonSurroundings,
   ) {
     this.membership = createMembership(identity);
     this.configuration = createConfiguration(identity);
@@ -67,21 +67,21 @@
     return this.configuration.inForce?.version ?? -1;
   }
 
-  /** About every 100 ms. */
+  /** Runs the reducers' periodic work; called about every 100 ms. */
   tick(): void {
     this.stepMembership({ kind: 'tick' });
     this.stepConfiguration({ kind: 'tick' });
     this.stepDigest({ kind: 'tick' });
   }
 
-  /** A message came. */
+  /** Handles a message of another daemon. */
   receive(event: PeerReceivedEvent): void {
     this.stepMembership(event);
     this.stepConfiguration(event);
     this.stepDigest(event);
   }
 
-  /** The machine list was read. */
+  /** Applies a read of the machine list. */
   list(machines: readonly Machine[]): void {
     const daemons = machines.filter((machine) => machine.kind === 'daemon');
     const engines = machines.filter((machine) => machine.kind === 'engine');
@@ -89,28 +89,28 @@
     this.stepDigest({ kind: 'engines-listed', engines });
   }
 
-  /** A planned stop begins. */
+  /** Begins a planned stop. */
   leave(): void {
     this.stepMembership({ kind: 'leave' });
   }
 
-  /** A store call's result came. */
+  /** Handles the result of a store call. */
   receiveResult(event: StoreEvent): void {
     this.stepConfiguration(event);
   }
 
-  /** An engine answered or did not. */
+  /** Handles an engine's report, or the lack of one. */
   receivePoll(event: Extract<DigestEvent, { kind: 'engine-report' | 'engine-silent' }>): void {
     this.stepDigest(event);
   }
 
-  /** An operator asks for a change. */
+  /** Submits an operator's change. */
   change(request: ChangeRequest): void {
     this.stepConfiguration({ kind: 'change', request });
   }
 
   private stepMembership(event: MembershipEvent): void {
-    const context = this.surroundings.context();
+    const context = this.environment.context();
     const { state, effects } = stepMembership(this.membership, event, context);
     this.membership = state;
     this.perform(effects);
@@ -118,7 +118,7 @@
 
   private stepConfiguration(event: ConfigurationEvent): void {
     const before = this.version;
-    const context = this.surroundings.context();
+    const context = this.environment.context();
     const { state, effects } = stepConfiguration(
       this.configuration,
       event,
@@ -133,7 +133,7 @@
   }
 
   private stepDigest(event: DigestEvent): void {
-    const context = this.surroundings.context();
+    const context = this.environment.context();
     const { state, effects } = stepDigest(this.digest, event, context, this.membership);
     this.digest = state;
     this.perform(effects);
@@ -143,22 +143,22 @@
     for (const effect of effects) {
       switch (effect.kind) {
         case 'peer-send':
-          this.surroundings.send(effect, this.header());
+          this.environment.send(effect, this.header());
           break;
         case 'table':
-          this.surroundings.callTable(effect);
+          this.environment.callTable(effect);
           break;
         case 'object':
-          this.surroundings.callObject(effect);
+          this.environment.callObject(effect);
           break;
         case 'poll-engine':
-          this.surroundings.pollEngine(effect.engine);
+          this.environment.pollEngine(effect.engine);
           break;
         case 'change-answer':
-          this.surroundings.answer(effect.token, effect.outcome);
+          this.environment.answer(effect.token, effect.outcome);
           break;
         case 'log':
-          this.surroundings.log(effect);
+          this.environment.log(effect);
           break;
       }
     }
@@ -168,7 +168,7 @@
     return {
       sender: this.identity.name,
       incarnation: this.identity.incarnation,
-      sentAt: this.surroundings.context().now,
+      sentAt: this.environment.context().now,
       inForce: this.configuration.inForce?.version ?? null,
       highestVersion: this.configuration.highestVersion,
     };
--- a/src/lab/scale/simulated-network.ts
+++ b/src/lab/scale/simulated-network.ts
@@ -4,7 +4,7 @@
 import type { Random } from '../workload/random.js';
 import type { VirtualTime } from './virtual-time.js';
 
-/** What the network does to messages. Streams are only delayed and cut: TCP repairs the rest. */
+/** Faults of the network. Streams are only delayed and cut: TCP repairs loss and duplication. */
 export interface NetworkFaults {
   readonly loss: number;
   readonly duplication: number;
@@ -12,20 +12,20 @@
   readonly maxDelayMs: Milliseconds;
 }
 
-/** A place on the network. */
+/** A node of the network. */
 export interface NetworkNode {
   readonly name: string;
   readonly zone: string;
 }
 
-/** Whether messages from one place to another are cut off. */
+/** Whether messages from one node to another are dropped. */
 export type Cut = (from: NetworkNode, to: NetworkNode) => boolean;
 
-const STREAM_SET_UP_TRIPS = 3;
+const STREAM_SETUP_TRIPS = 3;
 
 /** Delivers messages in virtual time. */
 export class SimulatedNetwork {
-  /** Changed by tests and experiments at any time. */
+  /** Tests and experiments may change the faults at any time. */
   faults: NetworkFaults;
   cut: Cut = () => false;
 
@@ -37,13 +37,13 @@
     this.faults = faults;
   }
 
-  /** Delivers now, later, twice or never. */
+  /** Delivers a message after a delay, twice, or not at all. */
   carry(from: NetworkNode, to: NetworkNode, channel: PeerChannel, deliver: () => void): void {
     if (this.cut(from, to) || (channel === 'stream' && this.cut(to, from))) {
       return;
     }
     if (channel === 'stream') {
-      this.time.schedule(STREAM_SET_UP_TRIPS * this.delay(), deliver);
+      this.time.schedule(STREAM_SETUP_TRIPS * this.delay(), deliver);
       return;
     }
     const copies = this.random.unit() < this.faults.duplication ? 2 : 1;
--- a/src/lab/scale/simulated-store.ts
+++ b/src/lab/scale/simulated-store.ts
@@ -1,11 +1,11 @@
-/** The platform stand-in's table and object store, in virtual time. */
+/** The table and object store of the emulated platform, in virtual time. */
 import type { Milliseconds } from '../../core/common/time.js';
 import type { ObjectCall, ObjectResult } from '../../core/platform/object.js';
 import type { TableCall, TableResult } from '../../core/platform/table.js';
 import type { PlatformModel } from '../platform/index.js';
 import type { VirtualTime } from './virtual-time.js';
 
-/** How long a caller waits before it takes an answer for lost. */
+/** A call without an answer for this long counts as lost. */
 const CALL_TIMEOUT_MS = 2_000;
 const TRIP_MS: Milliseconds = 2;
 
@@ -21,21 +21,21 @@
     const admission = this.platform.admit('table', call.kind === 'transact', this.time.now);
     if (admission.kind === 'refused') {
       const { status, retryAfterMs } = admission;
-      this.later(TRIP_MS, () =>
+      this.runAfter(TRIP_MS, () =>
         answer({ kind: 'unavailable', reason: `status ${status}`, retryAfterMs }),
       );
       return;
     }
     if (admission.lost === 'call') {
-      this.later(CALL_TIMEOUT_MS, () => answer({ kind: 'lost', reason: 'no answer' }));
+      this.runAfter(CALL_TIMEOUT_MS, () => answer({ kind: 'lost', reason: 'no answer' }));
       return;
     }
-    this.later(TRIP_MS + admission.delayMs, () => {
+    this.runAfter(TRIP_MS + admission.delayMs, () => {
       const result = this.platform.applyTable(call);
       if (admission.lost === 'answer') {
-        this.later(CALL_TIMEOUT_MS, () => answer({ kind: 'lost', reason: 'no answer' }));
+        this.runAfter(CALL_TIMEOUT_MS, () => answer({ kind: 'lost', reason: 'no answer' }));
       } else {
-        this.later(TRIP_MS + admission.answerDelayMs, () => answer(result));
+        this.runAfter(TRIP_MS + admission.answerDelayMs, () => answer(result));
       }
     });
   }
@@ -45,14 +45,14 @@
     const admission = this.platform.admit('objects', call.kind === 'put', this.time.now);
     if (admission.kind === 'refused') {
       const { status, retryAfterMs } = admission;
-      this.later(TRIP_MS, () =>
+      this.runAfter(TRIP_MS, () =>
         answer({ kind: 'unavailable', reason: `status ${status}`, retryAfterMs }),
       );
       return;
     }
-    this.later(TRIP_MS + admission.delayMs, () => {
+    this.runAfter(TRIP_MS + admission.delayMs, () => {
       const result = this.applyObject(call);
-      this.later(TRIP_MS + admission.answerDelayMs, () => answer(result));
+      this.runAfter(TRIP_MS + admission.answerDelayMs, () => answer(result));
     });
   }
 
@@ -68,7 +68,7 @@
       : { kind: 'content', content: JSON.parse(Buffer.from(content).toString()) };
   }
 
-  private later(delayMs: Milliseconds, run: () => void): void {
+  private runAfter(delayMs: Milliseconds, run: () => void): void {
     this.time.schedule(delayMs, run);
   }
 }
--- a/src/lab/scale/spread.ts
+++ b/src/lab/scale/spread.ts
@@ -1,6 +1,6 @@
 /**
- * Measures the control part in virtual time: how long a change takes to be in force, and what the
- * daemons spend on control in messages, bytes and processor time.
+ * Measures the control plane in virtual time: how long a change takes to be in force, and what the
+ * daemons spend on the control plane in messages, bytes and processor time.
  *
  *   node dist/src/lab/scale/spread.js --daemons 4|40|340 [--seed N] [--changes N] [--kills N] [--json]
  */
@@ -24,41 +24,41 @@
 const DETECTION_LIMIT_MS: Milliseconds = 60_000;
 const BETWEEN_CHANGES_MS: Milliseconds = 2_000;
 
-/** What was measured. Bytes are of datagrams and frames without IP, UDP and TCP headers. */
+/** The measurements. Bytes are those of datagrams and frames, without IP, UDP and TCP headers. */
 export interface SpreadReport {
   readonly daemons: number;
   readonly zones: number;
   readonly engines: number;
   readonly loss: number;
   readonly seed: number;
-  /** From the start of all at once until all know all; null when it took too long. */
+  /** From the simultaneous start of all daemons until each knows all others; null after the limit. */
   readonly joinedMs: Milliseconds | null;
   readonly changes: number;
-  /** From an operator's call until the version is in force on a daemon, over daemons and changes. */
+  /** From an operator's call until the version is in force on a daemon, over all daemons and changes. */
   readonly inForceP50Ms: Milliseconds;
   readonly inForceP99Ms: Milliseconds;
   /** From an operator's call until the answer `applied`. */
   readonly appliedP50Ms: Milliseconds;
   readonly appliedMaxMs: Milliseconds;
   readonly notApplied: number;
-  /** Daemons killed and started again, one after another. */
+  /** The number of daemons killed and started again, one after another. */
   readonly kills: number;
-  /** From a kill until a survivor knows of it, over survivors and kills. */
+  /** From a kill until another daemon considers the killed one dead, over all survivors and kills. */
   readonly detectedP50Ms: Milliseconds;
   readonly detectedMaxMs: Milliseconds;
-  /** Survivors that did not know of a kill in time, or gave up another daemon that ran. */
+  /** Survivors that did not detect a kill in time, or that wrongly considered a running daemon dead. */
   readonly misjudged: number;
   readonly steady: {
     readonly messagesPerSecond: number;
     readonly bytesPerSecond: number;
-    /** Of the daemon that sends most. */
+    /** The bytes per second of the daemon that sends most. */
     readonly maxBytesPerSecond: number;
-    /** Percent of one core, encoding and authentication included, sockets not. */
+    /** Percent of one core, including encoding and authentication but not sockets. */
     readonly processorPercent: number;
   };
-  /** Store calls of the whole fleet a second: over the start, and steady. */
+  /** Store calls per second of the whole fleet: during the start, and in steady state. */
   readonly storeCallsPerSecond: { readonly start: number; readonly steady: number };
-  /** How old the reports are by which daemons choose engines. */
+  /** The age of the reports by which daemons choose engines. */
   readonly reportAgeP50Ms: Milliseconds;
   readonly reportAgeP99Ms: Milliseconds;
 }
@@ -140,20 +140,20 @@
   const applied: Milliseconds[] = [];
   let notApplied = 0;
   for (let number = 1; number <= changes; number += 1) {
-    const place = fleet.places[(number * 7) % fleet.places.length];
-    if (place === undefined) continue;
-    const request = changeNumber(number);
+    const slot = fleet.places[(number * 7) % fleet.places.length];
+    if (slot === undefined) continue;
+    const request = createChange(number);
     const start = fleet.time.now;
-    const behind = new Set(fleet.running);
-    fleet.change(place, request);
+    const outdated = new Set(fleet.running);
+    fleet.change(slot, request);
     fleet.runUntil(() => {
-      for (const daemon of behind) {
+      for (const daemon of outdated) {
         if (daemon.version >= number) {
-          behind.delete(daemon);
+          outdated.delete(daemon);
           inForce.push(fleet.time.now - start);
         }
       }
-      return behind.size === 0 && fleet.answers.has(request.token);
+      return outdated.size === 0 && fleet.answers.has(request.token);
     }, CHANGE_LIMIT_MS);
     if (fleet.answers.get(request.token)?.kind === 'applied') {
       applied.push(fleet.time.now - start);
@@ -175,10 +175,10 @@
   const detected: Milliseconds[] = [];
   let misjudged = 0;
   for (let number = 0; number < kills; number += 1) {
-    const place = fleet.places[(number * 11) % fleet.places.length];
-    const victim = place?.daemon?.identity;
-    if (place === undefined || victim === undefined) continue;
-    fleet.kill(place);
+    const slot = fleet.places[(number * 11) % fleet.places.length];
+    const victim = slot?.daemon?.identity;
+    if (slot === undefined || victim === undefined) continue;
+    fleet.kill(slot);
     const start = fleet.time.now;
     const unaware = new Set(fleet.running);
     fleet.runUntil(() => {
@@ -195,7 +195,7 @@
     misjudged += fleet.running.filter(
       ({ membership }) => aliveMembers(membership).length < all,
     ).length;
-    fleet.start(place);
+    fleet.start(slot);
     fleet.runUntil(() => allKnowAll(fleet), JOIN_LIMIT_MS);
   }
   return {
@@ -205,7 +205,7 @@
   };
 }
 
-function changeNumber(number: number): ChangeRequest {
+function createChange(number: number): ChangeRequest {
   return {
     token: `call-${number}`,
     id: `change-${number}`,
@@ -237,8 +237,8 @@
 
 function quantile(values: readonly number[], fraction: number): number {
   const sorted = [...values].sort((one, other) => one - other);
-  const place = Math.min(sorted.length - 1, Math.floor(sorted.length * fraction));
-  return sorted[place] ?? Number.NaN;
+  const index = Math.min(sorted.length - 1, Math.floor(sorted.length * fraction));
+  return sorted[index] ?? Number.NaN;
 }
 
 function main(): void {
--- a/src/lab/scale/virtual-time.ts
+++ b/src/lab/scale/virtual-time.ts
@@ -1,14 +1,14 @@
-/** A clock that stands still between events, and the events in the order of their times. */
+/** A virtual clock that advances from event to event, with the queue of scheduled events. */
 import type { Milliseconds } from '../../core/common/time.js';
 
 interface Scheduled {
   readonly at: Milliseconds;
-  /** Events of one time run in the order in which they were scheduled. */
+  /** Events with equal times run in the order in which they were scheduled. */
   readonly order: number;
   readonly run: () => void;
 }
 
-/** Virtual time: a binary heap of events. */
+/** Virtual time, driven by a binary heap of events. */
 export class VirtualTime {
   private readonly heap: Scheduled[] = [];
   private order = 0;
@@ -19,14 +19,14 @@
     return this.time;
   }
 
-  /** Runs something after a delay. */
+  /** Schedules `run` after a delay. */
   schedule(delayMs: Milliseconds, run: () => void): void {
     this.order += 1;
     this.heap.push({ at: this.time + Math.max(0, delayMs), order: this.order, run });
     this.siftUp(this.heap.length - 1);
   }
 
-  /** Runs all events up to a time, then stands at it. */
+  /** Runs all events up to a time, then sets the clock to it. */
   runUntil(end: Milliseconds): void {
     for (;;) {
       const next = this.heap[0];
@@ -40,7 +40,7 @@
     this.time = end;
   }
 
-  /** Runs events until the condition holds or the time is up; says whether it held. */
+  /** Runs events while `isWanted` holds; returns false when the end time was reached first. */
   runWhile(isWanted: () => boolean, end: Milliseconds): boolean {
     while (isWanted()) {
       const next = this.heap[0];
--- a/test/experiment/compare.test.ts
+++ b/test/experiment/compare.test.ts
@@ -1,4 +1,4 @@
-/** Comparisons: their intervals, their pairing by seed, and that roles asked for are taken. */
+/** Comparisons: confidence intervals, pairing by seed, and application of the policies' roles. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import {
@@ -19,7 +19,7 @@
   return found;
 }
 
-test('an interval is that of the t distribution', () => {
+test('a confidence interval uses the t distribution', () => {
   // Student's t with 4 degrees of freedom: 2.776; standard error sqrt(2.5 / 5).
   const { mean, low, high } = estimate([1, 2, 3, 4, 5]);
   assert.equal(mean, 3);
@@ -28,7 +28,7 @@
   assert.deepEqual(estimate([7]), { mean: 7, low: null, high: null });
 });
 
-test('policies are set against the first one seed by seed', () => {
+test('each policy is compared with the first one per seed', () => {
   const result = runExperiment({ scenario, policy: policy('planner'), seed: 1, stretch: 0.002 });
   const withTokens = (tokens: number): ExperimentResult => ({
     ...result,
@@ -41,7 +41,7 @@
   assert.ok(Math.abs((ratio.high ?? 0) - (ratio.low ?? 1)) < 1e-9);
 });
 
-test('a fixed split holds its roles from the start and changes none', () => {
+test('a fixed split has its roles from the start and changes none', () => {
   const { course, role_changes } = runExperiment({
     scenario,
     policy: policy('fixed:0p6d'),
@@ -54,7 +54,7 @@
   assert.equal(policyNamed('none', scenario), null);
 });
 
-test('a threshold changes roles by drained orders, and compare counts them', () => {
+test('the threshold policy changes roles without cutting requests, and compare counts the changes', () => {
   const seeds = [1];
   const { policies } = compare({
     scenario,
--- a/test/experiment/report.test.ts
+++ b/test/experiment/report.test.ts
@@ -1,11 +1,11 @@
-/** The report: one page that loads nothing and shows every plot on one time axis. */
+/** The report: a self-contained page that shows every plot on a common time axis. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import { renderSvg } from '../../report/render.js';
 import { loadScenario, policyNamed, runExperiment } from '../../src/lab/experiment/index.js';
 import { plots, reportPage } from '../../src/lab/report/index.js';
 
-test('a report has all plots, its figures, and nothing to load', async () => {
+test('a report has all plots and figures and loads no external resources', async () => {
   const scenario = loadScenario('examples/scenarios/noise-only.yaml')._unsafeUnwrap();
   const results = ['planner', 'fixed:0p6d'].map((name) => {
     const policy = policyNamed(name, scenario);
--- a/test/experiment/scenario.test.ts
+++ b/test/experiment/scenario.test.ts
@@ -1,4 +1,4 @@
-/** Scenario files: the ones of the package run clean, and bad ones are told with their line. */
+/** Scenario files: those of the package run without faults, and bad ones are reported with their line. */
 import assert from 'node:assert/strict';
 import { readdirSync, readFileSync } from 'node:fs';
 import { PassThrough } from 'node:stream';
@@ -16,11 +16,11 @@
 import { formatProblem } from '../../src/shell/settings/index.js';
 
 const FOLDER = 'examples/scenarios/';
-/** Seconds of each scenario that the test runs. */
+/** The duration in seconds to which each scenario is shortened. */
 const SHORT_RUN_S = 6;
 
 const names = readdirSync(FOLDER).filter((name) => name.endsWith('.yaml'));
-/** Options for the first seconds' worth of a scenario, all its phases shortened. */
+/** Options that run a scenario with all its phases shortened proportionally. */
 function shortRun(name: string, seed: number): ExperimentOptions {
   const scenario = loadScenario(FOLDER + name)._unsafeUnwrap();
   const { phases } = scenario.definition.workload;
@@ -31,7 +31,7 @@
 }
 
 for (const name of names) {
-  test(`${name} runs a short stretch with nothing wrong, cut or broken`, () => {
+  test(`${name}, shortened, runs without wrong, cut or unknown answers and without violations`, () => {
     const { wrong, cut, unknown, violations, ...result } = runExperiment(shortRun(name, 3));
     const clean = { wrong: 0, cut: 0, unknown: 0, violations: [] };
     assert.deepEqual({ wrong, cut, unknown, violations }, clean);
@@ -40,7 +40,7 @@
   });
 }
 
-test('a run is byte for byte the same with one seed and differs with another', () => {
+test('runs with equal seeds are byte-identical and differ for another seed', () => {
   const bytes = (seed: number): string =>
     JSON.stringify(runExperiment(shortRun('noise-only.yaml', seed)));
   const first = bytes(5);
@@ -48,7 +48,7 @@
   assert.notEqual(bytes(6), first);
 });
 
-test('a scenario that can not be used ends the command with exit code 2', async () => {
+test('an unusable scenario ends the command with exit code 2', async () => {
   const cli = new Cli();
   cli.register(RunCommand);
   const stderr = new PassThrough();
@@ -70,7 +70,7 @@
   return text.slice(0, text.indexOf(part)).split('\n').length;
 }
 
-test('a wrong key is told with its line and remedy', () => {
+test('an unknown key is reported with its line and remedy', () => {
   const text = `${GOOD}\nspeling: 1\n`;
   const line = lineOf(text, 'speling');
   assert.deepEqual(problemsOf(text), [
@@ -78,7 +78,7 @@
   ]);
 });
 
-test('a negative rate is told with its line, on its own and as the end of a change', () => {
+test('a negative rate is reported with its line, both as a constant and as the end of a ramp', () => {
   for (const rate of ['-4', '{ from: 1, to: -4 }']) {
     const phase = `    - { name: bad, durationMs: 1000, rates: { question: ${rate} } }`;
     const text = `${GOOD.trimEnd()}\n${phase}\n`;
@@ -91,7 +91,7 @@
   }
 });
 
-test('a source of the web and a fleet that is not there are refused', () => {
+test('a web source and a missing fleet file are refused', () => {
   const web = GOOD.replace(
     '    - kind: model',
     '    - kind: web-order\n      name: slips\n      path: /orders/\n    - kind: model',
