--- a/src/lab/commands/compare-command.ts
+++ b/src/lab/commands/compare-command.ts
@@ -1,4 +1,4 @@
-/** `threadfork-lab compare`: policies on one scenario over several seeds. */
+/** `threadfork-lab compare`: compares policies on one scenario over several seeds. */
 import { Command, Option, UsageError } from 'clipanion';
 import { type Comparison, compare, type Estimate } from '../experiment/index.js';
 import { EXIT_DONE, EXIT_FAILED } from './exit-codes.js';
@@ -14,29 +14,29 @@
   static override usage = Command.Usage({
     description: 'Compare role policies on a scenario over seeds 1 to N, in virtual time.',
     details: `
-      Every policy gets the same requests for one seed. Intervals are 95 % confidence intervals by
-      Student's t. best-fixed and oracle choose on seed 0 first, which takes many runs. Exits 1 when
-      any answer was wrong or cut or another promise was broken.
+      For one seed all policies get the same requests. Intervals are 95 % confidence intervals from
+      Student's t distribution. best-fixed and oracle first select their splits on seed 0, which
+      takes many runs. Exits 1 when any answer was wrong or cut or another promise was broken.
     `,
     examples: [
       [
-        'The planner against its bounds',
+        'The planner and its reference policies',
         '$0 compare --scenario noise-only --policies planner,best-fixed,threshold,oracle --seeds 5',
       ],
     ],
   });
 
   scenario = Option.String('--scenario', { required: true, description: 'name or YAML file' });
-  policies = Option.String('--policies', { required: true, description: 'names, by commas' });
-  seeds = Option.String('--seeds', '5', { description: 'how many seeds' });
-  stretch = Option.String('--stretch', '1', { description: 'make the phases longer or shorter' });
+  policies = Option.String('--policies', { required: true, description: 'comma-separated names' });
+  seeds = Option.String('--seeds', '5', { description: 'number of seeds' });
+  stretch = Option.String('--stretch', '1', { description: 'factor on the durations of phases' });
   json = Option.Boolean('--json', false, { description: 'print one JSON line' });
 
   protected override async carryOut(): Promise<number> {
     const scenario = scenarioOption(this.scenario);
     const stretch = numberOption('--stretch', this.stretch, MIN_STRETCH, MAX_STRETCH);
     const count = numberOption('--seeds', this.seeds, 1, MAX_SEEDS);
-    if (!Number.isInteger(count)) throw new UsageError('--seeds: write a whole number.');
+    if (!Number.isInteger(count)) throw new UsageError('--seeds: give a whole number.');
     const names = this.policies.split(',').filter((name) => name !== '');
     if (names.length === 0) throw new UsageError('--policies: name at least one policy.');
     const comparison = compare({
@@ -58,14 +58,14 @@
 function comparisonText({ scenario, seeds, shifts, policies }: Comparison): string {
   const lines = policies.flatMap((figures) => [
     figures.policy,
-    `  goodput tokens/s ${shown(figures.tokens_per_second, 1)}, of offered ${shown(figures.share_of_offered, 3)}, to the first policy ${shown(figures.ratio_to_first, 3)}`,
-    `  role changes ${shown(figures.role_changes, 1)}, first token p95 ms ${shown(figures.first_token_p95_ms, 0)}, between tokens p95 ms ${shown(figures.between_tokens_p95_ms, 0)}`,
+    `  goodput tokens/s ${estimateText(figures.tokens_per_second, 1)}, of offered ${estimateText(figures.share_of_offered, 3)}, to the first policy ${estimateText(figures.ratio_to_first, 3)}`,
+    `  role changes ${estimateText(figures.role_changes, 1)}, first token p95 ms ${estimateText(figures.first_token_p95_ms, 0)}, between tokens p95 ms ${estimateText(figures.between_tokens_p95_ms, 0)}`,
     `  refused ${figures.refused}, unknown ${figures.unknown}, cut ${figures.cut}, wrong ${figures.wrong}, other broken promises ${figures.violations}`,
   ]);
   return `${[`${scenario}, ${seeds.length} seeds, ${shifts} shifts`, ...lines].join('\n')}\n`;
 }
 
-function shown({ mean, low, high }: Estimate, digits: number): string {
+function estimateText({ mean, low, high }: Estimate, digits: number): string {
   if (low === null || high === null) return mean.toFixed(digits);
   return `${mean.toFixed(digits)} [${low.toFixed(digits)}, ${high.toFixed(digits)}]`;
 }
--- a/src/lab/commands/demo-command.ts
+++ b/src/lab/commands/demo-command.ts
@@ -1,4 +1,4 @@
-/** `threadfork-lab demo`: a fleet of processes through a shift on loopback. */
+/** `threadfork-lab demo`: runs a fleet of processes through its workload on loopback. */
 import { mkdirSync } from 'node:fs';
 import { Command, Option } from 'clipanion';
 import {
@@ -21,32 +21,32 @@
 const MAX_STRETCH = 1_000;
 const MAX_RETRIES = 100;
 
-/** Starts a fleet, runs its shift, prints what came of it, and ends the fleet. */
+/** Starts a fleet, runs its workload, prints the result, and stops the fleet. */
 export class DemoCommand extends LabCommand {
   static override paths = [['demo']];
   static override usage = Command.Usage({
-    description: 'Run a small fleet through a shift, every part a process of its own.',
+    description: 'Run a small fleet through its workload, with every part in its own process.',
     details: `
-      Starts the platform stand-in, emulated engines, web backends and daemons on loopback, sends
+      Starts the emulated platform, emulated engines, web backends and daemons on loopback, sends
       the fleet's workload for about 20 seconds, checks every answer and prints a table. Exits 1
       when an answer was wrong or cut, an outcome unknown, or a part failed.
     `,
     examples: [
       ['The Scanhuis fleet', '$0 demo'],
       ['The roasters', '$0 demo --fleet roasting'],
-      ['Leave the fleet up until Ctrl-C', '$0 demo --keep'],
+      ['Keep the fleet running until Ctrl-C', '$0 demo --keep'],
       ['For a script', '$0 demo --json'],
     ],
   });
 
   fleet = Option.String('--fleet', 'scanhuis', { description: 'scanhuis, roasting or a file' });
-  keep = Option.Boolean('--keep', false, { description: 'leave the fleet up until Ctrl-C' });
+  keep = Option.Boolean('--keep', false, { description: 'keep the fleet running until Ctrl-C' });
   json = Option.Boolean('--json', false, { description: 'print the result as JSON' });
-  stretch = Option.String('--stretch', '1', { description: 'make the phases longer or shorter' });
+  stretch = Option.String('--stretch', '1', { description: 'factor on the durations of phases' });
   retries = Option.String('--retries', '3', {
-    description: 'how often a caller comes back after a refusal with Retry-After',
+    description: 'retries per request after a refusal with Retry-After',
   });
-  logs = Option.String('--logs', { description: 'folder for the logs of all parts' });
+  logs = Option.String('--logs', { description: 'folder for the logs of all processes' });
 
   private readonly interrupted = interruption();
   private brokenOff = false;
@@ -93,14 +93,14 @@
   }
 
   private async keepUp(progress: ProgressWriter): Promise<void> {
-    progress.line('the fleet stays up; Ctrl-C ends it');
+    progress.line('the fleet keeps running; stop it with Ctrl-C');
     await aborted(this.interrupted);
   }
 
   private verdict(fleet: RunningFleet, report: ShiftReport, progress: ProgressWriter): number {
-    // Whatever was in flight when the shift was broken off says nothing of the fleet.
+    // Requests in flight at an interruption end abnormally, which is not a fault of the fleet.
     const findings = [...(this.brokenOff ? [] : violations(report)), ...fleet.problems];
-    if (this.brokenOff) progress.line('interrupted: the shift was broken off');
+    if (this.brokenOff) progress.line('interrupted: the workload was aborted');
     for (const finding of findings) progress.line(`failed: ${finding}`);
     for (const detail of report.load.details) progress.line(`  ${detail}`);
     return findings.length === 0 && !this.brokenOff ? EXIT_DONE : EXIT_FAILED;
--- a/src/lab/commands/engine-command.ts
+++ b/src/lab/commands/engine-command.ts
@@ -1,4 +1,4 @@
-/** `threadfork-lab engine`: an emulated model engine as a process. */
+/** `threadfork-lab engine`: runs an emulated model engine as a process. */
 import { Command, Option, UsageError } from 'clipanion';
 import type { EngineMachine, LoadedModel } from '../../core/registry/backend.js';
 import { ACCELERATORS, type AcceleratorName, createEngineServer } from '../engine/index.js';
@@ -13,29 +13,31 @@
 const MAX_SEED = 0xffffffff;
 const MAX_SPEED_FACTOR = 1_000;
 const MAX_BATCH = 4_096;
-const MAX_SPAN_MS = 600_000;
+const MAX_DURATION_MS = 600_000;
 
 const MAX_NOTICE_MS = 600_000;
 
-/** Runs one emulated engine until it is told to stop. */
+/** Runs one emulated engine until a stop signal. */
 export class EngineCommand extends LabCommand {
   static override paths = [['engine']];
   static override usage = Command.Usage({
     description: 'Run an emulated model engine (docs/ENGINE-API.md).',
     details: `
-      Prints one JSON line on standard output once it listens, and puts itself on the platform's
-      machine list. At SIGTERM it says that it is leaving, lets its requests end, and takes
-      itself off the list.
+      Registers on the platform's machine list and prints one JSON line on standard output once it
+      listens. On SIGTERM it reports that it is leaving, lets its requests end, and removes itself
+      from the list.
     `,
     examples: [
       [
-        'An engine that holds a model and an adapter',
+        'An engine with a model and an adapter',
         '$0 engine --name e1 --zone leiden-a --model labels@v1 --adapter labels/latin@v1 --platform 127.0.0.1:9000',
       ],
     ],
   });
 
-  listen = Option.String('--listen', '127.0.0.1:0', { description: 'IP:PORT; port 0: any free' });
+  listen = Option.String('--listen', '127.0.0.1:0', {
+    description: 'IP:PORT; port 0: any free port',
+  });
   platform = Option.String('--platform', { description: 'IP:PORT of the platform' });
   engineName = Option.String('--name', { required: true, description: 'name of the machine' });
   zone = Option.String('--zone', { required: true, description: 'zone of the machine' });
@@ -46,15 +48,19 @@
   adapters = Option.Array('--adapter', [], {
     description: 'MODEL/ADAPTER@VERSION; may be repeated',
   });
-  seed = Option.String('--seed', '1', { description: 'seed of what varies' });
-  speedFactor = Option.String('--speed-factor', '1', { description: 'divides the time of steps' });
-  maxBatch = Option.String('--max-batch', '64', { description: 'requests in a batch' });
+  seed = Option.String('--seed', '1', { description: 'seed of the random generator' });
+  speedFactor = Option.String('--speed-factor', '1', {
+    description: 'divides the duration of steps',
+  });
+  maxBatch = Option.String('--max-batch', '64', {
+    description: 'maximum number of requests in a batch',
+  });
   roleChangeMs = Option.String('--role-change-ms', '4000', {
-    description: 'time of a role change',
+    description: 'duration of a role change',
   });
-  loadMs = Option.String('--load-ms', '6000', { description: 'time of a model load' });
+  loadMs = Option.String('--load-ms', '6000', { description: 'duration of a model load' });
   leaveNoticeMs = Option.String('--leave-notice-ms', DEFAULT_LEAVE_NOTICE_MS, {
-    description: 'how long it still takes requests after SIGTERM',
+    description: 'how long requests are still accepted after SIGTERM',
   });
 
   protected override async carryOut(): Promise<number> {
@@ -67,8 +73,8 @@
       seed: numberOption('--seed', this.seed, 0, MAX_SEED),
       speedFactor: numberOption('--speed-factor', this.speedFactor, 0.001, MAX_SPEED_FACTOR),
       maxBatch: numberOption('--max-batch', this.maxBatch, 1, MAX_BATCH),
-      roleChangeMs: numberOption('--role-change-ms', this.roleChangeMs, 0, MAX_SPAN_MS),
-      loadMs: numberOption('--load-ms', this.loadMs, 0, MAX_SPAN_MS),
+      roleChangeMs: numberOption('--role-change-ms', this.roleChangeMs, 0, MAX_DURATION_MS),
+      loadMs: numberOption('--load-ms', this.loadMs, 0, MAX_DURATION_MS),
     });
     const machine: EngineMachine = {
       kind: 'engine',
@@ -91,7 +97,7 @@
   }
 }
 
-/** Reads `MODEL@VERSION` and `MODEL/ADAPTER@VERSION` flags. */
+/** Parses the values of `--model` and `--adapter`. */
 function loadedModels(models: readonly string[], adapters: readonly string[]): LoadedModel[] {
   const loaded = models.map((text) => {
     const [model, version] = splitOnce(text, '@', '--model');
@@ -101,7 +107,8 @@
     const [path, version] = splitOnce(text, '@', '--adapter');
     const [model, adapter] = splitOnce(path, '/', '--adapter');
     const base = loaded.find((candidate) => candidate.model === model);
-    if (base === undefined) throw new UsageError(`--adapter ${text}: give --model ${model}@… too.`);
+    if (base === undefined)
+      throw new UsageError(`--adapter ${text}: no such model; also give --model ${model}@VERSION.`);
     base.adapters.push({ adapter, version });
   }
   return loaded;
@@ -110,5 +117,5 @@
 function splitOnce(text: string, separator: string, flag: string): [string, string] {
   const [left = '', right = '', ...rest] = text.split(separator);
   if (left !== '' && right !== '' && rest.length === 0) return [left, right];
-  throw new UsageError(`${flag} ${text}: one ${separator} must stand between two names.`);
+  throw new UsageError(`${flag} ${text}: give two names with one ${separator} between them.`);
 }
--- a/src/lab/commands/experiment-options.ts
+++ b/src/lab/commands/experiment-options.ts
@@ -1,4 +1,4 @@
-/** Options that the experiment commands share. */
+/** Options shared by the experiment commands. */
 import { existsSync } from 'node:fs';
 import { fileURLToPath } from 'node:url';
 import { UsageError } from 'clipanion';
@@ -18,7 +18,7 @@
 
 const SCENARIOS_FOLDER = fileURLToPath(new URL('../../../../examples/scenarios/', import.meta.url));
 
-/** Reads the scenario of a name in this package, or of a path. */
+/** Reads a scenario, given by its name in this package or by a path. */
 export function scenarioOption(nameOrPath: string): Scenario {
   const inPackage = `${SCENARIOS_FOLDER}${nameOrPath}.yaml`;
   const isName = !nameOrPath.endsWith('.yaml') && existsSync(inPackage);
@@ -39,5 +39,5 @@
 ): RolePolicy {
   const policy = policyNamed(name, scenario, stretch);
   if (policy !== null) return policy;
-  throw new UsageError(`${flag} ${name}: no such policy. Write one of ${POLICY_NAMES}.`);
+  throw new UsageError(`${flag} ${name}: no such policy; use one of ${POLICY_NAMES}.`);
 }
--- a/src/lab/commands/fleet-command.ts
+++ b/src/lab/commands/fleet-command.ts
@@ -1,4 +1,4 @@
-/** `threadfork-lab fleet`: a fleet of processes without a load, until Ctrl-C. */
+/** `threadfork-lab fleet`: runs a fleet of processes without load until Ctrl-C. */
 import { Command, Option } from 'clipanion';
 import { addressesText, loadFleet, RunningFleet } from '../fleet/index.js';
 import { EXIT_DONE, EXIT_FAILED } from './exit-codes.js';
@@ -6,11 +6,11 @@
 import { LabCommand } from './lab-command.js';
 import { ProgressWriter } from './progress.js';
 
-/** Starts a fleet, prints its addresses as one JSON line, and ends it at Ctrl-C. */
+/** Starts a fleet, prints its addresses as one JSON line, and stops it on Ctrl-C. */
 export class FleetCommand extends LabCommand {
   static override paths = [['fleet']];
   static override usage = Command.Usage({
-    description: 'Run a fleet of processes until Ctrl-C, without a load.',
+    description: 'Run a fleet of processes without load until Ctrl-C.',
     examples: [['The roasters', '$0 fleet --fleet roasting']],
   });
 
--- a/src/lab/commands/fleet-options.ts
+++ b/src/lab/commands/fleet-options.ts
@@ -1,19 +1,21 @@
-/** Where the fleets of this package lie, and signals that end a runner. */
+/** Options shared by the commands that run fleets, and their handling of stop signals. */
 import { existsSync } from 'node:fs';
 import { fileURLToPath } from 'node:url';
 import { UsageError } from 'clipanion';
 
 const FLEETS_FOLDER = fileURLToPath(new URL('../../../../examples/fleets/', import.meta.url));
 
-/** The file of a fleet given by path or by name (`scanhuis`, `roasting`). */
+/** The path of a fleet file, given by path or by name (`scanhuis`, `roasting`). */
 export function fleetPath(nameOrPath: string): string {
   const inPackage = `${FLEETS_FOLDER}${nameOrPath}.yaml`;
   const found = [nameOrPath, inPackage].find((path) => path.endsWith('.yaml') && existsSync(path));
   if (found !== undefined) return found;
-  throw new UsageError(`--fleet ${nameOrPath}: no such file. Write scanhuis, roasting or a path.`);
+  throw new UsageError(
+    `--fleet ${nameOrPath}: no such file; give scanhuis, roasting or the path of a YAML file.`,
+  );
 }
 
-/** Aborts at the first Ctrl-C or SIGTERM; a second one ends the process at once. */
+/** A signal that aborts at the first SIGINT or SIGTERM; a second one exits the process at once. */
 export function interruption(): AbortSignal {
   const controller = new AbortController();
   const onSignal = (): void => {
@@ -25,7 +27,7 @@
   return controller.signal;
 }
 
-/** Resolves when the signal aborts. */
+/** Resolves once the signal is aborted. */
 export function aborted(signal: AbortSignal): Promise<void> {
   return new Promise((resolve) => {
     if (signal.aborted) resolve();
--- a/src/lab/commands/hollow-command.ts
+++ b/src/lab/commands/hollow-command.ts
@@ -1,4 +1,4 @@
-/** `threadfork-lab hollow`: many daemons or engines in one process, for scale runs. */
+/** `threadfork-lab hollow`: runs many daemons or engines in one process, for scale runs. */
 import { Command, Option } from 'clipanion';
 import { FLEET_KEY_VARIABLE } from '../fleet/commands.js';
 import { startHollowDaemons } from '../hollow/hollow-daemons.js';
@@ -11,14 +11,14 @@
 const KINDS = ['daemons', 'engines'] as const;
 const MAX_COUNT = 1_000;
 
-/** Runs many daemons or engines in this process until it is told to stop. */
+/** Runs many daemons or engines in this process until a stop signal. */
 export class HollowCommand extends LabCommand {
   static override paths = [['hollow']];
   static override usage = Command.Usage({
     description: 'Run many daemons or engines in one process, for scale runs.',
     details: `
-      Each has its own sockets and is on the machine list; they only share the process. Prints one
-      JSON line with the operator and metrics endpoints once all of them listen.
+      Each has its own sockets and its entry in the machine list; they share only the process. Prints
+      one JSON line with their endpoints once all of them listen.
     `,
     examples: [
       ['Twenty daemons', '$0 hollow --kind daemons --count 20 --platform 127.0.0.1:9000'],
@@ -28,10 +28,10 @@
 
   kind = Option.String('--kind', { required: true, description: 'daemons or engines' });
   platform = Option.String('--platform', { required: true, description: 'IP:PORT' });
-  first = Option.String('--first', '1', { description: 'number of the first' });
-  count = Option.String('--count', '1', { description: 'how many' });
-  zones = Option.String('--zones', '5', { description: 'zones they are spread over' });
-  models = Option.String('--models', '4', { description: 'models the engines hold' });
+  first = Option.String('--first', '1', { description: 'number of the first daemon or engine' });
+  count = Option.String('--count', '1', { description: 'number of daemons or engines' });
+  zones = Option.String('--zones', '5', { description: 'number of zones they are spread over' });
+  models = Option.String('--models', '4', { description: 'number of models of the engines' });
 
   protected override async carryOut(): Promise<number> {
     const shared = {
--- a/src/lab/commands/lab-command.ts
+++ b/src/lab/commands/lab-command.ts
@@ -1,8 +1,8 @@
-/** The base of all commands of `threadfork-lab`: errors become one line and an exit code. */
+/** The base class of all commands of `threadfork-lab`. */
 import { Command, UsageError } from 'clipanion';
 import { EXIT_FAILED, EXIT_USAGE } from './exit-codes.js';
 
-/** A command whose failures end as a line on standard error. */
+/** A command that reports an error as one line on standard error and an exit code. */
 export abstract class LabCommand extends Command {
   /** Does the command's work and returns its exit code. */
   protected abstract carryOut(): Promise<number>;
--- a/src/lab/commands/load-command.ts
+++ b/src/lab/commands/load-command.ts
@@ -1,4 +1,4 @@
-/** `threadfork-lab load`: sends a workload to daemons and judges every answer. */
+/** `threadfork-lab load`: sends a workload to daemons and checks every answer. */
 import { Command, Option, UsageError } from 'clipanion';
 import { loadWorkload, progressLine } from '../fleet/index.js';
 import { Load, OUTCOME_KINDS } from '../load/index.js';
@@ -11,16 +11,16 @@
 
 const MAX_STRETCH = 1_000;
 const MAX_RETRIES = 100;
-const PATIENCE_MS = 30_000;
+const MAX_FINAL_WAIT_MS = 30_000;
 
-/** Sends a workload to daemons that run already. */
+/** Sends a workload to running daemons. */
 export class LoadCommand extends LabCommand {
   static override paths = [['load']];
   static override usage = Command.Usage({
-    description: 'Send a workload to daemons, open-loop, and judge every answer.',
+    description: 'Send a workload to daemons, open-loop, and check every answer.',
     details: `
-      Prints the report as one JSON line. Exits 1 when an answer was wrong or cut, and 3 when no
-      daemon took a single request.
+      Prints the report as one JSON line. Exits 1 when an answer was wrong or cut, and 3 when all
+      connections were refused.
     `,
     examples: [
       [
@@ -31,11 +31,13 @@
   });
 
   workload = Option.String('--workload', { required: true, description: 'YAML file' });
-  targets = Option.Array('--target', [], { description: "IP:PORT of a daemon's callers' address" });
-  stretch = Option.String('--stretch', '1', { description: 'make the phases longer or shorter' });
-  seed = Option.String('--seed', { description: "instead of the file's seed" });
+  targets = Option.Array('--target', [], {
+    description: "IP:PORT of a daemon's caller endpoint; may be repeated",
+  });
+  stretch = Option.String('--stretch', '1', { description: 'factor on the durations of phases' });
+  seed = Option.String('--seed', { description: "seed to use instead of the file's" });
   retries = Option.String('--retries', '0', {
-    description: 'how often a caller comes back after a refusal with Retry-After',
+    description: 'retries per request after a refusal with Retry-After',
   });
 
   protected override async carryOut(): Promise<number> {
@@ -45,7 +47,7 @@
       workload: this.readWorkload(),
       targets: this.targets.map((target) => endpointOption('--target', target)),
       maxRetries: numberOption('--retries', this.retries, 0, MAX_RETRIES),
-      patienceMs: PATIENCE_MS,
+      patienceMs: MAX_FINAL_WAIT_MS,
       signal: interruption(),
     });
     const show = (): void => progress.update(progressLine(load.progress()));
--- a/src/lab/commands/machine-list-option.ts
+++ b/src/lab/commands/machine-list-option.ts
@@ -1,8 +1,8 @@
-/** The machine list that a `--platform` flag names. */
+/** The `--platform` flag of emulated machines. */
 import { MachineRegistration } from '../platform/index.js';
 import { endpointOption } from './options.js';
 
-/** The machine list at the address of a `--platform` flag; null without the flag. */
+/** Access to the machine list of the platform given by `--platform`; null without the flag. */
 export function machineList(platform: string | undefined): MachineRegistration | null {
   if (platform === undefined) return null;
   return new MachineRegistration(endpointOption('--platform', platform));
--- a/src/lab/commands/options.ts
+++ b/src/lab/commands/options.ts
@@ -1,26 +1,26 @@
-/** Reads the values of flags; a bad value is a usage error that names the flag. */
+/** Parses the values of flags; an invalid value is a usage error that names the flag. */
 import { UsageError } from 'clipanion';
 import type { Endpoint } from '../../core/registry/backend.js';
 import { parseEndpoint } from '../../shell/settings/index.js';
 
-/** Reads `IP:PORT`. */
+/** Parses `IP:PORT`. */
 export function endpointOption(flag: string, text: string): Endpoint {
   return parseEndpoint(text).match(
     (endpoint) => endpoint,
     (problem) => {
-      throw new UsageError(`${flag} ${text}: ${problem}. Write for example 127.0.0.1:0.`);
+      throw new UsageError(`${flag} ${text}: ${problem}; give for example 127.0.0.1:0.`);
     },
   );
 }
 
-/** Reads a number within bounds. */
+/** Parses a number within bounds. */
 export function numberOption(flag: string, text: string, low: number, high: number): number {
   const value = text.trim() === '' ? Number.NaN : Number(text);
   if (value >= low && value <= high) return value;
-  throw new UsageError(`${flag} ${text}: not a number. Write one from ${low} to ${high}.`);
+  throw new UsageError(`${flag} ${text}: not a number from ${low} to ${high}.`);
 }
 
-/** Reads one of a few words. */
+/** Parses one of a set of words. */
 export function choiceOption<Choice extends string>(
   flag: string,
   text: string,
@@ -28,5 +28,5 @@
 ): Choice {
   const found = choices.find((choice) => choice === text);
   if (found !== undefined) return found;
-  throw new UsageError(`${flag} ${text}: no such value. Write one of ${choices.join(', ')}.`);
+  throw new UsageError(`${flag} ${text}: no such value; use one of ${choices.join(', ')}.`);
 }
--- a/src/lab/commands/platform-command.ts
+++ b/src/lab/commands/platform-command.ts
@@ -1,4 +1,4 @@
-/** `threadfork-lab platform`: the platform stand-in as a process. */
+/** `threadfork-lab platform`: runs the emulated platform as a process. */
 import { Command, Option } from 'clipanion';
 import { createPlatformServer, DEFAULT_PLATFORM_OPTIONS } from '../platform/index.js';
 import { EXIT_DONE } from './exit-codes.js';
@@ -8,17 +8,17 @@
 
 const MAX_RATE = 1_000_000;
 const MAX_LAG_MS = 600_000;
-/** A burst is what the rate gives in two seconds. */
+/** The burst is the number of calls that the rate allows in two seconds. */
 const BURST_SECONDS = 2;
 
-/** Runs the platform stand-in until it is told to stop. */
+/** Runs the emulated platform until a stop signal. */
 export class PlatformCommand extends LabCommand {
   static override paths = [['platform']];
   static override usage = Command.Usage({
-    description: 'Run the stand-in for the platform: table, objects, weights, machine list.',
+    description: 'Run the emulated platform: table, objects, weights, machine list.',
     details: `
       Prints one JSON line on standard output once it listens. Keeps everything in memory.
-      Faults are set while it runs by POST /faults; see docs/PLATFORM-API.md.
+      Faults can be set at run time by POST /faults; see docs/PLATFORM-API.md.
     `,
     examples: [
       ['Listen on a free port', '$0 platform --listen 127.0.0.1:0'],
@@ -26,10 +26,12 @@
     ],
   });
 
-  listen = Option.String('--listen', '127.0.0.1:0', { description: 'IP:PORT; port 0: any free' });
-  tableRate = Option.String('--table-rate', { description: 'table calls a second' });
+  listen = Option.String('--listen', '127.0.0.1:0', {
+    description: 'IP:PORT; port 0: any free port',
+  });
+  tableRate = Option.String('--table-rate', { description: 'limit of table calls per second' });
   machineLagMs = Option.String('--machine-lag-ms', {
-    description: 'how far the machine list is behind',
+    description: 'delay of changes to the machine list',
   });
 
   protected override async carryOut(): Promise<number> {
--- a/src/lab/commands/progress.ts
+++ b/src/lab/commands/progress.ts
@@ -1,11 +1,11 @@
-/** Writes progress: one line that is written over on a terminal, else a line every few seconds. */
+/** Writes progress: on a terminal one line that is overwritten, otherwise a line every few seconds. */
 import type { Writable } from 'node:stream';
 
-const ON_TERMINAL_EVERY_MS = 250;
-const ELSEWHERE_EVERY_MS = 5_000;
+const TERMINAL_INTERVAL_MS = 250;
+const DEFAULT_INTERVAL_MS = 5_000;
 const CLEAR_LINE = '\r\u001b[2K';
 
-/** Progress on standard error, so that standard output holds the result alone. */
+/** Progress for standard error, so that standard output contains only the result. */
 export class ProgressWriter {
   private readonly isTerminal: boolean;
   private lineIsOpen = false;
@@ -14,12 +14,12 @@
     this.isTerminal = stream.isTTY === true;
   }
 
-  /** How often to write progress. */
+  /** The interval at which to write progress. */
   get everyMs(): number {
-    return this.isTerminal ? ON_TERMINAL_EVERY_MS : ELSEWHERE_EVERY_MS;
+    return this.isTerminal ? TERMINAL_INTERVAL_MS : DEFAULT_INTERVAL_MS;
   }
 
-  /** Writes a line that the next one may replace. */
+  /** Writes a line that the next one overwrites on a terminal. */
   update(line: string): void {
     if (!this.isTerminal) {
       this.line(line);
@@ -29,7 +29,7 @@
     this.lineIsOpen = true;
   }
 
-  /** Writes a line that stays. */
+  /** Writes a line that is not overwritten. */
   line(line: string): void {
     const clear = this.lineIsOpen ? CLEAR_LINE : '';
     this.stream.write(`${clear}${line}\n`);
--- a/src/lab/commands/run-command.ts
+++ b/src/lab/commands/run-command.ts
@@ -1,4 +1,4 @@
-/** `threadfork-lab run`: one scenario in virtual time. */
+/** `threadfork-lab run`: runs one scenario in virtual time. */
 import { Command, Option } from 'clipanion';
 import { type ExperimentResult, runExperiment } from '../experiment/index.js';
 import { EXIT_DONE, EXIT_FAILED } from './exit-codes.js';
@@ -12,26 +12,28 @@
 import { LabCommand } from './lab-command.js';
 import { numberOption } from './options.js';
 
-/** Runs a scenario and prints what was measured. */
+/** Runs a scenario and prints the measurements. */
 export class RunCommand extends LabCommand {
   static override paths = [['run']];
   static override usage = Command.Usage({
     description: 'Run a scenario on daemons and emulated engines in one process, in virtual time.',
     details: `
-      The same scenario, policy and seed give the same output, byte for byte. Exits 1 when an
+      Equal scenario, policy and seed give byte-identical output. Exits 1 when an
       answer was wrong or cut or another promise was broken, and 2 when the scenario can't be used.
     `,
     examples: [
       ['A scenario of this package', '$0 run --scenario scanhuis-night-to-morning --seed 1 --json'],
-      ['One of your own', '$0 run --scenario my-scenario.yaml --policy fixed:0p4d'],
+      ['A scenario of your own', '$0 run --scenario my-scenario.yaml --policy fixed:0p4d'],
     ],
   });
 
   scenario = Option.String('--scenario', { required: true, description: 'name or YAML file' });
-  seed = Option.String('--seed', '1', { description: 'seed of everything that varies' });
-  policy = Option.String('--policy', 'planner', { description: 'what decides the roles' });
-  stretch = Option.String('--stretch', '1', { description: 'make the phases longer or shorter' });
-  json = Option.Boolean('--json', false, { description: 'print one JSON line with the course' });
+  seed = Option.String('--seed', '1', { description: 'seed of all random choices' });
+  policy = Option.String('--policy', 'planner', { description: 'policy that decides the roles' });
+  stretch = Option.String('--stretch', '1', { description: 'factor on the durations of phases' });
+  json = Option.Boolean('--json', false, {
+    description: 'print one JSON line, time series included',
+  });
 
   protected override async carryOut(): Promise<number> {
     const seed = numberOption('--seed', this.seed, 0, MAX_SEED);
--- a/src/lab/commands/scale-command.ts
+++ b/src/lab/commands/scale-command.ts
@@ -1,4 +1,4 @@
-/** `threadfork-lab scale`: what control costs a daemon at several sizes, and the lines through them. */
+/** `threadfork-lab scale`: measures a daemon's control-plane cost at several fleet sizes and fits lines. */
 import { fileURLToPath } from 'node:url';
 import { Command, Option, UsageError } from 'clipanion';
 import { fitLine, type LinearFit } from '../hollow/linear-fit.js';
@@ -25,10 +25,10 @@
 export class ScaleCommand extends LabCommand {
   static override paths = [['scale']];
   static override usage = Command.Usage({
-    description: 'Measure what control costs a daemon at several fleet sizes.',
+    description: 'Measure the control-plane cost of a daemon at several fleet sizes.',
     details: `
-      Hollow daemons and engines share processes; some daemons have one of their own. All talk over
-      real TCP and UDP on loopback. No caller sends anything: what is measured is control alone.
+      Hollow daemons and engines share processes; some daemons have their own. All communicate over
+      real TCP and UDP on loopback. No caller sends requests: only the control plane is measured.
     `,
     examples: [
       ['Three sizes', '$0 scale --daemons 10,20,40 --engines 24,48,96 --json'],
@@ -36,25 +36,29 @@
     ],
   });
 
-  daemons = Option.String('--daemons', '10,20,40', { description: 'sizes, with commas between' });
-  engines = Option.String('--engines', '24,48,96', { description: 'engines at each size' });
+  daemons = Option.String('--daemons', '10,20,40', {
+    description: 'comma-separated numbers of daemons',
+  });
+  engines = Option.String('--engines', '24,48,96', {
+    description: 'comma-separated numbers of engines, one for each size',
+  });
   zones = Option.String('--zones', '5', { description: 'zones' });
   realDaemons = Option.String('--real', '2', {
-    description: 'daemons with a process of their own',
+    description: 'number of daemons with their own process',
   });
   settleSeconds = Option.String('--settle', '5', { description: 'seconds before measuring' });
-  measureSeconds = Option.String('--measure', '20', { description: 'seconds measured' });
+  measureSeconds = Option.String('--measure', '20', { description: 'seconds of measuring' });
   json = Option.Boolean('--json', false, { description: 'print JSON' });
 
   protected override async carryOut(): Promise<number> {
     const daemons = sizes('--daemons', this.daemons, MAX_DAEMONS);
     const engines = sizes('--engines', this.engines, MAX_ENGINES);
     if (daemons.length !== engines.length) {
-      throw new UsageError('--engines: give as many sizes as --daemons has.');
+      throw new UsageError('--engines: give as many numbers as --daemons has.');
     }
     const runs: ScaleResult[] = [];
     for (const [index, count] of daemons.entries()) {
-      this.context.stderr.write(`${count} daemons before ${engines[index]} engines\n`);
+      this.context.stderr.write(`${count} daemons and ${engines[index]} engines\n`);
       runs.push(await this.runSize(count, engines[index] ?? 0));
     }
     const report = { runs, lines: linesOf(runs) };
@@ -79,8 +83,8 @@
   return numberOption(flag, text, 0, MAX_SECONDS) * MILLISECONDS_PER_SECOND;
 }
 
-function sizes(flag: string, text: string, most: number): readonly number[] {
-  return text.split(',').map((part) => numberOption(flag, part, 1, most));
+function sizes(flag: string, text: string, max: number): readonly number[] {
+  return text.split(',').map((part) => numberOption(flag, part, 1, max));
 }
 
 type Lines = Readonly<Record<CostFigure, LinearFit | null>>;
--- a/src/lab/commands/web-command.ts
+++ b/src/lab/commands/web-command.ts
@@ -1,4 +1,4 @@
-/** `threadfork-lab web`: an emulated plain web backend as a process. */
+/** `threadfork-lab web`: runs an emulated web backend as a process. */
 import { Command, Option } from 'clipanion';
 import type { WebMachine } from '../../core/registry/backend.js';
 import { createWebBackendServer } from '../web/index.js';
@@ -12,14 +12,14 @@
 
 const MAX_NOTICE_MS = 600_000;
 
-/** Runs one web backend until it is told to stop. */
+/** Runs one web backend until a stop signal. */
 export class WebCommand extends LabCommand {
   static override paths = [['web']];
   static override usage = Command.Usage({
     description: 'Run an emulated web backend: sheet tiles by GET, orders by POST.',
     details: `
-      Prints one JSON line on standard output once it listens, and puts itself on the platform's
-      machine list. At SIGTERM it says that it is leaving and takes itself off the list.
+      Registers on the platform's machine list and prints one JSON line on standard output once it
+      listens. On SIGTERM it reports that it is leaving and removes itself from the list.
     `,
     examples: [
       [
@@ -29,14 +29,19 @@
     ],
   });
 
-  listen = Option.String('--listen', '127.0.0.1:0', { description: 'IP:PORT; port 0: any free' });
+  listen = Option.String('--listen', '127.0.0.1:0', {
+    description: 'IP:PORT; port 0: any free port',
+  });
   platform = Option.String('--platform', { description: 'IP:PORT of the platform' });
   machineName = Option.String('--name', { required: true, description: 'name of the machine' });
   zone = Option.String('--zone', { required: true, description: 'zone of the machine' });
-  service = Option.String('--service', { required: true, description: 'service it belongs to' });
-  serviceMs = Option.String('--service-ms', '2', { description: 'time of one request' });
+  service = Option.String('--service', {
+    required: true,
+    description: 'service that the backend belongs to',
+  });
+  serviceMs = Option.String('--service-ms', '2', { description: 'duration of one request' });
   leaveNoticeMs = Option.String('--leave-notice-ms', DEFAULT_LEAVE_NOTICE_MS, {
-    description: 'how long it still takes requests after SIGTERM',
+    description: 'how long requests are still accepted after SIGTERM',
   });
 
   protected override async carryOut(): Promise<number> {
@@ -58,7 +63,7 @@
       list: machineList(this.platform),
       leaveNoticeMs: numberOption('--leave-notice-ms', this.leaveNoticeMs, 0, MAX_NOTICE_MS),
       markLeaving: () => server.leave(),
-      // The usual notice outlasts the longest service time, so nothing runs when it ends.
+      // The default notice exceeds the maximum service time, so no request runs when the notice ends.
       active: () => 0,
     });
     await server.close();
--- a/src/lab/common/listener.ts
+++ b/src/lab/common/listener.ts
@@ -1,9 +1,9 @@
-/** Opening and closing the listeners of the lab's servers. */
+/** Opens and closes the listeners of the lab's servers. */
 import type { Server } from 'node:http';
 import type { AddressInfo } from 'node:net';
 import type { Endpoint } from '../../core/registry/backend.js';
 
-/** Listens and states the endpoint, with the port that was taken. */
+/** Listens and returns the endpoint with the port that was assigned. */
 export async function openListener(server: Server, listen: Endpoint): Promise<Endpoint> {
   await new Promise<void>((resolve, reject) => {
     server.once('error', reject);
@@ -15,7 +15,7 @@
   return { address: listen.address, port: (server.address() as AddressInfo).port };
 }
 
-/** Closes a listener and cuts its connections. */
+/** Closes a listener and all its connections. */
 export function closeListener(server: Server): Promise<void> {
   return new Promise((resolve) => {
     server.close(() => resolve());
--- a/src/lab/main.ts
+++ b/src/lab/main.ts
@@ -1,5 +1,5 @@
 #!/usr/bin/env node
-/** Entry point of `threadfork-lab`: emulated machines, load, fleets. Not needed in production. */
+/** Entry point of `threadfork-lab`: emulated machines, load and fleets. Not needed in production. */
 import { Builtins, Cli, type Command } from 'clipanion';
 import { packageVersion } from '../shell/settings/index.js';
 import { CompareCommand } from './commands/compare-command.js';
--- a/src/lab/report/index.ts
+++ b/src/lab/report/index.ts
@@ -1,3 +1,3 @@
-/** Reports of experiments: their plots and their page. Rendering is done by `report/` outside src. */
+/** Reports of experiments: plots and HTML page. The plots are rendered by `report/` outside src. */
 export { reportPage } from './page.js';
 export { type PlotSpecification, plots } from './plots.js';
--- a/src/lab/report/page.ts
+++ b/src/lab/report/page.ts
@@ -1,11 +1,11 @@
-/** The page of a report: one HTML text with everything in it, which loads nothing. */
+/** The page of a report: one self-contained HTML document that loads no external resources. */
 import type { ExperimentResult } from '../experiment/index.js';
 
-/** What the page shows. */
+/** The content of the page. */
 export interface ReportContent {
   readonly about: string;
   readonly results: readonly ExperimentResult[];
-  /** The plots, rendered. */
+  /** The rendered plots. */
   readonly svg: string;
 }
 
@@ -24,7 +24,7 @@
   ['between tokens p50 / p95 / p99, ms', ({ between_tokens }) => percentilesText(between_tokens)],
 ];
 
-/** The whole page. */
+/** The complete page as HTML. */
 export function reportPage({ about, results, svg }: ReportContent): string {
   const [first] = results;
   const title = `${first?.scenario ?? ''}, seed ${first?.seed ?? ''}`;
--- a/src/lab/report/plots.ts
+++ b/src/lab/report/plots.ts
@@ -1,6 +1,6 @@
 /**
- * The plots of a report as plain vega-lite: goodput, mix, roles, queues and latencies of runs with
- * one seed, under each other on one time axis.
+ * The plots of a report as plain vega-lite: goodput, request mix, roles, queues and latencies of runs
+ * with one seed, stacked on a common time axis.
  */
 import type { CoursePoint, ExperimentResult } from '../experiment/index.js';
 
@@ -9,7 +9,7 @@
 
 const WIDTH = 860;
 const HEIGHT = 130;
-/** Points of the course are averaged to at most so many on the time axis. */
+/** The maximum number of points on the time axis; more points are averaged in groups. */
 const MAX_POINTS = 160;
 const SECONDS_PER_MINUTE = 60;
 const ROLE_ORDER = ['prefill', 'mixed', 'decode', 'away'] as const;
@@ -21,7 +21,7 @@
   readonly value: number;
 }
 
-/** One specification with all plots. */
+/** One specification that contains all plots. */
 export function plots(results: readonly ExperimentResult[]): PlotSpecification {
   const duration = Math.max(...results.map(({ duration_s }) => duration_s)) / SECONDS_PER_MINUTE;
   const policies = results.map(({ policy }) => policy);
@@ -120,7 +120,7 @@
   return { field: 'minute', type: 'quantitative', title: 'Minutes', scale };
 }
 
-/** One series, averaged over as many neighbouring points as needed; points without value left out. */
+/** One series, averaged over groups of neighbouring points; groups without a value are left out. */
 function rows(
   course: readonly CoursePoint[],
   series: string,
