--- a/fuzz/commands.ts
+++ b/fuzz/commands.ts
@@ -1,4 +1,4 @@
-/** The actions that schedules are made of, as fast-check commands. */
+/** The actions of schedules, as fast-check commands. */
 import fc from 'fast-check';
 import { DAEMONS, ENGINES, type FuzzWorld, type RequestPlan, ZONES } from './world.js';
 
--- a/src/lab/model/command.ts
+++ b/src/lab/model/command.ts
@@ -10,7 +10,7 @@
 import { combine, resultText } from './result.js';
 
 const DEFAULT_MAX_STATES = 2_000_000;
-const MOST_STATES = 100_000_000;
+const MAX_STATES_LIMIT = 100_000_000;
 const EXPLORERS: Readonly<Record<'graph' | 'plain', Explorer>> = {
   graph: exploreGraph,
   plain: explore,
@@ -79,7 +79,7 @@
   }
 
   private limits(stopAt: string | null): Limits {
-    const maxStates = numberOption('--max-states', this.maxStates, 1, MOST_STATES);
+    const maxStates = numberOption('--max-states', this.maxStates, 1, MAX_STATES_LIMIT);
     return { maxStates, stopAt };
   }
 
--- a/src/lab/model/configuration/draft.ts
+++ b/src/lab/model/configuration/draft.ts
@@ -167,7 +167,7 @@
 
   /**
    * Adds a message in flight unless an equal one is: each copy may be delivered or lost, so one copy
-   * stands for both.
+   * represents both.
    */
   #put(message: ConfigurationMessage): void {
     const number = intern(message);
--- a/src/lab/model/streams/index.ts
+++ b/src/lab/model/streams/index.ts
@@ -53,7 +53,7 @@
 /** An attempt with its connection. */
 interface StreamAttempt {
   readonly id: string;
-  /** The offset of the first token that the engine was asked for. */
+  /** The offset of the first token requested from the engine. */
   readonly start: number;
   /** The offset of the next token to send; the answer's length when only the usage is left. */
   readonly next: number;
--- a/src/lab/simulation/simulated-caller.ts
+++ b/src/lab/simulation/simulated-caller.ts
@@ -5,7 +5,7 @@
 import type { SimulatedNetwork } from './simulated-network.js';
 import type { VirtualClock } from './virtual-clock.js';
 
-/** The node that stands for all callers. */
+/** The network node that represents all callers. */
 const CALLER_NODE = 'callers';
 
 /** Sends requests and reports each one's end exactly once. */
--- a/src/lab/simulation/virtual-clock.ts
+++ b/src/lab/simulation/virtual-clock.ts
@@ -6,7 +6,7 @@
   readonly run: () => void;
 }
 
-/** More events than this at one time are taken for an endless loop in the simulated system. */
+/** More events than this at one time are treated as an endless loop in the simulated system. */
 const MAX_EVENTS_AT_ONE_TIME = 200_000;
 
 /** A clock that advances from event to event. */
