--- a/bench/admission-operations.ts
+++ b/bench/admission-operations.ts
@@ -24,7 +24,7 @@
   const times = timeOperations(OPERATIONS, (turn) => {
     const request = describe(turn);
     queue.offer(request, { now: turn, hasCapacity: true });
-    queue.finished(request.id, { promptTokens: 500, outputTokens: 20 });
+    queue.recordFinished(request.id, { promptTokens: 500, outputTokens: 20 });
   });
   return { case: 'dispatch-now and finish', tenants: TENANTS, ...times };
 }
@@ -37,7 +37,7 @@
   const times = timeOperations(OPERATIONS, (turn) => {
     queue.offer(describe(turn), { now: turn, hasCapacity: false });
     const next = queue.next(turn, () => true);
-    queue.finished(next?.id ?? '', { promptTokens: 500, outputTokens: 20 });
+    queue.recordFinished(next?.id ?? '', { promptTokens: 500, outputTokens: 20 });
   });
   return { case: `offer, next and finish with ${BACKLOG} waiting`, tenants: TENANTS, ...times };
 }
--- a/bench/routing-decision.ts
+++ b/bench/routing-decision.ts
@@ -98,9 +98,14 @@
     return;
   }
   const { promptTokens, prefixHashes } = target;
-  outstanding.started({ attempt: `a${turn}`, backend: decision.engine, at: turn, promptTokens });
-  outstanding.ended(`a${turn - IN_FLIGHT}`, turn);
-  prefixes.dispatched(decision.engine, prefixHashes);
+  outstanding.recordStart({
+    attempt: `a${turn}`,
+    backend: decision.engine,
+    at: turn,
+    promptTokens,
+  });
+  outstanding.recordEnd(`a${turn - IN_FLIGHT}`, turn);
+  prefixes.recordDispatch(decision.engine, prefixHashes);
 }
 
 function targetOf(turn: number): ModelTarget {
--- a/bench/routing-simulation.ts
+++ b/bench/routing-simulation.ts
@@ -171,7 +171,7 @@
     const view = { machine: engine.machine, report, reportedAt, grantedUntil, watcher: null };
     for (const daemon of this.#daemons) {
       daemon.index.setView(view);
-      daemon.prefixes.apply(engine.machine.name, cacheEvents);
+      daemon.prefixes.applyCacheEvents(engine.machine.name, cacheEvents);
     }
   }
 
@@ -219,13 +219,13 @@
     this.#sent.set(id, { daemon, at: now });
     if (this.#scenario.correctsByOwnSends) {
       const promptTokens = target.promptTokens;
-      daemon.outstanding.started({
+      daemon.outstanding.recordStart({
         attempt: id,
         backend: engine.machine.name,
         at: now,
         promptTokens,
       });
-      daemon.prefixes.dispatched(engine.machine.name, target.prefixHashes);
+      daemon.prefixes.recordDispatch(engine.machine.name, target.prefixHashes);
     }
     this.#schedule(engine);
   }
@@ -274,7 +274,7 @@
       return;
     }
     this.#sent.delete(id);
-    sent.daemon.outstanding.ended(id, this.#clock.now);
+    sent.daemon.outstanding.recordEnd(id, this.#clock.now);
     if (sent.at > this.#scenario.durationMs * WARM_UP_SHARE) {
       this.#times.push(this.#clock.now - sent.at);
     }
--- a/bench/waiting-room.ts
+++ b/bench/waiting-room.ts
@@ -1,5 +1,5 @@
 /** How long the decision on a request takes at a daemon where thousands wait: it goes, waits or is refused. */
-import { RetryLine, type RoomPlace, WaitingRoom } from '../src/core/admission/index.js';
+import { RetrySchedule, WaitQueue, type WaitQueueEntry } from '../src/core/admission/index.js';
 import {
   type PlaceInput,
   type Placement,
@@ -33,12 +33,12 @@
 
 /** @param queueMs the wait at the best engine, by which the request goes, waits or is refused */
 function measure(name: string, queueMs: number): RoomTimes {
-  const room = new WaitingRoom({ maxWaitingPerClass: 2 * BACKLOG });
-  const retries = new RetryLine();
+  const room = new WaitQueue({ maxWaitingPerClass: 2 * BACKLOG });
+  const retries = new RetrySchedule();
   const slacks = new UrgentSlack();
   const shares = new RankShares();
   for (let turn = 0; turn < BACKLOG; turn += 1) {
-    room.enter(place(-1 - turn, 1e9), { now: 0, hasCapacity: false });
+    room.offer(place(-1 - turn, 1e9), { now: 0, hasCapacity: false });
   }
   const times = timeOperations(OPERATIONS, (turn) => {
     const rank = turn % RANKS;
@@ -54,17 +54,17 @@
 function carryOut(
   placement: Placement,
   turn: number,
-  room: WaitingRoom,
-  retries: RetryLine,
+  room: WaitQueue,
+  retries: RetrySchedule,
   shares: RankShares,
 ): void {
   if (placement.kind === 'refuse') {
     const { roomInMs } = placement;
-    retries.promise({ nowMs: turn, roomInMs, spacingMs: 20, mostMs: 5_000, entropy: 0.5 });
+    retries.scheduleRetryMs({ nowMs: turn, roomInMs, spacingMs: 20, maxMs: 5_000, entropy: 0.5 });
     return;
   }
   const hasCapacity = placement.kind === 'go';
-  room.enter(place(turn, 1e9 + turn), { now: turn, hasCapacity });
+  room.offer(place(turn, 1e9 + turn), { now: turn, hasCapacity });
   room.next(turn, () => true);
   shares.recordRequest(turn % RANKS, READ_MS, turn);
 }
@@ -84,14 +84,14 @@
   };
 }
 
-function place(turn: number, latestStartMs: number): RoomPlace {
+function place(turn: number, latestStartMs: number): WaitQueueEntry {
   const rank = Math.abs(turn) % RANKS;
   return {
     id: `r${turn}`,
     lane: `reader/${rank}`,
     tenant: `t${Math.abs(turn * 7_919) % TENANTS}`,
     rank,
-    canBeInTime: true,
+    canMeetDeadline: true,
     costMs: READ_MS,
     arrivedAtMs: turn,
     latestStartMs,
--- a/src/cli/base-command.ts
+++ b/src/cli/base-command.ts
@@ -18,7 +18,7 @@
       return await this.run();
     } catch (error) {
       const reason = error instanceof Error ? (error.stack ?? error.message) : String(error);
-      this.complain(`threadfork failed: ${reason}. This is a fault of threadfork; report it.`);
+      this.printError(`threadfork failed: ${reason}. This is a fault of threadfork; report it.`);
       return EXIT_UNKNOWN;
     }
   }
@@ -35,23 +35,23 @@
     this.print(`${JSON.stringify(value, null, 2)}\n`);
   }
 
-  protected complain(text: string): void {
+  protected printError(text: string): void {
     this.context.stderr.write(`${text}\n`);
   }
 
   /** Says what is wrong with the command line. */
-  protected misused(problem: string): number {
-    this.complain(`threadfork: ${problem}`);
+  protected reportUsageError(problem: string): number {
+    this.printError(`threadfork: ${problem}`);
     return EXIT_USAGE;
   }
 
   /** Tells a fault and gives its exit code. */
-  protected failWith(fault: Fault): number {
+  protected reportFault(fault: Fault): number {
     if (this.json) {
       this.printJson({ error: fault });
     }
     const notRun = fault.outcome === 'refused-not-run';
-    this.complain(`${notRun ? 'refused' : 'unknown'}: ${printable(fault.message)}`);
+    this.printError(`${notRun ? 'refused' : 'unknown'}: ${printable(fault.message)}`);
     return notRun ? EXIT_REFUSED : EXIT_UNKNOWN;
   }
 }
--- a/src/cli/commands/apply.ts
+++ b/src/cli/commands/apply.ts
@@ -45,10 +45,10 @@
     const id = this.id ?? randomUUID();
     const body = this.readBody();
     if (body.isErr()) {
-      return this.misused(body.error);
+      return this.reportUsageError(body.error);
     }
     if (this.ifVersion !== undefined && !/^\d{1,15}$/.test(this.ifVersion)) {
-      return this.misused(`the version "${this.ifVersion}" is not a whole number`);
+      return this.reportUsageError(`the version "${this.ifVersion}" is not a whole number`);
     }
     const outcome = await this.call({
       method: 'POST',
@@ -61,11 +61,11 @@
       },
     });
     if (outcome.isErr()) {
-      return this.misused(outcome.error);
+      return this.reportUsageError(outcome.error);
     }
     const { value } = outcome;
     const nothingSent = value.kind === 'no-answer' && !value.maybeSent;
-    return nothingSent ? this.unreachable(value) : this.tell(readChangeOutcome(id, value));
+    return nothingSent ? this.reportUnreachable(value) : this.tell(readChangeOutcome(id, value));
   }
 
   private readBody(): Result<ChangeBody, string> {
@@ -97,14 +97,14 @@
         this.say(outcome.description.map((line) => `  ${printable(line)}`).join('\n'));
         return EXIT_DONE;
       case 'refused':
-        this.complain(
+        this.printError(
           `refused: ${printable(outcome.fault.message)}${inForce(outcome.currentVersion)}`,
         );
         return EXIT_REFUSED;
       case 'unknown':
-        this.complain(`unknown: ${printable(outcome.message)}${waitingFor(outcome.waitingFor)}`);
-        this.complain(`  settle it with: threadfork query 'changes where id = "${id}"'`);
-        this.complain(`  or repeat it with --id ${id}; it takes effect once`);
+        this.printError(`unknown: ${printable(outcome.message)}${waitingFor(outcome.waitingFor)}`);
+        this.printError(`  settle it with: threadfork query 'changes where id = "${id}"'`);
+        this.printError(`  or repeat it with --id ${id}; it takes effect once`);
         return EXIT_UNKNOWN;
     }
   }
--- a/src/cli/commands/complete.ts
+++ b/src/cli/commands/complete.ts
@@ -54,7 +54,7 @@
   override async run(): Promise<number> {
     const completion = this.readRequest();
     if (completion.isErr()) {
-      return this.misused(completion.error);
+      return this.reportUsageError(completion.error);
     }
     const outcome = await sendCompletion(completion.value, (text) => this.show(text));
     return this.tell(outcome);
@@ -76,13 +76,13 @@
       case 'answered':
         return EXIT_DONE;
       case 'refused':
-        this.complain(`refused: ${printable(outcome.message)}`);
+        this.printError(`refused: ${printable(outcome.message)}`);
         return EXIT_REFUSED;
       case 'unknown':
-        this.complain(`unknown: ${printable(outcome.message)}`);
+        this.printError(`unknown: ${printable(outcome.message)}`);
         return EXIT_UNKNOWN;
       case 'unreachable':
-        this.complain(`unreachable: ${outcome.reasons.map(printable).join('; ')}`);
+        this.printError(`unreachable: ${outcome.reasons.map(printable).join('; ')}`);
         return EXIT_UNKNOWN;
     }
   }
@@ -96,7 +96,11 @@
     if (!/^[1-9]\d{0,6}$/.test(this.maxTokens)) {
       return err(`--max-tokens "${this.maxTokens}" is not a whole number from 1 to 9999999`);
     }
-    const key = readSecret({ value: this.key, file: this.keyFile, variable: env.THREADFORK_KEY });
+    const key = readSecret({
+      value: this.key,
+      file: this.keyFile,
+      environmentValue: env.THREADFORK_KEY,
+    });
     const daemons = readAddresses({ flags: this.daemons, env, variable: 'THREADFORK_CALLERS' });
     return daemons.andThen((endpoints) =>
       key.andThen((secret) =>
--- a/src/cli/commands/completion.ts
+++ b/src/cli/commands/completion.ts
@@ -20,7 +20,9 @@
   override async run(): Promise<number> {
     const shell = SHELLS.find((known) => known === this.shell);
     if (shell === undefined) {
-      return this.misused(`no completion for "${this.shell}"; name one of ${SHELLS.join(', ')}`);
+      return this.reportUsageError(
+        `no completion for "${this.shell}"; name one of ${SHELLS.join(', ')}`,
+      );
     }
     this.print(completionScript(shell, this.cli.definitions()));
     return EXIT_DONE;
--- a/src/cli/commands/config.ts
+++ b/src/cli/commands/config.ts
@@ -24,16 +24,16 @@
   override async run(): Promise<number> {
     const text = readTextFile(this.file);
     if (text.isErr()) {
-      return this.misused(text.error);
+      return this.reportUsageError(text.error);
     }
     const document = readYaml(text.value);
     if (document.kind === 'broken') {
       const message = `The file "${this.file}" is not YAML (${document.reason}). Correct it.`;
-      return this.failWith(refusedNotRun('invalid-command', message));
+      return this.reportFault(refusedNotRun('invalid-command', message));
     }
     const checked = parseDocument(document.value);
     if (checked.isErr()) {
-      return this.failWith(checked.error);
+      return this.reportFault(checked.error);
     }
     if (this.json) {
       this.printJson(checked.value);
@@ -74,7 +74,7 @@
 
   override run(): Promise<number> {
     const call = { method: 'GET', path: '/v1/configuration' } as const;
-    return this.read(call, configurationAnswerSchema, ({ version, document }) => {
+    return this.callAndShow(call, configurationAnswerSchema, ({ version, document }) => {
       if (this.json) {
         this.printJson({ version, document });
         return EXIT_DONE;
@@ -89,7 +89,7 @@
           this.print(heading + commandsText(checked));
           return EXIT_DONE;
         },
-        (fault) => this.failWith(fault),
+        (fault) => this.reportFault(fault),
       );
     });
   }
--- a/src/cli/commands/explain.ts
+++ b/src/cli/commands/explain.ts
@@ -28,14 +28,18 @@
 
   override async run(): Promise<number> {
     if (!EXPLAIN_SUBJECTS.some((subject) => subject === this.subject)) {
-      return this.misused(`"${this.subject}" can't be explained; name request, engine or config`);
+      return this.reportUsageError(
+        `"${this.subject}" can't be explained; name request, engine or config`,
+      );
     }
     if (this.id === undefined && this.subject !== 'config') {
-      return this.misused(`name the ${this.subject} to explain, see threadfork explain --help`);
+      return this.reportUsageError(
+        `name the ${this.subject} to explain, see threadfork explain --help`,
+      );
     }
     const body = { subject: this.subject, ...(this.id === undefined ? {} : { id: this.id }) };
     const call = { method: 'POST', path: '/v1/explain', body } as const;
-    return this.read(call, explanationSchema, (explanation) => {
+    return this.callAndShow(call, explanationSchema, (explanation) => {
       if (this.json) {
         this.printJson(explanation);
         return EXIT_DONE;
--- a/src/cli/commands/query.ts
+++ b/src/cli/commands/query.ts
@@ -25,7 +25,7 @@
 
   override run(): Promise<number> {
     const call = { method: 'POST', path: '/v1/query', body: { text: this.text } } as const;
-    return this.read(call, queryAnswerSchema, (answer) => {
+    return this.callAndShow(call, queryAnswerSchema, (answer) => {
       if (this.json) {
         this.printJson(answer.rows);
       } else {
--- a/src/cli/commands/status.ts
+++ b/src/cli/commands/status.ts
@@ -18,7 +18,7 @@
 
   override run(): Promise<number> {
     const call = { method: 'GET', path: '/v1/status' } as const;
-    return this.read(call, statusSchema, (status) => {
+    return this.callAndShow(call, statusSchema, (status) => {
       if (this.json) {
         this.printJson(status);
         return EXIT_DONE;
--- a/src/cli/commands/trace.ts
+++ b/src/cli/commands/trace.ts
@@ -38,7 +38,7 @@
     const lines: LogLine[] = [];
     for (const file of this.files.length === 0 ? [STANDARD_INPUT] : this.files) {
       if (file !== STANDARD_INPUT && !(await isFile(file))) {
-        return this.misused(`there is no file "${file}"; name the logs of the gateways`);
+        return this.reportUsageError(`there is no file "${file}"; name the logs of the gateways`);
       }
       for (const line of await readLog(this.#open(file), file, isWanted)) lines.push(line);
     }
--- a/src/cli/daemon-options.ts
+++ b/src/cli/daemon-options.ts
@@ -35,7 +35,7 @@
 export interface SecretSource {
   readonly value: string | undefined;
   readonly file: string | undefined;
-  readonly variable: string | undefined;
+  readonly environmentValue: string | undefined;
 }
 
 /** The secret, or null when none is given. */
@@ -44,7 +44,7 @@
     return ok(source.value);
   }
   if (source.file === undefined) {
-    return ok(source.variable ?? null);
+    return ok(source.environmentValue ?? null);
   }
   return readTextFile(source.file).map((text) => text.trim());
 }
--- a/src/cli/operator-command.ts
+++ b/src/cli/operator-command.ts
@@ -38,39 +38,39 @@
   }
 
   /** Makes a call that changes nothing, and hands its checked answer on. */
-  protected async read<T>(
+  protected async callAndShow<T>(
     call: OperatorCall,
     schema: z.ZodType<T>,
     show: (answer: T) => number,
   ): Promise<number> {
     const outcome = await this.call(call);
     if (outcome.isErr()) {
-      return this.misused(outcome.error);
+      return this.reportUsageError(outcome.error);
     }
     if (outcome.value.kind === 'no-answer') {
-      return this.unreachable(outcome.value);
+      return this.reportUnreachable(outcome.value);
     }
     const error = errorAnswerSchema.safeParse(outcome.value.body);
     if (error.success) {
-      return this.failWith(error.data.error);
+      return this.reportFault(error.data.error);
     }
     const answer = schema.safeParse(outcome.value.body);
     return answer.success && outcome.value.status === STATUS_OK
       ? show(answer.data)
-      : this.notUnderstood(outcome.value);
+      : this.reportUnexpectedAnswer(outcome.value);
   }
 
-  protected unreachable({ reasons }: NoAnswer): number {
+  protected reportUnreachable({ reasons }: NoAnswer): number {
     if (this.json) {
       this.printJson({ kind: 'unreachable', reasons });
     }
-    this.complain('unreachable: no daemon answered. Check the addresses, or name other daemons:');
-    this.complain(reasons.map((reason) => `  ${printable(reason)}`).join('\n'));
+    this.printError('unreachable: no daemon answered. Check the addresses, or name other daemons:');
+    this.printError(reasons.map((reason) => `  ${printable(reason)}`).join('\n'));
     return EXIT_UNKNOWN;
   }
 
-  protected notUnderstood({ daemon, status }: DaemonAnswer): number {
-    this.complain(
+  protected reportUnexpectedAnswer({ daemon, status }: DaemonAnswer): number {
+    this.printError(
       `unknown: ${daemon} gave an answer (status ${status}) that is not understood. Check that it is the operator address of a daemon of this version.`,
     );
     return EXIT_UNKNOWN;
@@ -82,7 +82,7 @@
     const token = readSecret({
       value: this.token,
       file: this.tokenFile,
-      variable: env.THREADFORK_TOKEN,
+      environmentValue: env.THREADFORK_TOKEN,
     });
     return daemons.andThen((endpoints) =>
       token.andThen((secret) =>
--- a/src/core/admission/admission-queue.ts
+++ b/src/core/admission/admission-queue.ts
@@ -11,9 +11,9 @@
 } from '../configuration/document.js';
 import type { RequestDescription, RequestTarget } from '../requests/types.js';
 import type { AdmissionRules } from './admission-rules.js';
-import { MIN_CLASS_SHARE } from './class-use.js';
+import { type AdmissionLimits, AdmissionScheduler } from './admission-scheduler.js';
+import { MIN_CLASS_SHARE } from './class-usage.js';
 import { estimatedCost, type TokenUse, tokenCost } from './token-cost.js';
-import { type AdmissionLimits, WaitingLines } from './waiting-lines.js';
 
 /** A class that the configuration has dropped while requests of it were under way. */
 const UNSTATED_CLASS: ClassConfiguration = classSchema.parse({ priority: 9, deadlineMs: 30_000 });
@@ -41,7 +41,7 @@
 }
 
 /** All requests of the product's own API that wait or were let go. */
-export class AdmissionQueue extends WaitingLines<RequestDescription> {
+export class AdmissionQueue extends AdmissionScheduler<RequestDescription> {
   readonly #documentRules: DocumentRules;
 
   constructor(limits: Partial<AdmissionLimits> = {}) {
@@ -53,11 +53,11 @@
   /** Takes over classes, shares and weights. */
   configure(configuration: ConfigurationDocument): void {
     this.#documentRules.document = configuration;
-    this.rulesChanged();
+    this.onRulesChanged();
   }
 
   /** Notes the end of a request with what it used in fact; null when it was not run. */
-  finished(id: RequestId, used: TokenUse | null): void {
+  recordFinished(id: RequestId, used: TokenUse | null): void {
     this.settle(id, used === null ? 0 : tokenCost(used));
   }
 }
--- a/src/core/admission/waiting-lines.ts
+++ b/src/core/admission/admission-scheduler.ts
@@ -8,7 +8,7 @@
 import type { Milliseconds, MonotonicMs } from '../common/time.js';
 import type { Fault } from '../errors/fault.js';
 import type { Admissible, AdmissionRules } from './admission-rules.js';
-import { expectWait, type WaitEstimate } from './expected-wait.js';
+import { estimateWait, type WaitEstimate } from './expected-wait.js';
 import { IndexedHeap } from './indexed-heap.js';
 import { Lane } from './lane.js';
 import { deadlineFault, shedFault } from './shed-fault.js';
@@ -27,7 +27,7 @@
 const UNSHARED_QUEUE_PART = 0.5;
 
 /** What becomes of an offered request. */
-export type AdmissionAnswer =
+export type AdmissionDecision =
   | { readonly kind: 'dispatch-now' }
   /** `expectedWaitMs` is null before the lane's speed is known. */
   | { readonly kind: 'queued'; readonly expectedWaitMs: Milliseconds | null }
@@ -41,7 +41,7 @@
 }
 
 /** All requests that wait or were let go. A hot container that its owner updates in place. */
-export class WaitingLines<Request extends Admissible> {
+export class AdmissionScheduler<Request extends Admissible> {
   readonly #rules: AdmissionRules<Request>;
   readonly #limits: AdmissionLimits;
   readonly #lanes = new Map<string, Lane<Request>>();
@@ -55,7 +55,7 @@
   }
 
   /** To be called when the rules say other classes. A tenant's new weight counts from its next request on. */
-  rulesChanged(): void {
+  onRulesChanged(): void {
     for (const lane of this.#lanes.values()) {
       lane.configure((name) => this.#rules.classOf(name));
     }
@@ -80,7 +80,7 @@
    * Offers a request. One that was let go before (a retry) goes again, or waits in front of its
    * tenant's others, and is not charged twice.
    */
-  offer(description: Request, context: OfferContext): AdmissionAnswer {
+  offer(description: Request, context: OfferContext): AdmissionDecision {
     const { now, hasCapacity } = context;
     const lane = this.#laneOf(description);
     const before = this.#admitted.get(description.id);
@@ -173,7 +173,7 @@
     const cost = this.#rules.costOf(description);
     const queue = lane.queueOf(description.className, this.#rules.classOf(description.className));
     queue.charge(description.tenant, this.#rules.weightOf(description.tenant), cost);
-    lane.passed(description.className, cost, now);
+    lane.recordDirectAdmission(description.className, cost, now);
     this.#noteAdmitted({ description, lane: this.#rules.laneOf(description), cost }, now);
   }
 
@@ -185,7 +185,7 @@
   ): void {
     const request: WaitingRequest<Request> = {
       key: description.deadline,
-      place: -1,
+      heapIndex: -1,
       description,
       lane: this.#rules.laneOf(description),
       cost: before?.cost ?? this.#rules.costOf(description),
@@ -199,7 +199,7 @@
 
   #estimate(description: Request, lane: Lane): WaitEstimate {
     const stated = this.#rules.classOf(description.className);
-    return expectWait({
+    return estimateWait({
       lane,
       queue: lane.queueOf(description.className, stated),
       priority: stated.priority,
@@ -223,7 +223,7 @@
       estimate,
       slackMs: description.deadline - now,
       queueFull: queue.size >= limit,
-      tenantOverPart: queue.size >= limit * UNSHARED_QUEUE_PART && overPart,
+      tenantOverShare: queue.size >= limit * UNSHARED_QUEUE_PART && overPart,
     });
   }
 
--- a/src/core/admission/class-use.ts
+++ b/src/core/admission/class-usage.ts
@@ -24,7 +24,7 @@
   }
 
   /** The class's part of recent use, from 0 to 1. */
-  fraction(className: ClassName): number {
+  shareOf(className: ClassName): number {
     return this.#total <= 0 ? 0 : (this.#use.get(className) ?? 0) / this.#total;
   }
 
--- a/src/core/admission/expected-wait.ts
+++ b/src/core/admission/expected-wait.ts
@@ -6,7 +6,7 @@
 
 /** What an estimate is made from. */
 export interface WaitInput {
-  readonly lane: Pick<Lane, 'costAbove' | 'rate' | 'size'>;
+  readonly lane: Pick<Lane, 'costOfHigherPriority' | 'rate' | 'size'>;
   readonly queue: Pick<FairQueue, 'activeWeight' | 'cost' | 'costOf'>;
   readonly priority: number;
   readonly tenant: TenantName;
@@ -18,7 +18,7 @@
   /** The wait of this request. */
   readonly waitMs: Milliseconds | null;
   /** The wait of a request of the same class by a tenant that has nothing waiting. */
-  readonly freshTenantWaitMs: Milliseconds | null;
+  readonly idleTenantWaitMs: Milliseconds | null;
 }
 
 /**
@@ -26,18 +26,18 @@
  * tenant waits for its own earlier requests and for the others' part of the time that these take,
  * but never for more than waits in the class altogether.
  */
-export function expectWait(input: WaitInput): WaitEstimate {
+export function estimateWait(input: WaitInput): WaitEstimate {
   const { lane, queue, priority, tenant, weight } = input;
   const perMs = lane.rate.perMs;
   if (perMs === null || lane.size === 0) {
     const unknown = lane.size === 0 ? 0 : null;
-    return { waitMs: unknown, freshTenantWaitMs: unknown };
+    return { waitMs: unknown, idleTenantWaitMs: unknown };
   }
-  const above = lane.costAbove(priority);
+  const above = lane.costOfHigherPriority(priority);
   const own = queue.costOf(tenant);
   const othersWeight = queue.activeWeight + (own > 0 ? 0 : weight);
   const ahead = Math.min(queue.cost, (own * othersWeight) / weight);
-  return { waitMs: duration(above + ahead, perMs), freshTenantWaitMs: duration(above, perMs) };
+  return { waitMs: duration(above + ahead, perMs), idleTenantWaitMs: duration(above, perMs) };
 }
 
 function duration(cost: number, perMs: number): Milliseconds {
--- a/src/core/admission/fair-queue.ts
+++ b/src/core/admission/fair-queue.ts
@@ -11,7 +11,7 @@
 /** A tenant's place in the queue; its heap key is the start tag of its first waiting request. */
 interface TenantQueue<Request extends Admissible> {
   key: number;
-  place: number;
+  heapIndex: number;
   readonly tenant: TenantName;
   weight: number;
   /** The virtual time up to which the tenant has been served. */
@@ -66,7 +66,7 @@
     queue.cost += request.cost;
     this.#waiting += 1;
     this.#cost += request.cost;
-    if (queue.place < 0) {
+    if (queue.heapIndex < 0) {
       queue.key = Math.max(this.#virtualTime, queue.finish);
       this.#active.add(queue);
       this.#activeWeight += queue.weight;
@@ -113,11 +113,11 @@
   /** Takes out a request that has gone away. */
   remove(request: WaitingRequest<Request>): void {
     const queue = this.#tenants.get(request.description.tenant);
-    const place = queue?.waiting.indexOf(request) ?? -1;
-    if (queue === undefined || place < 0) {
+    const heapIndex = queue?.waiting.indexOf(request) ?? -1;
+    if (queue === undefined || heapIndex < 0) {
       return;
     }
-    queue.waiting.splice(place, 1);
+    queue.waiting.splice(heapIndex, 1);
     this.#leave(queue, request);
     this.#settle(queue);
   }
@@ -135,7 +135,7 @@
       this.#active.update(queue);
       return;
     }
-    if (queue.place >= 0) {
+    if (queue.heapIndex >= 0) {
       this.#active.remove(queue);
       this.#activeWeight -= queue.weight;
     }
@@ -152,7 +152,7 @@
     }
     const created: TenantQueue<Request> = {
       key: 0,
-      place: -1,
+      heapIndex: -1,
       tenant,
       weight,
       finish: this.#virtualTime,
@@ -164,7 +164,7 @@
   }
 
   #reweigh(queue: TenantQueue<Request>, weight: number): void {
-    if (queue.place >= 0) {
+    if (queue.heapIndex >= 0) {
       this.#activeWeight += weight - queue.weight;
     }
     queue.weight = weight;
--- a/src/core/admission/index.ts
+++ b/src/core/admission/index.ts
@@ -1,13 +1,13 @@
 /** Admission: which request goes next, which waits and which is refused at the door. */
 export { AdmissionQueue } from './admission-queue.js';
 export type { Admissible, AdmissionRules, ClassRules } from './admission-rules.js';
-export { type RetryInput, RetryLine } from './retry-line.js';
-export type { TokenUse } from './token-cost.js';
 export {
   ADMISSION_DEFAULTS,
-  type AdmissionAnswer,
+  type AdmissionDecision,
   type AdmissionLimits,
   type ExpiredRequest,
   type OfferContext,
-} from './waiting-lines.js';
-export { type RoomPlace, type RoomRequest, WaitingRoom } from './waiting-room.js';
+} from './admission-scheduler.js';
+export { RetrySchedule, type RetryScheduleInput } from './retry-schedule.js';
+export type { TokenUse } from './token-cost.js';
+export { WaitQueue, type WaitQueueEntry, type WaitQueueRequest } from './wait-queue.js';
--- a/src/core/admission/indexed-heap.ts
+++ b/src/core/admission/indexed-heap.ts
@@ -8,7 +8,7 @@
   /** The key; changed only together with a call of `update`. */
   key: number;
   /** The place in the heap; -1 outside. Written by the heap only. */
-  place: number;
+  heapIndex: number;
 }
 
 /** The heap. Equal keys leave in no particular order. */
@@ -27,14 +27,14 @@
 
   /** Adds an item that is not in the heap. */
   add(item: Item): void {
-    item.place = this.#items.length;
+    item.heapIndex = this.#items.length;
     this.#items.push(item);
     this.#rise(item);
   }
 
   /** Restores the order after an item's key has changed. Items outside are left alone. */
   update(item: Item): void {
-    if (item.place >= 0) {
+    if (item.heapIndex >= 0) {
       this.#rise(item);
       this.#sink(item);
     }
@@ -42,21 +42,21 @@
 
   /** Takes an item out. Items outside are left alone. */
   remove(item: Item): void {
-    const place = item.place;
-    const last = place >= 0 ? this.#items.pop() : undefined;
+    const heapIndex = item.heapIndex;
+    const last = heapIndex >= 0 ? this.#items.pop() : undefined;
     if (last === undefined) {
       return;
     }
-    item.place = -1;
+    item.heapIndex = -1;
     if (last !== item) {
-      this.#put(last, place);
+      this.#put(last, heapIndex);
       this.update(last);
     }
   }
 
   #rise(item: Item): void {
-    while (item.place > 0) {
-      const parent = this.#items[(item.place - 1) >> 1];
+    while (item.heapIndex > 0) {
+      const parent = this.#items[(item.heapIndex - 1) >> 1];
       if (parent === undefined || parent.key <= item.key) {
         return;
       }
@@ -66,7 +66,7 @@
 
   #sink(item: Item): void {
     for (;;) {
-      const child = this.#lowerChild(item.place);
+      const child = this.#lowerChild(item.heapIndex);
       if (child === undefined || item.key <= child.key) {
         return;
       }
@@ -74,20 +74,20 @@
     }
   }
 
-  #lowerChild(place: number): Item | undefined {
-    const left = this.#items[2 * place + 1];
-    const right = this.#items[2 * place + 2];
+  #lowerChild(heapIndex: number): Item | undefined {
+    const left = this.#items[2 * heapIndex + 1];
+    const right = this.#items[2 * heapIndex + 2];
     return left !== undefined && right !== undefined && right.key < left.key ? right : left;
   }
 
   #swap(left: Item, right: Item): void {
-    const place = left.place;
-    this.#put(left, right.place);
-    this.#put(right, place);
+    const heapIndex = left.heapIndex;
+    this.#put(left, right.heapIndex);
+    this.#put(right, heapIndex);
   }
 
-  #put(item: Item, place: number): void {
-    item.place = place;
-    this.#items[place] = item;
+  #put(item: Item, heapIndex: number): void {
+    item.heapIndex = heapIndex;
+    this.#items[heapIndex] = item;
   }
 }
--- a/src/core/admission/lane.ts
+++ b/src/core/admission/lane.ts
@@ -5,7 +5,7 @@
 import type { ClassName } from '../common/identifiers.js';
 import type { MonotonicMs } from '../common/time.js';
 import type { Admissible, ClassRules } from './admission-rules.js';
-import { ClassUse } from './class-use.js';
+import { ClassUse } from './class-usage.js';
 import { DrainRate } from './drain-rate.js';
 import { FairQueue } from './fair-queue.js';
 import type { WaitingRequest } from './waiting-request.js';
@@ -89,7 +89,7 @@
   }
 
   /** Notes work that was let go without waiting. */
-  passed(name: ClassName, cost: number, now: MonotonicMs): void {
+  recordDirectAdmission(name: ClassName, cost: number, now: MonotonicMs): void {
     this.#use.add(name, cost, now);
   }
 
@@ -106,7 +106,7 @@
   }
 
   /** Summed cost of what waits in classes of a higher priority (a lower number). */
-  costAbove(priority: number): number {
+  costOfHigherPriority(priority: number): number {
     let cost = 0;
     for (const known of this.#classes) {
       cost += known.priority < priority ? known.queue.cost : 0;
@@ -125,7 +125,7 @@
     const waiting = this.#classes.filter((known) => known.queue.size > 0);
     const most = 1 - this.#minClassShare * (waiting.length - 1);
     const within = waiting.find(
-      (known) => this.#use.fraction(known.name) <= Math.min(known.share, most),
+      (known) => this.#use.shareOf(known.name) <= Math.min(known.share, most),
     );
     return within ?? waiting[0];
   }
--- a/src/core/admission/retry-line.ts
+++ b/src/core/admission/retry-schedule.ts
@@ -8,26 +8,32 @@
 const RETRY_SPREAD = 0.5;
 
 /** What a time to come back is made from. */
-export interface RetryInput {
+export interface RetryScheduleInput {
   readonly nowMs: MonotonicMs;
   /** Until there would be room for it, if nothing else came. */
   readonly roomInMs: Milliseconds;
   /** What this daemon's part of the servers takes for one like it. */
   readonly spacingMs: Milliseconds;
   /** Until its caller gives up: a later time is of no use to it. */
-  readonly mostMs: Milliseconds;
+  readonly maxMs: Milliseconds;
   /** 0 to 1. */
   readonly entropy: number;
 }
 
 /** The times that were told to callers of one kind. */
-export class RetryLine {
+export class RetrySchedule {
   #promisedUntilMs: MonotonicMs = 0;
 
   /** How long the caller is told to wait. */
-  promise({ nowMs, roomInMs, spacingMs, mostMs, entropy }: RetryInput): Milliseconds {
+  scheduleRetryMs({
+    nowMs,
+    roomInMs,
+    spacingMs,
+    maxMs,
+    entropy,
+  }: RetryScheduleInput): Milliseconds {
     const firstAtMs = nowMs + Math.max(0, roomInMs);
-    const isUseful = this.#promisedUntilMs <= nowMs + mostMs;
+    const isUseful = this.#promisedUntilMs <= nowMs + maxMs;
     // Where the line is longer than callers wait it begins anew: they come back spread over that time.
     const roomAtMs = isUseful ? Math.max(firstAtMs, this.#promisedUntilMs) : firstAtMs;
     this.#promisedUntilMs = roomAtMs + Math.max(0, spacingMs);
--- a/src/core/admission/shed-fault.ts
+++ b/src/core/admission/shed-fault.ts
@@ -17,7 +17,7 @@
   /** Time left until the request's deadline. */
   readonly slackMs: Milliseconds;
   readonly queueFull: boolean;
-  readonly tenantOverPart: boolean;
+  readonly tenantOverShare: boolean;
 }
 
 /** The refusal for a request that is not to be taken, or null. */
@@ -28,13 +28,13 @@
     return deadlineFault(estimate);
   }
   const tooLate = waitMs !== null && waitMs > slackMs;
-  if (!tooLate && !input.queueFull && !input.tenantOverPart) {
+  if (!tooLate && !input.queueFull && !input.tenantOverShare) {
     return null;
   }
   const retryAfterMs = retryTime(waitMs, tooLate ? slackMs : 0);
-  const freshWaitMs = estimate.freshTenantWaitMs;
+  const freshWaitMs = estimate.idleTenantWaitMs;
   const othersFit = freshWaitMs !== null && freshWaitMs <= slackMs;
-  if (input.tenantOverPart || (tooLate && !input.queueFull && othersFit)) {
+  if (input.tenantOverShare || (tooLate && !input.queueFull && othersFit)) {
     return refusedNotRun(
       'tenant-over-share',
       `Your earlier requests already fill your share of the fleet. Retry in ${seconds(retryAfterMs)} s, or ask the operator for a larger weight.`,
--- a/src/core/admission/waiting-room.ts
+++ b/src/core/admission/wait-queue.ts
@@ -7,15 +7,15 @@
 import type { Milliseconds, MonotonicMs } from '../common/time.js';
 import type { Admissible, AdmissionRules, ClassRules } from './admission-rules.js';
 import {
-  type AdmissionAnswer,
+  type AdmissionDecision,
   type AdmissionLimits,
+  AdmissionScheduler,
   type ExpiredRequest,
   type OfferContext,
-  WaitingLines,
-} from './waiting-lines.js';
+} from './admission-scheduler.js';
 
 /** A request at the door of a room. */
-export interface RoomRequest extends Admissible {
+export interface WaitQueueRequest extends Admissible {
   /** Requests of one lane wait for the same room and are alike. */
   readonly lane: string;
   /** The time of a server that it is expected to take up. */
@@ -23,13 +23,13 @@
 }
 
 /** What a place in the order is made from. */
-export interface RoomPlace {
+export interface WaitQueueEntry {
   readonly id: RequestId;
   readonly lane: string;
   readonly tenant: TenantName;
   /** The operator's rank, 0 the most urgent. */
   readonly rank: number;
-  readonly canBeInTime: boolean;
+  readonly canMeetDeadline: boolean;
   readonly costMs: Milliseconds;
   readonly arrivedAtMs: MonotonicMs;
   readonly latestStartMs: MonotonicMs;
@@ -42,7 +42,7 @@
 /** The configuration of described requests gives tenants no weights. */
 const EQUAL_WEIGHT = 1;
 
-const ROOM_RULES: AdmissionRules<RoomRequest> = {
+const ROOM_RULES: AdmissionRules<WaitQueueRequest> = {
   minClassShare: 0,
   laneOf: ({ lane }) => lane,
   costOf: ({ costMs }) => Math.max(LEAST_COST_MS, costMs),
@@ -51,12 +51,12 @@
 };
 
 /** The room. Updated in place by its owner; it reads no clock. */
-export class WaitingRoom {
-  readonly #lines: WaitingLines<RoomRequest>;
+export class WaitQueue {
+  readonly #lines: AdmissionScheduler<WaitQueueRequest>;
   readonly #waitingByLane = new Map<string, number>();
 
   constructor(limits: Partial<AdmissionLimits> = {}) {
-    this.#lines = new WaitingLines(ROOM_RULES, limits);
+    this.#lines = new AdmissionScheduler(ROOM_RULES, limits);
   }
 
   /** Requests that wait. */
@@ -65,17 +65,17 @@
   }
 
   /** Requests of a lane that wait. */
-  waitingIn(lane: string): number {
+  waitingInLane(lane: string): number {
     return this.#waitingByLane.get(lane) ?? 0;
   }
 
   /** The earliest of the latest starts. */
-  get nextLatestStart(): MonotonicMs | null {
+  get nextStartDeadline(): MonotonicMs | null {
     return this.#lines.nextDeadline;
   }
 
   /** Lets a request go, has it wait, or refuses it with the time after which it would be taken. */
-  enter(place: RoomPlace, context: OfferContext): AdmissionAnswer {
+  offer(place: WaitQueueEntry, context: OfferContext): AdmissionDecision {
     const answer = this.#lines.offer(requestOf(place), context);
     switch (answer.kind) {
       case 'dispatch-now':
@@ -91,7 +91,7 @@
   }
 
   /** Takes out the request whose turn it is, of those for which there is room. */
-  next(now: MonotonicMs, hasRoom: (id: RequestId) => boolean): RoomRequest | null {
+  next(now: MonotonicMs, hasRoom: (id: RequestId) => boolean): WaitQueueRequest | null {
     const next = this.#lines.next(now, ({ id }) => hasRoom(id));
     if (next === null) return null;
     this.#lines.settle(next.id, ROOM_RULES.costOf(next));
@@ -100,28 +100,28 @@
   }
 
   /** Takes out a request whose caller has gone. */
-  leave(place: Pick<RoomPlace, 'id' | 'lane'>, now: MonotonicMs): void {
+  remove(place: Pick<WaitQueueEntry, 'id' | 'lane'>, now: MonotonicMs): void {
     const before = this.#lines.waiting;
     this.#lines.remove(place.id, now);
     if (this.#lines.waiting < before) this.#count(place.lane, -1);
   }
 
   /** Takes out those whose latest start has passed, each with its refusal. */
-  expired(now: MonotonicMs): readonly ExpiredRequest<RoomRequest>[] {
+  expired(now: MonotonicMs): readonly ExpiredRequest<WaitQueueRequest>[] {
     const expired = this.#lines.expired(now);
     for (const { description } of expired) this.#count(description.lane, -1);
     return expired;
   }
 
   #count(lane: string, change: number): void {
-    const waiting = this.waitingIn(lane) + change;
+    const waiting = this.waitingInLane(lane) + change;
     if (waiting <= 0) this.#waitingByLane.delete(lane);
     else this.#waitingByLane.set(lane, waiting);
   }
 }
 
-function requestOf(place: RoomPlace): RoomRequest {
-  const { id, lane, tenant, rank, canBeInTime, costMs, arrivedAtMs, latestStartMs } = place;
-  const className = String(rank * CLASSES_PER_RANK + (canBeInTime ? 0 : 1));
+function requestOf(place: WaitQueueEntry): WaitQueueRequest {
+  const { id, lane, tenant, rank, canMeetDeadline, costMs, arrivedAtMs, latestStartMs } = place;
+  const className = String(rank * CLASSES_PER_RANK + (canMeetDeadline ? 0 : 1));
   return { id, lane, tenant, className, costMs, arrivedAt: arrivedAtMs, deadline: latestStartMs };
 }
--- a/src/core/capacity/capacity-duty.ts
+++ b/src/core/capacity/capacity-duty.ts
@@ -12,10 +12,10 @@
   type SeenRecord,
 } from '../duty/index.js';
 import { FIRST_ERA, isSamePosition, type StorePosition } from '../platform/store-position.js';
-import { LossBearingPlanner } from './loss-bearing-planner.js';
-import { type CapacityOrder, OrderBook, type OrderOutcome } from './order-book.js';
+import { type CapacityOrder, type OrderOutcome, OrderTracker } from './order-tracker.js';
 import { planCapacity } from './plan-capacity.js';
-import type { CapacityBelief, ScaledService, ServicePlan } from './scaled-service.js';
+import type { CapacitySummary, ScaledService, ServicePlan } from './scaled-service.js';
+import { ZoneLossPlanner } from './zone-loss-planner.js';
 
 /** Servers of both kinds that each zone is to have, by service. */
 export type WantedPerZone = Readonly<Record<string, number>>;
@@ -41,7 +41,7 @@
 /** What a duty is built from. */
 export interface CapacityDutySettings extends RecordLeaseSettings {
   /** Whether servers are ordered with room for a loss, and made up at once after one. */
-  readonly bearsLoss: boolean;
+  readonly toleratesZoneLoss: boolean;
 }
 
 /** Another daemon steps in when what is wanted is not there for so many times as long as servers boot. */
@@ -59,8 +59,8 @@
 export class CapacityDuty {
   readonly #lease: RecordLease<CapacityRecord>;
   readonly #bearsLoss: boolean;
-  readonly #book = new OrderBook();
-  readonly #planner = new LossBearingPlanner(this.#book);
+  readonly #book = new OrderTracker();
+  readonly #planner = new ZoneLossPlanner(this.#book);
   #plans: readonly ServicePlan[] = [];
   /** Since when there is something to order. */
   #wantedSinceMs: number | undefined;
@@ -78,7 +78,7 @@
 
   constructor(settings: CapacityDutySettings) {
     this.#lease = new RecordLease(settings);
-    this.#bearsLoss = settings.bearsLoss;
+    this.#bearsLoss = settings.toleratesZoneLoss;
   }
 
   get isHolder(): boolean {
@@ -86,9 +86,9 @@
   }
 
   /** What the last plan was made from; none where the duty bears no loss, or its record was never read. */
-  get beliefs(): readonly CapacityBelief[] {
+  get summaries(): readonly CapacitySummary[] {
     if (!this.#hasRead) return [];
-    return this.#plans.flatMap(({ belief }) => (belief === undefined ? [] : [belief]));
+    return this.#plans.flatMap(({ summary }) => (summary === undefined ? [] : [summary]));
   }
 
   /** The next action for the services as they are now. */
@@ -114,8 +114,8 @@
    * The record was read, or written, or could not be.
    * @param sentMs when the call was sent
    */
-  takeRecord(outcome: RecordOutcome<CapacityRecord>, sentMs: number, nowMs: number): void {
-    this.#lease.take(outcome, sentMs, nowMs);
+  applyRecord(outcome: RecordOutcome<CapacityRecord>, sentMs: number, nowMs: number): void {
+    this.#lease.applyOutcome(outcome, sentMs, nowMs);
     this.#isOutdated = false;
     if (outcome.kind !== 'seen') return;
     this.#hasRead = true;
@@ -128,10 +128,15 @@
   }
 
   /** An order was given; after a conflict the record tells whether the duty is still this daemon's. */
-  takeOrder(outcome: OrderOutcome, order: CapacityOrder, bootMs: number, nowMs: number): void {
-    this.#book.take(outcome, order, bootMs, nowMs);
-    if (this.#bearsLoss) this.#planner.noteOrder(order, outcome);
-    if (outcome === 'conflict') this.#lease.noteDoubt();
+  recordOrderOutcome(
+    outcome: OrderOutcome,
+    order: CapacityOrder,
+    bootMs: number,
+    nowMs: number,
+  ): void {
+    this.#book.recordOutcome(outcome, order, bootMs, nowMs);
+    if (this.#bearsLoss) this.#planner.recordOrderOutcome(order, outcome);
+    if (outcome === 'conflict') this.#lease.requireRead();
   }
 
   /** A record that stands still is taken over by one that has seen long enough that nobody acts on it. */
@@ -178,13 +183,13 @@
   }
 
   #planOf(scaled: ScaledService, wanted: WantedPerZone, nowMs: number): ServicePlan {
-    const { service, limits, zones, neededInAll } = scaled;
+    const { service, limits, zones, neededTotal } = scaled;
     const wantedPerZone = wanted[service] ?? limits.min;
     if (this.#bearsLoss && limits.spotPrice < 1) {
       return this.#planner.plan(scaled, wantedPerZone, nowMs);
     }
-    const targets = planCapacity({ limits, zones, wantedPerZone, neededInAll });
-    return { scaled, targets, belief: undefined };
+    const targets = planCapacity({ limits, zones, wantedPerZone, neededTotal });
+    return { scaled, targets, summary: undefined };
   }
 
   /**
@@ -197,7 +202,7 @@
   }
 
   #noteShort(nowMs: number): void {
-    const isShort = this.beliefs.some(
+    const isShort = this.summaries.some(
       ({ present, coming, wanted }) =>
         wanted - present - coming >= Math.max(LEAST_LOSS, LOSS_SHARE * wanted),
     );
@@ -217,20 +222,20 @@
   #isDue(plan: ServicePlan, order: CapacityOrder, nowMs: number): boolean {
     const now = plan.scaled.zones.find(({ zone }) => zone === order.zone);
     const present = (order.isSpot ? now?.spot : now?.plain) ?? 0;
-    if (plan.belief !== undefined && !this.#planner.mayOrder(plan, order, present, nowMs)) {
+    if (plan.summary !== undefined && !this.#planner.mayOrder(plan, order, present, nowMs)) {
       return false;
     }
     return this.#book.isDue(order, present, nowMs);
   }
 
   #targets(): readonly CapacityOrder[] {
-    return this.#plans.flatMap((plan) => (plan.belief === undefined ? [] : ordersOf(plan)));
+    return this.#plans.flatMap((plan) => (plan.summary === undefined ? [] : ordersOf(plan)));
   }
 
   #takeTargets(targets: readonly CapacityOrder[], nowMs: number): void {
     for (const order of targets) {
       const plan = this.#plans.find(({ scaled }) => scaled.service === order.service);
-      if (plan !== undefined) this.#book.announce(order, plan.scaled.limits.bootMs, nowMs);
+      if (plan !== undefined) this.#book.recordAnnounced(order, plan.scaled.limits.bootMs, nowMs);
     }
   }
 }
--- a/src/core/capacity/within-limits.ts
+++ b/src/core/capacity/clamp-to-limits.ts
@@ -2,6 +2,6 @@
 import type { ScalingLimits } from '../gateway/index.js';
 
 /** The number nearest to it that a zone may have, of both kinds together. */
-export function withinLimits(servers: number, { min, max }: ScalingLimits): number {
+export function clampToLimits(servers: number, { min, max }: ScalingLimits): number {
   return Math.min(max, Math.max(min, servers));
 }
--- a/src/core/capacity/index.ts
+++ b/src/core/capacity/index.ts
@@ -4,18 +4,18 @@
   CapacityDuty,
   type CapacityRecord,
 } from './capacity-duty.js';
-export type { CapacityOrder, OrderOutcome } from './order-book.js';
+export type { CapacityOrder, OrderOutcome } from './order-tracker.js';
 export {
   type CapacityInput,
   planCapacity,
   type ZoneCapacity,
 } from './plan-capacity.js';
 export {
-  type LossPlan,
-  type LossPlanInput,
-  planForLoss,
+  planForZoneLoss,
+  type ZoneLossPlan,
+  type ZoneLossPlanInput,
   type ZoneSupply,
-} from './plan-for-loss.js';
-export type { CapacityBelief, ScaledService } from './scaled-service.js';
+} from './plan-for-zone-loss.js';
+export type { CapacitySummary, ScaledService } from './scaled-service.js';
 export { ServerListSettling } from './server-list-settling.js';
-export { SpotSupply } from './spot-supply.js';
+export { SpotAvailability } from './spot-availability.js';
--- a/src/core/capacity/order-book.ts
+++ b/src/core/capacity/order-tracker.ts
@@ -28,7 +28,7 @@
   /** How often in a row it was given and did not bring what it asked for. */
   readonly tries: number;
   /** When it is given again if its servers have not come. */
-  readonly againAtMs: number;
+  readonly retryAtMs: number;
   readonly wasAccepted: boolean;
 }
 
@@ -40,11 +40,11 @@
 const MOST_DOUBLINGS = 3;
 
 /** The newest order of each kind of servers in each zone. */
-export class OrderBook {
+export class OrderTracker {
   readonly #sent = new Map<string, SentOrder>();
 
   /** An order was given. */
-  take(outcome: OrderOutcome, order: CapacityOrder, bootMs: number, nowMs: number): void {
+  recordOutcome(outcome: OrderOutcome, order: CapacityOrder, bootMs: number, nowMs: number): void {
     const before = this.#sent.get(keyOf(order));
     const tries = before?.servers === order.servers ? before.tries + 1 : 1;
     const boots = outcome === 'accepted' ? RETRY_BOOTS : CONFLICT_RETRY_BOOTS;
@@ -52,26 +52,26 @@
     this.#sent.set(keyOf(order), {
       servers: order.servers,
       tries,
-      againAtMs: nowMs + waitMs,
+      retryAtMs: nowMs + waitMs,
       wasAccepted: outcome === 'accepted',
     });
   }
 
   /** Another daemon gives this order as the duty's holder: its servers are taken to be coming. */
-  announce(order: CapacityOrder, bootMs: number, nowMs: number): void {
-    const againAtMs = nowMs + RETRY_BOOTS * bootMs;
-    const sent = { servers: order.servers, tries: 1, againAtMs, wasAccepted: true };
+  recordAnnounced(order: CapacityOrder, bootMs: number, nowMs: number): void {
+    const retryAtMs = nowMs + RETRY_BOOTS * bootMs;
+    const sent = { servers: order.servers, tries: 1, retryAtMs, wasAccepted: true };
     this.#sent.set(keyOf(order), sent);
   }
 
   /** What was ordered has been taken away: nothing is coming, and it is asked for again after this time. */
-  noteTakenAway(kind: CapacityKind, againAtMs: number): void {
-    const servers = this.orderedOf(kind) ?? 0;
-    this.#sent.set(keyOf(kind), { servers, tries: 0, againAtMs, wasAccepted: false });
+  recordReclaimed(kind: CapacityKind, retryAtMs: number): void {
+    const servers = this.lastOrdered(kind) ?? 0;
+    this.#sent.set(keyOf(kind), { servers, tries: 0, retryAtMs, wasAccepted: false });
   }
 
   /** How many were asked for last. */
-  orderedOf(kind: CapacityKind): number | undefined {
+  lastOrdered(kind: CapacityKind): number | undefined {
     return this.#sent.get(keyOf(kind))?.servers;
   }
 
@@ -79,21 +79,21 @@
   isDue(order: CapacityOrder, present: number, nowMs: number): boolean {
     const sent = this.#sent.get(keyOf(order));
     if (sent === undefined || sent.servers !== order.servers) return present !== order.servers;
-    if (present < order.servers) return nowMs >= sent.againAtMs;
+    if (present < order.servers) return nowMs >= sent.retryAtMs;
     // It has brought what it asked for. Servers that others add are not taken away again.
     this.#sent.set(keyOf(order), { ...sent, tries: 0 });
     return false;
   }
 
   /** When an order of this kind is given again, whatever number it is for. */
-  againAtMs(kind: CapacityKind): number {
-    return this.#sent.get(keyOf(kind))?.againAtMs ?? Number.NEGATIVE_INFINITY;
+  retryAtMs(kind: CapacityKind): number {
+    return this.#sent.get(keyOf(kind))?.retryAtMs ?? Number.NEGATIVE_INFINITY;
   }
 
   /** Servers that an order is still to bring, with so many there now. */
-  comingOf(kind: CapacityKind, present: number, nowMs: number): number {
+  pendingServers(kind: CapacityKind, present: number, nowMs: number): number {
     const sent = this.#sent.get(keyOf(kind));
-    if (sent === undefined || !sent.wasAccepted || nowMs >= sent.againAtMs) return 0;
+    if (sent === undefined || !sent.wasAccepted || nowMs >= sent.retryAtMs) return 0;
     return Math.max(0, sent.servers - present);
   }
 }
--- a/src/core/capacity/plan-capacity.ts
+++ b/src/core/capacity/plan-capacity.ts
@@ -6,7 +6,7 @@
  * and go have to read their prompts again.
  */
 import type { ScalingLimits } from '../gateway/index.js';
-import { withinLimits } from './within-limits.js';
+import { clampToLimits } from './clamp-to-limits.js';
 
 /** Servers of a zone, by kind: those that take work, or those that it is to have. */
 export interface ZoneCapacity {
@@ -22,7 +22,7 @@
   /** Servers that each zone is to have, whatever their kind. */
   readonly wantedPerZone: number;
   /** Servers without which the service falls behind its work. */
-  readonly neededInAll: number;
+  readonly neededTotal: number;
 }
 
 /** Plain servers that a zone keeps beside its spot servers, so that it is never without any. */
@@ -33,13 +33,13 @@
   limits,
   zones,
   wantedPerZone,
-  neededInAll,
+  neededTotal,
 }: CapacityInput): readonly ZoneCapacity[] {
-  const wanted = withinLimits(wantedPerZone, limits);
+  const wanted = clampToLimits(wantedPerZone, limits);
   if (limits.spotPrice >= 1) return zones.map(({ zone }) => ({ zone, plain: wanted, spot: 0 }));
   const kept = Math.min(wanted, PLAIN_KEPT);
   const spotWanted = wanted - kept;
-  const isShort = serversOf(zones) < neededInAll;
+  const isShort = serversOf(zones) < neededTotal;
   return zones.map(({ zone, plain, spot }) => {
     const missing = Math.max(0, wanted - kept - spot);
     const spare = Math.max(0, plain - kept);
--- a/src/core/capacity/plan-for-loss.ts
+++ b/src/core/capacity/plan-for-zone-loss.ts
@@ -12,8 +12,8 @@
  *   go again once enough are there without them.
  */
 import type { ScalingLimits } from '../gateway/index.js';
+import { clampToLimits } from './clamp-to-limits.js';
 import type { ZoneCapacity } from './plan-capacity.js';
-import { withinLimits } from './within-limits.js';
 
 /** A zone's servers, and what is known of more. */
 export interface ZoneSupply extends ZoneCapacity {
@@ -24,20 +24,20 @@
 }
 
 /** What the plan is made from. */
-export interface LossPlanInput {
+export interface ZoneLossPlanInput {
   readonly limits: ScalingLimits;
   readonly zones: readonly ZoneSupply[];
   /** Servers that each zone was given by whoever set the deployment up, whatever their kind. */
-  readonly givenPerZone: number;
+  readonly initialPerZone: number;
   /** Servers with which work that comes unevenly still finds one free. */
-  readonly neededInAll: number;
+  readonly neededTotal: number;
 }
 
 /** What each zone is to have, and what that was decided from. */
-export interface LossPlan {
+export interface ZoneLossPlan {
   readonly targets: readonly ZoneCapacity[];
   /** Servers that there are to be, the spare ones counted. */
-  readonly wantedInAll: number;
+  readonly wantedTotal: number;
 }
 
 /** A zone's share of something, changed while it is dealt out. */
@@ -61,17 +61,17 @@
 const ROUNDING = 1e-9;
 
 /** What each zone is to have. */
-export function planForLoss(input: LossPlanInput): LossPlan {
+export function planForZoneLoss(input: ZoneLossPlanInput): ZoneLossPlan {
   const { limits, zones } = input;
-  const wantedInAll = wantedServers(input);
-  const kept = plainKept(input, wantedInAll);
-  const spot = spotTargets(input, wantedInAll - sumOf(kept), kept);
+  const wantedTotal = wantedServers(input);
+  const kept = plainKept(input, wantedTotal);
+  const spot = spotTargets(input, wantedTotal - sumOf(kept), kept);
   // Beyond what was given only cheap servers are ordered.
-  const neededInAll = Math.min(input.neededInAll, givenInAll(input));
+  const neededTotal = Math.min(input.neededTotal, givenInAll(input));
   const covered = sumOf(kept) + zones.reduce((sum, now) => sum + expectedSpot(now, spot), 0);
   const room = (now: ZoneSupply) =>
     limits.max - (kept.get(now.zone) ?? 0) - roomForSpot(now, spot.get(now.zone) ?? 0);
-  const extra = dealToCheapest(Math.max(0, neededInAll - covered), sharesOf(input, zones, room));
+  const extra = dealToCheapest(Math.max(0, neededTotal - covered), sharesOf(input, zones, room));
   const leastOf = ({ zone }: ZoneSupply) =>
     Math.max((kept.get(zone) ?? 0) + (extra.get(zone) ?? 0), limits.min - (spot.get(zone) ?? 0));
   const least = new Map(zones.map((now) => [now.zone, leastOf(now)]));
@@ -82,33 +82,33 @@
     // The limit holds while both kinds are there.
     spot: Math.max(0, Math.min(spot.get(zone) ?? 0, limits.max - (plain.get(zone) ?? 0))),
   }));
-  return { targets, wantedInAll };
+  return { targets, wantedTotal };
 }
 
-function givenInAll({ limits, zones, givenPerZone }: LossPlanInput): number {
-  return withinLimits(givenPerZone, limits) * zones.length;
+function givenInAll({ limits, zones, initialPerZone }: ZoneLossPlanInput): number {
+  return clampToLimits(initialPerZone, limits) * zones.length;
 }
 
 /** Servers there are to be: as given, or more where the work and a loss take more. */
-function wantedServers({ limits, zones, givenPerZone, neededInAll }: LossPlanInput): number {
-  const given = withinLimits(givenPerZone, limits);
+function wantedServers({ limits, zones, initialPerZone, neededTotal }: ZoneLossPlanInput): number {
+  const given = clampToLimits(initialPerZone, limits);
   const others = zones.length - 1;
   if (others < 1) return given;
-  const spotNeeded = Math.max(0, neededInAll - PLAIN_KEPT);
+  const spotNeeded = Math.max(0, neededTotal - PLAIN_KEPT);
   const withSpare = PLAIN_KEPT + (spotNeeded * zones.length) / others;
   const growth = Math.min(MOST_GROWTH, withSpare / (given * zones.length));
   const steps = Math.max(0, Math.ceil((growth - 1) / GROWTH_STEP - ROUNDING));
   const perZone = Math.ceil(given * (1 + steps * GROWTH_STEP) - ROUNDING);
-  return withinLimits(perZone, limits) * zones.length;
+  return clampToLimits(perZone, limits) * zones.length;
 }
 
 /** Plain servers that stay whatever spot servers there are: few where spot servers bear the loss of a zone. */
-function plainKept(input: LossPlanInput, wantedInAll: number): ReadonlyMap<string, number> {
-  const { limits, zones, neededInAll } = input;
+function plainKept(input: ZoneLossPlanInput, wantedTotal: number): ReadonlyMap<string, number> {
+  const { limits, zones, neededTotal } = input;
   const sparePrice = (limits.spotPrice * zones.length) / (zones.length - 1);
-  const count = sparePrice < 1 ? PLAIN_KEPT : Math.max(PLAIN_KEPT, neededInAll);
+  const count = sparePrice < 1 ? PLAIN_KEPT : Math.max(PLAIN_KEPT, neededTotal);
   const shares = sharesOf(input, zones, () => limits.max);
-  return dealEvenly(Math.min(count, wantedInAll), shares);
+  return dealEvenly(Math.min(count, wantedTotal), shares);
 }
 
 /**
@@ -116,7 +116,7 @@
  * share that they would have.
  */
 function spotTargets(
-  input: LossPlanInput,
+  input: ZoneLossPlanInput,
   total: number,
   kept: ReadonlyMap<string, number>,
 ): ReadonlyMap<string, number> {
@@ -147,7 +147,7 @@
 
 /** Plain servers that are not to stay go, the dearest first, once as many as were given are there without them. */
 function plainTargets(
-  input: LossPlanInput,
+  input: ZoneLossPlanInput,
   least: ReadonlyMap<string, number>,
 ): ReadonlyMap<string, number> {
   const { limits, zones } = input;
@@ -169,7 +169,7 @@
 }
 
 function sharesOf(
-  { limits }: Pick<LossPlanInput, 'limits'>,
+  { limits }: Pick<ZoneLossPlanInput, 'limits'>,
   zones: readonly ZoneSupply[],
   mostOf: (zone: ZoneSupply) => number,
 ): Share[] {
--- a/src/core/capacity/held-need.ts
+++ b/src/core/capacity/recent-peak-need.ts
@@ -9,12 +9,12 @@
 const HOLD_BOOTS = 5;
 
 /** The greatest need of the newest while. */
-export class HeldNeed {
+export class RecentPeakNeed {
   /** Each lower than the one before. */
   #peaks: TimedNeed[] = [];
 
   /** The need to count with, as it is this much now. */
-  take(servers: number, bootMs: number, nowMs: number): number {
+  update(servers: number, bootMs: number, nowMs: number): number {
     const oldestMs = nowMs - HOLD_BOOTS * bootMs;
     this.#peaks = this.#peaks.filter((peak) => peak.servers > servers && peak.atMs >= oldestMs);
     this.#peaks.push({ servers, atMs: nowMs });
--- a/src/core/capacity/scaled-service.ts
+++ b/src/core/capacity/scaled-service.ts
@@ -9,13 +9,13 @@
   /** Servers that take work; those that are about to leave are not among them. */
   readonly zones: readonly ZoneCapacity[];
   /** Servers without which the service falls behind its work. */
-  readonly neededInAll: number;
+  readonly neededTotal: number;
   /** Servers with which work that comes unevenly still finds one free. */
-  readonly neededWithRoom: number;
+  readonly neededWithHeadroom: number;
 }
 
 /** What a plan that bears a loss was made from. */
-export interface CapacityBelief {
+export interface CapacitySummary {
   readonly service: string;
   /** Servers that the work needs, with room for its unevenness. */
   readonly needed: number;
@@ -35,5 +35,5 @@
   readonly scaled: ScaledService;
   readonly targets: readonly ZoneCapacity[];
   /** Undefined where the plan bears no loss. */
-  readonly belief: CapacityBelief | undefined;
+  readonly summary: CapacitySummary | undefined;
 }
--- a/src/core/capacity/server-list-settling.ts
+++ b/src/core/capacity/server-list-settling.ts
@@ -17,7 +17,7 @@
    * @param bootMs how long the slowest takes from its start until it is listed
    * @returns whether the list has settled, now or before
    */
-  take(listed: number, bootMs: number, nowMs: number): boolean {
+  update(listed: number, bootMs: number, nowMs: number): boolean {
     if (this.#isSettled) return true;
     if (listed !== this.#listed) this.#sinceMs = nowMs;
     this.#listed = listed;
--- a/src/core/capacity/spot-supply.ts
+++ b/src/core/capacity/spot-availability.ts
@@ -3,7 +3,7 @@
  * are to be had there; that shows when most of them go together, before any order is refused. A zone that has none to
  * give is asked again now and then, and has some again once an order was accepted.
  */
-import type { OrderOutcome } from './order-book.js';
+import type { OrderOutcome } from './order-tracker.js';
 
 interface SpotCount {
   readonly servers: number;
@@ -23,7 +23,7 @@
 const LEAST_TAKEN = 2;
 
 /** What is believed of each zone's spot servers; zones by any key. */
-export class SpotSupply {
+export class SpotAvailability {
   readonly #zones = new Map<string, ZoneBelief>();
 
   hasSpot(zone: string): boolean {
@@ -35,7 +35,7 @@
    * @param ordered how many were asked for last: those beyond go as they are to
    * @returns how many were taken away, where that shows for the first time
    */
-  see(zone: string, servers: number, ordered: number, nowMs: number): number {
+  recordCount(zone: string, servers: number, ordered: number, nowMs: number): number {
     const belief = this.#beliefOf(zone);
     belief.counts = belief.counts.filter(({ atMs }) => nowMs - atMs <= TOGETHER_MS);
     const newest = belief.counts.at(-1)?.servers;
@@ -54,7 +54,7 @@
   }
 
   /** Spot servers were asked for in a zone. */
-  noteOrder(zone: string, outcome: OrderOutcome): void {
+  recordOrderOutcome(zone: string, outcome: OrderOutcome): void {
     const belief = this.#beliefOf(zone);
     switch (outcome) {
       case 'accepted':
--- a/src/core/common/jitter.ts
+++ b/src/core/common/jitter.ts
@@ -18,12 +18,12 @@
 /** Bounds of an exponential back-off. */
 export interface BackoffBounds {
   readonly firstMs: Milliseconds;
-  readonly mostMs: Milliseconds;
+  readonly maxMs: Milliseconds;
 }
 
 /** The wait before the next try: between half and all of a span that doubles with each failure. */
 export function backoff(bounds: BackoffBounds, failures: number, entropy: number): Milliseconds {
   const doubled = bounds.firstMs * 2 ** Math.max(0, failures - 1);
-  const span = Math.min(bounds.mostMs, doubled);
+  const span = Math.min(bounds.maxMs, doubled);
   return jittered(span / 2, span, entropy);
 }
--- a/src/core/controller/engine-answers.ts
+++ b/src/core/controller/engine-answers.ts
@@ -18,7 +18,7 @@
 
 /** The interval of queries for a running order's state. */
 const ORDER_POLL_MS: Milliseconds = 200;
-const SEND_BACKOFF = { firstMs: 100, mostMs: 3_000 } as const;
+const SEND_BACKOFF = { firstMs: 100, maxMs: 3_000 } as const;
 
 /** Handles the answer to a hold or an order; answers that are no longer awaited are ignored. */
 export function receiveOrderAnswer(
--- a/src/core/controller/table-results.ts
+++ b/src/core/controller/table-results.ts
@@ -15,9 +15,9 @@
 
 type ControllerTransition = Transition<ControllerState, ControllerOutput>;
 
-const TABLE_BACKOFF = { firstMs: 100, mostMs: 5_000 } as const;
+const TABLE_BACKOFF = { firstMs: 100, maxMs: 5_000 } as const;
 /** The back-off before an engine's next intent after one that failed or was abandoned. */
-const CHANGE_BACKOFF = { firstMs: 2_000, mostMs: 120_000 } as const;
+const CHANGE_BACKOFF = { firstMs: 2_000, maxMs: 120_000 } as const;
 
 /** Handles a table result; results of calls that are no longer awaited are ignored. */
 export function receiveTableResult(
--- a/src/core/daemon/decision-log.ts
+++ b/src/core/daemon/decision-log.ts
@@ -38,7 +38,7 @@
   }
 
   /** Remembers how a request ended. */
-  ended(notice: Extract<RequestNotice, { kind: 'request-ended' }>): void {
+  recordEnd(notice: Extract<RequestNotice, { kind: 'request-ended' }>): void {
     const { description } = notice;
     const decisions = this.#requests.get(description.id)?.decisions ?? [];
     this.#requests.set(description.id, { description, decisions, end: notice });
--- a/src/core/daemon/demand-meter.ts
+++ b/src/core/daemon/demand-meter.ts
@@ -27,7 +27,7 @@
   #counts = new Map<PoolName, DemandCount>();
 
   /** Takes a notice of the request table. `poolOf` is null for what is not an engine. */
-  note(notice: RequestNotice, poolOf: (backend: BackendName) => PoolName | null): void {
+  recordNotice(notice: RequestNotice, poolOf: (backend: BackendName) => PoolName | null): void {
     const { id } = notice.description;
     if (notice.kind === 'attempt-started') {
       this.#lastBackends.set(id, notice.backend);
@@ -47,7 +47,7 @@
   }
 
   /** The counts since the last call. */
-  take(): ReadonlyMap<PoolName, DemandCount> {
+  takeAndReset(): ReadonlyMap<PoolName, DemandCount> {
     const counts = this.#counts;
     this.#counts = new Map();
     return counts;
--- a/src/core/daemon/duties.ts
+++ b/src/core/daemon/duties.ts
@@ -15,7 +15,7 @@
 const CANDIDATES_PER_POOL = 3;
 
 /** The pools of the machine list that this daemon is one of the few to stand ready for. */
-export function poolsToServe(state: DaemonState): ReadonlySet<PoolName> {
+export function candidatePoolsOf(state: DaemonState): ReadonlySet<PoolName> {
   const pools = new Set<PoolName>();
   for (const machine of state.machines) {
     if (machine.kind === 'engine') {
--- a/src/core/daemon/pool-duty.ts
+++ b/src/core/daemon/pool-duty.ts
@@ -100,7 +100,7 @@
 }
 
 /** Whether a stopping daemon has given up the duty. */
-export function isGivenUp(duty: PoolDuty): boolean {
+export function isDutyReleased(duty: PoolDuty): boolean {
   return isReleased(duty.lease);
 }
 
--- a/src/core/daemon/role-planning.ts
+++ b/src/core/daemon/role-planning.ts
@@ -24,7 +24,7 @@
 /** What role planning remembers. */
 export interface RolePlanning {
   /** Work told since the last evaluation, by pool; of pools that this daemon is a candidate for. */
-  readonly heard: ReadonlyMap<PoolName, DemandCount>;
+  readonly receivedDemand: ReadonlyMap<PoolName, DemandCount>;
   /** Planners of the pools whose lease this daemon holds. */
   readonly planners: ReadonlyMap<PoolName, RolePlannerState>;
   readonly nextAt: MonotonicMs;
@@ -32,7 +32,7 @@
 
 /** Nothing heard, nothing planned. */
 export const INITIAL_ROLE_PLANNING: RolePlanning = {
-  heard: new Map(),
+  receivedDemand: new Map(),
   planners: new Map(),
   nextAt: PLANNING_INTERVAL_MS,
 };
@@ -44,13 +44,16 @@
 }
 
 /** Takes in what a daemon had done. */
-export function hearDemand(
+export function recordDemand(
   planning: RolePlanning,
   pool: PoolName,
   count: DemandCount,
 ): RolePlanning {
-  const known = planning.heard.get(pool) ?? NO_DEMAND;
-  return { ...planning, heard: new Map(planning.heard).set(pool, addDemand(known, count)) };
+  const known = planning.receivedDemand.get(pool) ?? NO_DEMAND;
+  return {
+    ...planning,
+    receivedDemand: new Map(planning.receivedDemand).set(pool, addDemand(known, count)),
+  };
 }
 
 /** Thinks over the plans of the held pools. Planners of other pools are forgotten. */
@@ -64,7 +67,7 @@
   const effects: LogEffect[] = [];
   for (const { pool, engines } of held) {
     const before = planning.planners.get(pool) ?? initialRolePlannerState();
-    const count = planning.heard.get(pool) ?? NO_DEMAND;
+    const count = planning.receivedDemand.get(pool) ?? NO_DEMAND;
     const window = { kind: 'demand', windowMs: PLANNING_INTERVAL_MS, ...count } as const;
     const observed = stepRolePlanner(before, window, context);
     const operatorRoles = askedRoles(document, engines);
@@ -75,7 +78,7 @@
     effects.push(...evaluated.effects.filter((effect) => effect.kind === 'log'));
   }
   const nextAt = context.now + PLANNING_INTERVAL_MS;
-  return { planning: { heard: new Map(), planners, nextAt }, effects };
+  return { planning: { receivedDemand: new Map(), planners, nextAt }, effects };
 }
 
 /** The planned roles of a pool's engines. A plan for an earlier life of an engine is void. */
--- a/src/core/daemon/step.ts
+++ b/src/core/daemon/step.ts
@@ -20,17 +20,17 @@
 import type { TableResultEvent } from '../platform/table.js';
 import type { Machine } from '../registry/backend.js';
 import type { RequestTableEvent } from '../requests/index.js';
-import { candidatesOf, heldPools, poolInputs, poolsToServe } from './duties.js';
+import { candidatePoolsOf, candidatesOf, heldPools, poolInputs } from './duties.js';
 import type { DaemonEffect } from './effect.js';
 import type { DaemonEvent } from './event.js';
 import {
   initialPoolDuty,
-  isGivenUp,
+  isDutyReleased,
   type PoolDutyEvent,
   type PoolDutyOutput,
   stepPoolDuty,
 } from './pool-duty.js';
-import { evaluatePlans, hearDemand } from './role-planning.js';
+import { evaluatePlans, recordDemand } from './role-planning.js';
 import type { DaemonState } from './state.js';
 
 /** How often a daemon reads the machine list in a small fleet. */
@@ -180,7 +180,7 @@
 
   #stepTraffic(event: RequestTableEvent): void {
     this.effects.push(...this.state.traffic.step(event, this.#context));
-    for (const life of this.state.traffic.takeUnknownLives()) {
+    for (const life of this.state.traffic.takeUnknownIncarnations()) {
       this.#stepMembership({ kind: 'life-named', ...life });
     }
   }
@@ -259,7 +259,7 @@
 
   #hearDemand(message: PeerMessage): void {
     if (message.kind === 'demand' && this.state.candidatePools.has(message.pool)) {
-      const rolePlanning = hearDemand(this.state.rolePlanning, message.pool, message);
+      const rolePlanning = recordDemand(this.state.rolePlanning, message.pool, message);
       this.#change({ rolePlanning });
     }
   }
@@ -269,7 +269,7 @@
     if (this.#context.now < this.state.rolePlanning.nextAt) {
       return;
     }
-    for (const [pool, count] of this.state.traffic.demand.take()) {
+    for (const [pool, count] of this.state.traffic.demand.takeAndReset()) {
       this.#tellDemand({ kind: 'demand', pool, ...count });
     }
     const { document } = this.state.configuration.inForce ?? EMPTY_CONFIGURATION;
@@ -292,10 +292,10 @@
 
   /** Takes up new duties; ends those that are not this daemon's any more and given up. */
   #settleCandidacy(): void {
-    const candidatePools = poolsToServe(this.state);
+    const candidatePools = candidatePoolsOf(this.state);
     const duties = new Map(this.state.duties);
     for (const [pool, duty] of duties) {
-      if (!candidatePools.has(pool) && isGivenUp(duty)) {
+      if (!candidatePools.has(pool) && isDutyReleased(duty)) {
         duties.delete(pool);
       }
     }
@@ -334,7 +334,7 @@
     }
     const { requests } = this.state.traffic;
     const finished = requests.activeCount === 0 && requests.settlingCount === 0;
-    const givenUp = [...this.state.duties.values()].every(isGivenUp);
+    const givenUp = [...this.state.duties.values()].every(isDutyReleased);
     if (finished && givenUp) {
       this.#change({ stopReady: true });
       this.effects.push({ kind: 'stop-ready' });
--- a/src/core/daemon/traffic.ts
+++ b/src/core/daemon/traffic.ts
@@ -14,7 +14,11 @@
 import type { Milliseconds, MonotonicMs } from '../common/time.js';
 import type { StepContext } from '../common/transition.js';
 import type { VersionedConfiguration } from '../configuration/document.js';
-import { isGone, knowsLife, type MembershipState } from '../membership/index.js';
+import {
+  hasIncarnationEnded,
+  knowsIncarnation,
+  type MembershipState,
+} from '../membership/index.js';
 import { type EngineView, type Machine, poolOf } from '../registry/backend.js';
 import {
   GRANT_LAPSED,
@@ -135,7 +139,7 @@
   }
 
   /** The lives that claims have named and membership did not know, since the last call. */
-  takeUnknownLives(): readonly DaemonLife[] {
+  takeUnknownIncarnations(): readonly DaemonLife[] {
     const lives = this.#unknownLives;
     if (lives.length > 0) {
       this.#unknownLives = [];
@@ -183,15 +187,15 @@
         this.index.configuration.classes[className]?.priority ?? LOWEST_PRIORITY,
       retryAfterMs: (description) =>
         this.admission.expectedWaitMs(description) ?? DEFAULT_RETRY_AFTER_MS,
-      isGone: (daemon, incarnation) => this.#isGone(daemon, incarnation),
+      hasIncarnationEnded: (daemon, incarnation) => this.#isGone(daemon, incarnation),
     };
   }
 
   #isGone(daemon: DaemonName, incarnation: Incarnation): boolean {
-    if (!knowsLife(this.#membership, daemon, incarnation)) {
+    if (!knowsIncarnation(this.#membership, daemon, incarnation)) {
       this.#unknownLives.push({ daemon, incarnation });
     }
-    return isGone(this.#membership, daemon, incarnation);
+    return hasIncarnationEnded(this.#membership, daemon, incarnation);
   }
 
   #choose(
@@ -273,7 +277,7 @@
   /** Keeps routing's and admission's books from what the request table has decided or seen. */
   #note(effect: RequestTableEffect, now: MonotonicMs): void {
     if (isNotice(effect)) {
-      this.demand.note(effect, (backend) => this.#poolOf(backend));
+      this.demand.recordNotice(effect, (backend) => this.#poolOf(backend));
     }
     switch (effect.kind) {
       case 'attempt-started':
@@ -299,21 +303,21 @@
     const { target } = notice.description;
     const promptTokens = target.kind === 'model' ? target.promptTokens : 0;
     const { attempt, backend } = notice;
-    this.outstanding.started({ attempt, backend, promptTokens, at: now });
+    this.outstanding.recordStart({ attempt, backend, promptTokens, at: now });
     if (target.kind === 'model') {
-      this.#prefixes.dispatched(backend, target.prefixHashes);
+      this.#prefixes.recordDispatch(backend, target.prefixHashes);
     }
   }
 
   #noteEnd(notice: Extract<RequestNotice, { kind: 'attempt-ended' }>, now: MonotonicMs): void {
-    this.outstanding.ended(notice.attempt, now);
+    this.outstanding.recordEnd(notice.attempt, now);
     if (notice.result === 'completed') {
-      this.#outliers.succeeded(notice.backend);
+      this.#outliers.recordSuccess(notice.backend);
     }
     // A lapsed grant says nothing against the engine: this daemon was slow, or busy.
     const isFailure = notice.result === 'not-sent' && notice.reason !== GRANT_LAPSED;
     if (notice.result === 'broken' || isFailure) {
-      this.#outliers.failed(notice.backend, now);
+      this.#outliers.recordFailure(notice.backend, now);
     }
   }
 
@@ -323,10 +327,10 @@
   ): void {
     const { promptTokens, outputTokens } = notice;
     if (notice.result === 'answered') {
-      this.admission.finished(notice.description.id, { promptTokens, outputTokens });
+      this.admission.recordFinished(notice.description.id, { promptTokens, outputTokens });
     }
     this.admission.remove(notice.description.id, now);
-    this.decisions.ended(notice);
+    this.decisions.recordEnd(notice);
   }
 }
 
--- a/src/core/digest/condense.ts
+++ b/src/core/digest/condense.ts
@@ -5,7 +5,7 @@
 import type { Milliseconds } from '../common/time.js';
 import { type EngineDigest, type EngineInventory, hash32 } from '../peer/index.js';
 import type { EngineLoad, EngineReport } from '../registry/backend.js';
-import type { KnownInventory, OwnReport } from './state.js';
+import type { DirectReport, KnownInventory } from './state.js';
 
 const KV_USED_STEPS = 1_000;
 
@@ -21,7 +21,7 @@
 
 /** The digest of a report for a daemon that has the inventory of the given revision. */
 export function condense(
-  { report, revision }: OwnReport,
+  { report, revision }: DirectReport,
   ageMs: Milliseconds,
   theirRevision: number | null,
 ): EngineDigest {
--- a/src/core/digest/exchange.ts
+++ b/src/core/digest/exchange.ts
@@ -1,7 +1,7 @@
 /** Interests and digests between daemons. */
 import type { BackendName, DaemonName } from '../common/identifiers.js';
 import type { MonotonicMs } from '../common/time.js';
-import { endpointOf, isOneGroup } from '../membership/index.js';
+import { endpointOf, isSingleProbeGroup } from '../membership/index.js';
 import {
   datagram,
   type Echo,
@@ -10,18 +10,18 @@
   type PeerReceivedEvent,
 } from '../peer/index.js';
 import { condense, expand } from './condense.js';
-import { askedAtTheEarliest } from './grant.js';
+import { earliestPollTime } from './grant.js';
 import {
   DIGEST_INTERVAL_MS,
   INTEREST_INTERVAL_MS,
   INTEREST_LIFETIME_MS,
   LARGE_FLEET_DIGEST_INTERVAL_MS,
   LARGE_FLEET_INTEREST_INTERVAL_MS,
+  MAX_DIGEST_REPORT_AGE_MS,
   MAX_ENGINES_PER_MESSAGE,
-  MAX_TOLD_AGE_MS,
 } from './settings.js';
 import type { DigestStep, Interest } from './state.js';
-import { takeReport } from './views.js';
+import { applyReport } from './views.js';
 
 /** Tells the watchers of this daemon's engines that it wants to hear of them. */
 export function sendInterests(step: DigestStep): void {
@@ -40,23 +40,23 @@
       step.effects.push(datagram(endpoint, { kind: 'engine-interest', engines }));
     }
   }
-  const isSmall = isOneGroup(step.membership);
+  const isSmall = isSingleProbeGroup(step.membership);
   const interval = isSmall ? INTEREST_INTERVAL_MS : LARGE_FLEET_INTEREST_INTERVAL_MS;
   step.change({ nextInterestAt: step.now + interval });
 }
 
 /** Sends each interested daemon what is known of the engines that it named. */
 export function sendDigests(step: DigestStep): void {
-  const isSmall = isOneGroup(step.membership);
+  const isSmall = isSingleProbeGroup(step.membership);
   const interval = isSmall ? DIGEST_INTERVAL_MS : LARGE_FLEET_DIGEST_INTERVAL_MS;
   step.change({ nextDigestAt: step.now + interval });
   for (const [daemon, interest] of step.state.interests) {
     if (step.now >= interest.until) {
       const interests = new Map(step.state.interests);
       interests.delete(daemon);
-      const heard = new Map(step.state.heard);
-      heard.delete(daemon);
-      step.change({ interests, heard });
+      const lastMessages = new Map(step.state.lastMessages);
+      lastMessages.delete(daemon);
+      step.change({ interests, lastMessages: lastMessages });
     } else {
       sendDigestsTo(step, daemon, interest.engines);
     }
@@ -66,11 +66,11 @@
 /** Sends one daemon what is known of the named engines. */
 function sendDigestsTo(step: DigestStep, daemon: DaemonName, engines: Interest['engines']): void {
   const endpoint = endpointOf(step.membership, daemon);
-  const heard = step.state.heard.get(daemon);
-  if (endpoint === null || heard === undefined) {
+  const lastMessages = step.state.lastMessages.get(daemon);
+  if (endpoint === null || lastMessages === undefined) {
     return;
   }
-  const { incarnation, sentAt, receivedAt } = heard;
+  const { incarnation, sentAt, receivedAt } = lastMessages;
   const echo = { incarnation, sentAt, ageMs: Math.floor(step.now - receivedAt) };
   const digests = [...engines]
     .map(([engine, revision]) => digestOf(step, engine, revision))
@@ -87,13 +87,13 @@
   engine: BackendName,
   theirRevision: number | null,
 ): EngineDigest | null {
-  const own = step.state.own.get(engine);
+  const own = step.state.directReports.get(engine);
   const isWatched = step.state.views.get(engine)?.watcher === step.state.self;
   if (own === undefined || !isWatched) {
     return null;
   }
   const ageMs = step.now - own.askedAt;
-  return ageMs > MAX_TOLD_AGE_MS ? null : condense(own, ageMs, theirRevision);
+  return ageMs > MAX_DIGEST_REPORT_AGE_MS ? null : condense(own, ageMs, theirRevision);
 }
 
 /** Takes in a message of another daemon. */
@@ -141,7 +141,7 @@
   }
   const report = expand(digest, known);
   if (report !== null) {
-    takeReport(step, report, askedAtTheEarliest(echo, ageMs));
+    applyReport(step, report, earliestPollTime(echo, ageMs));
   }
 }
 
@@ -157,7 +157,7 @@
 
 /** The echo is the latest message by its sender's clock, so that delayed ones don't replace it. */
 function hear(step: DigestStep, { header }: PeerReceivedEvent): void {
-  const known = step.state.heard.get(header.sender);
+  const known = step.state.lastMessages.get(header.sender);
   const isOldLife = known !== undefined && known.incarnation > header.incarnation;
   const isSameLife = known !== undefined && known.incarnation === header.incarnation;
   if (isOldLife || (isSameLife && known.sentAt >= header.sentAt)) {
@@ -165,5 +165,5 @@
   }
   const { incarnation, sentAt } = header;
   const message = { incarnation, sentAt, receivedAt: step.now };
-  step.change({ heard: new Map(step.state.heard).set(header.sender, message) });
+  step.change({ lastMessages: new Map(step.state.lastMessages).set(header.sender, message) });
 }
--- a/src/core/digest/grant.ts
+++ b/src/core/digest/grant.ts
@@ -12,7 +12,7 @@
 import { GRANT_DRIFT_MARGIN } from '../registry/grant.js';
 
 /** When a report was asked for at the earliest, by the receiver's clock. */
-export function askedAtTheEarliest(echo: Echo, reportAgeMs: Milliseconds): MonotonicMs {
+export function earliestPollTime(echo: Echo, reportAgeMs: Milliseconds): MonotonicMs {
   const span = echo.ageMs - reportAgeMs;
   return echo.sentAt + span - GRANT_DRIFT_MARGIN * Math.abs(span);
 }
--- a/src/core/digest/index.ts
+++ b/src/core/digest/index.ts
@@ -2,7 +2,7 @@
  * What daemons know of engines: each engine is polled by one daemon, its watcher, which tells those
  * that use the engine.
  */
-export { askedAtTheEarliest } from './grant.js';
+export { earliestPollTime } from './grant.js';
 export {
   createDigest,
   type DigestEffect,
--- a/src/core/digest/polling.ts
+++ b/src/core/digest/polling.ts
@@ -1,6 +1,6 @@
 /** Asks engines for reports: the watched ones regularly, others only when their news is stale. */
 import type { BackendName } from '../common/identifiers.js';
-import { isOneGroup } from '../membership/index.js';
+import { isSingleProbeGroup } from '../membership/index.js';
 import {
   DIRECT_POLL_INTERVAL_MS,
   LARGE_FLEET_STALE_MS,
@@ -13,7 +13,7 @@
 
 /** Starts the polls that are due. */
 export function pollEngines(step: DigestStep): void {
-  const staleMs = isOneGroup(step.membership) ? STALE_MS : LARGE_FLEET_STALE_MS;
+  const staleMs = isSingleProbeGroup(step.membership) ? STALE_MS : LARGE_FLEET_STALE_MS;
   let direct = countDirectPolls(step);
   for (const view of step.state.views.values()) {
     const { name } = view.machine;
@@ -38,29 +38,29 @@
 
 function countDirectPolls(step: DigestStep): number {
   let count = 0;
-  for (const engine of step.state.waiting) {
+  for (const engine of step.state.pendingPolls) {
     count += step.state.views.get(engine)?.watcher !== step.state.self ? 1 : 0;
   }
   return count;
 }
 
 function isDue(step: DigestStep, engine: BackendName, intervalMs: number): boolean {
-  const askedAt = step.state.askedAt.get(engine) ?? Number.NEGATIVE_INFINITY;
-  const pause = step.state.waiting.has(engine) ? POLL_TIMEOUT_MS : intervalMs;
+  const askedAt = step.state.polledAt.get(engine) ?? Number.NEGATIVE_INFINITY;
+  const pause = step.state.pendingPolls.has(engine) ? POLL_TIMEOUT_MS : intervalMs;
   return step.now - askedAt >= pause;
 }
 
 function poll(step: DigestStep, engine: BackendName): void {
   step.effects.push({ kind: 'poll-engine', engine });
   step.change({
-    askedAt: new Map(step.state.askedAt).set(engine, step.now),
-    waiting: new Set(step.state.waiting).add(engine),
+    polledAt: new Map(step.state.polledAt).set(engine, step.now),
+    pendingPolls: new Set(step.state.pendingPolls).add(engine),
   });
 }
 
 /** The poll of an engine has ended. */
 export function endPoll(step: DigestStep, engine: BackendName): void {
-  const waiting = new Set(step.state.waiting);
+  const waiting = new Set(step.state.pendingPolls);
   waiting.delete(engine);
-  step.change({ waiting });
+  step.change({ pendingPolls: waiting });
 }
--- a/src/core/digest/settings.ts
+++ b/src/core/digest/settings.ts
@@ -28,4 +28,4 @@
 /** At most this many engines go into one message, so that it fits into a datagram. */
 export const MAX_ENGINES_PER_MESSAGE = 3;
 /** An engine's report is told for this long after it was asked for. */
-export const MAX_TOLD_AGE_MS: Milliseconds = 2_000;
+export const MAX_DIGEST_REPORT_AGE_MS: Milliseconds = 2_000;
--- a/src/core/digest/state.ts
+++ b/src/core/digest/state.ts
@@ -7,7 +7,7 @@
 import type { EngineMachine, EngineReport, EngineView } from '../registry/backend.js';
 
 /** An engine's last report as the engine itself gave it to this daemon. */
-export interface OwnReport {
+export interface DirectReport {
   readonly report: EngineReport;
   /** The hash of the report's inventory. */
   readonly revision: number;
@@ -28,7 +28,7 @@
 }
 
 /** The last message from another daemon, to be echoed to it. */
-export interface HeardMessage {
+export interface LastMessage {
   readonly incarnation: Incarnation;
   readonly sentAt: MonotonicMs;
   readonly receivedAt: MonotonicMs;
@@ -39,25 +39,25 @@
   readonly self: DaemonName;
   readonly engines: ReadonlyMap<BackendName, EngineMachine>;
   /** Counts the changes of `engines`. */
-  readonly listing: number;
+  readonly listVersion: number;
   /** What the present assignment of engines was made from. */
-  readonly assignedFor: string;
+  readonly assignmentKey: string;
   /** The pools that this daemon controls: it wants to know all of their engines. */
-  readonly controlled: readonly PoolName[];
+  readonly controlledPools: readonly PoolName[];
   /** The engines that this daemon sends requests to or controls. */
   readonly used: ReadonlySet<BackendName>;
   /** Until when other daemons want to hear of an engine. */
   readonly wantedUntil: ReadonlyMap<BackendName, MonotonicMs>;
   /** What this daemon knows of each engine that it uses or watches. */
   readonly views: ReadonlyMap<BackendName, EngineView>;
-  readonly own: ReadonlyMap<BackendName, OwnReport>;
+  readonly directReports: ReadonlyMap<BackendName, DirectReport>;
   /** Inventories that watchers told, by engine. */
   readonly inventories: ReadonlyMap<BackendName, KnownInventory>;
   readonly interests: ReadonlyMap<DaemonName, Interest>;
-  readonly heard: ReadonlyMap<DaemonName, HeardMessage>;
+  readonly lastMessages: ReadonlyMap<DaemonName, LastMessage>;
   /** When each engine was last asked; entries of answered polls stay. */
-  readonly askedAt: ReadonlyMap<BackendName, MonotonicMs>;
-  readonly waiting: ReadonlySet<BackendName>;
+  readonly polledAt: ReadonlyMap<BackendName, MonotonicMs>;
+  readonly pendingPolls: ReadonlySet<BackendName>;
   readonly nextAssignmentAt: MonotonicMs;
   readonly nextDigestAt: MonotonicMs;
   readonly nextInterestAt: MonotonicMs;
@@ -106,18 +106,18 @@
   return {
     self,
     engines: new Map(),
-    listing: 0,
-    assignedFor: '',
-    controlled: [],
+    listVersion: 0,
+    assignmentKey: '',
+    controlledPools: [],
     used: new Set(),
     wantedUntil: new Map(),
     views: new Map(),
-    own: new Map(),
+    directReports: new Map(),
     inventories: new Map(),
     interests: new Map(),
-    heard: new Map(),
-    askedAt: new Map(),
-    waiting: new Set(),
+    lastMessages: new Map(),
+    polledAt: new Map(),
+    pendingPolls: new Set(),
     nextAssignmentAt: 0,
     nextDigestAt: 0,
     nextInterestAt: 0,
--- a/src/core/digest/step.ts
+++ b/src/core/digest/step.ts
@@ -9,7 +9,7 @@
 import { receiveFromPeer, sendDigests, sendInterests } from './exchange.js';
 import { endPoll, pollEngines } from './polling.js';
 import { type DigestEffect, type DigestState, DigestStep } from './state.js';
-import { assignEngines, takeReport } from './views.js';
+import { applyReport, assignEngines } from './views.js';
 
 /** How often the assignment of engines is settled anew. */
 const ASSIGNMENT_INTERVAL_MS = 500;
@@ -50,7 +50,7 @@
       listEngines(step, event.engines);
       break;
     case 'pools-controlled':
-      step.change({ controlled: [...event.pools].sort() });
+      step.change({ controlledPools: [...event.pools].sort() });
       break;
     case 'engine-report':
       receiveReport(step, event.report, event.askedAt);
@@ -73,7 +73,7 @@
     return;
   }
   const engines = new Map(listed.map((engine) => [engine.name, engine]));
-  step.change({ engines, listing: step.state.listing + 1, nextAssignmentAt: step.now });
+  step.change({ engines, listVersion: step.state.listVersion + 1, nextAssignmentAt: step.now });
 }
 
 function isSameMachine(one: EngineMachine, other: EngineMachine): boolean {
@@ -115,11 +115,11 @@
 
 function receiveReport(step: DigestStep, report: EngineReport, askedAt: MonotonicMs): void {
   endPoll(step, report.engine);
-  const known = step.state.own.get(report.engine);
+  const known = step.state.directReports.get(report.engine);
   if (known === undefined || known.askedAt < askedAt) {
     const revision = revisionOf(report);
     const own = { report, revision, askedAt };
-    step.change({ own: new Map(step.state.own).set(report.engine, own) });
+    step.change({ directReports: new Map(step.state.directReports).set(report.engine, own) });
   }
-  takeReport(step, report, askedAt);
+  applyReport(step, report, askedAt);
 }
--- a/src/core/digest/views.ts
+++ b/src/core/digest/views.ts
@@ -3,7 +3,7 @@
 import type { MonotonicMs } from '../common/time.js';
 import {
   dutyCandidates,
-  isOneGroup,
+  isSingleProbeGroup,
   type WatcherCandidate,
   watcherOf,
 } from '../membership/index.js';
@@ -21,7 +21,7 @@
 /** Settles anew which engines this daemon uses and who watches each, when that may have changed. */
 export function assignEngines(step: DigestStep): void {
   const basis = assignmentBasis(step);
-  if (basis === step.state.assignedFor) {
+  if (basis === step.state.assignmentKey) {
     return;
   }
   const members = dutyCandidates(step.membership);
@@ -33,13 +33,13 @@
       views.set(machine.name, viewOf(step, machine, watcher));
     }
   }
-  step.change({ views, used, assignedFor: basis });
+  step.change({ views, used, assignmentKey: basis });
 }
 
 /** Equal texts mean an equal assignment. */
 function assignmentBasis(step: DigestStep): string {
   const names = dutyCandidates(step.membership).map((member) => member.name);
-  const { listing, controlled } = step.state;
+  const { listVersion: listing, controlledPools: controlled } = step.state;
   return `${listing} ${controlled.join(' ')} ${names.sort().join(' ')}`;
 }
 
@@ -49,12 +49,12 @@
   members: readonly WatcherCandidate[],
 ): readonly EngineMachine[] {
   const engines = [...step.state.engines.values()];
-  if (isOneGroup(step.membership)) {
+  if (isSingleProbeGroup(step.membership)) {
     return engines;
   }
   const otherZones = new Set(members.map((member) => member.zone));
   otherZones.delete(step.membership.self.zone);
-  const pools = new Set(step.state.controlled);
+  const pools = new Set(step.state.controlledPools);
   return engines.filter((engine) => !otherZones.has(engine.zone) || pools.has(poolOf(engine)));
 }
 
@@ -73,7 +73,7 @@
   members: readonly WatcherCandidate[],
 ): ReadonlySet<BackendName> {
   const { engines, self } = step.state;
-  if (isOneGroup(step.membership)) {
+  if (isSingleProbeGroup(step.membership)) {
     return new Set(engines.keys());
   }
   const { zone } = step.membership.self;
@@ -85,14 +85,14 @@
 
 /** A pool's controller needs to know all of the pool's engines, whatever their zone. */
 function controlledEngines(step: DigestStep): readonly BackendName[] {
-  const pools = new Set(step.state.controlled);
+  const pools = new Set(step.state.controlledPools);
   return [...step.state.engines.values()]
     .filter((engine) => pools.has(poolOf(engine)))
     .map((engine) => engine.name);
 }
 
 /** Takes in a report that was asked for no earlier than the given time by this daemon's clock. */
-export function takeReport(step: DigestStep, report: EngineReport, askedAt: MonotonicMs): void {
+export function applyReport(step: DigestStep, report: EngineReport, askedAt: MonotonicMs): void {
   const view = step.state.views.get(report.engine);
   if (view === undefined || askedAt <= view.reportedAt || isOlder(report, view.report)) {
     return;
--- a/src/core/duty/record-lease.ts
+++ b/src/core/duty/record-lease.ts
@@ -114,7 +114,7 @@
    * The record was read, or written, or could not be.
    * @param sentMs when the call was sent
    */
-  take(outcome: RecordOutcome<Content>, sentMs: number, nowMs: number): void {
+  applyOutcome(outcome: RecordOutcome<Content>, sentMs: number, nowMs: number): void {
     switch (outcome.kind) {
       case 'refused':
         return;
@@ -128,13 +128,13 @@
   }
 
   /** A call under this fence was refused, as another daemon has used a higher one. */
-  noteDeposed(fence: number): void {
+  recordDeposed(fence: number): void {
     this.#deposedFence = fence;
     this.#isUncertain = true;
   }
 
   /** The record has to be read before anything else is done. */
-  noteDoubt(): void {
+  requireRead(): void {
     this.#isUncertain = true;
   }
 
--- a/src/core/lease/observation.ts
+++ b/src/core/lease/observation.ts
@@ -22,7 +22,7 @@
  * Takes rows of an answer into what is known. A version seen before keeps its first time; in a new era of the store
  * nothing but the highest epoch is known.
  */
-export function absorbRows(
+export function applyRows(
   settings: LeaseSettings,
   known: ObservedLease | null,
   { rows, era = FIRST_ERA }: TableAnswer,
@@ -71,7 +71,7 @@
 }
 
 /** From when on the lease has lapsed if its row's version does not change until then. */
-export function standsStillUntil(settings: LeaseSettings, observed: ObservedLease): MonotonicMs {
+export function lapsesAt(settings: LeaseSettings, observed: ObservedLease): MonotonicMs {
   const durationMs = observed.row?.durationMs ?? settings.durationMs;
   return observed.firstSeenAt + durationMs + settings.marginMs;
 }
--- a/src/core/lease/step.ts
+++ b/src/core/lease/step.ts
@@ -12,7 +12,7 @@
 import { LEASE_EVENTS } from '../logging/catalogue/lease.js';
 import { log } from '../logging/log-event.js';
 import type { TableCall, TableResult, TableResultEvent } from '../platform/table.js';
-import { absorbRows, holdsRow, isFree, standsStillUntil } from './observation.js';
+import { applyRows, holdsRow, isFree, lapsesAt } from './observation.js';
 import type {
   LeaseCallPurpose,
   LeaseEvent,
@@ -88,7 +88,7 @@
 function actAsObserver(state: LeaseState, context: StepContext): LeaseTransition {
   const observed = state.observed;
   if (observed === null) return call(state, 'read', readCall(state.settings), context);
-  const free = isFree(observed) || context.now >= standsStillUntil(state.settings, observed);
+  const free = isFree(observed) || context.now >= lapsesAt(state.settings, observed);
   if (free) return call(state, 'acquire', acquireCall(state.settings, observed), context);
   return call(state, 'read', readCall(state.settings), context);
 }
@@ -142,7 +142,7 @@
   context: StepContext,
 ): LeaseTransition {
   const failures = state.failures + 1;
-  const bounds = { firstMs: FIRST_BACKOFF_MS, mostMs: renewalSpan(state) };
+  const bounds = { firstMs: FIRST_BACKOFF_MS, maxMs: renewalSpan(state) };
   const asked = result.kind === 'unavailable' ? result.retryAfterMs : 0;
   const wait = Math.max(asked, backoff(bounds, failures, context.entropy));
   const lostWrite = result.kind === 'lost' && pending.purpose !== 'read';
@@ -166,7 +166,7 @@
   result: Extract<TableResult, { kind: 'rows' | 'committed' | 'conflict' }>,
   context: StepContext,
 ): LeaseTransition {
-  const observed = absorbRows(state.settings, state.observed, result, context.now);
+  const observed = applyRows(state.settings, state.observed, result, context.now);
   const seen: LeaseState = { ...state, observed, uncertain: result.kind === 'conflict' };
   const isHeld = holdsRow(state.settings, observed);
   // A write may be committed in a new era on a version that was given out again: it gives nothing there.
@@ -266,7 +266,7 @@
   if (observed === null || state.uncertain || isFree(observed)) return context.now + spread;
   const span = renewalSpan(state);
   const poll = context.now + jittered(span * RENEWAL_LEAST_SHARE, span, context.entropy);
-  return Math.min(poll, standsStillUntil(state.settings, observed) + spread);
+  return Math.min(poll, lapsesAt(state.settings, observed) + spread);
 }
 
 function renewalSpan(state: LeaseState): Milliseconds {
--- a/src/core/membership/gossip.ts
+++ b/src/core/membership/gossip.ts
@@ -1,7 +1,7 @@
 /** Chooses the updates that ride on a message: the least often sent first, within a size limit. */
 import type { MemberUpdate, ZoneHeartbeat } from '../peer/index.js';
 import { type Member, toUpdate } from './member.js';
-import { isOneGroup, probeGroup } from './queries.js';
+import { isSingleProbeGroup, probeGroup } from './queries.js';
 import { MAX_UPDATE_BYTES, RETRANSMIT_MULTIPLIER } from './settings.js';
 import type { MembershipStep } from './state.js';
 
@@ -12,7 +12,7 @@
  * The updates for a message: the sender's own entry, the receiver's when it should contradict it
  * (Lifeguard's buddy system), then what others should hear.
  */
-export function takeUpdates(
+export function selectUpdates(
   step: MembershipStep,
   receiver: Member | null,
 ): readonly MemberUpdate[] {
@@ -73,7 +73,7 @@
 
 /** The heartbeats of all zones, for a fleet that is split by zone. */
 export function zoneHeartbeats(step: MembershipStep): readonly ZoneHeartbeat[] {
-  if (isOneGroup(step.state)) {
+  if (isSingleProbeGroup(step.state)) {
     return [];
   }
   return [...step.state.zones].map(([zone, view]) => ({ zone, heartbeat: view.heartbeat }));
--- a/src/core/membership/member.ts
+++ b/src/core/membership/member.ts
@@ -41,7 +41,7 @@
 }
 
 /** Whether both speak of the same life of the same daemon. */
-export function sameLife(
+export function isSameIncarnation(
   one: { readonly name: DaemonName; readonly incarnation: Incarnation },
   other: { readonly name: DaemonName; readonly incarnation: Incarnation },
 ): boolean {
--- a/src/core/membership/merge.ts
+++ b/src/core/membership/merge.ts
@@ -3,7 +3,7 @@
 import { MEMBERSHIP_EVENTS } from '../logging/catalogue/membership.js';
 import { log } from '../logging/log-event.js';
 import type { MemberUpdate } from '../peer/index.js';
-import { isPresent, type Member, sameLife, supersedes } from './member.js';
+import { isPresent, isSameIncarnation, type Member, supersedes } from './member.js';
 import { MAX_LOCAL_HEALTH, SUSPICION_CONFIRMATIONS } from './settings.js';
 import { type MembershipStep, withEntry, withoutEntry } from './state.js';
 
@@ -36,7 +36,9 @@
 
 function isSameSuspicion(update: MemberUpdate, known: Member): boolean {
   return (
-    known.status === 'suspect' && sameLife(update, known) && update.refutation === known.refutation
+    known.status === 'suspect' &&
+    isSameIncarnation(update, known) &&
+    update.refutation === known.refutation
   );
 }
 
@@ -46,7 +48,7 @@
   update: MemberUpdate,
   spreading: Spreading,
 ): void {
-  const sameLifeAsKnown = known !== undefined && sameLife(update, known);
+  const sameLifeAsKnown = known !== undefined && isSameIncarnation(update, known);
   step.putMember({
     ...update,
     statusSince: step.now,
@@ -54,7 +56,7 @@
   });
   trackSuspicion(step, update);
   if (spreading === 'pass-on') {
-    step.passOn(update.name);
+    step.enqueueGossip(update.name);
   }
   logNews(step, known, update);
 }
@@ -87,7 +89,7 @@
   const member = step.state.members.get(update.name);
   if (member !== undefined) {
     step.putMember({ ...member, suspectedBy: by });
-    step.passOn(update.name);
+    step.enqueueGossip(update.name);
   }
 }
 
@@ -104,7 +106,7 @@
     return;
   }
   step.putMember({ ...self, refutation: update.refutation + 1, statusSince: step.now });
-  step.passOn(self.name);
+  step.enqueueGossip(self.name);
   step.change({ localHealth: Math.min(MAX_LOCAL_HEALTH, step.state.localHealth + 1) });
   const by = update.suspectedBy ?? 'unknown';
   step.effects.push(log(MEMBERSHIP_EVENTS.refuted, { status: update.status, by }));
@@ -112,7 +114,7 @@
 
 function logNews(step: MembershipStep, known: Member | undefined, update: MemberUpdate): void {
   const fields = { member: update.name, memberZone: update.zone, incarnation: update.incarnation };
-  const isNewLife = known === undefined || !sameLife(update, known);
+  const isNewLife = known === undefined || !isSameIncarnation(update, known);
   if (isNewLife && isPresent(update)) {
     step.effects.push(log(MEMBERSHIP_EVENTS.joined, fields));
   }
--- a/src/core/membership/probing.ts
+++ b/src/core/membership/probing.ts
@@ -4,18 +4,18 @@
 import { log } from '../logging/log-event.js';
 import { datagram } from '../peer/index.js';
 import type { Endpoint } from '../registry/backend.js';
-import { takeUpdates, zoneHeartbeats } from './gossip.js';
+import { selectUpdates, zoneHeartbeats } from './gossip.js';
 import { isPresent, type Member } from './member.js';
 import { mergeUpdates } from './merge.js';
 import { probeGroup } from './queries.js';
 import {
   INDIRECT_PROBES,
-  LONE_SUSPICION_FACTOR,
   MAX_LOCAL_HEALTH,
   PROBE_INTERVAL_MS,
   PROBE_TIMEOUT_MS,
   SUSPICION_CONFIRMATIONS,
   SUSPICION_MULTIPLIER,
+  UNCONFIRMED_SUSPICION_FACTOR,
 } from './settings.js';
 import {
   type MembershipStep,
@@ -27,8 +27,8 @@
 
 /** Sends a ping; returns its sequence number. */
 export function sendPing(step: MembershipStep, to: Endpoint, target: Member | null): number {
-  const sequence = step.takeSequence();
-  const updates = takeUpdates(step, target);
+  const sequence = step.nextSequence();
+  const updates = selectUpdates(step, target);
   const heartbeats = zoneHeartbeats(step);
   const name = target?.name ?? '';
   step.effects.push(datagram(to, { kind: 'ping', sequence, target: name, updates, heartbeats }));
@@ -91,7 +91,7 @@
     (member) => member.name !== probe.target && member.status === 'alive',
   );
   for (const other of step.random.sample(others, INDIRECT_PROBES)) {
-    const updates = takeUpdates(step, other);
+    const updates = selectUpdates(step, other);
     const request = {
       kind: 'ping-request',
       sequence: probe.sequence,
@@ -149,7 +149,9 @@
   }
   const confirmations = Math.min(wanted, Math.max(0, suspicion.suspectedBy.length - 1));
   const shortening = Math.log(confirmations + 1) / Math.log(wanted + 1);
-  return shortest * (LONE_SUSPICION_FACTOR - (LONE_SUSPICION_FACTOR - 1) * shortening);
+  return (
+    shortest * (UNCONFIRMED_SUSPICION_FACTOR - (UNCONFIRMED_SUSPICION_FACTOR - 1) * shortening)
+  );
 }
 
 /** After a pause of this process every silence may be its own: all timers start afresh. */
@@ -160,14 +162,14 @@
   }
   const zones = new Map(step.state.zones);
   for (const [zone, view] of zones) {
-    zones.set(zone, { ...view, heardAt: view.heardAt + pausedMs });
+    zones.set(zone, { ...view, advancedAt: view.advancedAt + pausedMs });
   }
   step.change({ suspicions, zones, probe: null, nextProbeAt: step.now });
   step.effects.push(log(MEMBERSHIP_EVENTS.paused, { pausedMs: Math.round(pausedMs) }));
 }
 
 /** Pings a daemon for another one. */
-export function probeForAnother(
+export function probeOnBehalf(
   step: MembershipStep,
   replyTo: Endpoint,
   request: { readonly sequence: number; readonly target: string; readonly endpoint: Endpoint },
@@ -179,17 +181,17 @@
   const sequence = sendPing(step, request.endpoint, target);
   const expiresAt = step.now + PROBE_INTERVAL_MS;
   const relayed = { replyTo, sequence: request.sequence, expiresAt };
-  step.change({ relayed: withEntry(step.state.relayed, sequence, relayed) });
+  step.change({ relayedPings: withEntry(step.state.relayedPings, sequence, relayed) });
 }
 
 /** Passes on the ack of a ping that was sent for another daemon. */
-export function passOnAck(step: MembershipStep, sequence: number): void {
-  const relayed = step.state.relayed.get(sequence);
+export function forwardAck(step: MembershipStep, sequence: number): void {
+  const relayed = step.state.relayedPings.get(sequence);
   if (relayed === undefined) {
     return;
   }
-  step.change({ relayed: withoutEntry(step.state.relayed, sequence) });
-  const updates = takeUpdates(step, null);
+  step.change({ relayedPings: withoutEntry(step.state.relayedPings, sequence) });
+  const updates = selectUpdates(step, null);
   const heartbeats = zoneHeartbeats(step);
   const ack = { kind: 'ack', sequence: relayed.sequence, updates, heartbeats } as const;
   step.effects.push(datagram(relayed.replyTo, ack));
@@ -197,9 +199,9 @@
 
 /** Forgets pings for others that were never answered. */
 export function expireRelayedPings(step: MembershipStep): void {
-  for (const [sequence, relayed] of step.state.relayed) {
+  for (const [sequence, relayed] of step.state.relayedPings) {
     if (step.now >= relayed.expiresAt) {
-      step.change({ relayed: withoutEntry(step.state.relayed, sequence) });
+      step.change({ relayedPings: withoutEntry(step.state.relayedPings, sequence) });
     }
   }
 }
--- a/src/core/membership/queries.ts
+++ b/src/core/membership/queries.ts
@@ -4,44 +4,49 @@
 import { hash32 } from '../peer/index.js';
 import type { Endpoint } from '../registry/backend.js';
 import { isPresent, type Member } from './member.js';
-import { JOIN_SETTLE_MS, LIST_SETTLE_MS, ONE_ZONE_LIMIT, ZONE_TIMEOUT_MS } from './settings.js';
+import {
+  JOIN_SETTLE_MS,
+  LIST_SETTLE_MS,
+  SINGLE_PROBE_GROUP_MAX_DAEMONS,
+  ZONE_TIMEOUT_MS,
+} from './settings.js';
 import type { MembershipState } from './state.js';
-import { factsOf } from './table.js';
+import { tableIndexOf } from './table.js';
 
 /**
  * Whether the fleet is so small that all probe one another across zones. The machine list counts
  * too, so that a daemon that has just started does not take a large fleet for a small one.
  */
-export function isOneGroup(state: MembershipState): boolean {
-  const present = factsOf(state.members).present.length;
-  return Math.max(present, state.listed.length + 1) <= ONE_ZONE_LIMIT;
+export function isSingleProbeGroup(state: MembershipState): boolean {
+  const present = tableIndexOf(state.members).present.length;
+  return Math.max(present, state.listed.length + 1) <= SINGLE_PROBE_GROUP_MAX_DAEMONS;
 }
 
 /** The daemons that this one probes and gossips with; itself excepted. */
 export function probeGroup(state: MembershipState): readonly Member[] {
-  const { present, zones } = factsOf(state.members);
-  const group = isOneGroup(state) ? present : zones.get(state.self.zone)?.present;
+  const { present, zones } = tableIndexOf(state.members);
+  const group = isSingleProbeGroup(state) ? present : zones.get(state.self.zone)?.present;
   return (group ?? []).filter((member) => member.name !== state.self.name);
 }
 
 /** Whether a zone's heartbeat is still heard. Always true of the own zone and in a small fleet. */
 export function isZoneReachable(state: MembershipState, zone: ZoneName): boolean {
-  if (zone === state.self.zone || isOneGroup(state)) {
+  if (zone === state.self.zone || isSingleProbeGroup(state)) {
     return true;
   }
   const view = state.zones.get(zone);
-  return view !== undefined && state.observedAt - view.heardAt < ZONE_TIMEOUT_MS;
+  return view !== undefined && state.observedAt - view.advancedAt < ZONE_TIMEOUT_MS;
 }
 
 /** Zones that have members but whose heartbeat stands still: cut off or down, which is not known. */
 export function unreachableZones(state: MembershipState): readonly ZoneName[] {
-  const zones = [...factsOf(state.members).zones.keys()];
+  const zones = [...tableIndexOf(state.members).zones.keys()];
   return zones.filter((zone) => !isZoneReachable(state, zone)).sort();
 }
 
 /** The daemons that may be counted on, this one included: alive, in a zone that is heard. */
 export function aliveMembers(state: MembershipState): readonly Member[] {
-  const zones = [...factsOf(state.members).zones];
+  const zones = [...tableIndexOf(state.members).zones];
   return zones.flatMap(([zone, { alive }]) => (isZoneReachable(state, zone) ? alive : []));
 }
 
@@ -66,7 +71,7 @@
 }
 
 /** Whether that life of the daemon, or a later one, has been heard of. */
-export function knowsLife(
+export function knowsIncarnation(
   state: MembershipState,
   daemon: DaemonName,
   incarnation: Incarnation,
@@ -79,7 +84,7 @@
  * leave, or the others gave it up. The last is a conclusion, not a proof: a daemon that is cut off
  * may still run.
  */
-export function isGone(
+export function hasIncarnationEnded(
   state: MembershipState,
   daemon: DaemonName,
   incarnation: Incarnation,
@@ -132,7 +137,7 @@
 
 /** The daemons of a zone that exchange summaries with other zones. */
 export function relaysOf(state: MembershipState, zone: ZoneName): readonly Member[] {
-  return factsOf(state.members).zones.get(zone)?.relays ?? [];
+  return tableIndexOf(state.members).zones.get(zone)?.relays ?? [];
 }
 
 /** Where a daemon's peer transport listens, or null for one that is unknown or gone. */
--- a/src/core/membership/settings.ts
+++ b/src/core/membership/settings.ts
@@ -10,7 +10,7 @@
 /** The shortest suspicion, in probe intervals times log10 of the group's size. */
 export const SUSPICION_MULTIPLIER = 3;
 /** The longest suspicion (nobody else suspects the daemon) as a multiple of the shortest. */
-export const LONE_SUSPICION_FACTOR = 3;
+export const UNCONFIRMED_SUSPICION_FACTOR = 3;
 /** How many others' suspicions shorten a suspicion to its shortest. */
 export const SUSPICION_CONFIRMATIONS = 3;
 /** The highest local health score (0 is healthy); it stretches the own probe's timings. */
@@ -20,7 +20,7 @@
 /** The updates of one message take at most about this many bytes. */
 export const MAX_UPDATE_BYTES = 800;
 /** With at most this many daemons in all, they probe one another across zones. */
-export const ONE_ZONE_LIMIT = 16;
+export const SINGLE_PROBE_GROUP_MAX_DAEMONS = 16;
 /** How many daemons of a zone exchange summaries with other zones. */
 export const RELAYS_PER_ZONE = 2;
 /** How often a relay sends its summary to each other zone. */
@@ -38,11 +38,11 @@
 /** How many are contacted at once before the first answer. */
 export const JOIN_CONTACTS = 3;
 /** How long a dead or departed daemon's last life is remembered. */
-export const GONE_RETENTION_MS: Milliseconds = 600_000;
+export const DEPARTED_RETENTION_MS: Milliseconds = 600_000;
 /** A gap between ticks longer than this is a pause of this process: timers start afresh. */
-export const PAUSE_MS: Milliseconds = 1_500;
+export const PAUSE_THRESHOLD_MS: Milliseconds = 1_500;
 /** More updates than this in one table are not passed on one by one: summaries carry them. */
-export const BULK_TABLE_UPDATES = 32;
+export const MAX_GOSSIPED_TABLE_UPDATES = 32;
 /** A planned leave is told to this many others at once. */
 export const LEAVE_FANOUT = 16;
 /**
--- a/src/core/membership/state.ts
+++ b/src/core/membership/state.ts
@@ -6,7 +6,7 @@
 import { type PeerEffect, StepRandom } from '../peer/index.js';
 import type { DaemonMachine, Endpoint } from '../registry/backend.js';
 import type { Member } from './member.js';
-import { forgetFacts } from './table.js';
+import { invalidateTableIndex } from './table.js';
 
 /** Who this daemon is. */
 export interface MembershipIdentity {
@@ -44,7 +44,7 @@
 /** What is known of a zone's heartbeat. */
 export interface ZoneView {
   readonly heartbeat: number;
-  readonly heardAt: MonotonicMs;
+  readonly advancedAt: MonotonicMs;
 }
 
 /** Everything that membership remembers. */
@@ -64,7 +64,7 @@
   readonly probe: Probe | null;
   /** Members still to be probed in this round. */
   readonly probeOrder: readonly DaemonName[];
-  readonly relayed: ReadonlyMap<number, RelayedPing>;
+  readonly relayedPings: ReadonlyMap<number, RelayedPing>;
   readonly sequence: number;
   readonly localHealth: number;
   readonly nextProbeAt: MonotonicMs;
@@ -120,11 +120,11 @@
       this.change({ members: this.ownTable });
     }
     this.ownTable?.set(member.name, member);
-    forgetFacts(this.state.members);
+    invalidateTableIndex(this.state.members);
   }
 
   /** Marks a member's entry as news to be passed on. */
-  passOn(name: DaemonName): void {
+  enqueueGossip(name: DaemonName): void {
     if (this.state.gossip !== this.ownGossip) {
       this.ownGossip = new Map(this.state.gossip);
       this.change({ gossip: this.ownGossip });
@@ -133,7 +133,7 @@
   }
 
   /** Takes the next sequence number for a ping. */
-  takeSequence(): number {
+  nextSequence(): number {
     const sequence = this.state.sequence;
     this.change({ sequence: sequence + 1 });
     return sequence;
@@ -174,7 +174,7 @@
     gossip: new Map([[self.name, 0]]),
     probe: null,
     probeOrder: [],
-    relayed: new Map(),
+    relayedPings: new Map(),
     sequence: 1,
     localHealth: 0,
     nextProbeAt: 0,
--- a/src/core/membership/step.ts
+++ b/src/core/membership/step.ts
@@ -9,27 +9,27 @@
 } from '../peer/index.js';
 import { datagram } from '../peer/index.js';
 import type { DaemonMachine, Endpoint } from '../registry/backend.js';
-import { takeUpdates, zoneHeartbeats } from './gossip.js';
+import { selectUpdates, zoneHeartbeats } from './gossip.js';
 import { contactOthers } from './joining.js';
 import { mergeUpdates } from './merge.js';
 import {
   continueProbing,
   expireRelayedPings,
   expireSuspicions,
-  passOnAck,
-  probeForAnother,
+  forwardAck,
+  probeOnBehalf,
   restartTimers,
   sendPing,
   succeedProbe,
 } from './probing.js';
-import { knowsLife, probeGroup } from './queries.js';
-import { LEAVE_FANOUT, PAUSE_MS } from './settings.js';
+import { knowsIncarnation, probeGroup } from './queries.js';
+import { LEAVE_FANOUT, PAUSE_THRESHOLD_MS } from './settings.js';
 import { type MembershipEffect, type MembershipState, MembershipStep } from './state.js';
 import {
   compareSummary,
   exchangeSummaries,
-  hearZones,
   receiveTable,
+  recordHeartbeats,
   sendSummary,
 } from './zones.js';
 
@@ -90,7 +90,7 @@
   incarnation: Incarnation,
 ): void {
   const { members, listed, self } = step.state;
-  if (daemon === self.name || knowsLife(step.state, daemon, incarnation)) {
+  if (daemon === self.name || knowsIncarnation(step.state, daemon, incarnation)) {
     return;
   }
   const place = listed.find((machine) => machine.name === daemon);
@@ -114,7 +114,7 @@
 function tick(step: MembershipStep): void {
   const { lastTickAt } = step.state;
   step.change({ lastTickAt: step.now });
-  if (lastTickAt !== null && step.now - lastTickAt > PAUSE_MS) {
+  if (lastTickAt !== null && step.now - lastTickAt > PAUSE_THRESHOLD_MS) {
     restartTimers(step, step.now - lastTickAt);
   }
   if (step.self.status === 'left') {
@@ -156,19 +156,19 @@
     case 'ping':
       if (message.target === '' || message.target === step.state.self.name) {
         mergeUpdates(step, message.updates);
-        hearZones(step, message.heartbeats);
+        recordHeartbeats(step, message.heartbeats);
         acknowledge(step, from, message.sequence, header.sender);
       }
       break;
     case 'ack':
       mergeUpdates(step, message.updates);
-      hearZones(step, message.heartbeats);
+      recordHeartbeats(step, message.heartbeats);
       succeedProbe(step, message.sequence);
-      passOnAck(step, message.sequence);
+      forwardAck(step, message.sequence);
       break;
     case 'ping-request':
       mergeUpdates(step, message.updates);
-      probeForAnother(step, from, message);
+      probeOnBehalf(step, from, message);
       break;
     case 'table-summary':
       compareSummary(step, message.replyTo, message.zones);
@@ -185,7 +185,7 @@
   sequence: number,
   sender: DaemonName,
 ): void {
-  const updates = takeUpdates(step, step.state.members.get(sender) ?? null);
+  const updates = selectUpdates(step, step.state.members.get(sender) ?? null);
   const heartbeats = zoneHeartbeats(step);
   step.effects.push(datagram(to, { kind: 'ack', sequence, updates, heartbeats }));
 }
@@ -205,7 +205,7 @@
 function leave(step: MembershipStep): void {
   const group = probeGroup(step.state);
   step.putMember({ ...step.self, status: 'left', statusSince: step.now });
-  step.passOn(step.state.self.name);
+  step.enqueueGossip(step.state.self.name);
   for (const member of step.random.sample(group, LEAVE_FANOUT)) {
     sendPing(step, member.endpoint, member);
   }
--- a/src/core/membership/table.ts
+++ b/src/core/membership/table.ts
@@ -22,16 +22,16 @@
 }
 
 /** What follows from a table. */
-export interface TableFacts {
+export interface TableIndex {
   readonly present: readonly Member[];
   /** Zones with at least one present member. */
   readonly zones: ReadonlyMap<ZoneName, ZoneMembers>;
 }
 
-const remembered = new WeakMap<MemberTable, TableFacts>();
+const remembered = new WeakMap<MemberTable, TableIndex>();
 
 /** What follows from the table. */
-export function factsOf(table: MemberTable): TableFacts {
+export function tableIndexOf(table: MemberTable): TableIndex {
   let facts = remembered.get(table);
   if (facts === undefined) {
     facts = workOut(table);
@@ -41,11 +41,11 @@
 }
 
 /** Must be called after a table that is not shared yet was changed in place. */
-export function forgetFacts(table: MemberTable): void {
+export function invalidateTableIndex(table: MemberTable): void {
   remembered.delete(table);
 }
 
-function workOut(table: MemberTable): TableFacts {
+function workOut(table: MemberTable): TableIndex {
   const present = [...table.values()].filter(isPresent);
   const byZone = new Map<ZoneName, Member[]>();
   for (const member of present) {
--- a/src/core/membership/zones.ts
+++ b/src/core/membership/zones.ts
@@ -10,16 +10,16 @@
 import type { Endpoint } from '../registry/backend.js';
 import { isPresent, type Member, toUpdate } from './member.js';
 import { mergeUpdates } from './merge.js';
-import { isOneGroup, isZoneReachable, probeGroup, relaysOf } from './queries.js';
+import { isSingleProbeGroup, isZoneReachable, probeGroup, relaysOf } from './queries.js';
 import {
-  BULK_TABLE_UPDATES,
-  GONE_RETENTION_MS,
+  DEPARTED_RETENTION_MS,
+  MAX_GOSSIPED_TABLE_UPDATES,
   RELAY_INTERVAL_MS,
   SUMMARY_INTERVAL_MS,
   TABLE_INTERVAL_MS,
 } from './settings.js';
 import { type MembershipState, type MembershipStep, withEntry } from './state.js';
-import { factsOf } from './table.js';
+import { tableIndexOf } from './table.js';
 
 /** Sends summaries to other zones (relays) and to a random member of the group, when it is time. */
 export function exchangeSummaries(step: MembershipStep): void {
@@ -41,7 +41,7 @@
 function actAsRelay(step: MembershipStep): void {
   const { state } = step;
   const isRelay = relaysOf(state, state.self.zone).some((relay) => relay.name === state.self.name);
-  if (isOneGroup(state) || !isRelay) {
+  if (isSingleProbeGroup(state) || !isRelay) {
     return;
   }
   hearZone(step, state.self.zone, (state.zones.get(state.self.zone)?.heartbeat ?? 0) + 1);
@@ -74,7 +74,7 @@
 
 /** Each zone's hash and heartbeat. */
 function summarize(state: MembershipState): readonly ZoneSummary[] {
-  return [...factsOf(state.members).zones].map(([zone, { hash }]) => ({
+  return [...tableIndexOf(state.members).zones].map(([zone, { hash }]) => ({
     zone,
     hash,
     heartbeat: state.zones.get(zone)?.heartbeat ?? 0,
@@ -87,7 +87,7 @@
   replyTo: Endpoint,
   theirs: readonly ZoneSummary[],
 ): void {
-  hearZones(step, theirs);
+  recordHeartbeats(step, theirs);
   const own = new Map(summarize(step.state).map((summary) => [summary.zone, summary.hash]));
   const differing = theirs
     .filter((summary) => own.get(summary.zone) !== summary.hash)
@@ -124,7 +124,7 @@
     readonly answerWanted: boolean;
   },
 ): void {
-  const isBulk = table.members.length > BULK_TABLE_UPDATES;
+  const isBulk = table.members.length > MAX_GOSSIPED_TABLE_UPDATES;
   mergeUpdates(step, table.members, isBulk ? 'keep' : 'pass-on');
   if (table.answerWanted) {
     sendTable(step, table.replyTo, table.zones, false);
@@ -132,7 +132,7 @@
 }
 
 /** Takes in several zones' heartbeats. */
-export function hearZones(step: MembershipStep, heartbeats: readonly ZoneHeartbeat[]): void {
+export function recordHeartbeats(step: MembershipStep, heartbeats: readonly ZoneHeartbeat[]): void {
   for (const { zone, heartbeat } of heartbeats) {
     hearZone(step, zone, heartbeat);
   }
@@ -141,7 +141,7 @@
 function hearZone(step: MembershipStep, zone: ZoneName, heartbeat: number): void {
   const known = step.state.zones.get(zone);
   if (known === undefined || heartbeat > known.heartbeat) {
-    const view = { heartbeat, heardAt: step.now };
+    const view = { heartbeat, advancedAt: step.now };
     step.change({ zones: withEntry(step.state.zones, zone, view) });
   }
 }
@@ -151,7 +151,7 @@
     (member) =>
       !isPresent(member) &&
       member.name !== step.state.self.name &&
-      step.now - member.statusSince >= GONE_RETENTION_MS,
+      step.now - member.statusSince >= DEPARTED_RETENTION_MS,
   );
   if (gone.length === 0) {
     return;
--- a/src/core/requests/attempt-request.ts
+++ b/src/core/requests/attempt-request.ts
@@ -11,7 +11,7 @@
 import { dispatchOrWait } from './dispatch-request.js';
 import { finishAnswered, finishFailed } from './finish-request.js';
 import {
-  afterEffects,
+  prependEffects,
   type RequestContext,
   type RequestState,
   type RequestTableEffect,
@@ -34,7 +34,7 @@
 type RefusedEvent = Extract<AttemptEvent, { kind: 'refused-not-run' }>;
 
 /** Applies an event of an attempt from the shell. Events of earlier attempts are ignored. */
-export function attemptEvent(
+export function handleAttemptEvent(
   state: RequestState,
   event: AttemptEvent,
   context: RequestContext,
@@ -45,8 +45,8 @@
     case 'first-byte':
       return { state: { ...state, headersForwarded: true }, effects: [] };
     case 'completed':
-      return afterEffects(
-        [attemptEnded(state, phase, 'completed', '')],
+      return prependEffects(
+        [attemptEndedNotice(state, phase, 'completed', '')],
         finishAnswered(state, event, context),
       );
     case 'not-sent':
@@ -59,7 +59,7 @@
 }
 
 /** Builds the notice that an attempt has ended. */
-export function attemptEnded(
+export function attemptEndedNotice(
   state: RequestState,
   phase: AttemptingPhase,
   result: AttemptResult,
@@ -86,8 +86,8 @@
     `The backend could not be reached (${reason}). Try again after the time in Retry-After.`,
     { retryAfterMs: DEFAULT_RETRY_AFTER_MS },
   );
-  const ended = attemptEnded(state, phase, 'not-sent', reason);
-  return afterEffects([ended], retryOrFail(excludeBackend(state, phase), fault, context));
+  const ended = attemptEndedNotice(state, phase, 'not-sent', reason);
+  return prependEffects([ended], retryOrFail(excludeBackend(state, phase), fault, context));
 }
 
 function handleRefusal(
@@ -96,16 +96,16 @@
   event: RefusedEvent,
   context: RequestContext,
 ): RequestTransition {
-  const ended = attemptEnded(state, phase, 'refused', event.reason);
+  const ended = attemptEndedNotice(state, phase, 'refused', event.reason);
   const overload = OVERLOAD_REASONS.has(event.reason);
-  const overloadAnswers = state.overloadAnswers + (overload ? 1 : 0);
-  const next = { ...excludeBackend(state, phase), overloadAnswers };
+  const overloadRefusals = state.overloadRefusals + (overload ? 1 : 0);
+  const next = { ...excludeBackend(state, phase), overloadRefusals };
   const fault = refusalFault(event, overload);
   const transition =
-    overloadAnswers > MAX_OVERLOAD_RETRIES
+    overloadRefusals > MAX_OVERLOAD_RETRIES
       ? finishFailed(next, fault, context)
       : retryOrFail(next, fault, context);
-  return afterEffects([ended], transition);
+  return prependEffects([ended], transition);
 }
 
 function refusalFault(event: RefusedEvent, overload: boolean): Fault {
@@ -132,7 +132,7 @@
   if (state.detached || state.attempts >= MAX_ATTEMPTS) return finishFailed(state, fault, context);
   if (!context.mayRetry) {
     const line = log(REQUEST_EVENTS.retryBudgetEmpty, { request: state.description.id });
-    return afterEffects([line], finishFailed(state, fault, context));
+    return prependEffects([line], finishFailed(state, fault, context));
   }
   return dispatchOrWait({ ...state, retries: state.retries + 1 }, context);
 }
@@ -152,7 +152,7 @@
   };
   const resends = mayResend(next);
   const effects = [
-    attemptEnded(state, phase, 'broken', event.reason),
+    attemptEndedNotice(state, phase, 'broken', event.reason),
     log(REQUEST_EVENTS.attemptBroken, {
       request: state.description.id,
       backend: phase.backend,
@@ -163,7 +163,7 @@
   const transition = resends
     ? resumeElsewhere(next, event, context)
     : finishFailed(next, brokenFault(next, event.reason), context);
-  return afterEffects(effects, transition);
+  return prependEffects(effects, transition);
 }
 
 function mayResend(state: RequestState): boolean {
--- a/src/core/requests/claim-request.ts
+++ b/src/core/requests/claim-request.ts
@@ -11,7 +11,7 @@
 import { dispatchOrWait } from './dispatch-request.js';
 import { finishFailed, finishReplayed } from './finish-request.js';
 import {
-  afterEffects,
+  prependEffects,
   type RequestContext,
   type RequestState,
   type RequestTransition,
@@ -32,7 +32,7 @@
 }
 
 /** Handles the table service's answer to the insert of a claim or to its read-back. */
-export function claimResult(
+export function handleClaimResult(
   state: RequestState,
   phase: ClaimingPhase,
   result: TableResult,
@@ -129,7 +129,7 @@
   context: RequestContext,
 ): boolean {
   const isOwn = daemon === context.daemon && incarnation === context.incarnation;
-  return isOwn ? !context.isInHand(request) : context.isGone(daemon, incarnation);
+  return isOwn ? !context.isTracked(request) : context.hasIncarnationEnded(daemon, incarnation);
 }
 
 function handleOrphaned(
@@ -162,7 +162,10 @@
   version: number,
   context: RequestContext,
 ): RequestTransition {
-  return afterEffects([], dispatchOrWait({ ...state, claim: { kind: 'held', version } }, context));
+  return prependEffects(
+    [],
+    dispatchOrWait({ ...state, claim: { kind: 'held', version } }, context),
+  );
 }
 
 /** Another request holds the key, so an uncertain claim of this request was not written. */
--- a/src/core/requests/finish-request.ts
+++ b/src/core/requests/finish-request.ts
@@ -8,7 +8,7 @@
 import { REQUEST_EVENTS } from '../logging/catalogue/requests.js';
 import { log } from '../logging/log-event.js';
 import {
-  afterEffects,
+  prependEffects,
   type RequestContext,
   type RequestState,
   type RequestTableEffect,
@@ -34,7 +34,7 @@
 ): RequestTransition {
   const outcome = event.outcome ?? { kind: 'answered-too-large-to-replay', status: 200 };
   const notice = endedNotice(state, 'answered', event.promptTokens, event.outputTokens);
-  return afterEffects([notice], settle(state, { kind: 'record', outcome }, context));
+  return prependEffects([notice], settle(state, { kind: 'record', outcome }, context));
 }
 
 /** Ends a request with a fault, sent as its answer or, after the headers, as a visible abort. */
@@ -48,7 +48,7 @@
   if (!state.detached) effects.push(answerWith(state, finalFault));
   if (finalFault.outcome === 'unknown') effects.push(outcomeUnknownLog(state, finalFault));
   effects.push(endedNotice(state, finalFault.outcome, 0, 0));
-  return afterEffects(effects, settle(state, chooseSettlement(state, finalFault), context));
+  return prependEffects(effects, settle(state, chooseSettlement(state, finalFault), context));
 }
 
 /** Ends a request whose caller disconnected. `mayHaveRun`: a backend may have received it. */
@@ -64,7 +64,7 @@
     outcome: mayHaveRun ? 'unknown' : 'refused-not-run',
   };
   const notice = endedNotice(state, 'caller-gone', 0, 0);
-  return afterEffects([notice], settle(state, chooseSettlement(state, fault), context));
+  return prependEffects([notice], settle(state, chooseSettlement(state, fault), context));
 }
 
 /** Ends a request with the outcome that is already recorded under its key. */
--- a/src/core/requests/request-state.ts
+++ b/src/core/requests/request-state.ts
@@ -61,7 +61,7 @@
   readonly excluded: readonly BackendName[];
   /** Attempts that broke after bytes may have been sent; above 0, no fault may claim `not run`. */
   readonly brokenAttempts: number;
-  readonly overloadAnswers: number;
+  readonly overloadRefusals: number;
   readonly headersForwarded: boolean;
   /** The offset of the first token that the caller has not received. */
   readonly deliveredTokens: number;
@@ -103,7 +103,7 @@
   /** Expected time until a request like this one can be dispatched, from the current queue. */
   retryAfterMs(description: RequestDescription): Milliseconds;
   /** True only when that incarnation of a daemon has certainly ended. */
-  isGone(daemon: DaemonName, incarnation: Incarnation): boolean;
+  hasIncarnationEnded(daemon: DaemonName, incarnation: Incarnation): boolean;
 }
 
 /** The input of a state machine step besides the state and the event. */
@@ -111,7 +111,7 @@
   /** Whether the retry budget allows one more dispatch. */
   readonly mayRetry: boolean;
   /** Whether a request is still in this daemon's request table. */
-  isInHand(request: RequestId): boolean;
+  isTracked(request: RequestId): boolean;
 }
 
 /** All effects that a step of the state machine can produce. */
@@ -129,7 +129,7 @@
     retries: 0,
     excluded: [],
     brokenAttempts: 0,
-    overloadAnswers: 0,
+    overloadRefusals: 0,
     headersForwarded: false,
     deliveredTokens: 0,
     version: null,
@@ -144,7 +144,7 @@
 }
 
 /** Prepends effects to those of a transition. */
-export function afterEffects(
+export function prependEffects(
   effects: readonly RequestTableEffect[],
   transition: RequestTransition,
 ): RequestTransition {
--- a/src/core/requests/request-table.ts
+++ b/src/core/requests/request-table.ts
@@ -180,11 +180,11 @@
     return this.#tableContext.retryAfterMs(description);
   }
 
-  isGone(daemon: string, incarnation: number): boolean {
-    return this.#tableContext.isGone(daemon, incarnation);
+  hasIncarnationEnded(daemon: string, incarnation: number): boolean {
+    return this.#tableContext.hasIncarnationEnded(daemon, incarnation);
   }
 
-  isInHand(request: RequestId): boolean {
+  isTracked(request: RequestId): boolean {
     const state = this.#requests.get(request);
     return state !== undefined && (isActive(state) || state.phase.kind === 'settling');
   }
--- a/src/core/requests/settle-claim.ts
+++ b/src/core/requests/settle-claim.ts
@@ -44,7 +44,7 @@
 }
 
 /** Handles the table service's answer to a settlement call. */
-export function settlementResult(
+export function handleSettlementResult(
   state: RequestState,
   phase: SettlingPhase,
   result: TableResult,
@@ -65,7 +65,7 @@
 }
 
 /** Retries once the back-off has expired. */
-export function settlementTick(
+export function handleSettlementTick(
   state: RequestState,
   phase: SettlingPhase,
   context: RequestContext,
--- a/src/core/requests/step-request.ts
+++ b/src/core/requests/step-request.ts
@@ -5,18 +5,18 @@
 import type { Fault } from '../errors/fault.js';
 import { refusedNotRun } from '../errors/fault.js';
 import type { TableResult } from '../platform/table.js';
-import { attemptEnded, attemptEvent } from './attempt-request.js';
-import { beginRequest, claimResult } from './claim-request.js';
+import { attemptEndedNotice, handleAttemptEvent } from './attempt-request.js';
+import { beginRequest, handleClaimResult } from './claim-request.js';
 import { dispatchOrWait } from './dispatch-request.js';
 import { answerAndDetach, finishCallerGone, finishFailed } from './finish-request.js';
 import {
-  afterEffects,
+  prependEffects,
   type RequestContext,
   type RequestEvent,
   type RequestState,
   type RequestTransition,
 } from './request-state.js';
-import { settlementResult, settlementTick } from './settle-claim.js';
+import { handleSettlementResult, handleSettlementTick } from './settle-claim.js';
 
 /** How long a partly delivered stream waits for an engine that can resume it. */
 const MAX_RESUME_WAIT_MS = 10_000;
@@ -33,7 +33,7 @@
     case 'admitted':
       return state.phase.kind === 'waiting' ? dispatchOrWait(state, context) : ignore(state);
     case 'attempt':
-      return attemptEvent(state, event.event, context);
+      return handleAttemptEvent(state, event.event, context);
     case 'caller-gone':
       return handleCallerGone(state, context);
     case 'table-result':
@@ -49,8 +49,8 @@
   context: RequestContext,
 ): RequestTransition {
   const phase = state.phase;
-  if (phase.kind === 'claiming') return claimResult(state, phase, result, context);
-  if (phase.kind === 'settling') return settlementResult(state, phase, result, context);
+  if (phase.kind === 'claiming') return handleClaimResult(state, phase, result, context);
+  if (phase.kind === 'settling') return handleSettlementResult(state, phase, result, context);
   return ignore(state);
 }
 
@@ -90,7 +90,7 @@
 
 function handleTick(state: RequestState, context: RequestContext): RequestTransition {
   const phase = state.phase;
-  if (phase.kind === 'settling') return settlementTick(state, phase, context);
+  if (phase.kind === 'settling') return handleSettlementTick(state, phase, context);
   if (phase.kind === 'ended' || state.detached) return ignore(state);
   if (state.headersForwarded) return handleResumeTick(state, context);
   if (context.now < state.description.deadline) return ignore(state);
@@ -146,10 +146,10 @@
   if (phase.kind !== 'attempting') return finish(state);
   const request = state.description.id;
   const transition = finish(state);
-  return afterEffects(
+  return prependEffects(
     [
       { kind: 'cancel', request, attempt: phase.attempt },
-      attemptEnded(state, phase, 'cancelled', ''),
+      attemptEndedNotice(state, phase, 'cancelled', ''),
     ],
     transition,
   );
--- a/src/core/routing/candidate-set.ts
+++ b/src/core/routing/candidate-set.ts
@@ -80,7 +80,7 @@
 }
 
 function holdsWantedVersion(entry: EngineEntry, key: string, wanted: HeldVersion | null): boolean {
-  const held = entry.holdings.get(key);
+  const held = entry.heldVersions.get(key);
   return held !== undefined && wanted !== null && sameVersion(held, wanted);
 }
 
--- a/src/core/routing/candidate-view.ts
+++ b/src/core/routing/candidate-view.ts
@@ -77,7 +77,7 @@
   expectedActive(entry: EngineEntry): number {
     if (entry !== this.#lastEntry) {
       this.#lastEntry = entry;
-      this.#lastRecord = this.#input.outstanding.of(entry.name);
+      this.#lastRecord = this.#input.outstanding.get(entry.name);
       this.#lastActive = expectedActive(entry, this.#lastRecord, this.#estimates);
     }
     return this.#lastActive;
@@ -106,7 +106,7 @@
   }
 
   #holdsVersion(entry: EngineEntry, version: string): boolean {
-    const held = entry.holdings.get(this.#key);
+    const held = entry.heldVersions.get(this.#key);
     return held !== undefined && versionText(held) === version;
   }
 
@@ -143,5 +143,5 @@
     const entry = input.index.engine(name);
     return entry !== undefined && set.members.has(entry);
   };
-  return input.outliers.honoured(set.all.length, isCandidate, input.context.now);
+  return input.outliers.enforcedEjections(set.all.length, isCandidate, input.context.now);
 }
--- a/src/core/routing/choose-engine.ts
+++ b/src/core/routing/choose-engine.ts
@@ -8,7 +8,7 @@
 import { CandidateView } from './candidate-view.js';
 import type { CandidateScore, EngineChoiceInput, RoutingDecision } from './decision.js';
 import { type EngineEntry, versionText } from './engine-entry.js';
-import { exclusionOf, noEngineFault, unknownTargetFault } from './no-engine-fault.js';
+import { exclusionReason, noEngineFault, unknownTargetFault } from './no-engine-fault.js';
 
 const NOT_EXPLAINED: readonly CandidateScore[] = [];
 
@@ -60,7 +60,7 @@
   view: CandidateView,
   entry: EngineEntry,
 ): RoutingDecision {
-  const held = entry.holdings.get(set.key);
+  const held = entry.heldVersions.get(set.key);
   return {
     kind: 'chosen',
     engine: entry.name,
@@ -87,11 +87,11 @@
     scores.push({
       engine: entry.name,
       zone: entry.machine.zone,
-      excluded: exclusionOf(entry, set, view),
+      excluded: exclusionReason(entry, set, view),
       expectedFinishMs: view.expectedFinishMs(entry),
       expectedActive: view.expectedActive(entry),
       ownInFlight: view.ownInFlight(entry),
-      loadAgeMs: input.context.now - entry.loadAt,
+      loadAgeMs: input.context.now - entry.loadMeasuredAt,
       cachedTokens: view.cachedTokens(entry),
     });
   }
--- a/src/core/routing/choose-web-backend.ts
+++ b/src/core/routing/choose-web-backend.ts
@@ -107,7 +107,11 @@
     return new Set();
   }
   const names = new Set(backends.map((machine) => machine.name));
-  return input.outliers.honoured(backends.length, (name) => names.has(name), input.context.now);
+  return input.outliers.enforcedEjections(
+    backends.length,
+    (name) => names.has(name),
+    input.context.now,
+  );
 }
 
 function pickBackend(input: WebChoiceInput, backends: readonly WebMachine[]): WebMachine | null {
--- a/src/core/routing/engine-entry.ts
+++ b/src/core/routing/engine-entry.ts
@@ -49,7 +49,7 @@
   reportedAt: MonotonicMs;
   grantedUntil: MonotonicMs;
   /** When the engine measured the report's `load`, which may be older than the report. */
-  loadAt: MonotonicMs;
+  loadMeasuredAt: MonotonicMs;
   /** Copied from the report, as every decision reads them; 0 without a report. */
   reportedActive: number;
   reportedPrefillTokens: number;
@@ -62,7 +62,7 @@
   /** Null when only the request or an expired grant can still exclude the engine. */
   unavailable: UnavailableReason | null;
   /** Held versions by target key (see `targetKey`). */
-  holdings: Map<string, HeldVersion>;
+  heldVersions: Map<string, HeldVersion>;
   /** True once a machine list has contained the engine. */
   listed: boolean;
   /** Number of consecutive machine lists that did not contain the engine. */
@@ -78,7 +78,7 @@
     report: null,
     reportedAt: Number.NEGATIVE_INFINITY,
     grantedUntil: Number.NEGATIVE_INFINITY,
-    loadAt: Number.NEGATIVE_INFINITY,
+    loadMeasuredAt: Number.NEGATIVE_INFINITY,
     reportedActive: 0,
     reportedPrefillTokens: 0,
     maxBatch: 1,
@@ -87,7 +87,7 @@
     role: 'mixed',
     indexedRole: 'mixed',
     unavailable: 'no-report',
-    holdings: new Map(),
+    heldVersions: new Map(),
     listed: false,
     listsMissed: 0,
   };
@@ -102,7 +102,7 @@
   entry.report = view.report;
   entry.reportedAt = view.reportedAt;
   entry.grantedUntil = view.grantedUntil;
-  entry.loadAt = view.reportedAt - (view.report?.load.ageMs ?? 0);
+  entry.loadMeasuredAt = view.reportedAt - (view.report?.load.ageMs ?? 0);
   entry.reportedActive = view.report?.activeRequests ?? 0;
   entry.reportedPrefillTokens = view.report?.load.queuedPrefillTokens ?? 0;
   entry.maxBatch = Math.max(1, view.report?.maxBatch ?? 1);
@@ -136,22 +136,22 @@
 }
 
 /** The versions that an engine holds according to its report, by target key. */
-export function holdingsOf(report: EngineReport | null): Map<string, HeldVersion> {
-  const holdings = new Map<string, HeldVersion>();
+export function heldVersionsOf(report: EngineReport | null): Map<string, HeldVersion> {
+  const heldVersions = new Map<string, HeldVersion>();
   for (const loaded of report?.models ?? []) {
-    holdings.set(targetKey(loaded.model, null), { model: loaded.version, adapter: null });
+    heldVersions.set(targetKey(loaded.model, null), { model: loaded.version, adapter: null });
     for (const adapter of loaded.adapters) {
-      holdings.set(targetKey(loaded.model, adapter.adapter), {
+      heldVersions.set(targetKey(loaded.model, adapter.adapter), {
         model: loaded.version,
         adapter: adapter.version,
       });
     }
   }
-  return holdings;
+  return heldVersions;
 }
 
 /** Whether two maps of held versions are equal. */
-export function sameHoldings(
+export function sameHeldVersions(
   left: ReadonlyMap<string, HeldVersion>,
   right: ReadonlyMap<string, HeldVersion>,
 ): boolean {
--- a/src/core/routing/finish-estimate.ts
+++ b/src/core/routing/finish-estimate.ts
@@ -58,8 +58,8 @@
   record: OutstandingRecord | undefined,
   now: MonotonicMs,
 ): number {
-  const age = Math.max(0, now - entry.loadAt);
-  const sent = record === undefined ? 0 : record.promptTokensSince(entry.loadAt);
+  const age = Math.max(0, now - entry.loadMeasuredAt);
+  const sent = record === undefined ? 0 : record.promptTokensSince(entry.loadMeasuredAt);
   const processed = (age * entry.speed.prefillTokensPerSecond) / 1000;
   return Math.max(0, sent - processed) + entry.reportedPrefillTokens * trustAtAge(age);
 }
--- a/src/core/routing/fleet-index.ts
+++ b/src/core/routing/fleet-index.ts
@@ -16,8 +16,8 @@
   createEngineEntry,
   type EngineEntry,
   type HeldVersion,
-  holdingsOf,
-  sameHoldings,
+  heldVersionsOf,
+  sameHeldVersions,
   targetKey,
   unavailableReason,
 } from './engine-entry.js';
@@ -170,7 +170,7 @@
     if (!entry.listed && entry.listsMissed < MAX_LISTS_MISSED) {
       return;
     }
-    for (const key of entry.holdings.keys()) {
+    for (const key of entry.heldVersions.keys()) {
       this.#getOrCreateSet(key).holders.delete(entry);
     }
     this.#markDirty(entry);
@@ -191,16 +191,16 @@
   }
 
   #updateHoldings(entry: EngineEntry): void {
-    const holdings = holdingsOf(entry.report);
-    if (sameHoldings(entry.holdings, holdings)) {
+    const heldVersions = heldVersionsOf(entry.report);
+    if (sameHeldVersions(entry.heldVersions, heldVersions)) {
       return;
     }
     this.#markDirty(entry);
-    for (const key of entry.holdings.keys()) {
+    for (const key of entry.heldVersions.keys()) {
       this.#getOrCreateSet(key).holders.delete(entry);
     }
-    entry.holdings = holdings;
-    for (const key of holdings.keys()) {
+    entry.heldVersions = heldVersions;
+    for (const key of heldVersions.keys()) {
       this.#getOrCreateSet(key).holders.add(entry);
     }
     this.#markDirty(entry);
@@ -216,7 +216,7 @@
   }
 
   #markDirty(entry: EngineEntry): void {
-    for (const key of entry.holdings.keys()) {
+    for (const key of entry.heldVersions.keys()) {
       this.#getOrCreateSet(key).dirty = true;
     }
   }
--- a/src/core/routing/no-engine-fault.ts
+++ b/src/core/routing/no-engine-fault.ts
@@ -56,7 +56,7 @@
 ): Fault {
   const counts = new Map<ExclusionReason, number>();
   for (const entry of input.index.engines()) {
-    const reason = exclusionOf(entry, set, view) ?? 'full';
+    const reason = exclusionReason(entry, set, view) ?? 'full';
     counts.set(reason, (counts.get(reason) ?? 0) + 1);
   }
   const name = input.target.adapter ?? input.target.model;
@@ -68,7 +68,7 @@
 }
 
 /** Why any known engine, in the candidate set or not, is not eligible for the request, or null. */
-export function exclusionOf(
+export function exclusionReason(
   entry: EngineEntry,
   set: CandidateSet,
   view: CandidateView,
--- a/src/core/routing/outlier-tracker.ts
+++ b/src/core/routing/outlier-tracker.ts
@@ -29,7 +29,7 @@
   readonly #ejected = new Map<BackendName, OutlierState>();
 
   /** Records a successful attempt. Ends the backend's ejection and resets its failure count. */
-  succeeded(backend: BackendName): void {
+  recordSuccess(backend: BackendName): void {
     this.#states.delete(backend);
     this.#ejected.delete(backend);
   }
@@ -39,7 +39,7 @@
    * although the backend's view showed that it accepts requests. Returns true when the backend is
    * ejected.
    */
-  failed(backend: BackendName, now: MonotonicMs): boolean {
+  recordFailure(backend: BackendName, now: MonotonicMs): boolean {
     const state = this.#getOrCreateState(backend);
     state.failuresInRow += 1;
     if (state.failuresInRow < FAILURES_TO_EJECT || now < state.ejectedUntil) {
@@ -70,7 +70,7 @@
    * `MAX_EJECTED_SHARE`. The other ejected backends stay in use, because the inference is doubtful
    * when most backends seem to fail.
    */
-  honoured(
+  enforcedEjections(
     size: number,
     isCandidate: (backend: BackendName) => boolean,
     now: MonotonicMs,
--- a/src/core/routing/outstanding-table.ts
+++ b/src/core/routing/outstanding-table.ts
@@ -26,7 +26,7 @@
   readonly #promptTokens = new TimedSum();
 
   /** Records the start of an attempt. */
-  start(at: MonotonicMs, promptTokens: number): void {
+  recordStart(at: MonotonicMs, promptTokens: number): void {
     this.inFlight += 1;
     this.#changedAt = at;
     this.#started.add(at, 1);
@@ -34,7 +34,7 @@
   }
 
   /** Records the end of an attempt. */
-  end(at: MonotonicMs): void {
+  recordEnd(at: MonotonicMs): void {
     this.inFlight -= 1;
     this.#changedAt = at;
     this.#ended.add(at, 1);
@@ -67,26 +67,26 @@
   readonly #open = new Map<AttemptId, OpenAttempt>();
 
   /** Records the start of an attempt. A repeat of an open attempt id is ignored. */
-  started(attempt: StartedAttempt): void {
+  recordStart(attempt: StartedAttempt): void {
     if (this.#open.has(attempt.attempt)) {
       return;
     }
     this.#open.set(attempt.attempt, { backend: attempt.backend });
-    this.#getOrCreateRecord(attempt.backend).start(attempt.at, attempt.promptTokens);
+    this.#getOrCreateRecord(attempt.backend).recordStart(attempt.at, attempt.promptTokens);
   }
 
   /** Records the end of an attempt, whatever its result. Unknown ids are ignored. */
-  ended(attempt: AttemptId, at: MonotonicMs): void {
+  recordEnd(attempt: AttemptId, at: MonotonicMs): void {
     const open = this.#open.get(attempt);
     if (open === undefined) {
       return;
     }
     this.#open.delete(attempt);
-    this.#getOrCreateRecord(open.backend).end(at);
+    this.#getOrCreateRecord(open.backend).recordEnd(at);
   }
 
   /** The record of a backend, or undefined when nothing was ever sent to it. */
-  of(backend: BackendName): OutstandingRecord | undefined {
+  get(backend: BackendName): OutstandingRecord | undefined {
     return this.#records.get(backend);
   }
 
--- a/src/core/routing/prefix-index.ts
+++ b/src/core/routing/prefix-index.ts
@@ -49,7 +49,7 @@
   #old = new Map<string, Holders>();
 
   /** Applies cache events of an engine. */
-  apply(backend: BackendName, events: readonly CacheEvent[]): void {
+  applyCacheEvents(backend: BackendName, events: readonly CacheEvent[]): void {
     for (const event of events) {
       if (event.kind === 'stored') {
         this.#store(backend, event.hash);
@@ -61,7 +61,7 @@
   }
 
   /** Records that a prompt was sent to an engine, which will soon have cached its prefix. */
-  dispatched(backend: BackendName, hashes: readonly string[]): void {
+  recordDispatch(backend: BackendName, hashes: readonly string[]): void {
     for (const block of INDEXED_BLOCKS) {
       const hash = hashes[block];
       if (hash === undefined) {
--- a/src/core/tenant-usage/index.ts
+++ b/src/core/tenant-usage/index.ts
@@ -5,8 +5,8 @@
   type ReportOutcome,
   type UsageAction,
   UsageDuty,
-  type UsageMoment,
+  type UsageDutyInput,
   type UsageRecord,
 } from './report-duty.js';
-export { partsOf, UsageCollection, type UsagePart } from './run-collection.js';
+export { splitIntoParts, UsageCollection, type UsagePart } from './run-collection.js';
 export { type TenantCounts, UsageCounts, windowAt } from './run-counts.js';
--- a/src/core/tenant-usage/report-duty.ts
+++ b/src/core/tenant-usage/report-duty.ts
@@ -19,7 +19,7 @@
 }
 
 /** The moment, and what is known of the others. */
-export interface UsageMoment {
+export interface UsageDutyInput {
   /** Steady clock. */
   readonly nowMs: number;
   /** The newest window that is over for so long that this daemon reports it if no other has. */
@@ -72,7 +72,7 @@
    * The next action.
    * @param collected the counts that were asked for; undefined while they come in
    */
-  next(moment: UsageMoment, collected: CollectedCounts | undefined): UsageAction {
+  next(moment: UsageDutyInput, collected: CollectedCounts | undefined): UsageAction {
     const { dueWindow, nowMs } = moment;
     this.#reportedWindow = Math.max(this.#reportedWindow, moment.reportedByOther);
     if (this.#reportedWindow >= dueWindow) return { kind: 'none' };
@@ -86,17 +86,17 @@
    * The record was read, or written, or could not be.
    * @param sentMs when the call was sent
    */
-  takeRecord(outcome: RecordOutcome<UsageRecord>, sentMs: number, nowMs: number): void {
-    this.#lease.take(outcome, sentMs, nowMs);
+  applyRecord(outcome: RecordOutcome<UsageRecord>, sentMs: number, nowMs: number): void {
+    this.#lease.applyOutcome(outcome, sentMs, nowMs);
   }
 
-  takeReport(outcome: ReportOutcome, record: UsageRecord): void {
+  recordReportOutcome(outcome: ReportOutcome, record: UsageRecord): void {
     switch (outcome) {
       case 'accepted':
         this.#reportedWindow = Math.max(this.#reportedWindow, record.window);
         return;
       case 'deposed':
-        this.#lease.noteDeposed(record.fence);
+        this.#lease.recordDeposed(record.fence);
         return;
       case 'unknown':
         return;
@@ -105,7 +105,7 @@
 
   #nextAsHolder(
     { record, version }: SeenRecord<UsageRecord>,
-    moment: UsageMoment,
+    moment: UsageDutyInput,
     collected: CollectedCounts | undefined,
   ): UsageAction {
     const isOpen =
--- a/src/core/tenant-usage/run-collection.ts
+++ b/src/core/tenant-usage/run-collection.ts
@@ -20,7 +20,7 @@
 const MOST_ENTRIES = 60;
 
 /** A daemon's counts as parts to be sent; at least one, as an empty answer is an answer. */
-export function partsOf(
+export function splitIntoParts(
   counts: TenantCounts,
   head: Pick<UsagePart, 'daemon' | 'incarnation' | 'window'>,
 ): readonly UsagePart[] {
@@ -46,7 +46,7 @@
     this.window = window;
   }
 
-  take(part: UsagePart): void {
+  addPart(part: UsagePart): void {
     if (part.window !== this.window) return;
     const key = `${part.daemon} ${part.incarnation}`;
     const known = this.#received.get(key) ?? new Map<number, UsagePart>();
--- a/src/core/tenant-usage/run-counts.ts
+++ b/src/core/tenant-usage/run-counts.ts
@@ -30,7 +30,7 @@
   }
 
   /** A request of a tenant began to run. */
-  note(tenant: string, unixMs: number): void {
+  recordRun(tenant: string, unixMs: number): void {
     const window = windowAt(unixMs, this.#windowMs);
     const counts = this.#byWindow.get(window) ?? this.#open(window);
     counts.set(tenant, (counts.get(tenant) ?? 0) + 1);
--- a/src/daemon/daemon.ts
+++ b/src/daemon/daemon.ts
@@ -76,7 +76,7 @@
         metricsText: () => metrics.text(),
         emit: (event) => {
           if (event.kind === 'attempt') {
-            metrics.attemptEvent(event.request, event.event, performance.now());
+            metrics.recordAttemptEvent(event.request, event.event, performance.now());
           }
           emit(event);
         },
@@ -143,7 +143,7 @@
     const { logger, callers } = this.#shells;
     await callers.stopAccepting();
     logger.write(CALLER_HTTP_EVENTS.stoppedAccepting, { running: callers.activeRequests });
-    await callers.connectionsEnded();
+    await callers.callerConnectionsClosed();
     // From here on no request can arrive, so what is said of having finished is final.
     if (this.#state?.stopReady !== true) {
       await new Promise<void>((resolve) => {
@@ -176,7 +176,7 @@
       state: () => this.#state ?? initial,
       now: () => performance.now(),
       emit: (event) => this.#events.emit(event),
-      onChangeAnswer: (effect) => operatorBackend.receiveAnswer(effect),
+      onChangeAnswer: (effect) => operatorBackend.resolveChange(effect),
       onStopReady: () => this.#stopReady(),
     });
     void this.#fold(initial, (effect) => performer.perform(effect));
--- a/src/daemon/effect-performer.ts
+++ b/src/daemon/effect-performer.ts
@@ -72,7 +72,7 @@
     switch (effect.kind) {
       case 'refuse':
       case 'abort':
-        shells.metrics.fault(effect.fault);
+        shells.metrics.recordFault(effect.fault);
         shells.callers.perform(effect);
         break;
       case 'dispatch':
@@ -116,7 +116,7 @@
       case 'attempt-started':
       case 'attempt-ended':
       case 'request-ended':
-        shells.metrics.requestNotice(effect, this.#options.now());
+        shells.metrics.recordRequestNotice(effect, this.#options.now());
         break;
       case 'configuration-in-force':
         break;
@@ -125,7 +125,7 @@
 
   async #callTable(effect: Extract<DaemonEffect, { kind: 'table' }>): Promise<void> {
     const result = await this.#options.shells.platform.table(effect.call);
-    this.#options.shells.metrics.tableCall(effect.call, result);
+    this.#options.shells.metrics.recordTableCall(effect.call, result);
     this.#options.emit({ kind: 'table-result', token: effect.token, result });
   }
 
@@ -163,7 +163,7 @@
   }
 
   #logReachability(engine: BackendName, outcome: PollOutcome): void {
-    const line = this.#reachability.observe(engine, outcome);
+    const line = this.#reachability.recordPoll(engine, outcome);
     if (line !== null) this.#options.shells.logger.write(line.event, line.fields);
   }
 
@@ -171,7 +171,7 @@
     const answer = this.#maySend(order)
       ? await this.#options.shells.engines.order(endpoint, order)
       : NOT_SENT;
-    this.#options.shells.metrics.order(order, answer);
+    this.#options.shells.metrics.recordOrder(order, answer);
     const { engine, id, fence } = order;
     this.#options.emit({ kind: 'order-answer', engine, orderId: id, fence, answer });
   }
--- a/src/daemon/operator-backend.ts
+++ b/src/daemon/operator-backend.ts
@@ -64,7 +64,7 @@
   }
 
   /** Takes the answer to a change that was submitted. */
-  receiveAnswer(effect: ChangeAnswerEffect): void {
+  resolveChange(effect: ChangeAnswerEffect): void {
     this.#waiting.get(effect.token)?.(effect.outcome);
     this.#waiting.delete(effect.token);
   }
--- a/src/lab/model/claims/draft.ts
+++ b/src/lab/model/claims/draft.ts
@@ -127,8 +127,8 @@
       choose: () => ({ kind: 'dispatch', backend: 'orders-1', address: '127.0.0.1', port: 1 }),
       priorityOf: () => 1,
       retryAfterMs: () => 1_000,
-      isGone: (name) => name === 'a' && this.world.isFirstKnownGone,
-      isInHand: (id) => this.#isInHand(daemon, id),
+      hasIncarnationEnded: (name) => name === 'a' && this.world.isFirstKnownGone,
+      isTracked: (id) => this.#isInHand(daemon, id),
     };
   }
 
--- a/src/lab/model/streams/index.ts
+++ b/src/lab/model/streams/index.ts
@@ -270,8 +270,8 @@
   choose: () => ({ kind: 'dispatch', backend: 'engine-1', address: '127.0.0.1', port: 1 }),
   priorityOf: () => 1,
   retryAfterMs: () => 1_000,
-  isGone: () => false,
-  isInHand: () => true,
+  hasIncarnationEnded: () => false,
+  isTracked: () => true,
 };
 
 function feed(world: StreamsWorld, event: RequestEvent): StreamsWorld {
--- a/src/lab/scale/spread.ts
+++ b/src/lab/scale/spread.ts
@@ -9,7 +9,7 @@
 import { ok } from 'neverthrow';
 import type { Milliseconds } from '../../core/common/time.js';
 import type { ChangeRequest } from '../../core/configuration/index.js';
-import { aliveMembers, isGone } from '../../core/membership/index.js';
+import { aliveMembers, hasIncarnationEnded } from '../../core/membership/index.js';
 import { FleetSimulation } from './fleet-simulation.js';
 
 const LOSS = 0.01;
@@ -75,7 +75,7 @@
   const network = { loss: LOSS };
   const fleet = new FleetSimulation({ seed, daemons, zones, engines, network, wire: true });
   fleet.startAll();
-  const joinedMs = fleet.runUntil(() => allKnowAll(fleet), JOIN_LIMIT_MS);
+  const joinedMs = fleet.runUntil(() => hasConverged(fleet), JOIN_LIMIT_MS);
   const startCalls = storeCalls(fleet);
   const startMs = fleet.time.now;
   fleet.run(SETTLE_MS);
@@ -104,7 +104,7 @@
   };
 }
 
-function allKnowAll(fleet: FleetSimulation): boolean {
+function hasConverged(fleet: FleetSimulation): boolean {
   const all = fleet.running.length;
   return fleet.running.every((daemon) => aliveMembers(daemon.membership).length === all);
 }
@@ -183,7 +183,7 @@
     const unaware = new Set(fleet.running);
     fleet.runUntil(() => {
       for (const daemon of unaware) {
-        if (isGone(daemon.membership, victim.name, victim.incarnation)) {
+        if (hasIncarnationEnded(daemon.membership, victim.name, victim.incarnation)) {
           unaware.delete(daemon);
           detected.push(fleet.time.now - start);
         }
@@ -196,7 +196,7 @@
       ({ membership }) => aliveMembers(membership).length < all,
     ).length;
     fleet.start(slot);
-    fleet.runUntil(() => allKnowAll(fleet), JOIN_LIMIT_MS);
+    fleet.runUntil(() => hasConverged(fleet), JOIN_LIMIT_MS);
   }
   return {
     detectedP50Ms: quantile(detected, 0.5),
--- a/src/shell/engine/client.ts
+++ b/src/shell/engine/client.ts
@@ -7,7 +7,7 @@
 import { type Fault, refusedNotRun } from '../../core/errors/fault.js';
 import type { Order, OrderAnswer } from '../../core/orders/index.js';
 import type { Endpoint, EngineReport } from '../../core/registry/backend.js';
-import type { Exchange, ExchangeRequest } from '../platform/exchange.js';
+import type { Exchange, ExchangeRequest } from '../platform/http-connection-pool.js';
 import { parseJson } from '../platform/json.js';
 import {
   type CacheEventPage,
--- a/src/shell/engine/connections.ts
+++ b/src/shell/engine/connections.ts
@@ -1,7 +1,11 @@
 /** Pooled keep-alive connections to many engines, at most so many engines at a time. */
 import type { Milliseconds } from '../../core/common/time.js';
 import type { Endpoint } from '../../core/registry/backend.js';
-import { type Exchange, type ExchangeRequest, PlatformConnections } from '../platform/exchange.js';
+import {
+  type Exchange,
+  type ExchangeRequest,
+  HttpConnectionPool,
+} from '../platform/http-connection-pool.js';
 
 /** Engines whose connections are kept; the longest unused are closed first. */
 const MAX_POOLS = 1_024;
@@ -10,7 +14,7 @@
 export class EngineConnections {
   readonly #timeoutMs: Milliseconds;
   /** By address and port, the longest unused first. */
-  readonly #pools = new Map<string, PlatformConnections>();
+  readonly #pools = new Map<string, HttpConnectionPool>();
 
   constructor(timeoutMs: Milliseconds) {
     this.#timeoutMs = timeoutMs;
@@ -28,10 +32,10 @@
     await Promise.all(pools.map((pool) => pool.close()));
   }
 
-  #poolOf({ address, port }: Endpoint): PlatformConnections {
+  #poolOf({ address, port }: Endpoint): HttpConnectionPool {
     const key = `${address} ${port}`;
     const known = this.#pools.get(key);
-    const pool = known ?? new PlatformConnections({ address, port, timeoutMs: this.#timeoutMs });
+    const pool = known ?? new HttpConnectionPool({ address, port, timeoutMs: this.#timeoutMs });
     this.#pools.delete(key);
     this.#pools.set(key, pool);
     this.#closeLongestUnused();
--- a/src/shell/engine/reachability.ts
+++ b/src/shell/engine/reachability.ts
@@ -15,7 +15,7 @@
   readonly #silent = new Map<BackendName, Exclude<PollOutcome['kind'], 'reported'>>();
 
   /** Takes in a poll; the line to log, or null when nothing has changed. */
-  observe(engine: BackendName, outcome: PollOutcome): LogEffect | null {
+  recordPoll(engine: BackendName, outcome: PollOutcome): LogEffect | null {
     const before = this.#silent.get(engine) ?? 'reported';
     if (before === outcome.kind) return null;
     if (outcome.kind === 'reported') this.#silent.delete(engine);
--- a/src/shell/gateway/admission-gate.ts
+++ b/src/shell/gateway/admission-gate.ts
@@ -3,7 +3,7 @@
  * that are held in the waiting room are checked again when something has changed: a run or a prefill ended, load sums
  * of other daemons arrived, a server was listed. A held request leaves when its caller disconnects or the daemon stops.
  */
-import { type RoomPlace, WaitingRoom } from '../../core/admission/index.js';
+import { WaitQueue, type WaitQueueEntry } from '../../core/admission/index.js';
 import type { Placement } from '../../core/gateway/index.js';
 import { GATEWAY_EVENTS } from '../../core/logging/catalogue/gateway.js';
 import {
@@ -25,7 +25,7 @@
 interface Waiter {
   readonly exchange: Exchange;
   readonly check: AdmissionCheck;
-  readonly place: RoomPlace;
+  readonly place: WaitQueueEntry;
   readonly waitingSinceMs: number;
   /** Result of the latest check. */
   placement: Placement;
@@ -44,7 +44,7 @@
 /** Admits, holds or refuses the requests of a daemon. */
 export class AdmissionGate {
   readonly #options: AdmissionGateOptions;
-  readonly #waitingRoom = new WaitingRoom();
+  readonly #waitingRoom = new WaitQueue();
   readonly #waiters = new Map<string, Waiter>();
   readonly #refusals: AdmissionRefusals;
   #lastEntryId = 0;
@@ -68,8 +68,8 @@
   }
 
   /** The number of requests of a lane that are held. */
-  waitingIn(lane: string): number {
-    return this.#waitingRoom.waitingIn(lane);
+  waitingInLane(lane: string): number {
+    return this.#waitingRoom.waitingInLane(lane);
   }
 
   /** Admits a request, at once or after a wait; undefined when it was refused or its caller's signal was aborted. */
@@ -112,7 +112,7 @@
     const nowMs = this.#nowMs();
     const place = this.#placeOf(exchange, check, nowMs + slackMs);
     const hasCapacity = placement.kind === 'go';
-    const answer = this.#waitingRoom.enter(place, { now: nowMs, hasCapacity });
+    const answer = this.#waitingRoom.offer(place, { now: nowMs, hasCapacity });
     switch (answer.kind) {
       case 'dispatch-now':
         return Promise.resolve(check.reserve());
@@ -125,7 +125,7 @@
         break;
     }
     if (this.#isStopping) {
-      this.#waitingRoom.leave(place, nowMs);
+      this.#waitingRoom.remove(place, nowMs);
       this.#refusals.refuseStopping(exchange, check);
       return Promise.resolve(undefined);
     }
@@ -135,14 +135,14 @@
   #wait(
     exchange: Exchange,
     check: AdmissionCheck,
-    place: RoomPlace,
+    place: WaitQueueEntry,
     placement: Placement,
   ): Promise<ReleaseReservation | undefined> {
     const waitingSinceMs = this.#nowMs();
     const roomInMs = placement.kind === 'wait' ? placement.roomInMs : 0;
     this.#options.log.write(GATEWAY_EVENTS.requestWaits, {
       ...admissionLogFields(exchange, check),
-      behind: this.#waitingRoom.waitingIn(check.lane) - 1,
+      behind: this.#waitingRoom.waitingInLane(check.lane) - 1,
       roomInMs: Math.round(roomInMs),
       mostMs: Math.round(place.latestStartMs - waitingSinceMs),
     });
@@ -231,16 +231,16 @@
     roomInMs: number,
     waitedMs: number,
   ): void {
-    const behind = this.#waitingRoom.waitingIn(check.lane);
+    const behind = this.#waitingRoom.waitingInLane(check.lane);
     this.#refusals.refuse(exchange, check, { reason, roomInMs, waitedMs, behind });
   }
 
   #remove({ place }: Waiter): void {
     this.#waiters.delete(place.id);
-    this.#waitingRoom.leave(place, this.#nowMs());
+    this.#waitingRoom.remove(place, this.#nowMs());
   }
 
-  #placeOf(exchange: Exchange, check: AdmissionCheck, latestStartMs: number): RoomPlace {
+  #placeOf(exchange: Exchange, check: AdmissionCheck, latestStartMs: number): WaitQueueEntry {
     const { tenant, rank, arrivedAtMs } = exchange.options;
     this.#lastEntryId += 1;
     return {
@@ -249,7 +249,7 @@
       tenant: tenant?.name ?? '',
       rank,
       // A request that cannot be answered in time is never held: `placeRequest` sends or refuses it at once.
-      canBeInTime: true,
+      canMeetDeadline: true,
       costMs: check.costMs,
       arrivedAtMs,
       latestStartMs,
@@ -264,7 +264,7 @@
       return;
     }
     const nowMs = this.#nowMs();
-    const latestMs = this.#waitingRoom.nextLatestStart ?? Number.POSITIVE_INFINITY;
+    const latestMs = this.#waitingRoom.nextStartDeadline ?? Number.POSITIVE_INFINITY;
     const wantedMs = Math.min(MAX_RECHECK_MS, inMs, latestMs - nowMs);
     const atMs = nowMs + Math.max(MIN_RECHECK_MS, wantedMs);
     if (this.#recheckAtMs > nowMs && this.#recheckAtMs <= atMs) return;
--- a/src/shell/gateway/admission-refusals.ts
+++ b/src/shell/gateway/admission-refusals.ts
@@ -1,5 +1,5 @@
 /** Refusals for lack of capacity: the `Retry-After` time, the log line, the metric and the answer. */
-import { RetryLine } from '../../core/admission/index.js';
+import { RetrySchedule } from '../../core/admission/index.js';
 import { GATEWAY_EVENTS } from '../../core/logging/catalogue/gateway.js';
 import { type AdmissionCheck, admissionLogFields } from './admission-check.js';
 import type { Exchange } from './exchange.js';
@@ -30,7 +30,7 @@
 /** Refuses requests; the `Retry-After` times of one lane are spaced out, so that its callers come back one after the other. */
 export class AdmissionRefusals {
   readonly #options: AdmissionRefusalsOptions;
-  readonly #retryLines = new Map<string, RetryLine>();
+  readonly #retryLines = new Map<string, RetrySchedule>();
 
   constructor(options: AdmissionRefusalsOptions) {
     this.#options = options;
@@ -38,11 +38,11 @@
 
   refuse(exchange: Exchange, check: AdmissionCheck, refusal: AdmissionRefusal): void {
     const { reason, roomInMs, waitedMs, behind } = refusal;
-    const retryAfterMs = this.#retryLineOf(check.lane).promise({
+    const retryAfterMs = this.#retryLineOf(check.lane).scheduleRetryMs({
       nowMs: this.#options.timers.nowMs(),
       roomInMs,
       spacingMs: check.spacingMs,
-      mostMs: exchange.remainingMs(),
+      maxMs: exchange.remainingMs(),
       entropy: Math.random(),
     });
     this.#options.log.write(GATEWAY_EVENTS.requestTurnedAway, {
@@ -68,10 +68,10 @@
     exchange.refuse('this daemon stops before there is room', STOPPING_RETRY_AFTER_MS);
   }
 
-  #retryLineOf(lane: string): RetryLine {
+  #retryLineOf(lane: string): RetrySchedule {
     const existing = this.#retryLines.get(lane);
     if (existing !== undefined) return existing;
-    const created = new RetryLine();
+    const created = new RetrySchedule();
     this.#retryLines.set(lane, created);
     return created;
   }
--- a/src/shell/gateway/attempt.ts
+++ b/src/shell/gateway/attempt.ts
@@ -44,7 +44,7 @@
   /** Whether the choice of a server allows for requests that other daemons sent but have not reported yet. */
   readonly isSpreading: boolean;
   /** Admits, holds or refuses requests by the free capacity of the servers. */
-  readonly admission: Pick<AdmissionGate, 'isOn' | 'admit' | 'waitingIn' | 'wake'>;
+  readonly admission: Pick<AdmissionGate, 'isOn' | 'admit' | 'waitingInLane' | 'wake'>;
   /** Called when the prefill of a long prompt begins or ends. */
   readonly onLoadChange: () => void;
   /** Called when the prefill of a shared prompt part begins, so that other daemons do not start the same prefill. */
--- a/src/shell/gateway/capacity-controller.ts
+++ b/src/shell/gateway/capacity-controller.ts
@@ -5,10 +5,10 @@
 import * as z from 'zod/mini';
 import {
   type CapacityAction,
-  type CapacityBelief,
   CapacityDuty,
   type CapacityOrder,
   type CapacityRecord,
+  type CapacitySummary,
   type OrderOutcome,
   type ScaledService,
   ServerListSettling,
@@ -24,7 +24,7 @@
 
 const RECORD_KEY = 'capacity-duty';
 const POLL_INTERVAL_MS = 500;
-/** Used while `bearsLoss` is set: short enough to replace lost servers before callers notice the loss. */
+/** Used while `toleratesZoneLoss` is set: short enough to replace lost servers before callers notice the loss. */
 const LOSS_POLL_INTERVAL_MS = 200;
 /**
  * Daemons start polling at a random time within this span, so that the first of them has taken the duty before the
@@ -55,7 +55,7 @@
   readonly incarnation: number;
   readonly leaseMs: number;
   /** Whether spare servers are ordered, and lost ones replaced at once. */
-  readonly bearsLoss: boolean;
+  readonly toleratesZoneLoss: boolean;
   readonly fleet: FleetView;
   readonly duties: PlatformDuties;
   readonly table: TableService;
@@ -86,13 +86,13 @@
 
   /** Runs until `stop`. */
   async run(): Promise<void> {
-    const { timers, mayOrder, bearsLoss } = this.#options;
+    const { timers, mayOrder, toleratesZoneLoss } = this.#options;
     const { signal } = this.#stopped;
     await delay(timers, Math.random() * INITIAL_DELAY_SPREAD_MS, signal);
     while (!signal.aborted) {
       const isBusy = mayOrder() && (await this.#step());
       if (!isBusy)
-        await delay(timers, bearsLoss ? LOSS_POLL_INTERVAL_MS : POLL_INTERVAL_MS, signal);
+        await delay(timers, toleratesZoneLoss ? LOSS_POLL_INTERVAL_MS : POLL_INTERVAL_MS, signal);
     }
   }
 
@@ -106,7 +106,7 @@
     const services = this.#scaledServices(nowMs);
     if (!this.#hasSettled(services, nowMs)) return false;
     const action = this.#duty.next(services, this.#options.leaseTimers.nowMs());
-    for (const belief of this.#duty.beliefs) this.#logBelief(belief);
+    for (const summary of this.#duty.summaries) this.#logSummary(summary);
     return this.#perform(action);
   }
 
@@ -127,21 +127,21 @@
   async #applyRecord(call: Promise<SentOutcome<CapacityRecord>>): Promise<boolean> {
     const { timers } = this.#options;
     const { outcome, sentMs } = await call;
-    this.#duty.takeRecord(outcome, sentMs, this.#options.leaseTimers.nowMs());
+    this.#duty.applyRecord(outcome, sentMs, this.#options.leaseTimers.nowMs());
     this.#logHolder();
     if (outcome.kind !== 'seen') await delay(timers, FAILURE_BACKOFF_MS, this.#stopped.signal);
     return outcome.kind === 'seen';
   }
 
   async #placeOrder(order: CapacityOrder, fence: number): Promise<boolean> {
-    const { daemon, duties, timers, log, fleet, bearsLoss } = this.#options;
+    const { daemon, duties, timers, log, fleet, toleratesZoneLoss } = this.#options;
     const authority = { holder: daemon, fence };
     const outcome = await callWithTimeout(timers, CALL_TIMEOUT_MS, this.#stopped.signal, (signal) =>
       duties.orderCapacity(order, authority, signal),
     );
     const scaling = fleet.inForce?.configuration.services.get(order.service)?.scaling;
     const nowMs = this.#options.leaseTimers.nowMs();
-    this.#duty.takeOrder(orderOutcomeOf(outcome), order, scaling?.bootMs ?? 0, nowMs);
+    this.#duty.recordOrderOutcome(orderOutcomeOf(outcome), order, scaling?.bootMs ?? 0, nowMs);
     log.write(GATEWAY_EVENTS.capacityOrdered, {
       ...order,
       fence,
@@ -150,17 +150,17 @@
       reason: outcome.kind === 'lost' ? outcome.reason : '',
     });
     // A conflict may mean that the zone has none of the ordered servers: they are ordered in other zones without delay.
-    return outcome.kind === 'accepted' || (bearsLoss && outcome.kind === 'conflict');
+    return outcome.kind === 'accepted' || (toleratesZoneLoss && outcome.kind === 'conflict');
   }
 
   /** This daemon's estimates for each service, for the metrics. */
-  get beliefs(): readonly CapacityBelief[] {
-    return this.#options.mayOrder() ? this.#duty.beliefs : [];
+  get summaries(): readonly CapacitySummary[] {
+    return this.#options.mayOrder() ? this.#duty.summaries : [];
   }
 
-  #logBelief(belief: CapacityBelief): void {
-    const { service, needed, wanted, present, coming, lost } = belief;
-    const zonesWithoutSpot = belief.zonesWithoutSpot.join(' ');
+  #logSummary(summary: CapacitySummary): void {
+    const { service, needed, wanted, present, coming, lost } = summary;
+    const zonesWithoutSpot = summary.zonesWithoutSpot.join(' ');
     const fields = { service, needed, wanted, present, coming, zonesWithoutSpot };
     const { log } = this.#options;
     if (lost > 0) log.write(GATEWAY_EVENTS.spotServersTaken, { ...fields, lost });
@@ -194,9 +194,9 @@
       return { zone, plain: inZone.length - spot, spot };
     });
     const need = fleet.demand.needOf(name, nowMs);
-    const neededInAll = Math.ceil(need.prefillEngines + need.decodeEngines);
-    const neededWithRoom = requiredEngines(need);
-    return [{ service: name, limits: scaling, zones, neededInAll, neededWithRoom }];
+    const neededTotal = Math.ceil(need.prefillEngines + need.decodeEngines);
+    const neededWithHeadroom = requiredEngines(need);
+    return [{ service: name, limits: scaling, zones, neededTotal, neededWithHeadroom }];
   }
 
   /** Servers of a fleet that has just started are listed one by one; nothing is ordered before the list has settled. */
@@ -204,7 +204,7 @@
     const zones = services.flatMap((service) => service.zones);
     const listed = zones.reduce((sum, { plain, spot }) => sum + plain + spot, 0);
     const longestBootMs = Math.max(0, ...services.map(({ limits }) => limits.bootMs));
-    return this.#settling.take(listed, longestBootMs, nowMs);
+    return this.#settling.update(listed, longestBootMs, nowMs);
   }
 }
 
--- a/src/shell/gateway/duties.ts
+++ b/src/shell/gateway/duties.ts
@@ -2,7 +2,7 @@
  * Duties, which one daemon of the fleet at a time performs for the platform: usage reports, where the settings
  * configure them, and capacity orders.
  */
-import type { CapacityBelief } from '../../core/capacity/index.js';
+import type { CapacitySummary } from '../../core/capacity/index.js';
 import type { PeerRoster, Tenant } from '../../core/gateway/index.js';
 import { CapacityController } from './capacity-controller.js';
 import type { FleetView } from './fleet-view.js';
@@ -52,7 +52,7 @@
     this.#capacity = new CapacityController({
       ...shared,
       mayOrder: mayOrderCapacity,
-      bearsLoss: settings.decisions.spareCapacity,
+      toleratesZoneLoss: settings.decisions.spareCapacity,
     });
     const windowSeconds = settings.duties?.usageWindowSeconds;
     if (windowSeconds === undefined) return;
@@ -77,13 +77,13 @@
   }
 
   /** Estimates for the services whose servers are billed by the second; none where this daemon orders nothing. */
-  get capacityBeliefs(): readonly CapacityBelief[] {
-    return this.#capacity?.beliefs ?? [];
+  get capacitySummaries(): readonly CapacitySummary[] {
+    return this.#capacity?.summaries ?? [];
   }
 
   /** Servers of a service that are ordered or booting, as far as this daemon knows. */
   startingServers(service: string): number {
-    return this.capacityBeliefs.find((known) => known.service === service)?.coming ?? 0;
+    return this.capacitySummaries.find((known) => known.service === service)?.coming ?? 0;
   }
 
   /** Records that a tenant's request began to run `agoMs` ago. */
--- a/src/shell/gateway/gateway-gauges.ts
+++ b/src/shell/gateway/gateway-gauges.ts
@@ -1,5 +1,5 @@
 /** Gauges of a gateway, read when the metrics are scraped. */
-import type { CapacityBelief } from '../../core/capacity/index.js';
+import type { CapacitySummary } from '../../core/capacity/index.js';
 import type { AdmissionGate } from './admission-gate.js';
 import type { BackendConnections } from './backend-connections.js';
 import type { CallerListener } from './caller-listener.js';
@@ -32,7 +32,7 @@
   readonly admission: Pick<AdmissionGate, 'waiting'>;
   readonly limits: Pick<LimitCoordinator, 'grantedServers'>;
   readonly crashes: Pick<CrashGuard, 'quarantined' | 'suspected'>;
-  readonly duties: () => Pick<Duties, 'capacityBeliefs'>;
+  readonly duties: () => Pick<Duties, 'capacitySummaries'>;
   readonly webWork: Pick<WebWork, 'unreadableTotal'>;
   readonly timers: TimerService;
   readonly log: Pick<GatewayLog, 'droppedTotal'>;
@@ -182,8 +182,8 @@
 
 /** Gauges summed over all services whose servers are billed by the second; 0 at daemons that order nothing. */
 function capacityGauges({ duties }: GaugeSources): readonly Gauge[] {
-  const sumOf = (read: (belief: CapacityBelief) => number) => () =>
-    duties().capacityBeliefs.reduce((sum, belief) => sum + read(belief), 0);
+  const sumOf = (read: (summary: CapacitySummary) => number) => () =>
+    duties().capacitySummaries.reduce((sum, summary) => sum + read(summary), 0);
   return [
     {
       name: 'capacity_needed',
--- a/src/shell/gateway/model-admission-check.ts
+++ b/src/shell/gateway/model-admission-check.ts
@@ -66,7 +66,7 @@
       latencyBudgetLeftMs: latencyBudgetMs - exchange.elapsedMs(),
       urgentSlackMs: fleet.urgentSlackOf(service).minSlackMs(rank, this.#nowMs()),
       // A later check means that it is this request's turn: the others of its lane are behind it.
-      isContended: isFirst && admission.waitingIn(this.lane) > 0,
+      isContended: isFirst && admission.waitingInLane(this.lane) > 0,
       isLearnt: fleet.speedOf(service).isLearnt,
       mayHaveRun: exchange.mayHaveRun,
     });
--- a/src/shell/gateway/tenant-usage.ts
+++ b/src/shell/gateway/tenant-usage.ts
@@ -7,8 +7,8 @@
 import { GATEWAY_EVENTS } from '../../core/logging/catalogue/gateway.js';
 import {
   type CollectedCounts,
-  partsOf,
   type ReportOutcome,
+  splitIntoParts,
   type UsageAction,
   UsageCollection,
   UsageCounts,
@@ -98,7 +98,7 @@
 
   /** Records that a tenant's request began to run `agoMs` ago. */
   recordRunStart(tenant: string, agoMs: number): void {
-    this.#counts.note(tenant, this.#options.wallClock() - agoMs);
+    this.#counts.recordRun(tenant, this.#options.wallClock() - agoMs);
   }
 
   /** Handles another daemon's message on usage. */
@@ -112,7 +112,7 @@
         }
         return;
       case 'usage-counted':
-        this.#collection?.take(message.part);
+        this.#collection?.addPart(message.part);
         return;
       case 'usage-reported':
         this.#reportedByOther = Math.max(this.#reportedByOther, message.window);
@@ -188,14 +188,14 @@
 
   #ownParts(window: number) {
     const { daemon, incarnation } = this.#options;
-    return partsOf(this.#counts.of(window), { daemon, incarnation, window });
+    return splitIntoParts(this.#counts.of(window), { daemon, incarnation, window });
   }
 
   async #collect(window: number): Promise<void> {
     const { roster, peers, timers, log } = this.#options;
     const collection = new UsageCollection(window);
     this.#collection = collection;
-    for (const part of this.#ownParts(window)) collection.take(part);
+    for (const part of this.#ownParts(window)) collection.addPart(part);
     for (let round = 0; round < MAX_COLLECT_ROUNDS; round += 1) {
       const unanswered = roster.allPeers().filter(({ name }) => !collection.hasAnswered(name));
       if (unanswered.length === 0) break;
@@ -213,7 +213,7 @@
 
   async #applyRecord(call: Promise<SentOutcome<UsageRecord>>): Promise<void> {
     const { outcome, sentMs } = await call;
-    this.#duty.takeRecord(outcome, sentMs, this.#options.leaseTimers.nowMs());
+    this.#duty.applyRecord(outcome, sentMs, this.#options.leaseTimers.nowMs());
     if (outcome.kind !== 'seen') return this.#backOff();
     this.#failuresInARow = 0;
     if (outcome.isOwnWrite && outcome.record !== undefined) this.#logRecord(outcome.record);
@@ -232,7 +232,7 @@
     const outcome = await callWithTimeout(timers, CALL_TIMEOUT_MS, this.#stopped.signal, (signal) =>
       duties.reportUsage({ window, counts }, authority, signal),
     );
-    this.#duty.takeReport(reportOutcomeOf(outcome), record);
+    this.#duty.recordReportOutcome(reportOutcomeOf(outcome), record);
     if (outcome.kind === 'accepted') {
       this.#failuresInARow = 0;
       peers()?.sendMessage(roster.allPeers(), { kind: 'usage-reported', window });
--- a/src/shell/http/active-request.ts
+++ b/src/shell/http/active-request.ts
@@ -51,10 +51,10 @@
   /** Shared by all streams; empty between two turns of the event loop. */
   readonly eventBuffer: EventBuffer;
   now(): MonotonicMs;
-  attemptEvent(request: ActiveRequest, event: AttemptEvent): void;
+  onAttemptEvent(request: ActiveRequest, event: AttemptEvent): void;
   /** The response is over and no attempt runs: the request may be forgotten. */
-  released(request: ActiveRequest): void;
-  callerGone(request: ActiveRequest): void;
+  onReleased(request: ActiveRequest): void;
+  onCallerGone(request: ActiveRequest): void;
 }
 
 /** A request from its body's arrival until its response is over and its last attempt has ended. */
@@ -118,10 +118,10 @@
   }
 
   /** Reports the attempt's end to the core and forgets the attempt. */
-  attemptOver(attempt: RunningAttempt, event: AttemptEvent): void {
+  onAttemptEnded(attempt: RunningAttempt, event: AttemptEvent): void {
     if (this.attempt !== attempt) return;
     this.attempt = null;
-    this.host.attemptEvent(this, event);
+    this.host.onAttemptEvent(this, event);
     this.#releaseIfOver();
   }
 
@@ -180,7 +180,7 @@
   }
 
   /** Cuts the caller's connection. */
-  cut(): void {
+  closeConnection(): void {
     this.response.destroy();
   }
 
@@ -192,7 +192,7 @@
   readonly #onClose = (): void => {
     this.#responseOver = true;
     this.pausedSince = null;
-    if (!this.#answered) this.host.callerGone(this);
+    if (!this.#answered) this.host.onCallerGone(this);
     this.attempt?.resume();
     this.#releaseIfOver();
   };
@@ -203,7 +203,7 @@
   };
 
   #releaseIfOver(): void {
-    if (this.#responseOver && this.attempt === null) this.host.released(this);
+    if (this.#responseOver && this.attempt === null) this.host.onReleased(this);
   }
 }
 
--- a/src/shell/http/backend-attempt.ts
+++ b/src/shell/http/backend-attempt.ts
@@ -7,7 +7,7 @@
 import { GRANT_LAPSED, type RequestEffect } from '../../core/requests/index.js';
 import type { ActiveRequest } from './active-request.js';
 import { EngineRefusal, isRefusalStatus } from './engine-refusal.js';
-import { single } from './headers.js';
+import { singleValue } from './headers.js';
 
 /** What the core asked for. */
 export type DispatchEffect = Extract<RequestEffect, { kind: 'dispatch' }>;
@@ -75,7 +75,7 @@
     const sentBefore = this.controller !== null;
     this.controller = controller;
     if (this.#over) controller.abort(CANCELLED);
-    else if (sentBefore) this.broken('sent-twice');
+    else if (sentBefore) this.abortAsBroken('sent-twice');
     else if (this.#grantHasLapsed()) this.#refuseToSend(controller);
   }
 
@@ -86,30 +86,30 @@
   ): void {
     if (this.#over || status < 200) return;
     if (this.request.description.target.kind === 'web') {
-      this.answerBegins(status, headers);
+      this.onAnswerStart(status, headers);
       return;
     }
     const stated = headers['x-threadfork-attempt'];
     if (isRefusalStatus(status) && (stated === undefined || stated === this.effect.attempt)) {
       this.refusal = new EngineRefusal(status, headers);
     } else if (stated !== this.effect.attempt) {
-      this.broken('foreign-answer');
+      this.abortAsBroken('foreign-answer');
     } else if (status === 200 || REQUEST_FLAW_STATUSES.has(status)) {
-      this.answerBegins(status, headers);
+      this.onAnswerStart(status, headers);
     } else {
-      this.broken(`status-${status}`);
+      this.abortAsBroken(`status-${status}`);
     }
   }
 
   onResponseData(_controller: Dispatcher.DispatchController, chunk: Buffer): void {
     if (this.#over) return;
-    if (this.refusal === null) this.answerData(chunk);
-    else if (!this.refusal.add(chunk)) this.broken('refusal-too-large');
+    if (this.refusal === null) this.onAnswerData(chunk);
+    else if (!this.refusal.add(chunk)) this.abortAsBroken('refusal-too-large');
   }
 
   onResponseEnd(): void {
     if (this.#over) return;
-    if (this.refusal === null) this.answerEnds();
+    if (this.refusal === null) this.onAnswerEnd();
     else this.#refused(this.refusal);
   }
 
@@ -124,24 +124,24 @@
   }
 
   /** The head of an answer that is for the caller. */
-  protected abstract answerBegins(status: number, headers: IncomingHttpHeaders): void;
+  protected abstract onAnswerStart(status: number, headers: IncomingHttpHeaders): void;
   /** A piece of its body. */
-  protected abstract answerData(chunk: Buffer): void;
+  protected abstract onAnswerData(chunk: Buffer): void;
   /** The backend's end of it. */
-  protected abstract answerEnds(): void;
+  protected abstract onAnswerEnd(): void;
 
   protected get over(): boolean {
     return this.#over;
   }
 
   /** Reports the attempt's end; whatever comes later is ignored. */
-  protected finish(event: Parameters<ActiveRequest['attemptOver']>[1]): void {
+  protected finish(event: Parameters<ActiveRequest['onAttemptEnded']>[1]): void {
     this.#over = true;
-    this.request.attemptOver(this, event);
+    this.request.onAttemptEnded(this, event);
   }
 
   /** Breaks the attempt off: what the backend says is not to be trusted. */
-  protected broken(reason: string): void {
+  protected abortAsBroken(reason: string): void {
     const controller = this.controller;
     this.#reportBroken(reason);
     controller?.abort(PROTOCOL_BROKEN);
@@ -211,6 +211,6 @@
 
 /** The declared length of a body, or null. */
 export function contentLengthOf(headers: IncomingHttpHeaders): number | null {
-  const text = single(headers['content-length']);
+  const text = singleValue(headers['content-length']);
   return text === undefined ? null : Number(text);
 }
--- a/src/shell/http/body-reader.ts
+++ b/src/shell/http/body-reader.ts
@@ -17,7 +17,7 @@
   }
 
   /** Takes bytes, or answers false when that would pass the limit. */
-  take(bytes: number): boolean {
+  tryReserve(bytes: number): boolean {
     if (this.#held + bytes > this.#limit) return false;
     this.#held += bytes;
     return true;
@@ -79,7 +79,7 @@
       this.#finish({ kind: 'refused', fault: tooLarge(this.maxBytes) });
       return;
     }
-    if (!this.budget.take(chunk.length)) {
+    if (!this.budget.tryReserve(chunk.length)) {
       this.#finish({ kind: 'refused', fault: TOO_MANY_BODIES });
       return;
     }
--- a/src/shell/http/caller-connections.ts
+++ b/src/shell/http/caller-connections.ts
@@ -10,19 +10,19 @@
   #closing = false;
 
   /** Notes a new connection. */
-  opened(socket: Socket): void {
+  track(socket: Socket): void {
     this.#requests.set(socket, 0);
     socket.once('close', () => this.#closed(socket));
   }
 
   /** Resolves once no connection is open. */
-  noneLeft(): Promise<void> {
+  allClosed(): Promise<void> {
     if (this.#requests.size === 0) return Promise.resolve();
     return new Promise((resolve) => this.#whenNoneLeft.push(resolve));
   }
 
   /** Notes a request until its response is over. */
-  requestBegan(socket: Socket, response: ServerResponse): void {
+  trackRequest(socket: Socket, response: ServerResponse): void {
     this.#requests.set(socket, (this.#requests.get(socket) ?? 0) + 1);
     response.once('close', () => this.#requestEnded(socket));
   }
--- a/src/shell/http/caller-options.ts
+++ b/src/shell/http/caller-options.ts
@@ -6,7 +6,7 @@
 import type { Milliseconds } from '../../core/common/time.js';
 import { type Fault, refusedNotRun } from '../../core/errors/fault.js';
 import type { ConfigurationIndex, NamedTenant } from './configuration-index.js';
-import { single } from './headers.js';
+import { singleValue } from './headers.js';
 
 /** The longest deadline that a caller may ask for. */
 const MAX_DEADLINE_MS: Milliseconds = 86_400_000;
@@ -21,7 +21,7 @@
   readonly name: string;
   readonly className: ClassName;
   /** True when its API key told who it is; the key is then not passed on. */
-  readonly byKey: boolean;
+  readonly identifiedByKey: boolean;
 }
 
 /** A caller's statements about one request. */
@@ -57,7 +57,7 @@
   headers: IncomingHttpHeaders,
   caller: Caller,
 ): Result<CallerOptions, Fault> {
-  const className = single(headers['x-threadfork-class']) ?? caller.className;
+  const className = singleValue(headers['x-threadfork-class']) ?? caller.className;
   const stated = Object.hasOwn(index.document.classes, className)
     ? index.document.classes[className]
     : undefined;
@@ -84,8 +84,8 @@
   return createHash('sha256').update(`${method} ${path}\n`).update(body).digest('hex');
 }
 
-function callerOf(found: NamedTenant, byKey: boolean): Caller {
-  return { name: found.name, className: found.tenant.class, byKey };
+function callerOf(found: NamedTenant, identifiedByKey: boolean): Caller {
+  return { name: found.name, className: found.tenant.class, identifiedByKey };
 }
 
 function bearerKey(authorization: string | undefined): string | null {
@@ -107,7 +107,7 @@
   classDeadlineMs: Milliseconds,
 ): Milliseconds | null {
   if (header === undefined) return classDeadlineMs;
-  const text = single(header) ?? '';
+  const text = singleValue(header) ?? '';
   if (!WHOLE_NUMBER.test(text)) return null;
   const asked = Number(text);
   if (asked < 1 || asked > MAX_DEADLINE_MS) return null;
@@ -122,7 +122,7 @@
 
 function readIdempotencyKey(header: string | string[] | undefined): string | null | undefined {
   if (header === undefined) return null;
-  const text = single(header) ?? '';
+  const text = singleValue(header) ?? '';
   return IDEMPOTENCY_KEY.test(text) ? text : undefined;
 }
 
--- a/src/shell/http/caller-routes.ts
+++ b/src/shell/http/caller-routes.ts
@@ -8,16 +8,16 @@
 import { type Caller, identifyCaller, NOT_CONFIGURED } from './caller-options.js';
 import type { ConfigurationIndex } from './configuration-index.js';
 import { refuseEarly } from './early-refusal.js';
-import {
-  type Arrival,
-  type Intake,
-  MODEL_PATHS,
-  takeModelRequest,
-  takeWebRequest,
-} from './intake.js';
 import type { HttpLimits } from './limits.js';
 import type { CompletionShape } from './model-call.js';
 import { answerPage, METHOD_NOT_ALLOWED, type PageSources, UNKNOWN_ROUTE } from './pages.js';
+import {
+  type Arrival,
+  MODEL_PATHS,
+  type PreparedRequest,
+  prepareModelRequest,
+  prepareWebRequest,
+} from './request-preparation.js';
 
 const ABSOLUTE_FORM = /^https?:\/\/[^/?]*/i;
 
@@ -31,10 +31,10 @@
   /** The look-ups of the configuration in force now. */
   index(): ConfigurationIndex;
   /** Takes over a request; its body stays counted in `bodies` until the request is over. */
-  begin(intake: Intake, response: ServerResponse): void;
+  startRequest(intake: PreparedRequest, response: ServerResponse): void;
 }
 
-type TakeIn = (arrival: Arrival, caller: Caller) => Result<Intake, Fault>;
+type PrepareRequest = (arrival: Arrival, caller: Caller) => Result<PreparedRequest, Fault>;
 
 /** The routes of one server. */
 export class CallerRoutes {
@@ -69,7 +69,7 @@
     }
     const caller = identifyCaller(this.#host.index(), request.headers, false);
     this.#take(request, response, path, caller, (arrival, known) =>
-      takeModelRequest(arrival, shape, known, this.#host.limits.maxOutputTokens),
+      prepareModelRequest(arrival, shape, known, this.#host.limits.maxOutputTokens),
     );
   }
 
@@ -85,7 +85,7 @@
     }
     const caller = identifyCaller(index, request.headers, true);
     this.#take(request, response, path, caller, (arrival, known) =>
-      takeWebRequest(arrival, route, known),
+      prepareWebRequest(arrival, route, known),
     );
   }
 
@@ -94,7 +94,7 @@
     response: ServerResponse,
     path: string,
     caller: Result<Caller, Fault>,
-    takeIn: TakeIn,
+    takeIn: PrepareRequest,
   ): void {
     if (caller.isErr()) {
       refuseEarly(request, response, caller.error);
@@ -114,13 +114,13 @@
     path: string,
     body: Buffer,
     caller: Caller,
-    takeIn: TakeIn,
+    takeIn: PrepareRequest,
   ): void {
     const host = this.#host;
     const id = host.nextId();
     const taken = takeIn({ id, request, path, body, now: host.now(), index: host.index() }, caller);
     if (taken.isOk()) {
-      host.begin(taken.value, response);
+      host.startRequest(taken.value, response);
       return;
     }
     host.bodies.release(body.length);
--- a/src/shell/http/caller-server.ts
+++ b/src/shell/http/caller-server.ts
@@ -19,11 +19,11 @@
 import { answerClientError, type ClientError } from './client-error.js';
 import { ConfigurationIndex } from './configuration-index.js';
 import { EventBuffer } from './event-buffer.js';
-import type { Intake } from './intake.js';
 import type { HttpLimits } from './limits.js';
 import type { PageSources } from './pages.js';
+import { PassThroughAttempt } from './pass-through-attempt.js';
+import type { PreparedRequest } from './request-preparation.js';
 import { StreamAttempt } from './stream-attempt.js';
-import { WholeAttempt } from './whole-attempt.js';
 
 /** What the server tells the daemon's fold. */
 export type CallerEvent =
@@ -101,13 +101,13 @@
         noDelay: true,
       },
       (request, response) => {
-        this.#connections.requestBegan(request.socket, response);
+        this.#connections.trackRequest(request.socket, response);
         if (this.#stopping) response.shouldKeepAlive = false;
         this.#routes.handle(request, response);
       },
     );
     this.#server.maxConnections = limits.maxConnections;
-    this.#server.on('connection', (socket: Socket) => this.#connections.opened(socket));
+    this.#server.on('connection', (socket: Socket) => this.#connections.track(socket));
     this.#server.on('clientError', (error: ClientError, socket) =>
       answerClientError(error, socket as Socket),
     );
@@ -183,8 +183,8 @@
   }
 
   /** Resolves once no caller's connection is open; after `stopAccepting` none can come any more. */
-  connectionsEnded(): Promise<void> {
-    return this.#connections.noneLeft();
+  callerConnectionsClosed(): Promise<void> {
+    return this.#connections.allClosed();
   }
 
   /** Cuts everything. */
@@ -202,17 +202,17 @@
   }
 
   /** Passes on what an attempt met. */
-  attemptEvent(request: ActiveRequest, event: AttemptEvent): void {
+  onAttemptEvent(request: ActiveRequest, event: AttemptEvent): void {
     this.#options.emit({ kind: 'attempt', request: request.description.id, event });
   }
 
   /** Passes on that a caller went away before its answer was whole. */
-  callerGone(request: ActiveRequest): void {
+  onCallerGone(request: ActiveRequest): void {
     this.#options.emit({ kind: 'caller-gone', request: request.description.id });
   }
 
   /** Forgets a request. */
-  released(request: ActiveRequest): void {
+  onReleased(request: ActiveRequest): void {
     if (!this.#requests.delete(request.description.id)) return;
     this.bodies.release(request.heldBytes);
   }
@@ -237,7 +237,7 @@
   }
 
   /** Takes over a request and tells the core of it. */
-  begin(intake: Intake, response: ServerResponse): void {
+  startRequest(intake: PreparedRequest, response: ServerResponse): void {
     const { description, call, plan } = intake;
     const active = new ActiveRequest(this, description, response, call, plan);
     this.#requests.set(description.id, active);
@@ -263,7 +263,8 @@
     const now = this.now();
     for (const request of this.#requests.values()) {
       const since = request.pausedSince;
-      if (since !== null && now - since >= this.limits.callerStallTimeoutMs) request.cut();
+      if (since !== null && now - since >= this.limits.callerStallTimeoutMs)
+        request.closeConnection();
     }
     this.#pools.sweep(now);
   }
@@ -271,6 +272,6 @@
 
 function newAttempt(request: ActiveRequest, effect: DispatchEffect): BackendAttempt {
   const head = request.plan.answerHead;
-  if (head === null) return new WholeAttempt(request, effect);
+  if (head === null) return new PassThroughAttempt(request, effect);
   return new StreamAttempt(request, effect, head);
 }
--- a/src/shell/http/engine-refusal.ts
+++ b/src/shell/http/engine-refusal.ts
@@ -1,7 +1,7 @@
 /** Engine answers that may say `not run`. Only `"notRun": true` in the body says so. */
 import type { IncomingHttpHeaders } from 'node:http';
 import type { Milliseconds } from '../../core/common/time.js';
-import { single } from './headers.js';
+import { singleValue } from './headers.js';
 
 const REFUSAL_STATUSES: ReadonlySet<number> = new Set([404, 409, 429, 503]);
 const MAX_REFUSAL_BYTES = 16 * 1024;
@@ -9,7 +9,7 @@
 const RETRY_AFTER = /^[0-9]{1,6}$/;
 
 /** What a refusal says. */
-export interface RefusalWords {
+export interface RefusalDetails {
   readonly reason: string;
   readonly retryAfterMs?: Milliseconds;
 }
@@ -28,7 +28,7 @@
 
   constructor(status: number, headers: IncomingHttpHeaders) {
     this.status = status;
-    this.#retryAfter = single(headers['retry-after']);
+    this.#retryAfter = singleValue(headers['retry-after']);
   }
 
   /** Takes a piece; false when the body is longer than any refusal. */
@@ -40,7 +40,7 @@
   }
 
   /** The refusal, or null when the answer does not say that the request was not run. */
-  read(): RefusalWords | null {
+  read(): RefusalDetails | null {
     const reason = reasonOf(Buffer.concat(this.#chunks).toString('utf8'));
     if (reason === null) return null;
     const seconds = this.#retryAfter;
--- a/src/shell/http/headers.ts
+++ b/src/shell/http/headers.ts
@@ -78,7 +78,7 @@
 }
 
 /** The one value of a header, or undefined when it is absent or given more than once. */
-export function single(value: string | string[] | undefined): string | undefined {
+export function singleValue(value: string | string[] | undefined): string | undefined {
   return typeof value === 'string' ? value : undefined;
 }
 
