--- a/src/shell/http/whole-attempt.ts
+++ b/src/shell/http/pass-through-attempt.ts
@@ -18,16 +18,16 @@
 const BODILESS_STATUSES: ReadonlySet<number> = new Set([204, 304]);
 
 /** An attempt with a whole answer. */
-export class WholeAttempt extends BackendAttempt {
+export class PassThroughAttempt extends BackendAttempt {
   #begin: AnswerBegin | null = null;
   #held: Buffer[] | null = null;
   #received = 0;
   #lastChunk: Buffer | null = null;
 
-  protected override answerBegins(status: number, headers: IncomingHttpHeaders): void {
+  protected override onAnswerStart(status: number, headers: IncomingHttpHeaders): void {
     const length = contentLengthOf(headers);
     if (length === null && !this.#mayLackLength(status, headers)) {
-      this.broken('no-length');
+      this.abortAsBroken('no-length');
       return;
     }
     this.#begin = { status, headers: this.#callerHeaders(headers, length), length };
@@ -35,17 +35,17 @@
     else this.#forwardHead(this.#begin);
   }
 
-  protected override answerData(chunk: Buffer): void {
+  protected override onAnswerData(chunk: Buffer): void {
     this.#received += chunk.length;
     this.#lastChunk = chunk;
     if (this.#held !== null) this.#held.push(chunk);
     else this.request.write(chunk);
   }
 
-  protected override answerEnds(): void {
+  protected override onAnswerEnd(): void {
     const begin = this.#begin;
     if (begin === null || !this.#isWhole(begin)) {
-      this.broken('wrong-length');
+      this.abortAsBroken('wrong-length');
       return;
     }
     if (this.#held !== null) {
@@ -62,7 +62,7 @@
     const isModel = this.request.description.target.kind === 'model';
     const usage = isModel ? readUsage(body) : null;
     if (isModel && begin.status === 200 && (usage === null || !isJson(body))) {
-      this.broken('malformed-answer');
+      this.abortAsBroken('malformed-answer');
       return;
     }
     this.request.writeHead(begin.status, begin.headers);
@@ -72,7 +72,7 @@
 
   #forwardHead(begin: AnswerBegin): void {
     this.request.writeHead(begin.status, begin.headers);
-    this.request.host.attemptEvent(this.request, {
+    this.request.host.onAttemptEvent(this.request, {
       kind: 'first-byte',
       attempt: this.effect.attempt,
       status: begin.status,
--- a/src/shell/http/intake.ts
+++ b/src/shell/http/request-preparation.ts
@@ -31,7 +31,7 @@
 }
 
 /** A request ready for the core. */
-export interface Intake {
+export interface PreparedRequest {
   readonly description: RequestDescription;
   readonly call: BackendCall;
   readonly plan: AnswerPlan;
@@ -40,16 +40,16 @@
 /** Prompt blocks that prefix affinity looks at; hashing more costs more than it gains. */
 const MAX_PREFIX_BLOCKS = 32;
 const REPEATABLE_METHODS: ReadonlySet<string> = new Set(['GET', 'HEAD']);
-const WHOLE_PLAN: AnswerPlan = { answerHead: null, includeUsage: false };
+const PASS_THROUGH_PLAN: AnswerPlan = { answerHead: null, includeUsage: false };
 const MODEL_HEADERS = ['content-type', 'application/json'] as const;
 
 /** Takes in a completion or chat completion request. */
-export function takeModelRequest(
+export function prepareModelRequest(
   arrival: Arrival,
   shape: CompletionShape,
   caller: Caller,
   maxOutputTokens: number,
-): Result<Intake, Fault> {
+): Result<PreparedRequest, Fault> {
   const { body, index, path } = arrival;
   const options = readCallerOptions(index, arrival.request.headers, caller);
   if (options.isErr()) return err(options.error);
@@ -80,16 +80,16 @@
   };
   const plan: AnswerPlan = call.streamed
     ? { answerHead: answerHead(arrival.id, call.modelName, shape), includeUsage: call.includeUsage }
-    : WHOLE_PLAN;
+    : PASS_THROUGH_PLAN;
   return ok({ description, call: { method: 'POST', path, body, headers: MODEL_HEADERS }, plan });
 }
 
 /** Takes in a request to a web service. */
-export function takeWebRequest(
+export function prepareWebRequest(
   arrival: Arrival,
   route: RouteConfiguration,
   caller: Caller,
-): Result<Intake, Fault> {
+): Result<PreparedRequest, Fault> {
   const { request, body, index } = arrival;
   const options = readCallerOptions(index, request.headers, caller);
   if (options.isErr()) return err(options.error);
@@ -110,10 +110,10 @@
   };
   const headers = requestHeadersToBackend(request.rawHeaders, request.headers, {
     callerAddress: request.socket.remoteAddress ?? '',
-    stripAuthorization: caller.byKey,
+    stripAuthorization: caller.identifiedByKey,
   });
   const sent = body.length === 0 && request.headers['content-length'] === undefined ? null : body;
-  return ok({ description, call: { method, path, body: sent, headers }, plan: WHOLE_PLAN });
+  return ok({ description, call: { method, path, body: sent, headers }, plan: PASS_THROUGH_PLAN });
 }
 
 function answerHead(
--- a/src/shell/http/stream-attempt.ts
+++ b/src/shell/http/stream-attempt.ts
@@ -71,12 +71,13 @@
   /** The end marker; whether the answer is whole is judged when the chunk has been read. */
   done(): void {}
 
-  protected override answerBegins(status: number, headers: IncomingHttpHeaders): void {
+  protected override onAnswerStart(status: number, headers: IncomingHttpHeaders): void {
     if (status !== 200) this.#beginFlaw(status);
-    else if (!(headers['content-type'] ?? '').startsWith(EVENT_STREAM)) this.broken('not-a-stream');
+    else if (!(headers['content-type'] ?? '').startsWith(EVENT_STREAM))
+      this.abortAsBroken('not-a-stream');
   }
 
-  protected override answerData(chunk: Buffer): void {
+  protected override onAnswerData(chunk: Buffer): void {
     if (this.#flawAnswer !== null) {
       this.#flawData(this.#flawAnswer, chunk);
       return;
@@ -91,24 +92,25 @@
       return;
     }
     this.#flush();
-    if (this.#reader.fault !== null) this.broken(this.#reader.fault);
-    else if (this.#reader.done) this.broken('ended-early');
+    if (this.#reader.fault !== null) this.abortAsBroken(this.#reader.fault);
+    else if (this.#reader.done) this.abortAsBroken('ended-early');
   }
 
-  protected override answerEnds(): void {
-    if (this.#flawAnswer === null) this.broken('ended-early');
+  protected override onAnswerEnd(): void {
+    if (this.#flawAnswer === null) this.abortAsBroken('ended-early');
     else this.#forwardFlaw(this.#flawAnswer);
   }
 
   #beginFlaw(status: number): void {
-    if (this.request.headersForwarded) this.broken(`status-${status}`);
+    if (this.request.headersForwarded) this.abortAsBroken(`status-${status}`);
     else this.#flawAnswer = { status, chunks: [], bytes: 0 };
   }
 
   #flawData(answer: FlawAnswer, chunk: Buffer): void {
     answer.bytes += chunk.length;
     answer.chunks.push(chunk);
-    if (answer.bytes > this.request.host.limits.maxHeldAnswerBytes) this.broken('answer-too-large');
+    if (answer.bytes > this.request.host.limits.maxHeldAnswerBytes)
+      this.abortAsBroken('answer-too-large');
   }
 
   #forwardFlaw(answer: FlawAnswer): void {
@@ -154,7 +156,7 @@
       'cache-control': 'no-cache',
       'x-request-id': this.request.description.id,
     });
-    this.request.host.attemptEvent(this.request, {
+    this.request.host.onAttemptEvent(this.request, {
       kind: 'first-byte',
       attempt: this.effect.attempt,
       status: 200,
--- a/src/shell/metrics/bounded-label.ts
+++ b/src/shell/metrics/bounded-label.ts
@@ -13,7 +13,7 @@
   constructor(private readonly maxValues: number) {}
 
   /** The label to use for a value. */
-  of(value: string): string {
+  labelFor(value: string): string {
     if (this.#values.has(value)) return value;
     if (this.#values.size >= this.maxValues) return OTHER_LABEL;
     this.#values.add(value);
--- a/src/shell/metrics/fleet-gauges.ts
+++ b/src/shell/metrics/fleet-gauges.ts
@@ -91,7 +91,7 @@
   }
 
   /** Shows a sample. */
-  show(sample: FleetSample): void {
+  update(sample: FleetSample): void {
     for (const { key, gauge } of this.#numbers) gauge.set(sample[key]);
     this.#showEngines(sample);
     this.#showReportAges(sample);
--- a/src/shell/metrics/metrics.ts
+++ b/src/shell/metrics/metrics.ts
@@ -21,15 +21,15 @@
 /** Records what happens and prints it. */
 export interface Metrics {
   /** What the HTTP shell reports of an attempt. */
-  attemptEvent(request: RequestId, event: AttemptEvent, now: MonotonicMs): void;
+  recordAttemptEvent(request: RequestId, event: AttemptEvent, now: MonotonicMs): void;
   /** What the request table tells. */
-  requestNotice(notice: RequestNotice, now: MonotonicMs): void;
+  recordRequestNotice(notice: RequestNotice, now: MonotonicMs): void;
   /** A fault that a caller was answered with. */
-  fault(fault: Fault): void;
+  recordFault(fault: Fault): void;
   /** A call on the platform's table service. */
-  tableCall(call: TableCall, result: TableResult): void;
+  recordTableCall(call: TableCall, result: TableResult): void;
   /** An order that was sent to an engine. Role changes are those with `action="set-role"`. */
-  order(order: Order, answer: OrderAnswer): void;
+  recordOrder(order: Order, answer: OrderAnswer): void;
   /** All metrics as text. */
   text(): Promise<string>;
 }
@@ -53,15 +53,15 @@
     registers: [registry],
   });
   return {
-    attemptEvent: (request, event, now) => requests.attemptEvent(request, event, now),
-    requestNotice: (notice, now) => requests.notice(notice, now),
-    fault: (fault) => requests.fault(fault),
-    tableCall: (call, result) => tableCalls.inc({ call: call.kind, result: result.kind }),
-    order: (order, answer) =>
+    recordAttemptEvent: (request, event, now) => requests.recordAttemptEvent(request, event, now),
+    recordRequestNotice: (notice, now) => requests.recordNotice(notice, now),
+    recordFault: (fault) => requests.recordFault(fault),
+    recordTableCall: (call, result) => tableCalls.inc({ call: call.kind, result: result.kind }),
+    recordOrder: (order, answer) =>
       orders.inc({ action: order.action.kind, answer: answerLabel(answer) }),
     text: () => {
       const sample = options.sample();
-      if (sample !== null) gauges.show(sample);
+      if (sample !== null) gauges.update(sample);
       return registry.metrics();
     },
   };
--- a/src/shell/metrics/request-metrics.ts
+++ b/src/shell/metrics/request-metrics.ts
@@ -98,19 +98,22 @@
   }
 
   /** Takes what the HTTP shell reports of an attempt; only first bytes count here. */
-  attemptEvent(request: RequestId, event: AttemptEvent, now: MonotonicMs): void {
+  recordAttemptEvent(request: RequestId, event: AttemptEvent, now: MonotonicMs): void {
     if (event.kind !== 'first-byte' || !this.#inFlight.has(request)) return;
     if (!this.#firstByteAt.has(request)) this.#firstByteAt.set(request, now);
   }
 
   /** Takes what the request table tells. */
-  notice(notice: RequestNotice, now: MonotonicMs): void {
+  recordNotice(notice: RequestNotice, now: MonotonicMs): void {
     switch (notice.kind) {
       case 'attempt-started':
         this.#inFlight.add(notice.description.id);
         break;
       case 'attempt-ended':
-        this.#attempts.inc({ result: notice.result, reason: this.#reasons.of(notice.reason) });
+        this.#attempts.inc({
+          result: notice.result,
+          reason: this.#reasons.labelFor(notice.reason),
+        });
         break;
       case 'request-ended':
         this.#ended(notice, now);
@@ -119,13 +122,13 @@
   }
 
   /** Counts a fault that a caller was answered with. */
-  fault(fault: Fault): void {
+  recordFault(fault: Fault): void {
     this.#faults.inc({ code: fault.code, outcome: fault.outcome });
   }
 
   #ended(ended: RequestEnded, now: MonotonicMs): void {
     const { id, arrivedAt, className } = ended.description;
-    const labels = { class: this.#classes.of(className) };
+    const labels = { class: this.#classes.labelFor(className) };
     const firstByteAt = this.#firstByteAt.get(id);
     this.#firstByteAt.delete(id);
     this.#inFlight.delete(id);
--- a/src/shell/platform/client.ts
+++ b/src/shell/platform/client.ts
@@ -6,7 +6,7 @@
 import type { TableCall, TableResult } from '../../core/platform/table.js';
 import type { Machine } from '../../core/registry/backend.js';
 import { machinesAnswerSchema } from './answers.js';
-import { type Exchange, type ExchangeOptions, PlatformConnections } from './exchange.js';
+import { type Exchange, type ExchangeOptions, HttpConnectionPool } from './http-connection-pool.js';
 import { parseJson } from './json.js';
 import { DEFAULT_RETRY_AFTER_MS, retryAfterMs } from './retry-after.js';
 import { tableRequest, tableResult } from './table-calls.js';
@@ -43,7 +43,7 @@
 
 /** Opens a client. Nothing is connected before the first call. */
 export function createPlatformClient(options: ExchangeOptions): PlatformClient {
-  const connections = new PlatformConnections(options);
+  const connections = new HttpConnectionPool(options);
   const machines = new MachineListReader(connections);
   return {
     async table(call) {
@@ -77,7 +77,7 @@
 class MachineListReader {
   #known: { readonly revision: string; readonly machines: readonly Machine[] } | null = null;
 
-  constructor(private readonly connections: PlatformConnections) {}
+  constructor(private readonly connections: HttpConnectionPool) {}
 
   /** The list; the same array as before while it has not changed. */
   async read(): Promise<Result<MachineList, Fault>> {
--- a/src/shell/platform/exchange.ts
+++ b/src/shell/platform/http-connection-pool.ts
@@ -39,7 +39,7 @@
 }
 
 /** Connections to one platform address. */
-export class PlatformConnections {
+export class HttpConnectionPool {
   private readonly pool: Pool;
 
   constructor(private readonly options: ExchangeOptions) {
--- a/src/shell/platform/retry-after.ts
+++ b/src/shell/platform/retry-after.ts
@@ -1,6 +1,6 @@
 /** Reads how long the platform wants its callers to wait. */
 import type { Milliseconds } from '../../core/common/time.js';
-import type { Exchange } from './exchange.js';
+import type { Exchange } from './http-connection-pool.js';
 
 /** How long to wait where the platform does not say. */
 export const DEFAULT_RETRY_AFTER_MS = 500;
--- a/src/shell/platform/table-calls.ts
+++ b/src/shell/platform/table-calls.ts
@@ -1,7 +1,7 @@
 /** Table calls on the wire: the request of each call and what its answer means. */
 import type { TableCall, TableResult } from '../../core/platform/table.js';
 import { rowsAnswerSchema, transactAnswerSchema } from './answers.js';
-import type { Exchange, ExchangeRequest } from './exchange.js';
+import type { Exchange, ExchangeRequest } from './http-connection-pool.js';
 import { parseJson } from './json.js';
 import { DEFAULT_RETRY_AFTER_MS, retryAfterMs } from './retry-after.js';
 
--- a/src/shell/settings/flags.ts
+++ b/src/shell/settings/flags.ts
@@ -79,7 +79,7 @@
 }
 
 /** The flag that gave the value at a path, or null when the file did. */
-export function flagAt(path: readonly PropertyKey[], flags: SettingsFlags): string | null {
+export function flagForPath(path: readonly PropertyKey[], flags: SettingsFlags): string | null {
   const binding = FLAG_BINDINGS.find(
     (candidate) =>
       flags[candidate.property] !== undefined &&
--- a/src/shell/settings/keys.ts
+++ b/src/shell/settings/keys.ts
@@ -51,7 +51,7 @@
 }
 
 /** The names that may stand in the mapping at a path; empty where there is no mapping. */
-export function namesAt(path: readonly PropertyKey[]): readonly string[] {
+export function keyNamesAt(path: readonly PropertyKey[]): readonly string[] {
   const node = path.reduce<SchemaNode | undefined>(
     (parent, segment) =>
       typeof segment === 'number' ? parent?.items : parent?.properties?.[String(segment)],
--- a/src/shell/settings/load.ts
+++ b/src/shell/settings/load.ts
@@ -4,8 +4,8 @@
 import { err, ok, type Result } from 'neverthrow';
 import type { z } from 'zod';
 import { formatEndpoint, isLoopback } from './endpoint.js';
-import { flagAt, overlayFlags, type SettingsFlags } from './flags.js';
-import { namesAt } from './keys.js';
+import { flagForPath, overlayFlags, type SettingsFlags } from './flags.js';
+import { keyNamesAt } from './keys.js';
 import { describeFound, type SettingsProblem } from './problem.js';
 import {
   type CheckedSettings,
@@ -104,7 +104,7 @@
   key: string,
   origin: SettingsOrigin,
 ): SettingsProblem {
-  const suggestion = closestName(key, namesAt(path));
+  const suggestion = closestName(key, keyNamesAt(path));
   return {
     source: origin.file,
     line: origin.document?.lineOfKey(path, key) ?? null,
@@ -120,7 +120,7 @@
   found: string,
   remedy: string,
 ): SettingsProblem {
-  const flag = flagAt(path, origin.flags);
+  const flag = flagForPath(path, origin.flags);
   return {
     source: flag ?? origin.file,
     line: flag === null ? (origin.document?.lineOf(path) ?? null) : null,
--- a/test/admission/admission.test.ts
+++ b/test/admission/admission.test.ts
@@ -54,7 +54,7 @@
     const next = queue.next(turn, always);
     assert.ok(next !== null);
     served.set(key(next), (served.get(key(next)) ?? 0) + 1);
-    queue.finished(next.id, { promptTokens: used(next), outputTokens: 0 });
+    queue.recordFinished(next.id, { promptTokens: used(next), outputTokens: 0 });
   }
   return served;
 }
@@ -112,7 +112,7 @@
     for (let turn = 0; turn < 40; turn += 1) {
       const next = queue.next(turn, always);
       served += next?.tenant === 'b' ? 1 : 0;
-      queue.finished(
+      queue.recordFinished(
         next?.id ?? '',
         next?.tenant === 'a' ? null : { promptTokens: 100, outputTokens: 0 },
       );
@@ -241,7 +241,7 @@
             running.set(next.id, next);
           }
         } else if (action === 'finish' && someRunning !== undefined) {
-          queue.finished(someRunning.id, { promptTokens: pick, outputTokens: 0 });
+          queue.recordFinished(someRunning.id, { promptTokens: pick, outputTokens: 0 });
           running.delete(someRunning.id);
         } else if (action === 'remove') {
           queue.remove(someWaiting, now);
--- a/test/admission/overload.test.ts
+++ b/test/admission/overload.test.ts
@@ -29,7 +29,7 @@
     result.late += inTime ? 0 : 1;
     clock.at(clock.now + SERVICE_MS * (0.5 + random.unit()), () => {
       running -= 1;
-      queue.finished(request.id, { promptTokens: 100, outputTokens: 0 });
+      queue.recordFinished(request.id, { promptTokens: 100, outputTokens: 0 });
       result.expired += queue.expired(clock.now).length;
       const next = queue.next(clock.now, () => running < SLOTS);
       if (next !== null) begin(next);
--- a/test/capacity/capacity-duty.test.ts
+++ b/test/capacity/capacity-duty.test.ts
@@ -37,7 +37,7 @@
     for (const zone of ZONES) this.counts.set(`${zone} plain`, plainPerZone);
   }
 
-  services(neededInAll: number): readonly ScaledService[] {
+  services(neededTotal: number): readonly ScaledService[] {
     const zonePrices = new Map(ZONES.map((zone) => [zone, 1]));
     const limits = { min: 1, max: 25, bootMs: BOOT_MS, spotPrice: 0.22, zonePrices };
     const zones = ZONES.map((zone) => ({
@@ -45,7 +45,7 @@
       plain: this.counts.get(`${zone} plain`) ?? 0,
       spot: this.counts.get(`${zone} spot`) ?? 0,
     }));
-    return [{ service: 'reader', limits, zones, neededInAll, neededWithRoom: neededInAll }];
+    return [{ service: 'reader', limits, zones, neededTotal, neededWithHeadroom: neededTotal }];
   }
 
   order(given: Given): 'accepted' | 'conflict' {
@@ -86,7 +86,7 @@
       daemon: name,
       incarnation,
       leaseMs: LEASE_MS,
-      bearsLoss: false,
+      toleratesZoneLoss: false,
     });
   }
 
@@ -94,9 +94,9 @@
     return this.#duty.isHolder;
   }
 
-  step(neededInAll = 0): void {
+  step(neededTotal = 0): void {
     const { nowMs } = this.#platform;
-    this.#perform(this.#duty.next(this.#platform.services(neededInAll), nowMs));
+    this.#perform(this.#duty.next(this.#platform.services(neededTotal), nowMs));
   }
 
   #perform(action: CapacityAction): void {
@@ -119,14 +119,14 @@
       case 'order': {
         const { order, fence } = action;
         const given = { ...order, daemon: this.#name, fence, atMs: nowMs };
-        this.#duty.takeOrder(this.#platform.order(given), order, BOOT_MS, nowMs);
+        this.#duty.recordOrderOutcome(this.#platform.order(given), order, BOOT_MS, nowMs);
       }
     }
   }
 
   #takeRecord(isOwnWrite: boolean): void {
     const { record, version, nowMs } = this.#platform;
-    this.#duty.takeRecord({ kind: 'seen', record, version, era: 0, isOwnWrite }, nowMs, nowMs);
+    this.#duty.applyRecord({ kind: 'seen', record, version, era: 0, isOwnWrite }, nowMs, nowMs);
   }
 }
 
@@ -204,15 +204,15 @@
     daemon: 'x',
     incarnation: 1,
     leaseMs: LEASE_MS,
-    bearsLoss: false,
+    toleratesZoneLoss: false,
   });
   const head = { holder: 'y', incarnation: 1, fence: 1 };
   const seen = { kind: 'seen', isOwnWrite: false } as const;
   const record = { ...head, wantedPerZone: { reader: 7 } };
   duty.next(platform.services(0), 0);
-  duty.takeRecord({ ...seen, record, version: 5, era: 0 }, 0, 0);
-  duty.takeRecord({ ...seen, record: undefined, version: 0, era: 1 }, 100, 100);
-  duty.takeRecord({ ...seen, record: undefined, version: 0, era: 1 }, 3_000, 3_000);
+  duty.applyRecord({ ...seen, record, version: 5, era: 0 }, 0, 0);
+  duty.applyRecord({ ...seen, record: undefined, version: 0, era: 1 }, 100, 100);
+  duty.applyRecord({ ...seen, record: undefined, version: 0, era: 1 }, 3_000, 3_000);
   const action = duty.next(platform.services(0), 3_200);
   assert.equal(action.kind === 'write' ? action.record.wantedPerZone.reader : action.kind, 7);
 });
--- a/test/capacity/plan-capacity.test.ts
+++ b/test/capacity/plan-capacity.test.ts
@@ -24,7 +24,7 @@
 }
 
 function plan(fields: Partial<CapacityInput> & Pick<CapacityInput, 'zones'>) {
-  return planCapacity({ limits: LIMITS, wantedPerZone: 12, neededInAll: 0, ...fields });
+  return planCapacity({ limits: LIMITS, wantedPerZone: 12, neededTotal: 0, ...fields });
 }
 
 test('spot servers are ordered beside the plain ones, which stay until those have come', () => {
@@ -34,12 +34,12 @@
 
 test('spot servers that are taken away are asked for again, and not replaced while the rest will do', () => {
   const after = zones([1, 0], [1, 11]);
-  assert.deepEqual(plan({ zones: after, neededInAll: 10 }), zones([1, 11], [1, 11]));
+  assert.deepEqual(plan({ zones: after, neededTotal: 10 }), zones([1, 11], [1, 11]));
 });
 
 test('they are replaced by plain ones where the rest will not do', () => {
   const after = zones([1, 0], [1, 11]);
-  assert.deepEqual(plan({ zones: after, neededInAll: 20 }), zones([12, 11], [1, 11]));
+  assert.deepEqual(plan({ zones: after, neededTotal: 20 }), zones([12, 11], [1, 11]));
 });
 
 test('where spot servers cost no less none are ordered', () => {
@@ -57,7 +57,7 @@
       count,
       (counts, wanted, needed) => {
         const now = zones(...counts);
-        const targets = plan({ zones: now, wantedPerZone: wanted, neededInAll: needed });
+        const targets = plan({ zones: now, wantedPerZone: wanted, neededTotal: needed });
         for (const { plain, spot } of targets) {
           assert.ok(plain + spot <= LIMITS.max, `${plain} and ${spot}`);
           assert.ok(plain >= LIMITS.min);
--- a/test/capacity/plan-for-loss.test.ts
+++ b/test/capacity/plan-for-zone-loss.test.ts
@@ -2,7 +2,11 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import fc from 'fast-check';
-import { type LossPlanInput, planForLoss, type ZoneSupply } from '../../src/core/capacity/index.js';
+import {
+  planForZoneLoss,
+  type ZoneLossPlanInput,
+  type ZoneSupply,
+} from '../../src/core/capacity/index.js';
 
 const NAMES = ['a', 'b', 'c'];
 const LIMITS = {
@@ -21,15 +25,15 @@
   return { zone: name, plain, spot, coming: 0, hasSpot };
 }
 
-function plan(fields: Partial<LossPlanInput> & Pick<LossPlanInput, 'zones'>) {
-  return planForLoss({ limits: LIMITS, givenPerZone: 14, neededInAll: 20, ...fields });
+function plan(fields: Partial<ZoneLossPlanInput> & Pick<ZoneLossPlanInput, 'zones'>) {
+  return planForZoneLoss({ limits: LIMITS, initialPerZone: 14, neededTotal: 20, ...fields });
 }
 
 const SETTLED = [zone('a', 1, 13), zone('b', 1, 14), zone('c', 0, 13)];
 
 test('as many as were given, two of them plain in the cheapest zones', () => {
-  const { targets, wantedInAll } = plan({ zones: SETTLED });
-  assert.equal(wantedInAll, 42);
+  const { targets, wantedTotal } = plan({ zones: SETTLED });
+  assert.equal(wantedTotal, 42);
   assert.deepEqual(targets, [
     { zone: 'a', plain: 1, spot: 13 },
     { zone: 'b', plain: 1, spot: 14 },
@@ -38,11 +42,11 @@
 });
 
 test('whichever zone is lost, the others have what the work needs, as far as that is followed', () => {
-  for (let neededInAll = 1; neededInAll <= 42; neededInAll += 1) {
-    const { targets } = plan({ zones: SETTLED, neededInAll });
+  for (let neededTotal = 1; neededTotal <= 42; neededTotal += 1) {
+    const { targets } = plan({ zones: SETTLED, neededTotal });
     const total = targets.reduce((sum, { plain, spot }) => sum + plain + spot, 0);
     const most = Math.max(...targets.map(({ spot }) => spot));
-    assert.ok(total - most >= neededInAll, `${total} less ${most} for ${neededInAll}`);
+    assert.ok(total - most >= neededTotal, `${total} less ${most} for ${neededTotal}`);
   }
 });
 
@@ -56,7 +60,7 @@
 });
 
 test('in a single zone no spot server bears the loss of others: the need is plain', () => {
-  const { targets } = plan({ zones: [zone('a', 14, 0)], neededInAll: 6 });
+  const { targets } = plan({ zones: [zone('a', 14, 0)], neededTotal: 6 });
   assert.deepEqual(targets, [{ zone: 'a', plain: 14, spot: 8 }]);
 });
 
@@ -69,12 +73,13 @@
       count,
       fc.integer({ min: 0, max: 200 }),
       fc.double({ min: 0.05, max: 0.99, noNaN: true }),
-      (supplies, givenPerZone, neededInAll, spotPrice) => {
+      (supplies, initialPerZone, neededTotal, spotPrice) => {
         const zones = supplies.map(([plain, spot, hasSpot], index) =>
           zone(NAMES[index] ?? '', plain, spot, hasSpot),
         );
         const limits = { ...LIMITS, spotPrice };
-        for (const { plain, spot } of plan({ limits, zones, givenPerZone, neededInAll }).targets) {
+        for (const { plain, spot } of plan({ limits, zones, initialPerZone, neededTotal })
+          .targets) {
           assert.ok(plain >= 0 && spot >= 0);
           assert.ok(plain + spot <= LIMITS.max, `${plain} and ${spot}`);
           assert.ok(plain + spot >= LIMITS.min, `${plain} and ${spot}`);
--- a/test/capacity/server-list-settling.test.ts
+++ b/test/capacity/server-list-settling.test.ts
@@ -10,7 +10,7 @@
   const settling = new ServerListSettling();
   for (let nowMs = 0; nowMs <= 60_000; nowMs += 100) {
     const listed = listedAtMs.filter((atMs) => atMs <= nowMs).length;
-    if (settling.take(listed, bootMs, nowMs)) return nowMs;
+    if (settling.update(listed, bootMs, nowMs)) return nowMs;
   }
   return undefined;
 }
--- a/test/capacity/spot-supply.test.ts
+++ b/test/capacity/spot-availability.test.ts
@@ -1,12 +1,12 @@
 /** When a zone is believed to have no spot servers to give. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
-import { SpotSupply } from '../../src/core/capacity/index.js';
+import { SpotAvailability } from '../../src/core/capacity/index.js';
 
 /** What is lost of a zone whose counts are seen one after the other, each so long after the one before. */
 function lossesOf(counts: readonly number[], gapMs: number, ordered: number): readonly number[] {
-  const supply = new SpotSupply();
-  return counts.map((servers, index) => supply.see('a', servers, ordered, index * gapMs));
+  const supply = new SpotAvailability();
+  return counts.map((servers, index) => supply.recordCount('a', servers, ordered, index * gapMs));
 }
 
 test('most of a zone at once, or within a moment, was taken away', () => {
@@ -21,16 +21,16 @@
 });
 
 test('a zone has some again once an order was accepted, or servers have come', () => {
-  const supply = new SpotSupply();
-  supply.noteOrder('a', 'conflict');
+  const supply = new SpotAvailability();
+  supply.recordOrderOutcome('a', 'conflict');
   assert.equal(supply.hasSpot('a'), false);
-  supply.noteOrder('a', 'unknown');
+  supply.recordOrderOutcome('a', 'unknown');
   assert.equal(supply.hasSpot('a'), false);
-  supply.noteOrder('a', 'accepted');
+  supply.recordOrderOutcome('a', 'accepted');
   assert.equal(supply.hasSpot('a'), true);
-  supply.see('b', 8, 8, 0);
-  supply.see('b', 0, 8, 200);
+  supply.recordCount('b', 8, 8, 0);
+  supply.recordCount('b', 0, 8, 200);
   assert.equal(supply.hasSpot('b'), false);
-  supply.see('b', 3, 8, 400);
+  supply.recordCount('b', 3, 8, 400);
   assert.equal(supply.hasSpot('b'), true);
 });
--- a/test/capacity/support/spot-platform.ts
+++ b/test/capacity/support/spot-platform.ts
@@ -43,14 +43,14 @@
   /** Until when a zone has no spot servers to give. */
   readonly dryUntilMs = new Map<string, number>();
   readonly given: GivenOrder[] = [];
-  neededWithRoom: number;
+  neededWithHeadroom: number;
   readonly spotPrice: number;
   readonly #counts = new Map<string, number>();
   #coming: Coming[] = [];
 
-  constructor(plainPerZone: number, neededWithRoom: number, spotPrice = 0.18) {
+  constructor(plainPerZone: number, neededWithHeadroom: number, spotPrice = 0.18) {
     for (const zone of PRICES.keys()) this.#counts.set(`${zone} plain`, plainPerZone);
-    this.neededWithRoom = neededWithRoom;
+    this.neededWithHeadroom = neededWithHeadroom;
     this.spotPrice = spotPrice;
   }
 
@@ -67,9 +67,9 @@
       plain: this.count(zone, 'plain'),
       spot: this.count(zone, 'spot'),
     }));
-    const { spotPrice, neededWithRoom } = this;
+    const { spotPrice, neededWithHeadroom } = this;
     const limits = { min: 1, max: 40, bootMs: BOOT_MS, spotPrice, zonePrices: PRICES };
-    return [{ service: SERVICE, limits, zones, neededInAll: 0, neededWithRoom }];
+    return [{ service: SERVICE, limits, zones, neededTotal: 0, neededWithHeadroom }];
   }
 
   count(zone: string, kind: 'plain' | 'spot'): number {
@@ -126,7 +126,7 @@
       daemon: name,
       incarnation: 1,
       leaseMs: LEASE_MS,
-      bearsLoss: true,
+      toleratesZoneLoss: true,
     });
   }
 
@@ -165,7 +165,7 @@
       case 'order': {
         const { order, fence } = action;
         const outcome = this.#platform.order(order, this.name, fence);
-        this.#duty.takeOrder(outcome, order, BOOT_MS, nowMs);
+        this.#duty.recordOrderOutcome(outcome, order, BOOT_MS, nowMs);
         return true;
       }
     }
@@ -174,7 +174,7 @@
   #takeRecord(isTurnedAway: boolean, isOwnWrite: boolean): boolean {
     const { record, version, nowMs } = this.#platform;
     const seen = { kind: 'seen', record, version, era: 0, isOwnWrite } as const;
-    this.#duty.takeRecord(isTurnedAway ? { kind: 'refused' } : seen, nowMs, nowMs);
+    this.#duty.applyRecord(isTurnedAway ? { kind: 'refused' } : seen, nowMs, nowMs);
     return !isTurnedAway;
   }
 }
--- a/test/capacity/bearing-loss.test.ts
+++ b/test/capacity/zone-loss.test.ts
@@ -156,11 +156,11 @@
 
 test('more work than the loss of a zone would leave room for: more are ordered, and none for a while less', () => {
   const { platform, daemons } = settledFleet();
-  platform.neededWithRoom = 36;
+  platform.neededWithHeadroom = 36;
   play(platform, daemons, 2 * BOOT_MS);
   const ready = platform.ready;
   assert.ok(ready >= 51, `${ready}`);
-  platform.neededWithRoom = 20;
+  platform.neededWithHeadroom = 20;
   play(platform, daemons, 4 * BOOT_MS);
   assert.equal(platform.ready, ready);
   play(platform, daemons, 12 * BOOT_MS);
@@ -171,17 +171,17 @@
   const { platform, daemons } = settledFleet(0);
   assert.equal(platform.ready, 1.5 * GIVEN);
   assert.equal(platform.countOf('plain'), 2);
-  platform.neededWithRoom = 20;
+  platform.neededWithHeadroom = 20;
   play(platform, daemons, 20 * BOOT_MS);
   assert.equal(platform.ready, GIVEN);
-  platform.neededWithRoom = 0;
+  platform.neededWithHeadroom = 0;
   play(platform, daemons, 20 * BOOT_MS);
   assert.equal(platform.ready, GIVEN, 'also when there is none for a while');
 });
 
 test('demand beyond belief is not followed', () => {
   const { platform, daemons } = settledFleet();
-  platform.neededWithRoom = 1_000;
+  platform.neededWithHeadroom = 1_000;
   play(platform, daemons, 4 * BOOT_MS);
   assert.equal(platform.ready, 1.5 * GIVEN);
 });
@@ -207,12 +207,12 @@
   const daemons = [new SpotDaemon(platform, 'x')];
   play(platform, daemons, 60_000);
   assert.deepEqual(platform.given, []);
-  assert.deepEqual(daemons[0]?.duty.beliefs, []);
+  assert.deepEqual(daemons[0]?.duty.summaries, []);
 });
 
 test('plain servers that came while no zone had spot servers leave room to ask for some', () => {
   const { platform, daemons } = settledFleet();
-  platform.neededWithRoom = 100;
+  platform.neededWithHeadroom = 100;
   for (const zone of ['a', 'b', 'c']) platform.takeAway(zone, 10 * DRY_MS);
   play(platform, daemons, 4 * BOOT_MS);
   for (const zone of ['a', 'b', 'c']) assert.ok(platform.count(zone, 'plain') <= 38);
--- a/test/daemon/role-planning.test.ts
+++ b/test/daemon/role-planning.test.ts
@@ -5,9 +5,9 @@
 import { DemandMeter } from '../../src/core/daemon/demand-meter.js';
 import {
   evaluatePlans,
-  hearDemand,
   INITIAL_ROLE_PLANNING,
   plannedRoles,
+  recordDemand,
 } from '../../src/core/daemon/role-planning.js';
 import type { EngineView } from '../../src/core/registry/backend.js';
 import type { RequestDescription, RequestNotice } from '../../src/core/requests/index.js';
@@ -27,27 +27,31 @@
 test('work counts once, for the pool of the engine that answered, until it is told', () => {
   const meter = new DemandMeter();
   const poolOf = (backend: string) => (backend === 'viewer' ? null : `pool-of-${backend}`);
-  meter.note(started('e1'), poolOf);
-  meter.note(started('e2'), poolOf);
-  meter.note(ended('answered'), poolOf);
-  meter.note(ended('answered'), poolOf);
-  meter.note(started('e1'), poolOf);
-  meter.note(ended('unknown'), poolOf);
-  meter.note(started('viewer'), poolOf);
-  meter.note(ended('answered'), poolOf);
+  meter.recordNotice(started('e1'), poolOf);
+  meter.recordNotice(started('e2'), poolOf);
+  meter.recordNotice(ended('answered'), poolOf);
+  meter.recordNotice(ended('answered'), poolOf);
+  meter.recordNotice(started('e1'), poolOf);
+  meter.recordNotice(ended('unknown'), poolOf);
+  meter.recordNotice(started('viewer'), poolOf);
+  meter.recordNotice(ended('answered'), poolOf);
   const expected = { requests: 1, promptTokens: 30, outputTokens: 7 };
-  assert.deepEqual([...meter.take()], [['pool-of-e2', expected]]);
-  assert.equal(meter.take().size, 0);
+  assert.deepEqual([...meter.takeAndReset()], [['pool-of-e2', expected]]);
+  assert.equal(meter.takeAndReset().size, 0);
 });
 
 test('what all daemons tell is summed, and forgotten once it was thought over', () => {
   const told = { requests: 2, promptTokens: 100, outputTokens: 10 };
-  const heard = hearDemand(hearDemand(INITIAL_ROLE_PLANNING, 'p', told), 'p', told);
-  assert.deepEqual(heard.heard.get('p'), { requests: 4, promptTokens: 200, outputTokens: 20 });
+  const heard = recordDemand(recordDemand(INITIAL_ROLE_PLANNING, 'p', told), 'p', told);
+  assert.deepEqual(heard.receivedDemand.get('p'), {
+    requests: 4,
+    promptTokens: 200,
+    outputTokens: 20,
+  });
   const held = [{ pool: 'p', engines: [] }];
   const { document } = EMPTY_CONFIGURATION;
   const { planning } = evaluatePlans(heard, held, document, { now: 50_000, entropy: 0 });
-  assert.equal(planning.heard.size, 0);
+  assert.equal(planning.receivedDemand.size, 0);
   assert.ok(planning.planners.get('p')?.demand !== null, 'the planner heard of the work');
   assert.equal(planning.nextAt, 60_000);
   const lost = evaluatePlans(planning, [], document, { now: 60_000, entropy: 0 });
--- a/test/digest/digest.test.ts
+++ b/test/digest/digest.test.ts
@@ -3,8 +3,8 @@
 import fc from 'fast-check';
 import { condense, expand, revisionOf } from '../../src/core/digest/condense.js';
 import {
-  askedAtTheEarliest,
   createDigest,
+  earliestPollTime,
   stepDigest,
   usedEngines,
 } from '../../src/core/digest/index.js';
@@ -55,7 +55,7 @@
           ageMs: watcherClock(digestAt) - watcherClock(receivedAt),
         };
         const ageMs = watcherClock(digestAt) - watcherClock(askedAt);
-        const bound = askedAtTheEarliest(echo, ageMs);
+        const bound = earliestPollTime(echo, ageMs);
         assert.ok(bound <= askedAt + 0.01);
         assert.ok(grantEnd(bound) <= askedAt + GRANT_MS);
       },
--- a/test/duty/lease-after-copy.test.ts
+++ b/test/duty/lease-after-restore.test.ts
@@ -82,7 +82,7 @@
   const key = 'duty';
   const lease = new RecordLease<DutyRecord>({ daemon, incarnation, leaseMs: LEASE_MS });
   const take = (call: TableCall, nowMs: number) => {
-    lease.take(outcomeOf(store.call(call)), nowMs, nowMs);
+    lease.applyOutcome(outcomeOf(store.call(call)), nowMs, nowMs);
   };
   return {
     step: (nowMs, wants) => {
--- a/test/engine/control-client.test.ts
+++ b/test/engine/control-client.test.ts
@@ -128,6 +128,8 @@
     { kind: 'reported' },
     { kind: 'reported' },
   ];
-  const numbers = polls.map((poll) => reachability.observe('engine-1', poll)?.event.number ?? null);
+  const numbers = polls.map(
+    (poll) => reachability.recordPoll('engine-1', poll)?.event.number ?? null,
+  );
   assert.deepEqual(numbers, [null, 3000, null, 3002, null, 3001, null]);
 });
--- a/test/gateway/capacity-controller.test.ts
+++ b/test/gateway/capacity-controller.test.ts
@@ -34,7 +34,7 @@
   }));
 }
 
-function setUp(bearsLoss: boolean, spotPrice = 0.18): Setup {
+function setUp(toleratesZoneLoss: boolean, spotPrice = 0.18): Setup {
   const timers = new ManualTimers();
   const fleet = new FleetView({ ratio: 0.2, slack: 48 });
   const scaling = {
@@ -60,7 +60,7 @@
     daemon: 'front-1',
     incarnation: 1,
     leaseMs: 3_000,
-    bearsLoss,
+    toleratesZoneLoss,
     fleet,
     duties: {
       reportUsage: () => Promise.resolve({ kind: 'accepted' }),
@@ -85,8 +85,8 @@
   }
 }
 
-async function setUpSettled(bearsLoss: boolean, spotPrice?: number): Promise<Setup> {
-  const setup = setUp(bearsLoss, spotPrice);
+async function setUpSettled(toleratesZoneLoss: boolean, spotPrice?: number): Promise<Setup> {
+  const setup = setUp(toleratesZoneLoss, spotPrice);
   void setup.controller.run();
   await advanceTime(setup, BOOT_MS + 2_500);
   return setup;
@@ -106,7 +106,7 @@
   assert.ok(answers.every(({ zone, isSpot, servers }) => zone !== 'a' && isSpot && servers > 14));
   assert.ok(setup.events.includes(SPOT_TAKEN));
   assert.ok(setup.events.includes(PLANNED));
-  const [belief] = setup.controller.beliefs;
+  const [belief] = setup.controller.summaries;
   assert.equal(
     belief?.wanted,
     63,
@@ -130,7 +130,7 @@
     [],
   );
   assert.ok(!setup.events.includes(PLANNED));
-  assert.deepEqual(setup.controller.beliefs, []);
+  assert.deepEqual(setup.controller.summaries, []);
 });
 
 test('if spot servers are no cheaper, the same orders are placed with spare capacity on and off', async () => {
@@ -139,5 +139,5 @@
   off.controller.stop();
   assert.ok(off.orders.every(({ isSpot, servers }) => !isSpot || servers === 0));
   assert.deepEqual(on.orders, off.orders);
-  assert.deepEqual(on.controller.beliefs, []);
+  assert.deepEqual(on.controller.summaries, []);
 });
--- a/test/gateway/overload-replay.test.ts
+++ b/test/gateway/overload-replay.test.ts
@@ -5,7 +5,7 @@
  */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
-import { RetryLine, WaitingRoom } from '../../src/core/admission/index.js';
+import { RetrySchedule, WaitQueue } from '../../src/core/admission/index.js';
 import {
   EngineLoad,
   type EngineWork,
@@ -96,8 +96,8 @@
   readonly peers = new PeerLoads();
   readonly shares = new RankShares();
   readonly slacks = new UrgentSlack();
-  readonly room = new WaitingRoom();
-  readonly retries = new RetryLine();
+  readonly room = new WaitQueue();
+  readonly retries = new RetrySchedule();
   readonly waiting = new Map<string, Job>();
 
   constructor(usesWaitingRoom: boolean) {
@@ -154,7 +154,7 @@
       latencyBudgetMs: 0.9 * targetMs,
       latencyBudgetLeftMs: leftMs,
       urgentSlackMs: daemon.slacks.minSlackMs(rank, clock.now),
-      isContended: daemon.room.waitingIn(String(rank)) > 0,
+      isContended: daemon.room.waitingInLane(String(rank)) > 0,
       isLearnt: true,
       mayHaveRun: false,
     };
@@ -187,11 +187,11 @@
   const refuse = (daemon: FakeDaemon, job: Job, roomInMs: number) => {
     if (job.isRetry) return;
     const retryAfterMs = usesWaitingRoom
-      ? daemon.retries.promise({
+      ? daemon.retries.scheduleRetryMs({
           nowMs: clock.now,
           roomInMs,
           spacingMs: (job.kind.readMs * DAEMONS) / ENGINES,
-          mostMs: CALLER_TIMEOUT_MS - (clock.now - job.arrivedAtMs),
+          maxMs: CALLER_TIMEOUT_MS - (clock.now - job.arrivedAtMs),
           entropy: random.unit(),
         })
       : roomInMs;
@@ -241,13 +241,13 @@
       lane: String(rank),
       tenant: 't',
       rank,
-      canBeInTime: true,
+      canMeetDeadline: true,
       costMs: readMs,
       arrivedAtMs: job.arrivedAtMs,
       latestStartMs: clock.now + placement.slackMs,
     };
     const hasCapacity = placement.kind === 'go';
-    const answer = daemon.room.enter(place, { now: clock.now, hasCapacity });
+    const answer = daemon.room.offer(place, { now: clock.now, hasCapacity });
     switch (answer.kind) {
       case 'dispatch-now':
         return send(daemon, job, engine, input.plan.read);
--- a/test/http/bad-input.test.ts
+++ b/test/http/bad-input.test.ts
@@ -7,6 +7,7 @@
   attemptOf,
   type Backend,
   call,
+  completionJson,
   type Harness,
   KEY,
   rawCall,
@@ -14,7 +15,6 @@
   startRawBackend,
   streamHead,
   tokenFrame,
-  wholeAnswer,
 } from './support.js';
 
 const LIMITS = {
@@ -264,7 +264,7 @@
 });
 
 test('a caller that pipelines requests and reads no answer is cut', async (t) => {
-  const body = wholeAnswer('x'.repeat(60_000));
+  const body = completionJson('x'.repeat(60_000));
   onEngineRequest = (socket, text) =>
     socket.write(
       `HTTP/1.1 200 OK\r\nx-threadfork-attempt: ${attemptOf(text)}\r\ncontent-length: ${body.length}\r\n\r\n${body}`,
--- a/test/http/caller-server.test.ts
+++ b/test/http/caller-server.test.ts
@@ -5,6 +5,7 @@
 import {
   attemptOf,
   call,
+  completionJson,
   dataOf,
   endFrames,
   startHarness,
@@ -13,7 +14,6 @@
   streamedText,
   streamHead,
   tokenFrame,
-  wholeAnswer,
 } from './support.js';
 
 const COMPLETION = { model: 'labels', prompt: 'read this label', max_tokens: 8 };
@@ -22,7 +22,7 @@
   let seen: Record<string, unknown> = {};
   const engine = await startHttpBackend('e1', (request, response) => {
     seen = request.headers;
-    const body = wholeAnswer('hortus');
+    const body = completionJson('hortus');
     response.writeHead(200, {
       'content-type': 'application/json',
       'content-length': Buffer.byteLength(body),
@@ -34,7 +34,7 @@
   t.after(() => Promise.all([harness.close(), engine.close()]));
   const answer = await call(harness.port, '/v1/completions', { body: COMPLETION });
   assert.equal(answer.status, 200);
-  assert.equal(answer.body, wholeAnswer('hortus'));
+  assert.equal(answer.body, completionJson('hortus'));
   assert.equal(seen['x-threadfork-attempt'], 'd1-1-1.1');
   assert.equal(seen['x-threadfork-priority'], '3');
   assert.equal(seen.authorization, undefined);
--- a/test/http/grant-lapse.test.ts
+++ b/test/http/grant-lapse.test.ts
@@ -8,16 +8,16 @@
   attemptOf,
   type Backend,
   call,
+  completionJson,
   startHarness,
   startRawBackend,
-  wholeAnswer,
 } from './support.js';
 
 const WHOLE = { model: 'labels', prompt: 'p' };
 const GRANTED_UNTIL = 1_000;
 
 function serveWhole(socket: Socket, text: string): void {
-  const body = wholeAnswer('whole');
+  const body = completionJson('whole');
   socket.end(
     `HTTP/1.1 200 OK\r\ncontent-type: application/json\r\nx-threadfork-attempt: ${attemptOf(text)}\r\ncontent-length: ${Buffer.byteLength(body)}\r\n\r\n${body}`,
   );
--- a/test/http/hostile-backends.test.ts
+++ b/test/http/hostile-backends.test.ts
@@ -6,6 +6,7 @@
   type Answer,
   attemptOf,
   call,
+  completionJson,
   dataOf,
   endFrames,
   type Harness,
@@ -15,7 +16,6 @@
   streamedText,
   streamHead,
   tokenFrame,
-  wholeAnswer,
 } from './support.js';
 
 const LIMITS = { backendStallTimeoutMs: 100, backendHeadersTimeoutMs: 100, maxFrameBytes: 2_000 };
@@ -30,7 +30,7 @@
 function serveWell(socket: Socket, text: string): void {
   const attempt = attemptOf(text);
   if (!text.includes('"stream":true')) {
-    socket.end(wholeResponse(attempt, wholeAnswer('whole')));
+    socket.end(wholeResponse(attempt, completionJson('whole')));
     return;
   }
   socket.write(streamHead(attempt));
@@ -196,13 +196,14 @@
   }
 }
 
-const LARGE = wholeAnswer('x'.repeat(200_000));
+const LARGE = completionJson('x'.repeat(200_000));
 
 const WHOLE_SCRIPTS: readonly (readonly [name: string, reason: string, script: Script])[] = [
   [
     'an early close',
     'UND_ERR_SOCKET',
-    (socket, attempt) => socket.end(wholeResponse(attempt, wholeAnswer('cut').slice(0, 50), 400)),
+    (socket, attempt) =>
+      socket.end(wholeResponse(attempt, completionJson('cut').slice(0, 50), 400)),
   ],
   [
     'a stall',
@@ -213,7 +214,9 @@
     'no length',
     'no-length',
     (socket, attempt) =>
-      socket.end(`HTTP/1.1 200 OK\r\nx-threadfork-attempt: ${attempt}\r\n\r\n${wholeAnswer('x')}`),
+      socket.end(
+        `HTTP/1.1 200 OK\r\nx-threadfork-attempt: ${attempt}\r\n\r\n${completionJson('x')}`,
+      ),
   ],
   [
     'an answer that is not one',
@@ -224,14 +227,14 @@
     'a length that is too small',
     'malformed-answer',
     (socket, attempt) => {
-      const body = wholeAnswer('cut');
+      const body = completionJson('cut');
       socket.end(wholeResponse(attempt, body, body.length - 2));
     },
   ],
   [
     'a foreign answer',
     'foreign-answer',
-    (socket) => socket.end(wholeResponse('d9-1-1.1', wholeAnswer('FOREIGN'))),
+    (socket) => socket.end(wholeResponse('d9-1-1.1', completionJson('FOREIGN'))),
   ],
   [
     'two lengths',
@@ -248,7 +251,7 @@
     test(`whole, ${name}: the caller gets the answer of a healthy engine`, async (t) => {
       const harness = await startPair(t, script);
       const answer = await call(harness.port, '/v1/completions', { body: WHOLE });
-      assert.equal(answer.body, wholeAnswer('whole'));
+      assert.equal(answer.body, completionJson('whole'));
       assert.deepEqual(brokenReasons(harness), [reason]);
     });
 
@@ -289,7 +292,7 @@
 }
 
 test('bytes beyond the stated length are not handed over', async (t) => {
-  const body = wholeAnswer('right');
+  const body = completionJson('right');
   const harness = await startPair(t, (socket, attempt) =>
     socket.end(`${wholeResponse(attempt, body)}MORE`),
   );
@@ -305,7 +308,7 @@
     );
   const pair = await startPair(t, script);
   const answer = await call(pair.port, '/v1/completions', { body: WHOLE });
-  assert.equal(answer.body, wholeAnswer('whole'));
+  assert.equal(answer.body, completionJson('whole'));
   const alone = await startPair(t, script, false);
   const refused = await call(alone.port, '/v1/completions', { body: WHOLE });
   assert.equal(refused.status, 503);
--- a/test/http/support.ts
+++ b/test/http/support.ts
@@ -112,7 +112,7 @@
     },
     priorityOf: () => 3,
     retryAfterMs: () => 1_500,
-    isGone: () => false,
+    hasIncarnationEnded: () => false,
   });
   const feed = (event: RequestTableEvent): void => {
     for (const effect of table.step(event, context())) {
@@ -246,7 +246,7 @@
 }
 
 /** A whole model answer. */
-export function wholeAnswer(text: string): string {
+export function completionJson(text: string): string {
   return JSON.stringify({
     id: 'cmpl-1',
     object: 'text_completion',
--- a/test/membership/failure-detection.test.ts
+++ b/test/membership/failure-detection.test.ts
@@ -1,8 +1,8 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import { MEMBERSHIP_EVENTS } from '../../src/core/logging/catalogue/membership.js';
-import { aliveMembers, isGone } from '../../src/core/membership/index.js';
-import { allKnowAll, countLogged, daemonAt, placeAt, startFleet } from './fleets.js';
+import { aliveMembers, hasIncarnationEnded } from '../../src/core/membership/index.js';
+import { countLogged, daemonAt, hasConverged, placeAt, startFleet } from './fleets.js';
 
 const SECOND_MS = 1_000;
 const MINUTE_MS = 60 * SECOND_MS;
@@ -16,11 +16,14 @@
       const victim = daemonAt(fleet, 0).identity;
       fleet.kill(placeAt(fleet, 0));
       const noticed = fleet.runUntil(
-        () => fleet.running.every((d) => isGone(d.membership, victim.name, victim.incarnation)),
+        () =>
+          fleet.running.every((d) =>
+            hasIncarnationEnded(d.membership, victim.name, victim.incarnation),
+          ),
         DETECTION_LIMIT_MS,
       );
       assert.notEqual(noticed, null, `seed ${seed}`);
-      assert.equal(allKnowAll(fleet), true, `seed ${seed}: somebody else was given up too`);
+      assert.equal(hasConverged(fleet), true, `seed ${seed}: somebody else was given up too`);
     }
   });
 }
@@ -30,7 +33,7 @@
     const fleet = startFleet({ seed, network: { loss: 0.01, duplication: 0.01 } });
     fleet.run(10 * MINUTE_MS);
     assert.equal(countLogged(fleet, MEMBERSHIP_EVENTS.died.number), 0, `seed ${seed}`);
-    assert.equal(allKnowAll(fleet), true);
+    assert.equal(hasConverged(fleet), true);
   }
 });
 
@@ -46,14 +49,14 @@
       fleet.running.every(
         ({ membership }) =>
           membership === daemonAt(fleet, 0).membership ||
-          (isGone(membership, old.name, old.incarnation) &&
-            !isGone(membership, current.name, current.incarnation)),
+          (hasIncarnationEnded(membership, old.name, old.incarnation) &&
+            !hasIncarnationEnded(membership, current.name, current.incarnation)),
       ),
     5 * SECOND_MS,
   );
   assert.notEqual(known, null);
   fleet.run(MINUTE_MS);
-  assert.equal(allKnowAll(fleet), true);
+  assert.equal(hasConverged(fleet), true);
   assert.equal(countLogged(fleet, MEMBERSHIP_EVENTS.died.number), 0);
 });
 
@@ -71,7 +74,7 @@
   assert.notEqual(parted, null);
   fleet.network.cut = () => false;
   assert.notEqual(
-    fleet.runUntil(() => allKnowAll(fleet), DETECTION_LIMIT_MS),
+    fleet.runUntil(() => hasConverged(fleet), DETECTION_LIMIT_MS),
     null,
   );
 });
@@ -90,7 +93,7 @@
   const { name, incarnation } = leaver.identity;
   const others = () => fleet.running.filter((daemon) => daemon !== leaver);
   const known = fleet.runUntil(
-    () => others().every(({ membership }) => isGone(membership, name, incarnation)),
+    () => others().every(({ membership }) => hasIncarnationEnded(membership, name, incarnation)),
     SECOND_MS,
   );
   assert.notEqual(known, null);
@@ -106,7 +109,7 @@
   fleet.run(30 * SECOND_MS);
   const wokenAt = fleet.time.now;
   assert.notEqual(
-    fleet.runUntil(() => allKnowAll(fleet), DETECTION_LIMIT_MS),
+    fleet.runUntil(() => hasConverged(fleet), DETECTION_LIMIT_MS),
     null,
   );
   fleet.run(MINUTE_MS);
--- a/test/membership/fleets.ts
+++ b/test/membership/fleets.ts
@@ -11,13 +11,13 @@
 export function startFleet(options: Partial<FleetOptions>): FleetSimulation {
   const fleet = new FleetSimulation({ seed: 1, daemons: 6, zones: 3, ...options });
   fleet.startAll();
-  const joined = fleet.runUntil(() => allKnowAll(fleet), JOIN_LIMIT_MS);
+  const joined = fleet.runUntil(() => hasConverged(fleet), JOIN_LIMIT_MS);
   assert.notEqual(joined, null, 'the fleet did not come together');
   return fleet;
 }
 
 /** Whether each running daemon counts on all running ones and on no other. */
-export function allKnowAll(fleet: FleetSimulation): boolean {
+export function hasConverged(fleet: FleetSimulation): boolean {
   const running = fleet.running.length;
   return fleet.running.every((daemon) => aliveMembers(daemon.membership).length === running);
 }
--- a/test/membership/named-life.test.ts
+++ b/test/membership/named-incarnation.test.ts
@@ -2,7 +2,7 @@
 import { test } from 'node:test';
 import {
   createMembership,
-  isGone,
+  hasIncarnationEnded,
   type MembershipEvent,
   type MembershipState,
   stepMembership,
@@ -23,7 +23,7 @@
   for (const event of events) step(event, 0);
   for (let now = TICK_MS; now <= LIMIT_MS; now += TICK_MS) {
     step({ kind: 'tick' }, now);
-    if (isGone(state, 'd2', incarnation)) return true;
+    if (hasIncarnationEnded(state, 'd2', incarnation)) return true;
   }
   return false;
 }
--- a/test/membership/zones.test.ts
+++ b/test/membership/zones.test.ts
@@ -1,7 +1,11 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
-import { aliveMembers, isGone, unreachableZones } from '../../src/core/membership/index.js';
-import { allKnowAll, daemonAt, placeAt, startFleet } from './fleets.js';
+import {
+  aliveMembers,
+  hasIncarnationEnded,
+  unreachableZones,
+} from '../../src/core/membership/index.js';
+import { daemonAt, hasConverged, placeAt, startFleet } from './fleets.js';
 
 const DETECTION_LIMIT_MS = 20_000;
 
@@ -10,7 +14,10 @@
   const victim = daemonAt(fleet, 0).identity;
   fleet.kill(placeAt(fleet, 0));
   const noticed = fleet.runUntil(
-    () => fleet.running.every((d) => isGone(d.membership, victim.name, victim.incarnation)),
+    () =>
+      fleet.running.every((d) =>
+        hasIncarnationEnded(d.membership, victim.name, victim.incarnation),
+      ),
     2 * DETECTION_LIMIT_MS,
   );
   assert.notEqual(noticed, null);
@@ -25,7 +32,7 @@
   assert.ok(fleet.running.every((d) => aliveMembers(d.membership).length === 19));
   fleet.startAll();
   assert.notEqual(
-    fleet.runUntil(() => allKnowAll(fleet), 2 * DETECTION_LIMIT_MS),
+    fleet.runUntil(() => hasConverged(fleet), 2 * DETECTION_LIMIT_MS),
     null,
   );
 });
--- a/test/metrics/metrics.test.ts
+++ b/test/metrics/metrics.test.ts
@@ -77,11 +77,11 @@
 test('an answered request counts its result, times, tokens and retries', async () => {
   const metrics = createMetrics({ sample: () => null });
   const firstByte = { kind: 'first-byte', attempt: 'r1.1', status: 200 } as const;
-  metrics.requestNotice(started(DESCRIPTION), 1_000);
-  metrics.attemptEvent('r1', firstByte, 1_500);
-  metrics.requestNotice(ended(DESCRIPTION, 3), 2_000);
+  metrics.recordRequestNotice(started(DESCRIPTION), 1_000);
+  metrics.recordAttemptEvent('r1', firstByte, 1_500);
+  metrics.recordRequestNotice(ended(DESCRIPTION, 3), 2_000);
   // Late news of a forgotten request leaves nothing behind.
-  metrics.attemptEvent('r1', firstByte, 3_000);
+  metrics.recordAttemptEvent('r1', firstByte, 3_000);
   const found = await lines(metrics);
   for (const expected of [
     'threadfork_requests_total{class="interactive",result="answered"} 1',
@@ -129,9 +129,9 @@
 
 test('faults, orders and table calls are counted by kind', async () => {
   const metrics = createMetrics({ sample: () => null });
-  metrics.fault(refusedNotRun('overloaded', 'Too busy. Retry later.'));
-  metrics.tableCall({ kind: 'get', keys: ['a'] }, { kind: 'lost', reason: 'reset' });
-  metrics.order(
+  metrics.recordFault(refusedNotRun('overloaded', 'Too busy. Retry later.'));
+  metrics.recordTableCall({ kind: 'get', keys: ['a'] }, { kind: 'lost', reason: 'reset' });
+  metrics.recordOrder(
     {
       id: 'o1',
       engine: 'e1',
@@ -156,7 +156,7 @@
   const metrics = createMetrics({ sample: () => null });
   for (let index = 0; index < 1_000; index += 1) {
     const description = { ...DESCRIPTION, id: `r${index}`, className: `class-${index}` };
-    metrics.requestNotice(ended(description), 2_000);
+    metrics.recordRequestNotice(ended(description), 2_000);
   }
   const found = await lines(metrics);
   assert.ok(found.length < 1_000, String(found.length));
--- a/test/model/dispatch-agreement.test.ts
+++ b/test/model/dispatch-agreement.test.ts
@@ -2,7 +2,7 @@
 import { test } from 'node:test';
 import { mayDispatch } from '../../src/core/registry/grant.js';
 import { chooseEngine } from '../../src/core/routing/index.js';
-import { choice, indexOf, machine, report, view } from '../routing/fixtures.js';
+import { choiceInput, createIndex, machine, report, view } from '../routing/fixtures.js';
 
 // The control model's dispatcher uses `mayDispatch`, while the production router has its own check.
 // The model is valid only if both agree.
@@ -17,7 +17,7 @@
               machine: machine('e1', { state }),
               grantedUntil,
             });
-            const isSent = chooseEngine(choice(indexOf([known]))).kind === 'chosen';
+            const isSent = chooseEngine(choiceInput(createIndex([known]))).kind === 'chosen';
             const text = JSON.stringify({ state, intake, busy, leaving, grantedUntil });
             assert.equal(isSent, mayDispatch(known, 1_000), text);
             if (isSent) sent += 1;
--- a/test/platform/client.test.ts
+++ b/test/platform/client.test.ts
@@ -9,7 +9,10 @@
   DEFAULT_PLATFORM_OPTIONS,
   type PlatformServer,
 } from '../../src/lab/platform/index.js';
-import { MAX_CONNECTIONS, PlatformConnections } from '../../src/shell/platform/exchange.js';
+import {
+  HttpConnectionPool,
+  MAX_CONNECTIONS,
+} from '../../src/shell/platform/http-connection-pool.js';
 import { createPlatformClient, type PlatformClient } from '../../src/shell/platform/index.js';
 
 const LOOPBACK = { address: '127.0.0.1', port: 0 };
@@ -126,7 +129,7 @@
     });
   });
   const options = { address: '127.0.0.1', port, timeoutMs: 60_000 };
-  const connections = new PlatformConnections(options);
+  const connections = new HttpConnectionPool(options);
   cleanUps.push(() => connections.close());
   const get = { method: 'GET', path: '/get' } as const;
   const occupying = Array.from({ length: MAX_CONNECTIONS }, () => connections.exchange(get));
--- a/test/requests/attempts.test.ts
+++ b/test/requests/attempts.test.ts
@@ -93,7 +93,7 @@
   daemon.report(work, broken({ deliveredTokens: 7, headersForwarded: true, version: 'v1+a1' }));
   daemon.report(work, NOT_SENT);
   daemon.report(work, broken({ deliveredTokens: 7, headersForwarded: true }));
-  assert.deepEqual(daemon.versionsAskedFor, [null, 'v1+a1', 'v1+a1', 'v1+a1']);
+  assert.deepEqual(daemon.requestedVersions, [null, 'v1+a1', 'v1+a1', 'v1+a1']);
 });
 
 test('an answer that is not a stream is aborted, not restarted, once its headers were forwarded', () => {
--- a/test/requests/idempotency.test.ts
+++ b/test/requests/idempotency.test.ts
@@ -3,7 +3,7 @@
  */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
-import { COMPLETED, Daemon, FakeStore, renewal } from './support.js';
+import { COMPLETED, Daemon, FakeStore, keyedRequest } from './support.js';
 
 const KEY = 'claim/scanhuis/key-1';
 const ANSWER = {
@@ -26,7 +26,7 @@
 
 test('the claim is written before the dispatch and contains the outcome afterwards', () => {
   const daemon = new Daemon();
-  const work = renewal();
+  const work = keyedRequest();
   const kinds = daemon.kinds(daemon.arrive(work));
   assert.ok(kinds.indexOf('table') < kinds.indexOf('dispatch'));
   assert.equal(outcomeIn(daemon.store), null);
@@ -38,14 +38,14 @@
 test('a repeat through another daemon is refused while the first request runs, then replayed', () => {
   const first = new Daemon('d1');
   const second = new Daemon('d2', first.store);
-  const work = renewal();
+  const work = keyedRequest();
   first.arrive(work);
-  const early = renewal();
+  const early = keyedRequest();
   second.arrive(early);
   assert.equal(second.fault(early)?.code, 'idempotency-in-progress');
   assert.equal(second.fault(early)?.retryable, true);
   first.report(work, { ...COMPLETED, outcome: ANSWER });
-  const repeat = renewal();
+  const repeat = keyedRequest();
   second.arrive(repeat);
   const replay = second.effects.find((effect) => effect.kind === 'replay');
   assert.deepEqual(replay, { kind: 'replay', request: repeat.id, outcome: ANSWER });
@@ -54,8 +54,8 @@
 
 test('a request with the same key and another body is refused', () => {
   const daemon = new Daemon();
-  daemon.arrive(renewal());
-  const other = renewal({ bodyDigest: 'digest-2' });
+  daemon.arrive(keyedRequest());
+  const other = keyedRequest({ bodyDigest: 'digest-2' });
   daemon.arrive(other);
   assert.equal(daemon.fault(other)?.code, 'idempotency-conflict');
 });
@@ -63,7 +63,7 @@
 test('while the store is down nothing is dispatched and the request is refused as not run', () => {
   const daemon = new Daemon();
   daemon.store.mode = 'down';
-  const work = renewal();
+  const work = keyedRequest();
   daemon.arrive(work);
   assert.equal(daemon.dispatches(work).length, 0);
   assert.deepEqual(
@@ -77,7 +77,7 @@
   test(`a claim whose answer was lost (${mode}) is read back before the dispatch`, () => {
     const store = new FakeStore();
     const daemon = new Daemon('d1', store);
-    const work = renewal();
+    const work = keyedRequest();
     store.mode = mode;
     const originalCall = store.call.bind(store);
     store.call = (effect) => {
@@ -95,7 +95,7 @@
 test('a claim without any answer is refused as not run, and released once the store answers', () => {
   const daemon = new Daemon();
   daemon.store.mode = 'lost-after';
-  const work = renewal();
+  const work = keyedRequest();
   daemon.arrive(work);
   assert.equal(daemon.fault(work)?.outcome, 'refused-not-run');
   assert.equal(daemon.dispatches(work).length, 0);
@@ -108,25 +108,25 @@
 test('after the holder died, the outcome of a repeat is unknown, and it runs only if repeatable', () => {
   const dead = new Daemon('d1');
   const survivor = new Daemon('d2', dead.store);
-  dead.arrive(renewal());
-  survivor.gone.add('d1');
-  const repeat = renewal();
+  dead.arrive(keyedRequest());
+  survivor.endedDaemons.add('d1');
+  const repeat = keyedRequest();
   survivor.arrive(repeat);
   assert.equal(survivor.fault(repeat)?.code, 'idempotency-outcome-unknown');
   assert.equal(survivor.fault(repeat)?.outcome, 'unknown');
   assert.equal(survivor.dispatches(repeat).length, 0);
-  const repeatableRequest = renewal({ repeatable: true });
+  const repeatableRequest = keyedRequest({ repeatable: true });
   survivor.arrive(repeatableRequest);
   assert.equal(survivor.dispatches(repeatableRequest).length, 1);
 });
 
 test('a broken request is recorded with an unknown outcome and never runs again under its key', () => {
   const daemon = new Daemon();
-  const work = renewal();
+  const work = keyedRequest();
   daemon.arrive(work);
   daemon.report(work, BROKEN);
   assert.equal(daemon.fault(work)?.outcome, 'unknown');
-  const repeat = renewal();
+  const repeat = keyedRequest();
   daemon.arrive(repeat);
   assert.equal(daemon.dispatches(repeat).length, 0);
   const replay = daemon.effects.find((effect) => effect.kind === 'replay');
@@ -136,16 +136,16 @@
 test('a refused request releases its key', () => {
   const daemon = new Daemon();
   daemon.choice = 'refuse';
-  daemon.arrive(renewal());
+  daemon.arrive(keyedRequest());
   daemon.choice = 'dispatch';
-  const repeat = renewal();
+  const repeat = keyedRequest();
   daemon.arrive(repeat);
   assert.equal(daemon.dispatches(repeat).length, 1);
 });
 
 test('recording an outcome is retried until the store answers', () => {
   const daemon = new Daemon();
-  const work = renewal();
+  const work = keyedRequest();
   daemon.arrive(work);
   daemon.store.mode = 'down';
   daemon.report(work, { ...COMPLETED, outcome: ANSWER });
@@ -154,7 +154,7 @@
   for (let now = 1_000; now <= 3_600_000; now += 1_000) daemon.tick(now);
   const calls = daemon.effects.filter((effect) => effect.kind === 'table').length;
   assert.ok(calls < 300, `${calls} calls in an hour of outage`);
-  const early = renewal();
+  const early = keyedRequest();
   daemon.store.mode = 'up';
   daemon.arrive(early);
   assert.equal(daemon.fault(early)?.code, 'idempotency-in-progress');
@@ -165,7 +165,7 @@
 
 test('a recorded outcome whose answer was lost is not reported as taken over by another daemon', () => {
   const daemon = new Daemon();
-  const work = renewal();
+  const work = keyedRequest();
   daemon.arrive(work);
   daemon.store.mode = 'lost-after';
   daemon.report(work, { ...COMPLETED, outcome: ANSWER });
@@ -181,7 +181,7 @@
 
 test('a request that is not repeatable completes after its caller disconnects, and is recorded', () => {
   const daemon = new Daemon();
-  const work = renewal();
+  const work = keyedRequest();
   daemon.arrive(work);
   assert.deepEqual(daemon.feed({ kind: 'caller-gone', request: work.id }), []);
   assert.equal(daemon.table.activeCount, 1);
@@ -191,7 +191,7 @@
 
 test('a request that is not repeatable runs on past its deadline, and its outcome is recorded', () => {
   const daemon = new Daemon();
-  const work = renewal();
+  const work = keyedRequest();
   daemon.arrive(work);
   daemon.tick(work.deadline);
   assert.equal(daemon.fault(work)?.outcome, 'unknown');
--- a/test/requests/support.ts
+++ b/test/requests/support.ts
@@ -59,9 +59,9 @@
   now = 0;
   backends = ['a', 'b', 'c', 'd', 'e'];
   choice: RouteChoice['kind'] = 'dispatch';
-  gone = new Set<string>();
+  endedDaemons = new Set<string>();
   /** The version requested in each call of `choose`. */
-  readonly versionsAskedFor: (string | null)[] = [];
+  readonly requestedVersions: (string | null)[] = [];
 
   constructor(
     readonly name = 'd1',
@@ -132,12 +132,12 @@
       daemon: this.name,
       incarnation: 1,
       choose: (_description, excluded, version) => {
-        this.versionsAskedFor.push(version);
+        this.requestedVersions.push(version);
         return this.#choose(excluded);
       },
       priorityOf: () => 1,
       retryAfterMs: () => 2_500,
-      isGone: (daemon) => this.gone.has(daemon),
+      hasIncarnationEnded: (daemon) => this.endedDaemons.has(daemon),
     };
   }
 
@@ -183,7 +183,7 @@
 }
 
 /** A request to a web service, with an idempotency key, by default not repeatable. */
-export function renewal(overrides: Partial<RequestDescription> = {}): RequestDescription {
+export function keyedRequest(overrides: Partial<RequestDescription> = {}): RequestDescription {
   return request({
     target: { kind: 'web', service: 'orders' },
     repeatable: false,
--- a/test/routing/eligibility.test.ts
+++ b/test/routing/eligibility.test.ts
@@ -10,7 +10,15 @@
   random,
   roundRobin,
 } from '../../src/core/routing/index.js';
-import { choice, configuration, indexOf, machine, report, target, view } from './fixtures.js';
+import {
+  choiceInput,
+  configuration,
+  createIndex,
+  machine,
+  report,
+  target,
+  view,
+} from './fixtures.js';
 
 const POLICIES = [roundRobin, random, leastOutstanding, powerOfTwo, expectedFinish];
 
@@ -35,12 +43,12 @@
 describe('engine eligibility', () => {
   for (const [reason, bad, changes] of INELIGIBLE) {
     it(`never chooses an engine that is: ${reason}`, () => {
-      const index = indexOf([bad, view('y')], changes);
+      const index = createIndex([bad, view('y')], changes);
       for (const create of POLICIES) {
         const policy = create();
         for (let entropy = 0; entropy < 20; entropy += 1) {
           const context = { now: 1_000, entropy };
-          const decision = chooseEngine(choice(index, { policy, context, explain: true }));
+          const decision = chooseEngine(choiceInput(index, { policy, context, explain: true }));
           assert.equal(decision.kind, 'chosen', policy.name);
           assert.equal(decision.engine, 'y', policy.name);
           const explained = decision.candidates.find((candidate) => candidate.engine === 'x');
@@ -51,8 +59,11 @@
   }
 
   it('states the reasons when no engine is eligible', () => {
-    const index = indexOf([view('x', { grantedUntil: 900 }), view(report('y', { busy: true }))]);
-    const decision = chooseEngine(choice(index));
+    const index = createIndex([
+      view('x', { grantedUntil: 900 }),
+      view(report('y', { busy: true })),
+    ]);
+    const decision = chooseEngine(choiceInput(index));
     assert.equal(decision.kind, 'none');
     assert.equal(decision.fault.code, 'no-backend');
     assert.equal(decision.fault.outcome, 'refused-not-run');
@@ -61,13 +72,13 @@
 
   it('waits instead of refusing when the engines are only full', () => {
     const full = view(report('x', { activeRequests: 20 }), { reportedAt: 1_000 });
-    assert.equal(chooseEngine(choice(indexOf([full]))).kind, 'full');
+    assert.equal(chooseEngine(choiceInput(createIndex([full]))).kind, 'full');
   });
 
   it('names the served models for an unknown model or adapter', () => {
-    const index = indexOf([view('x')]);
+    const index = createIndex([view('x')]);
     for (const unknown of [{ model: 'nope' }, { adapter: 'nope' }]) {
-      const decision = chooseEngine(choice(index, { target: target(unknown) }));
+      const decision = chooseEngine(choiceInput(index, { target: target(unknown) }));
       assert.equal(decision.kind, 'none');
       assert.equal(decision.fault.code, 'unknown-model');
       assert.equal(decision.fault.retryable, false);
@@ -77,9 +88,9 @@
 
   it('uses an engine that the request failed on only when no other engine is left', () => {
     const excluded = new Set(['x']);
-    const both = chooseEngine(choice(indexOf([view('x'), view('y')]), { excluded }));
+    const both = chooseEngine(choiceInput(createIndex([view('x'), view('y')]), { excluded }));
     assert.equal(both.kind === 'chosen' && both.engine, 'y');
-    const alone = chooseEngine(choice(indexOf([view('x')]), { excluded }));
+    const alone = chooseEngine(choiceInput(createIndex([view('x')]), { excluded }));
     assert.equal(alone.kind === 'chosen' && alone.engine, 'x');
   });
 
@@ -88,27 +99,29 @@
     const outliers = new OutlierTracker();
     for (const name of names) {
       for (let failures = 0; failures < 3; failures += 1) {
-        outliers.failed(name, 900);
+        outliers.recordFailure(name, 900);
       }
     }
-    const index = indexOf(names.map((name) => view(name)));
-    const decision = chooseEngine(choice(index, { outliers, explain: true }));
+    const index = createIndex(names.map((name) => view(name)));
+    const decision = chooseEngine(choiceInput(index, { outliers, explain: true }));
     const ejected = decision.candidates.filter((candidate) => candidate.excluded === 'ejected');
     assert.equal(decision.kind, 'chosen');
     assert.deepEqual(
       ejected.map((candidate) => candidate.engine),
       ['p', 'q'],
     );
-    outliers.succeeded('p');
+    outliers.recordSuccess('p');
     assert.equal(outliers.isEjected('p', 900), false);
   });
 
   it('keeps a resumed request on its version, and serves only the new version once half hold it', () => {
     const models = (version: string) => [{ model: 'labels', version, adapters: [] }];
-    const index = indexOf([view('x'), view('y'), view('z')]);
+    const index = createIndex([view('x'), view('y'), view('z')]);
     index.setConfiguration(configuration({ models: { labels: { version: 'v2' } } }, 2));
     const engineOf = (version: string | null, entropy: number) => {
-      const decision = chooseEngine(choice(index, { version, context: { now: 1_000, entropy } }));
+      const decision = chooseEngine(
+        choiceInput(index, { version, context: { now: 1_000, entropy } }),
+      );
       return decision.kind === 'chosen' ? decision.engine : decision.kind;
     };
     index.setView(view(report('x', { models: models('v2') }), { reportedAt: 1 }));
@@ -121,10 +134,10 @@
   });
 
   it('removes engines that are no longer in the machine list', () => {
-    const index = indexOf([view('x')]);
+    const index = createIndex([view('x')]);
     index.setMachines([machine('x'), machine('y')]);
     index.setMachines([machine('y')]);
-    assert.equal(chooseEngine(choice(index)).kind, 'none');
+    assert.equal(chooseEngine(choiceInput(index)).kind, 'none');
     assert.equal(index.engine('x'), undefined);
   });
 });
--- a/test/routing/fixtures.ts
+++ b/test/routing/fixtures.ts
@@ -66,7 +66,7 @@
 }
 
 /** A fleet index with a configuration and views. */
-export function indexOf(views: readonly EngineView[], changes: object = {}): FleetIndex {
+export function createIndex(views: readonly EngineView[], changes: object = {}): FleetIndex {
   const index = new FleetIndex();
   index.setConfiguration(configuration(changes));
   for (const known of views) {
@@ -82,7 +82,7 @@
 }
 
 /** The input of a decision at 1,000 ms. */
-export function choice(
+export function choiceInput(
   index: FleetIndex,
   changes: Partial<EngineChoiceInput> = {},
 ): EngineChoiceInput {
--- a/test/tenant-usage/report-duty.test.ts
+++ b/test/tenant-usage/report-duty.test.ts
@@ -188,12 +188,12 @@
         const { isOwnWrite } = done;
         const seen = { kind: 'seen', record, version, era: 0, isOwnWrite } as const;
         const hurries = this.#mutation.takesOverAtOnce === true && !isOwnWrite;
-        this.#duty.takeRecord(seen, sentMs, hurries ? nowMs - LEASE_MS : nowMs);
+        this.#duty.applyRecord(seen, sentMs, hurries ? nowMs - LEASE_MS : nowMs);
         return;
       }
       this.#restMs = nowMs + 250;
       const kind = fate.kind === 'refused' ? 'refused' : 'lost';
-      this.#duty.takeRecord({ kind }, sentMs, nowMs);
+      this.#duty.applyRecord({ kind }, sentMs, nowMs);
     });
   }
 
@@ -216,10 +216,10 @@
       this.#isBusy = false;
       if (fate.kind !== 'answered') {
         this.#restMs = this.#world.nowMs + 250;
-        this.#duty.takeReport('unknown', record);
+        this.#duty.recordReportOutcome('unknown', record);
         return;
       }
-      this.#duty.takeReport(done.isTaken ? 'accepted' : 'deposed', record);
+      this.#duty.recordReportOutcome(done.isTaken ? 'accepted' : 'deposed', record);
       if (done.isTaken) tellOthers(window);
     });
   }
--- a/test/tenant-usage/run-counts.test.ts
+++ b/test/tenant-usage/run-counts.test.ts
@@ -2,15 +2,15 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import fc from 'fast-check';
-import { partsOf, UsageCollection, UsageCounts } from '../../src/core/tenant-usage/index.js';
+import { splitIntoParts, UsageCollection, UsageCounts } from '../../src/core/tenant-usage/index.js';
 
 const DAEMONS = 200;
 
 test('a run counts in the window in which it began, and old windows are forgotten', () => {
   const counts = new UsageCounts(5_000, 10_000);
-  counts.note('a', 9_999);
-  counts.note('a', 10_000);
-  counts.note('b', 10_001);
+  counts.recordRun('a', 9_999);
+  counts.recordRun('a', 10_000);
+  counts.recordRun('b', 10_001);
   assert.deepEqual([...counts.of(1)], [['a', 1]]);
   assert.deepEqual(
     [...counts.of(2)],
@@ -19,7 +19,7 @@
       ['b', 1],
     ],
   );
-  counts.note('a', 45_000);
+  counts.recordRun('a', 45_000);
   assert.deepEqual([...counts.of(1)], []);
 });
 
@@ -39,16 +39,20 @@
           const key = `${daemon} ${incarnation}`;
           const counts = byLife.get(key) ?? new UsageCounts(5_000, 10_000);
           byLife.set(key, counts);
-          counts.note(`tenant-${tenant}`, 1_000);
+          counts.recordRun(`tenant-${tenant}`, 1_000);
         }
         const parts = [...byLife].flatMap(([key, counts]) => {
           const [daemon = '', incarnation = ''] = key.split(' ');
-          return partsOf(counts.of(0), { daemon, incarnation: Number(incarnation), window: 0 });
+          return splitIntoParts(counts.of(0), {
+            daemon,
+            incarnation: Number(incarnation),
+            window: 0,
+          });
         });
         const first = turn % Math.max(1, parts.length);
         const collection = new UsageCollection(0);
         for (const part of [...parts.slice(first), ...parts, ...parts.slice(0, first)]) {
-          collection.take(part);
+          collection.addPart(part);
         }
         const total = [...collection.total().values()].reduce((sum, each) => sum + each, 0);
         assert.equal(total, all.length);
@@ -62,13 +66,13 @@
 
 test('a daemon has answered once all of its parts are there', () => {
   const counts = new UsageCounts(5_000, 10_000);
-  for (let tenant = 0; tenant < 100; tenant += 1) counts.note(`t${tenant}`, 0);
-  const parts = partsOf(counts.of(0), { daemon: 'a', incarnation: 1, window: 0 });
+  for (let tenant = 0; tenant < 100; tenant += 1) counts.recordRun(`t${tenant}`, 0);
+  const parts = splitIntoParts(counts.of(0), { daemon: 'a', incarnation: 1, window: 0 });
   assert.equal(parts.length, 2);
   const collection = new UsageCollection(0);
   const [first, second] = parts;
-  if (first !== undefined) collection.take(first);
+  if (first !== undefined) collection.addPart(first);
   assert.equal(collection.hasAnswered('a'), false);
-  if (second !== undefined) collection.take(second);
+  if (second !== undefined) collection.addPart(second);
   assert.equal(collection.hasAnswered('a'), true);
 });
