--- a/bench/engine-steps.ts
+++ b/bench/engine-steps.ts
@@ -18,7 +18,7 @@
   const due = engine.model.nextDueAt();
   if (due === null || due === engine.scheduledFor) return;
   engine.scheduledFor = due;
-  clock.at(due, () => {
+  clock.scheduleAt(due, () => {
     for (const output of engine.model.advance(clock.now)) onOutput(output);
     scheduleSteps(clock, engine, onOutput);
   });
--- a/bench/hand-over-simulation.ts
+++ b/bench/hand-over-simulation.ts
@@ -77,7 +77,7 @@
   run(): HandOverOutcome {
     const { callers, durationMs } = this.#scenario;
     for (let caller = 0; caller < callers; caller += 1) {
-      this.#clock.at(caller, () => this.#start());
+      this.#clock.scheduleAt(caller, () => this.#start());
     }
     this.#clock.runUntil(durationMs);
     return {
@@ -173,13 +173,15 @@
     }
     to.assigned += 1;
     const arrivesAt = this.#clock.now + from.model.kvTransferMs(held);
-    this.#clock.at(arrivesAt, () => this.#import(request, to, held));
+    this.#clock.scheduleAt(arrivesAt, () => this.#import(request, to, held));
   }
 
   #import(request: Request, to: Engine, held: Parameters<EngineModel['importKv']>[1]): void {
     const handle = to.model.importKv(this.#clock.now, held);
     if (handle === null) {
-      this.#clock.at(this.#clock.now + IMPORT_RETRY_MS, () => this.#import(request, to, held));
+      this.#clock.scheduleAt(this.#clock.now + IMPORT_RETRY_MS, () =>
+        this.#import(request, to, held),
+      );
       return;
     }
     this.#submit(request, to, handle);
--- a/bench/http/bench-http.ts
+++ b/bench/http/bench-http.ts
@@ -3,7 +3,7 @@
  * in alternating rounds of one run, with the same backends.
  */
 import { type Load, type LoadResult, load } from './load.js';
-import { BenchProcesses, processorMs, type Subject } from './processes.js';
+import { BenchProcesses, cpuTimeMs, type Subject } from './processes.js';
 
 /** The comparison of daemon and pass-through under one kind of load. */
 export interface HttpComparison {
@@ -81,10 +81,10 @@
 }
 
 async function measure(subject: Subject, spec: Load): Promise<Measured> {
-  const processorBefore = processorMs(subject);
+  const processorBefore = cpuTimeMs(subject);
   const startedAt = performance.now();
   const result = await load(subject.callers, spec);
-  const processor = processorMs(subject) - processorBefore;
+  const processor = cpuTimeMs(subject) - processorBefore;
   const elapsed = performance.now() - startedAt;
   const units = unitsOf(spec, result);
   return {
--- a/bench/http/emulated-backend.ts
+++ b/bench/http/emulated-backend.ts
@@ -6,13 +6,13 @@
  */
 import { createServer, type IncomingMessage, type ServerResponse } from 'node:http';
 import type { Fence, Intake } from '../../src/core/registry/backend.js';
-import { MODEL, STREAM_STEP_MS, STREAM_TOKENS, VERSION, WHOLE_TOKENS } from './shapes.js';
+import { MODEL, NON_STREAMED_TOKENS, STREAM_STEP_MS, STREAM_TOKENS, VERSION } from './shapes.js';
 
 const ADDRESS = '127.0.0.1';
 const KEEP_ALIVE_MS = 60_000;
 const PROMPT_TOKENS = 400;
 const MAX_BATCH = 100_000;
-const WHOLE_TEXT = ' word'.repeat(WHOLE_TOKENS);
+const WHOLE_TEXT = ' word'.repeat(NON_STREAMED_TOKENS);
 const WHOLE_BODY = Buffer.from(
   JSON.stringify({
     id: 'cmpl-1',
@@ -21,7 +21,7 @@
     model: MODEL,
     system_fingerprint: VERSION,
     choices: [{ index: 0, text: WHOLE_TEXT, finish_reason: 'length', logprobs: null }],
-    usage: usage(WHOLE_TOKENS),
+    usage: usage(NON_STREAMED_TOKENS),
   }),
 );
 
--- a/bench/http/load.ts
+++ b/bench/http/load.ts
@@ -1,7 +1,7 @@
 /** Closed-loop callers: each sends its next request when it has received the previous answer. */
 import { type Dispatcher, Pool } from 'undici';
 import type { Endpoint } from '../../src/core/registry/backend.js';
-import { MODEL, PROMPT_CHARACTERS, STREAM_TOKENS, WHOLE_TOKENS } from './shapes.js';
+import { MODEL, NON_STREAMED_TOKENS, PROMPT_CHARACTERS, STREAM_TOKENS } from './shapes.js';
 
 /** The parameters of a load. */
 export interface Load {
@@ -36,7 +36,7 @@
   await Promise.all(Array.from({ length: spec.callers }, (_, number) => caller(number)));
   await pool.close();
   const { answers, frames, bad } = counts;
-  const tokens = spec.streamed ? frames : answers * WHOLE_TOKENS;
+  const tokens = spec.streamed ? frames : answers * NON_STREAMED_TOKENS;
   return { answers, tokens, bad, elapsedMs: spec.durationMs };
 }
 
@@ -54,7 +54,7 @@
   endsAt: number,
 ): Promise<void> {
   return new Promise((resolve) => {
-    const maxTokens = streamed ? STREAM_TOKENS : WHOLE_TOKENS;
+    const maxTokens = streamed ? STREAM_TOKENS : NON_STREAMED_TOKENS;
     const body = JSON.stringify({ model: MODEL, prompt, max_tokens: maxTokens, stream: streamed });
     const headers = { 'content-type': 'application/json' };
     const handler = new AnswerHandler(streamed, counts, endsAt, resolve);
--- a/bench/http/processes.ts
+++ b/bench/http/processes.ts
@@ -7,7 +7,7 @@
 import { daemonCommand, FLEET_KEY_VARIABLE } from '../../src/lab/fleet/commands.js';
 import { getJson, postJson } from '../../src/lab/fleet/http-json.js';
 import { PartProcess } from '../../src/lab/fleet/part-process.js';
-import { until } from '../../src/lab/fleet/until.js';
+import { pollUntil } from '../../src/lab/fleet/poll-until.js';
 import { MachineRegistration } from '../../src/lab/platform/index.js';
 import { MODEL, VERSION } from './shapes.js';
 
@@ -99,7 +99,7 @@
 }
 
 /** The CPU time that a process has used, in milliseconds (Linux only). */
-export function processorMs({ process }: Subject): number {
+export function cpuTimeMs({ process }: Subject): number {
   const stat = readFileSync(`/proc/${process.pid}/stat`, 'utf8');
   const fields = stat.slice(stat.lastIndexOf(')') + 2).split(' ');
   const ticks = Number(fields[11]) + Number(fields[12]);
@@ -130,7 +130,7 @@
 
 function waitFor(what: string, poll: () => Promise<true | null>): Promise<true> {
   const { signal } = new AbortController();
-  return until(poll, { what, timeoutMs: TIMEOUT_MS, signal });
+  return pollUntil(poll, { what, timeoutMs: TIMEOUT_MS, signal });
 }
 
 function scriptPath(relative: string): string {
--- a/bench/http/shapes.ts
+++ b/bench/http/shapes.ts
@@ -5,7 +5,7 @@
 /** The version of the model. */
 export const VERSION = 'v1';
 /** Tokens of a non-streamed answer. */
-export const WHOLE_TOKENS = 50;
+export const NON_STREAMED_TOKENS = 50;
 /** Tokens of a streamed answer. */
 export const STREAM_TOKENS = 100;
 /** The interval between two tokens of a stream. */
--- a/bench/main.ts
+++ b/bench/main.ts
@@ -9,7 +9,7 @@
 import { benchPlans } from './plan-decision.js';
 import { benchRequestPath } from './request-path.js';
 import { benchRouting } from './routing-decision.js';
-import { benchWaitingRoom } from './waiting-room.js';
+import { benchWaitingRoom } from './wait-queue.js';
 
 const { values } = parseArgs({
   options: { json: { type: 'boolean', default: false }, only: { type: 'string' } },
--- a/bench/routing-simulation.ts
+++ b/bench/routing-simulation.ts
@@ -108,11 +108,11 @@
   run(): RoutingOutcome {
     const { durationMs, reportLagMs, engines } = this.#scenario;
     for (const [place, engine] of this.#engines.entries()) {
-      this.#clock.at(0, () => this.#report(engine));
-      this.#clock.at((place * reportLagMs) / engines, () => this.#reportRegularly(engine));
+      this.#clock.scheduleAt(0, () => this.#report(engine));
+      this.#clock.scheduleAt((place * reportLagMs) / engines, () => this.#reportRegularly(engine));
     }
-    this.#clock.at(1, () => this.#arrive());
-    this.#clock.at(100, () => this.#sampleImbalance());
+    this.#clock.scheduleAt(1, () => this.#arrive());
+    this.#clock.scheduleAt(100, () => this.#sampleImbalance());
     this.#clock.runUntil(durationMs);
     return this.#outcome();
   }
@@ -151,7 +151,7 @@
     const takenAt = this.#clock.now;
     const report = engine.model.report(takenAt);
     const cacheEvents = this.#newCacheEvents(engine);
-    this.#clock.at(takenAt + lag, () => {
+    this.#clock.scheduleAt(takenAt + lag, () => {
       this.#deliver(engine, report, takenAt, cacheEvents);
       this.#reportRegularly(engine);
     });
@@ -188,7 +188,7 @@
       this.#route(daemon);
     }
     const wait = this.#random.exponential(requestsPerSecond / 1_000);
-    this.#clock.at(this.#clock.now + wait, () => this.#arrive());
+    this.#clock.scheduleAt(this.#clock.now + wait, () => this.#arrive());
   }
 
   #route(daemon: Daemon): void {
@@ -287,7 +287,7 @@
       this.#imbalanceSum += Math.max(...active) / mean;
       this.#imbalanceSamples += 1;
     }
-    this.#clock.at(this.#clock.now + 100, () => this.#sampleImbalance());
+    this.#clock.scheduleAt(this.#clock.now + 100, () => this.#sampleImbalance());
   }
 
   #outcome(): RoutingOutcome {
--- a/fuzz/world.ts
+++ b/fuzz/world.ts
@@ -19,7 +19,7 @@
 /** After the last action all faults are healed, and the fleet has this long to end all requests. */
 const SETTLE_MS = 90_000;
 /** Short, so that a schedule contains several changes; the protocol's own durations are unchanged. */
-const ENGINE_DURATIONS = { roleChangeMs: 1_500, loadMs: 2_000, kvHandleLifeMs: 30_000 };
+const ENGINE_DURATIONS = { roleChangeMs: 1_500, loadMs: 2_000, kvHandleTtlMs: 30_000 };
 
 /** A fleet that a schedule acts on. */
 export class FuzzWorld {
@@ -46,9 +46,9 @@
       },
       this.oracle,
     );
-    this.oracle.watch({
+    this.oracle.attach({
       now: () => this.fleet.clock.now,
-      epochInTable: () => this.#epoch(),
+      storedEpoch: () => this.#epoch(),
       intendedOrder: (engine) => this.#intended(engine),
     });
     this.#warmUp();
@@ -119,7 +119,7 @@
       daemon.start();
     }
     fleet.run(SETTLE_MS);
-    this.oracle.conclude();
+    this.oracle.checkAllAnswered();
   }
 
   #warmUp(): void {
--- a/report/report-command.ts
+++ b/report/report-command.ts
@@ -34,7 +34,7 @@
   });
   out = Option.String('--out', { required: true, description: 'the HTML file to write' });
 
-  protected override async carryOut(): Promise<number> {
+  protected override async runCommand(): Promise<number> {
     const seed = numberOption('--seed', this.seed, 0, MAX_SEED);
     const stretch = numberOption('--stretch', this.stretch, 0.001, MAX_STRETCH);
     const scenario = scenarioOption(this.scenario);
--- a/soak/callers.ts
+++ b/soak/callers.ts
@@ -3,11 +3,11 @@
  * the daemon's process has ended; new connections go to daemons that report that they are ready.
  */
 import http, { type IncomingMessage } from 'node:http';
-import { CRASHING_MARK } from './answers.js';
 import type { GatewayProcess } from './gateway-process.js';
+import { WIRE } from './header-names.js';
 import type { CrashingWork } from './plan.js';
 import type { CallEnd, CallRecord, RequestClass } from './record.js';
-import { WIRE } from './wire.js';
+import { CRASHING_MARK } from './response-bodies.js';
 
 /** Value of the `Host` header; all routes of a run match it. */
 export const HOST = 'soak.example';
@@ -148,7 +148,7 @@
       ...fields,
       id: `r${this.#sent}`,
       daemon: daemon.name,
-      life: daemon.life,
+      incarnation: daemon.incarnation,
       sentMs: performance.now(),
       endedMs: undefined,
       end: undefined,
@@ -291,7 +291,7 @@
       status: message.statusCode ?? 0,
       stamp: typeof stamp === 'string' ? stamp : undefined,
       body: Buffer.concat(chunks).toString('utf8'),
-      isWhole: message.complete,
+      isComplete: message.complete,
       retryAfterMs: Number.isFinite(seconds) ? seconds * 1_000 : undefined,
     }),
   );
--- a/soak/judge-routes.ts
+++ b/soak/configuration-judge.ts
@@ -32,7 +32,7 @@
   const seenOf = new Map<string, SeenVersion>();
   const ordered = [...probes].sort((left, right) => left.sentMs - right.sentMs);
   return ordered.flatMap((probe): readonly RouteFault[] => {
-    const { daemon, life, sentMs, endedMs } = probe;
+    const { daemon, incarnation, sentMs, endedMs } = probe;
     const written = configurations.filter(({ ackMs }) => ackMs <= endedMs);
     const consistent = written.filter((version) => isConsistent(version, probe));
     const settledMs = sentMs - bounds.configApplyMs - TRANSIT_MS;
@@ -41,7 +41,7 @@
     if (isLate && isInTouch(daemon, sentMs, endedMs)) {
       return [faultOf(probe, `as only versions before ${least} allow`)];
     }
-    const key = `${daemon} ${life}`;
+    const key = `${daemon} ${incarnation}`;
     const seen = seenOf.get(key);
     const seenVersion =
       seen === undefined || seen.atMs > sentMs - ROLLBACK_SLACK_MS ? 0 : seen.version;
@@ -58,12 +58,12 @@
 
 function isConsistent(
   { addedRoutes }: ConfigurationVersion,
-  { path, isThere }: RouteProbe,
+  { path, hasRoute }: RouteProbe,
 ): boolean {
-  return addedRoutes.has(path) === isThere;
+  return addedRoutes.has(path) === hasRoute;
 }
 
-function faultOf({ daemon, path, isThere, sentMs }: RouteProbe, how: string): RouteFault {
-  const observed = isThere ? 'served' : 'knew no route for';
+function faultOf({ daemon, path, hasRoute, sentMs }: RouteProbe, how: string): RouteFault {
+  const observed = hasRoute ? 'served' : 'knew no route for';
   return { atMs: sentMs, detail: `${daemon} ${observed} ${path} ${how}` };
 }
--- a/soak/configuration.ts
+++ b/soak/configuration.ts
@@ -18,7 +18,7 @@
 ];
 const REVOCABLE_KEY = { key: 'key-three', tenant: 'three' };
 /** All API keys that callers use. */
-export const CALLERS_KEYS = [...KEYS, REVOCABLE_KEY];
+export const CALLER_KEYS = [...KEYS, REVOCABLE_KEY];
 /** The kinds of requests that callers send. */
 export const CLASSES: readonly RequestClass[] = [
   webClass('get', 'idempotent', 2, 0.25),
@@ -107,7 +107,7 @@
   }
 
   /** Writes the newest version once more; called after the store was restored from an older copy. */
-  writeAgain(): void {
+  rewriteNewest(): void {
     if (this.#newest !== undefined) {
       this.#store.put(TABLES.operator, TABLES.configurationKey, this.#newest);
     }
@@ -130,7 +130,7 @@
     const serviceOf = new Map(
       CLASSES.map(({ name, kind }) => [name, kind === 'streaming' ? MODEL : this.#webService]),
     );
-    const keys = this.#isRevoked ? KEYS : CALLERS_KEYS;
+    const keys = this.#isRevoked ? KEYS : CALLER_KEYS;
     const tenantOfKey = new Map(keys.map(({ key, tenant }) => [key, tenant]));
     const document = configurationDocument(version, serviceOf, keys, this.#addedRoutes);
     const addedRoutes = new Set(this.#addedRoutes.map(({ pathPrefix }) => pathPrefix));
--- a/soak/fault-injector.ts
+++ b/soak/fault-injector.ts
@@ -9,7 +9,7 @@
 import type { StartedAs } from './model-server.js';
 import { pause } from './pause.js';
 import { COPY_LEAD_MS, type Fault, STALE_GAP_MS } from './plan.js';
-import type { PlatformStore, StoreDoor } from './platform-store.js';
+import type { PlatformStore, StoreEndpoint } from './platform-store.js';
 import type { Disturbance, DrainNotice, LimitNotice, Scope, SoakBounds } from './record.js';
 import { ENTRY_LAPSE_MS, type PooledServer, type ServerPool } from './server-pool.js';
 
@@ -23,14 +23,14 @@
 const ROLLING_START_MS = 400;
 
 /** The parts of a run that faults act on. */
-export interface SoakWorld {
+export interface SoakEnvironment {
   readonly bounds: SoakBounds;
   readonly store: PlatformStore;
   readonly dutyService: DutyService;
   readonly pool: ServerPool;
   readonly operator: Operator;
   readonly daemons: readonly GatewayProcess[];
-  readonly doorOf: ReadonlyMap<string, StoreDoor>;
+  readonly storeEndpointOf: ReadonlyMap<string, StoreEndpoint>;
   readonly callers: Callers;
 }
 
@@ -45,16 +45,16 @@
   readonly disturbances: Disturbance[] = [];
   readonly drains: DrainNotice[] = [];
   readonly limits: LimitNotice[] = [];
-  readonly #world: SoakWorld;
+  readonly #world: SoakEnvironment;
   #isEnded = false;
   #crashesUnderRequests = 0;
 
-  constructor(world: SoakWorld) {
+  constructor(world: SoakEnvironment) {
     this.#world = world;
   }
 
   /** Records a span in which the soak's own process, which simulates the store and the servers, did not respond. */
-  noteStandInsLate(fromMs: number, toMs: number): void {
+  recordStandInsLate(fromMs: number, toMs: number): void {
     this.disturbances.push({ scope: 'stand-ins', name: '', fromMs, toMs, isPlanned: false });
   }
 
@@ -99,7 +99,7 @@
         return;
       case 'store-forgets':
         this.#disturb('store', '', 0);
-        this.#world.store.forget();
+        this.#world.store.dropHistory();
         return;
       case 'store-stale':
         return this.#serveStaleReads(fault);
@@ -212,7 +212,7 @@
 
   async #refuseDaemons(fault: Extract<Fault, { kind: 'store-refuses' }>): Promise<void> {
     const daemons = this.#daemonsAt(fault.daemons);
-    const endpoints = daemons.flatMap(({ name }) => this.#world.doorOf.get(name) ?? []);
+    const endpoints = daemons.flatMap(({ name }) => this.#world.storeEndpointOf.get(name) ?? []);
     for (const { name } of daemons) this.#disturb('daemon', name, fault.forMs);
     for (const endpoint of endpoints) endpoint.refusal = fault.how;
     await pause(fault.forMs);
@@ -226,10 +226,10 @@
   }: Extract<Fault, { kind: 'store-stale' }>): Promise<void> {
     const { store } = this.#world;
     this.#disturb('store', '', STALE_GAP_MS + forMs);
-    store.faults.isUnheard = true;
+    store.faults.withholdsChanges = true;
     await pause(STALE_GAP_MS);
-    store.faults.isUnheard = false;
-    store.forget();
+    store.faults.withholdsChanges = false;
+    store.dropHistory();
     store.faults.stale = { behindMs, isUnderNewest };
     await pause(forMs);
     store.faults.stale = undefined;
@@ -251,7 +251,7 @@
     await this.#disturbStore(forMs);
     store.restore(forMs + behindMs, keepsHeldCalls);
     store.refusal = undefined;
-    const writers = [() => operator.writeAgain(), ...pool.writers()];
+    const writers = [() => operator.rewriteNewest(), ...pool.rewriteSteps()];
     for (const write of writers) {
       write();
       await pause(rewriteMs / writers.length);
@@ -309,7 +309,7 @@
   }
 
   /** Crashes a server under a request and restarts it under the same id, sometimes before any daemon can notice. */
-  endServer(serverId: string): void {
+  crashServer(serverId: string): void {
     const listed = this.#world.pool.servers.find(({ server }) => server.id === serverId);
     if (listed === undefined) return;
     this.#crashesUnderRequests += 1;
--- a/soak/gateway-process.ts
+++ b/soak/gateway-process.ts
@@ -32,7 +32,7 @@
   readonly #settingsPath: string;
   #process: ChildProcess | undefined;
   /** Number of starts so far; identifies the current incarnation. */
-  life = 0;
+  incarnation = 0;
   isStopping = false;
   isFrozen = false;
 
@@ -74,12 +74,12 @@
       log.end();
     });
     this.#process = child;
-    this.life += 1;
+    this.incarnation += 1;
   }
 
   get #nextProgram(): string {
     const { program, earlierProgram } = this.#options;
-    return this.life === 0 ? (earlierProgram ?? program) : program;
+    return this.incarnation === 0 ? (earlierProgram ?? program) : program;
   }
 
   signal(signal: 'SIGKILL' | 'SIGTERM' | 'SIGSTOP' | 'SIGCONT' | 'SIGHUP'): void {
--- a/soak/lag-watch.ts
+++ b/soak/lag-monitor.ts
@@ -10,17 +10,17 @@
 const LATE_THRESHOLD_MS = 100;
 
 /** Called with each span in which this process was delayed. */
-export type NoteLate = (fromMs: number, toMs: number) => void;
+export type OnLate = (fromMs: number, toMs: number) => void;
 
 /** Measures how late the timers of this process fire. */
-export class LagWatch {
+export class LagMonitor {
   /** The longest delay of a timer. */
   worstMs = 0;
-  readonly #onLate: NoteLate;
+  readonly #onLate: OnLate;
   #timer: NodeJS.Timeout | undefined;
   #lastMs = 0;
 
-  constructor(onLate: NoteLate) {
+  constructor(onLate: OnLate) {
     this.#onLate = onLate;
   }
 
--- a/soak/model-server.ts
+++ b/soak/model-server.ts
@@ -5,11 +5,11 @@
 import http, { type IncomingMessage, type ServerResponse } from 'node:http';
 import { PATHS } from '../platform/names.js';
 import { closeListener, openListener } from '../src/lab/common/listener.js';
-import { CRASHING_MARK, EVENT_GAP_MS, eventText, wholeBody } from './answers.js';
+import { WIRE } from './header-names.js';
 import type { ServerFault } from './plan.js';
 import type { Arrival, OrderRecord } from './record.js';
 import { readBody } from './request-body.js';
-import { WIRE } from './wire.js';
+import { CRASHING_MARK, completeBody, EVENT_GAP_MS, eventText } from './response-bodies.js';
 
 const WEB_WORK_MS = 15;
 const PREFILL_MS = 12;
@@ -53,10 +53,10 @@
 
 /** Receives the events of all servers. */
 export interface ServerObserver {
-  arrived(request: IncomingMessage, body: string, arrival: Arrival): void;
-  ordered(order: OrderRecord): void;
+  onArrival(request: IncomingMessage, body: string, arrival: Arrival): void;
+  onOrder(order: OrderRecord): void;
   /** A request that crashes its server has run for `CRASH_AFTER_MS`. */
-  ends(serverId: string): void;
+  onCrash(serverId: string): void;
 }
 
 export interface ModelServerOptions {
@@ -72,7 +72,7 @@
   /** For each KV handle of any engine, the id of the request whose prompt was prefilled. */
   readonly handles: Map<string, string>;
   /** Called when an engine has changed its stage. */
-  readonly noteStage: () => void;
+  readonly onStageChange: () => void;
 }
 
 interface ActiveFault {
@@ -198,23 +198,23 @@
       serverId: this.#id,
       service: this.#options.service,
       step: request.headers[WIRE.stage] === 'prefill' ? 'prefill' : 'run',
-      isTaken: false,
+      isStarted: false,
       problem: '',
       endedMs: undefined,
-      isServersFault: false,
-      hasEndedServer: false,
-      saidLeaving: this.isLeaving,
-      restAskedMs: undefined,
-      namedLimit: this.limit !== undefined,
+      isServerFault: false,
+      hasCrashedServer: false,
+      reportedLeaving: this.isLeaving,
+      requestedBackOffMs: undefined,
+      reportedLimit: this.limit !== undefined,
       isMisdirected: request.headers[WIRE.expectInstance] !== this.#id,
       stamp: undefined,
     };
-    this.#options.observer.arrived(request, body, arrival);
+    this.#options.observer.onArrival(request, body, arrival);
     const refusal = this.#refusalOf(request, arrival);
     if (refusal !== undefined) {
       arrival.endedMs = atMs;
-      if (refusal === 'rest') arrival.restAskedMs = this.fault?.restMs;
-      const backOff = backOffHeader(arrival.restAskedMs);
+      if (refusal === 'rest') arrival.requestedBackOffMs = this.fault?.restMs;
+      const backOff = backOffHeader(arrival.requestedBackOffMs);
       const leaving = this.#leavingHeader();
       const limit = refusal === 421 ? {} : this.#limitHeader();
       const reported = { ...this.#loadHeader(), ...leaving, ...limit, ...backOff };
@@ -222,7 +222,7 @@
       response.writeHead(refusal === 'rest' ? 503 : refusal, head).end();
       return;
     }
-    arrival.isTaken = true;
+    arrival.isStarted = true;
     this.#running += 1;
     const bornMs = this.#bornMs;
     const end = () => {
@@ -284,7 +284,7 @@
     end: () => void,
   ): void {
     if (this.#shouldInject('lose-answer')) {
-      arrival.isServersFault = true;
+      arrival.isServerFault = true;
       setTimeout(() => response.destroy(), this.#webWorkMs);
       return;
     }
@@ -324,9 +324,9 @@
     setTimeout(() => {
       // A request that its daemon has cancelled crashes nothing.
       if (response.destroyed || !this.isUp || this.#bornMs !== bornMs) return;
-      arrival.hasEndedServer = true;
-      arrival.isServersFault = true;
-      this.#options.observer.ends(ownId);
+      arrival.hasCrashedServer = true;
+      arrival.isServerFault = true;
+      this.#options.observer.onCrash(ownId);
     }, CRASH_AFTER_MS);
   }
 
@@ -342,17 +342,17 @@
     setTimeout(() => {
       if (response.destroyed) return;
       arrival.stamp = stamp;
-      const body = wholeBody(String(request.headers[WIRE.attemptId]), stamp);
+      const body = completeBody(String(request.headers[WIRE.attemptId]), stamp);
       const head = {
         ...attemptIdHeader(request),
         [WIRE.stamp]: stamp,
         'Content-Length': body.length,
       };
-      arrival.saidLeaving = this.isLeaving;
-      arrival.namedLimit = this.limit !== undefined;
+      arrival.reportedLeaving = this.isLeaving;
+      arrival.reportedLimit = this.limit !== undefined;
       response.writeHead(200, { ...head, ...this.#availabilityHeaders(), ...this.#loadHeader() });
       if (breaksOff) {
-        arrival.isServersFault = true;
+        arrival.isServerFault = true;
         response.write(body.slice(0, Math.floor(body.length * SENT_SHARE_BEFORE_BREAK)), () =>
           response.destroy(),
         );
@@ -397,13 +397,13 @@
       if (response.destroyed) return;
       if (!response.headersSent) {
         arrival.stamp = stamp;
-        arrival.saidLeaving = this.isLeaving;
-        arrival.namedLimit = this.limit !== undefined;
+        arrival.reportedLeaving = this.isLeaving;
+        arrival.reportedLimit = this.limit !== undefined;
         const type = { 'Content-Type': 'text/event-stream', ...this.#availabilityHeaders() };
         response.writeHead(200, { ...attemptIdHeader(request), [WIRE.stamp]: stamp, ...type });
       }
       if (next >= breaksAt) {
-        arrival.isServersFault = true;
+        arrival.isServerFault = true;
         response.write(`id: ${next}\nda`, () => response.destroy());
         return;
       }
@@ -447,7 +447,7 @@
   /** @returns false if an order with a higher fence came before */
   #executeOrder(order: StageOrderBody): boolean {
     const { holder, fence } = order;
-    this.#options.observer.ordered({
+    this.#options.observer.onOrder({
       serverId: this.#id,
       holder,
       fence,
@@ -463,7 +463,7 @@
       if (this.#bornMs !== orderedAtBootMs || !this.isUp) return;
       this.#isSwitching = false;
       this.#stage = order.stage;
-      this.#options.noteStage();
+      this.#options.onStageChange();
     }, STAGE_SWITCH_MS);
     return true;
   }
@@ -522,7 +522,7 @@
 /** Sends a second complete response on the same connection, as a faulty server may do. */
 function sendSurplusAnswer(request: IncomingMessage, stamp: string): void {
   const id = String(request.headers[WIRE.attemptId]);
-  const body = wholeBody(id, stamp);
+  const body = completeBody(id, stamp);
   const head = [
     'HTTP/1.1 200 OK',
     `X-Attempt-Id: ${id}`,
--- a/soak/mutations.ts
+++ b/soak/mutations.ts
@@ -124,8 +124,8 @@
     name: 'fences-of-eras',
     promise: 'DUTY',
     file: 'src/core/platform/era-fence.ts',
-    text: 'const FENCES_OF_ERA = 1_000_000;',
-    replacement: 'const FENCES_OF_ERA = 0;',
+    text: 'const FENCES_PER_ERA = 1_000_000;',
+    replacement: 'const FENCES_PER_ERA = 0;',
   },
   {
     name: 'secret-keys',
--- a/soak/oracle.ts
+++ b/soak/oracle.ts
@@ -3,10 +3,10 @@
  * only without disturbances are judged outside the disturbances that the run recorded.
  */
 import { PATHS } from '../platform/names.js';
-import { CRASHING_MARK, EVENT_GAP_MS, eventText, wholeBody } from './answers.js';
-import { limitFaults } from './judge-limits.js';
-import { routeFaults } from './judge-routes.js';
+import { routeFaults } from './configuration-judge.js';
+import { limitFaults } from './rate-limit-judge.js';
 import type { Arrival, CallRecord, Disturbance, RunRecord, Scope } from './record.js';
+import { CRASHING_MARK, completeBody, EVENT_GAP_MS, eventText } from './response-bodies.js';
 
 /** The promises; docs/SOAK.md describes each in a sentence. */
 export type PromiseName =
@@ -100,7 +100,7 @@
   const violations: Violation[] = [];
   const addViolation = (promise: PromiseName, detail: string) =>
     violations.push({ promise, atMs: call.sentMs, detail: `${call.id} ${detail}` });
-  const runs = call.arrivals.filter(({ step, isTaken }) => step === 'run' && isTaken);
+  const runs = call.arrivals.filter(({ step, isStarted }) => step === 'run' && isStarted);
   if (call.requestClass.kind === 'non-idempotent' && runs.length > 1) {
     addViolation('TWICE', `ran at ${runs.map(({ serverId }) => serverId).join(' and ')}`);
   }
@@ -136,7 +136,7 @@
   runs: readonly Arrival[],
   addViolation: AddViolation,
 ): void {
-  if (end.status < 200 || end.status >= 300 || !end.isWhole) return;
+  if (end.status < 200 || end.status >= 300 || !end.isComplete) return;
   if (end.stamp === undefined) {
     addViolation('MIXED', 'a success without a stamp');
     return;
@@ -146,7 +146,7 @@
     return;
   }
   if (call.requestClass.kind !== 'streaming') {
-    if (end.body !== wholeBody(call.id, end.stamp)) addViolation('MIXED', 'not the whole body');
+    if (end.body !== completeBody(call.id, end.stamp)) addViolation('MIXED', 'not the whole body');
     return;
   }
   let expected = '';
@@ -164,7 +164,7 @@
 function judgeVersions(call: CallRecord, run: RunRecord, addViolation: AddViolation): void {
   const { requestClass, apiKey, daemon } = call;
   for (const arrival of call.arrivals) {
-    if (!arrival.isTaken) continue;
+    if (!arrival.isStarted) continue;
     const ofAll = run.configurations.map(({ serviceOf }) => serviceOf.get(requestClass.name));
     if (!ofAll.includes(arrival.service))
       addViolation('ROUTE', `ran at service ${arrival.service}`);
@@ -199,8 +199,8 @@
 }
 
 /** Key of an incarnation of a daemon and a server. */
-function pairOf({ daemon, life }: CallRecord, { serverId }: Arrival): string {
-  return `${daemon} ${life} ${serverId}`;
+function pairOf({ daemon, incarnation }: CallRecord, { serverId }: Arrival): string {
+  return `${daemon} ${incarnation} ${serverId}`;
 }
 
 /**
@@ -212,8 +212,8 @@
   for (const call of calls) {
     const { end, endedMs = run.endMs } = call;
     const forwarded = call.arrivals.find(
-      ({ saidLeaving, stamp }) =>
-        saidLeaving && end?.kind === 'answered' && stamp !== undefined && stamp === end.stamp,
+      ({ reportedLeaving, stamp }) =>
+        reportedLeaving && end?.kind === 'answered' && stamp !== undefined && stamp === end.stamp,
     );
     if (forwarded === undefined) continue;
     const pair = pairOf(call, forwarded);
@@ -249,9 +249,9 @@
   }
   return calls.flatMap((call) =>
     call.arrivals.flatMap((refused): readonly Violation[] => {
-      const { restAskedMs, atMs, serverId } = refused;
-      if (restAskedMs === undefined) return [];
-      const span = { fromMs: atMs + BACK_OFF_GRACE_MS, toMs: atMs + restAskedMs };
+      const { requestedBackOffMs, atMs, serverId } = refused;
+      if (requestedBackOffMs === undefined) return [];
+      const span = { fromMs: atMs + BACK_OFF_GRACE_MS, toMs: atMs + requestedBackOffMs };
       const isWithin = (arrival: Arrival) => arrival.atMs > span.fromMs && arrival.atMs < span.toMs;
       const during = (arrivalsOf.get(pairOf(call, refused)) ?? []).filter(isWithin);
       if (during.length <= BACK_OFF_MAX_ARRIVALS) return [];
@@ -262,7 +262,7 @@
         { scope: 'stand-ins', name: '' },
       ] as const;
       if (excuses.some((excuse) => isDisturbed(run, { ...excuse, ...span }))) return [];
-      const backOff = `${serverId} asked ${call.daemon} for ${restAskedMs} ms of rest by ${call.id}`;
+      const backOff = `${serverId} asked ${call.daemon} for ${requestedBackOffMs} ms of rest by ${call.id}`;
       const detail = `${backOff} (${call.end?.kind ?? 'open'}) and got ${during.length} requests`;
       return [{ promise: 'BUDGET', atMs, detail }];
     }),
@@ -296,14 +296,14 @@
 
 function isLost(call: CallRecord, run: RunRecord): boolean {
   const { end, endedMs, sentMs, daemon, arrivals } = call;
-  const isCut = end?.kind === 'closed' || (end?.kind === 'answered' && !end.isWhole);
+  const isCut = end?.kind === 'closed' || (end?.kind === 'answered' && !end.isComplete);
   if (!isCut || endedMs === undefined) return false;
   // Near its deadline or time-out, a request may be closed without a response.
   const heldMs = endedMs - sentMs;
   if (heldMs > Math.min(call.deadlineMs - sentMs, call.requestClass.timeoutMs) - TRANSIT_MS) {
     return false;
   }
-  if (arrivals.some(({ isServersFault }) => isServersFault)) return false;
+  if (arrivals.some(({ isServerFault }) => isServerFault)) return false;
   if (arrivals.length === 0 && endedMs - sentMs <= run.bounds.lossSlackMs) return false;
   const wasDisturbed = run.disturbances.some(
     ({ scope, name, fromMs, toMs, isPlanned }) =>
@@ -319,7 +319,7 @@
 /** Arrivals beyond the first of a request. The first prefill that an engine starts is not counted. */
 export function repeatsOf({ arrivals }: Pick<CallRecord, 'arrivals'>): readonly Arrival[] {
   const ordered = [...arrivals].sort((left, right) => left.atMs - right.atMs);
-  const firstPrefill = ordered.find(({ step, isTaken }) => step === 'prefill' && isTaken);
+  const firstPrefill = ordered.find(({ step, isStarted }) => step === 'prefill' && isStarted);
   return ordered.filter((arrival) => arrival !== firstPrefill).slice(1);
 }
 
@@ -388,10 +388,10 @@
     for (const { atMs, serverId } of arrivals) {
       if (atMs > limitMs) late.push(`${id} at ${serverId} after ${Math.round(atMs - endedMs)} ms`);
     }
-    const open = arrivals.filter(({ isTaken, step, atMs, endedMs: ended }) => {
+    const open = arrivals.filter(({ isStarted, step, atMs, endedMs: ended }) => {
       const wouldEndMs = atMs + outputTokens * EVENT_GAP_MS;
       const isAtWork = ended === undefined || ended > endedMs;
-      return isTaken && step === 'run' && isAtWork && wouldEndMs > limitMs;
+      return isStarted && step === 'run' && isAtWork && wouldEndMs > limitMs;
     });
     if (requestClass.kind !== 'streaming' || open.length === 0) continue;
     lasting += 1;
@@ -468,7 +468,7 @@
 export function crashesByWork(calls: readonly CallRecord[]): readonly number[] {
   return callsByWork(calls).map(
     (tries) =>
-      tries.flatMap(({ arrivals }) => arrivals).filter(({ hasEndedServer }) => hasEndedServer)
+      tries.flatMap(({ arrivals }) => arrivals).filter(({ hasCrashedServer }) => hasCrashedServer)
         .length,
   );
 }
@@ -481,7 +481,7 @@
   return callsByWork(calls).flatMap((tries): readonly Violation[] => {
     const arrivals = tries.flatMap((call) => call.arrivals.map((at) => ({ ...at, call })));
     const endedMs = arrivals
-      .filter(({ hasEndedServer }) => hasEndedServer)
+      .filter(({ hasCrashedServer }) => hasCrashedServer)
       .map((arrival) => arrival.endedMs ?? run.endMs)
       .sort((left, right) => left - right)[MAX_CRASHES - 1];
     if (endedMs === undefined) return [];
--- a/soak/plan.ts
+++ b/soak/plan.ts
@@ -178,7 +178,7 @@
 }
 
 /** Slots of engines, and of web servers in plans without a shortage of slots. */
-export const PLAIN_SLOTS = 24;
+export const DEFAULT_SLOTS = 24;
 const FIRST_FAULT_MS = 2_000;
 /** No fault is planned in the last part of a run, so that the fleet must have recovered at its end. */
 const CALM_END_MS = 8_000;
@@ -627,7 +627,7 @@
     ...drawChanges(random, timesAroundEnds(random, outages), size.seconds * 1_000),
     ...changesInGaps(faults),
   ];
-  const servers = { webSlots: PLAIN_SLOTS, paces: [] };
+  const servers = { webSlots: DEFAULT_SLOTS, paces: [] };
   return { seed, size, servers, faults: [...faults, ...changes], crashing: [] };
 }
 
@@ -659,7 +659,7 @@
   }
   const times = copies.flatMap(({ atMs }) => atMs + random.between(0, MAX_CALM_MS));
   const changes = drawChanges(random, [...timesAroundEnds(random, copies), ...times], endMs);
-  const servers = { webSlots: PLAIN_SLOTS, paces: [] };
+  const servers = { webSlots: DEFAULT_SLOTS, paces: [] };
   return { seed, size, servers, faults: [...faults, ...copies, ...changes], crashing: [] };
 }
 
@@ -686,7 +686,7 @@
   const endMs = size.seconds * 1_000 - CALM_END_MS;
   const changes = drawChanges(random, timesAroundEnds(random, [...faults, copy]), endMs);
   const within = [...faults, copy].filter(({ atMs }) => atMs < endMs);
-  const servers = { webSlots: PLAIN_SLOTS, paces: [] };
+  const servers = { webSlots: DEFAULT_SLOTS, paces: [] };
   return { seed, size, servers, faults: [...within, ...changes], crashing: [] };
 }
 
@@ -709,6 +709,6 @@
     { atMs: killMs, fault: { kind: 'kill', daemons: everyDaemon, downMs: 300 } },
     { atMs: killMs + 5_000, fault: { kind: 'kill', daemons: everyDaemon, downMs: 300 } },
   ];
-  const servers = { webSlots: PLAIN_SLOTS, paces: [] };
+  const servers = { webSlots: DEFAULT_SLOTS, paces: [] };
   return { seed, size, servers, faults, crashing: [] };
 }
--- a/soak/platform-store.ts
+++ b/soak/platform-store.ts
@@ -35,7 +35,7 @@
 }
 
 interface HeldFeed {
-  readonly endpoint: StoreDoor;
+  readonly endpoint: StoreEndpoint;
   readonly table: string;
   readonly after: number;
   readonly response: ServerResponse;
@@ -47,7 +47,7 @@
   lostAnswers: number;
   lateWrites: number;
   /** Whether open feed calls receive no changes. */
-  isUnheard: boolean;
+  withholdsChanges: boolean;
   /** How table reads are stale; undefined if they show the current rows. */
   stale: StaleReads | undefined;
 }
@@ -60,12 +60,12 @@
 }
 
 /** The endpoint at which one daemon reaches the store. */
-export class StoreDoor {
+export class StoreEndpoint {
   refusal: StoreRefusal | undefined;
   readonly #server: http.Server;
 
   constructor(
-    serve: (endpoint: StoreDoor, request: IncomingMessage, response: ServerResponse) => void,
+    serve: (endpoint: StoreEndpoint, request: IncomingMessage, response: ServerResponse) => void,
   ) {
     this.#server = http.createServer((request, response) => serve(this, request, response));
     this.#server.keepAliveTimeout = 60_000;
@@ -86,7 +86,7 @@
     delayMs: 0,
     lostAnswers: 0,
     lateWrites: 0,
-    isUnheard: false,
+    withholdsChanges: false,
     stale: undefined,
   };
   /** How all daemons are refused; undefined if they are served. */
@@ -100,7 +100,7 @@
   /** All writes, in order. */
   #written: { readonly atMs: number; readonly row: Row }[] = [];
   readonly #feeds = new Set<HeldFeed>();
-  readonly #endpoints: StoreDoor[] = [];
+  readonly #endpoints: StoreEndpoint[] = [];
   readonly #random: () => number;
 
   /** @param random returns a number from 0 to below 1; decides which calls a fault affects */
@@ -108,8 +108,8 @@
     this.#random = random;
   }
 
-  createDoor(): StoreDoor {
-    const endpoint = new StoreDoor((from, request, response) => {
+  createEndpoint(): StoreEndpoint {
+    const endpoint = new StoreEndpoint((from, request, response) => {
       response.on('error', () => response.destroy());
       void this.#serve(from, request, response);
     });
@@ -138,7 +138,7 @@
   }
 
   /** Drops the history of changes, so that daemons have to read the tables again and open new feeds. */
-  forget(): void {
+  dropHistory(): void {
     this.#historyFrom = this.#version + 1;
     for (const { response } of this.#feeds) this.#answerHistoryLost(response);
     this.#feeds.clear();
@@ -171,7 +171,7 @@
   }
 
   async #serve(
-    endpoint: StoreDoor,
+    endpoint: StoreEndpoint,
     request: IncomingMessage,
     response: ServerResponse,
   ): Promise<void> {
@@ -188,7 +188,7 @@
     );
   }
 
-  #answerCall(endpoint: StoreDoor, url: URL, body: string, response: ServerResponse): void {
+  #answerCall(endpoint: StoreEndpoint, url: URL, body: string, response: ServerResponse): void {
     switch (url.pathname) {
       case PATHS.rowsGet:
         this.#get(url, response);
@@ -232,7 +232,7 @@
     };
   }
 
-  #feed(endpoint: StoreDoor, url: URL, response: ServerResponse): void {
+  #feed(endpoint: StoreEndpoint, url: URL, response: ServerResponse): void {
     const after = Number(url.searchParams.get('after'));
     if (after < this.#historyFrom || after > this.#version) {
       this.#answerHistoryLost(response);
@@ -261,7 +261,7 @@
   }
 
   #answerFeeds(): void {
-    if (this.faults.isUnheard) return;
+    if (this.faults.withholdsChanges) return;
     for (const feed of this.#feeds) {
       const rows = [...this.#rows.values()]
         .filter((row) => row.table === feed.table && row.ver > feed.after)
@@ -274,7 +274,7 @@
     }
   }
 
-  #isSilent(endpoint: StoreDoor): boolean {
+  #isSilent(endpoint: StoreEndpoint): boolean {
     return (this.refusal ?? endpoint.refusal) === 'silent';
   }
 
--- a/soak/judge-limits.ts
+++ b/soak/rate-limit-judge.ts
@@ -69,16 +69,16 @@
   for (const { call, arrival } of arrivals) {
     const { end, endedMs } = call;
     const isForwarded =
-      arrival.namedLimit && end?.kind === 'answered' && end.stamp === arrival.stamp;
+      arrival.reportedLimit && end?.kind === 'answered' && end.stamp === arrival.stamp;
     if (!isForwarded || arrival.stamp === undefined || endedMs === undefined) continue;
-    const life = incarnationOf(call);
-    knownMs.set(life, Math.min(endedMs, knownMs.get(life) ?? endedMs));
+    const incarnation = incarnationOf(call);
+    knownMs.set(incarnation, Math.min(endedMs, knownMs.get(incarnation) ?? endedMs));
   }
   return knownMs;
 }
 
-function incarnationOf({ daemon, life }: CallRecord): string {
-  return `${daemon} ${life}`;
+function incarnationOf({ daemon, incarnation }: CallRecord): string {
+  return `${daemon} ${incarnation}`;
 }
 
 function overuseOf(
@@ -88,7 +88,7 @@
   isDisturbed: IsDisturbed,
 ): LimitFault | undefined {
   const firstNamed = arrivals.find(
-    ({ arrival }) => arrival.namedLimit && arrival.atMs >= notice.fromMs - WINDOW_MS,
+    ({ arrival }) => arrival.reportedLimit && arrival.atMs >= notice.fromMs - WINDOW_MS,
   );
   if (firstNamed === undefined) return undefined;
   const fromMs = Math.max(notice.fromMs, firstNamed.arrival.atMs) + run.bounds.contactMs;
--- a/soak/record.ts
+++ b/soak/record.ts
@@ -21,7 +21,7 @@
       readonly status: number;
       readonly stamp: string | undefined;
       readonly body: string;
-      readonly isWhole: boolean;
+      readonly isComplete: boolean;
       readonly retryAfterMs: number | undefined;
     }
   /** The connection ended before a complete response head. */
@@ -38,21 +38,21 @@
   readonly service: string;
   readonly step: 'prefill' | 'run';
   /** Whether the server started the request; false also if it refused it. */
-  isTaken: boolean;
+  isStarted: boolean;
   /** How the request differs from what the caller sent; empty if it does not. */
   problem: string;
   /** When the server's work on it ended, at its completion or when its connection closed. */
   endedMs: number | undefined;
   /** Whether the server itself broke off the response or dropped it. */
-  isServersFault: boolean;
+  isServerFault: boolean;
   /** Whether the request crashed the server, as each run of the same body does. */
-  hasEndedServer: boolean;
+  hasCrashedServer: boolean;
   /** Whether the response reported that the server leaves. */
-  saidLeaving: boolean;
+  reportedLeaving: boolean;
   /** The back-off period that a refusal requested, in ms; undefined if it requested none. */
-  restAskedMs: number | undefined;
+  requestedBackOffMs: number | undefined;
   /** Whether the response reported a limit in requests per second. */
-  namedLimit: boolean;
+  reportedLimit: boolean;
   /** Whether the request was sent to another server id, which had the same address before. */
   isMisdirected: boolean;
   /** The stamp of the server's response, which identifies the run. */
@@ -65,7 +65,7 @@
   readonly requestClass: RequestClass;
   readonly daemon: string;
   /** The incarnation of the daemon that was called. */
-  readonly life: number;
+  readonly incarnation: number;
   readonly tenant: string;
   readonly apiKey: string;
   readonly body: string;
@@ -114,12 +114,12 @@
 export interface RouteProbe {
   readonly daemon: string;
   /** The incarnation of the daemon that was probed. */
-  readonly life: number;
+  readonly incarnation: number;
   /** Path prefix of the route. */
   readonly path: string;
   readonly sentMs: number;
   readonly endedMs: number;
-  readonly isThere: boolean;
+  readonly hasRoute: boolean;
 }
 
 /** A server whose entry states that it leaves. */
--- a/soak/answers.ts
+++ b/soak/response-bodies.ts
@@ -10,7 +10,7 @@
 export const CRASHING_MARK = 'ends whoever runs it';
 
 /** The complete response body of a web server: request id, stamp of the run, padding. */
-export function wholeBody(id: string, stamp: string): string {
+export function completeBody(id: string, stamp: string): string {
   return `${id} ${stamp} ${'.'.repeat(200)}`;
 }
 
--- a/soak/route-probes.ts
+++ b/soak/route-probes.ts
@@ -50,7 +50,7 @@
     this.#agent.destroy();
   }
 
-  #probe({ name, life, host, port }: GatewayProcess, path: string): void {
+  #probe({ name, incarnation, host, port }: GatewayProcess, path: string): void {
     const sentMs = performance.now();
     const request = http.request({
       host,
@@ -66,10 +66,10 @@
     request.on('response', (response) => {
       response.resume();
       const { statusCode = 0 } = response;
-      const isThere = REFUSED_WITH_ROUTE.has(statusCode);
-      if (!isThere && statusCode !== NOT_FOUND) return;
+      const hasRoute = REFUSED_WITH_ROUTE.has(statusCode);
+      if (!hasRoute && statusCode !== NOT_FOUND) return;
       const endedMs = performance.now();
-      this.records.push({ daemon: name, life, path, sentMs, endedMs, isThere });
+      this.records.push({ daemon: name, incarnation, path, sentMs, endedMs, hasRoute });
     });
     request.end();
   }
--- a/soak/run.ts
+++ b/soak/run.ts
@@ -12,11 +12,12 @@
 import { AddressBlock } from './address-block.js';
 import { bundleGateway } from './bundle.js';
 import { Callers } from './callers.js';
-import { boundsOf, CALLERS_KEYS, CLASSES, MODEL, Operator, WEB_SERVICES } from './configuration.js';
+import { boundsOf, CALLER_KEYS, CLASSES, MODEL, Operator, WEB_SERVICES } from './configuration.js';
 import { DutyService } from './duty-service.js';
 import { FaultInjector } from './fault-injector.js';
 import { GatewayProcess } from './gateway-process.js';
-import { LagWatch } from './lag-watch.js';
+import { WIRE } from './header-names.js';
+import { LagMonitor } from './lag-monitor.js';
 import type { Mutation } from './mutations.js';
 import {
   type BudgetWindow,
@@ -27,11 +28,10 @@
 } from './oracle.js';
 import { pause } from './pause.js';
 import type { SoakPlan } from './plan.js';
-import { PlatformStore, type StoreDoor } from './platform-store.js';
+import { PlatformStore, type StoreEndpoint } from './platform-store.js';
 import type { Arrival, CallEnd, CallRecord, OrderRecord, RunRecord, SoakBounds } from './record.js';
 import { RouteProbes } from './route-probes.js';
 import { ServerPool, ZONES } from './server-pool.js';
-import { WIRE } from './wire.js';
 
 const READY_TIMEOUT_MS = 30_000;
 const READY_POLL_INTERVAL_MS = 50;
@@ -86,14 +86,14 @@
   readonly #operator: Operator;
   readonly #pool: ServerPool;
   readonly #daemons: GatewayProcess[] = [];
-  readonly #storeEndpointOf = new Map<string, StoreDoor>();
+  readonly #storeEndpointOf = new Map<string, StoreEndpoint>();
   readonly #callers: Callers;
   readonly #probes: RouteProbes;
   readonly #faults: FaultInjector;
   readonly #calls = new Map<string, CallRecord>();
   readonly #unasked: string[] = [];
   readonly #orders: OrderRecord[] = [];
-  readonly #lag = new LagWatch((fromMs, toMs) => this.#faults.noteStandInsLate(fromMs, toMs));
+  readonly #lag = new LagMonitor((fromMs, toMs) => this.#faults.recordStandInsLate(fromMs, toMs));
   #addresses: AddressBlock | undefined;
   #isClosed = false;
 
@@ -110,16 +110,16 @@
       store: this.#store,
       random,
       observer: {
-        arrived: (request, body, arrival) => this.#recordArrival(request, body, arrival),
-        ordered: (order) => this.#orders.push(order),
-        ends: (serverId) => this.#faults.endServer(serverId),
+        onArrival: (request, body, arrival) => this.#recordArrival(request, body, arrival),
+        onOrder: (order) => this.#orders.push(order),
+        onCrash: (serverId) => this.#faults.crashServer(serverId),
       },
     });
     this.#callers = new Callers({
       daemons: this.#daemons,
       classes: CLASSES,
       requestsPerSecond: plan.size.requestsPerSecond,
-      keys: CALLERS_KEYS,
+      keys: CALLER_KEYS,
       random,
       calls: this.#calls,
     });
@@ -131,7 +131,7 @@
       pool: this.#pool,
       operator: this.#operator,
       daemons: this.#daemons,
-      doorOf: this.#storeEndpointOf,
+      storeEndpointOf: this.#storeEndpointOf,
       callers: this.#callers,
     });
   }
@@ -208,7 +208,7 @@
       const zoneIndex = index % ZONES.length;
       const zone = ZONES[zoneIndex] ?? ZONES[0];
       const name = `daemon-${zone}-${index}`;
-      const endpoint = this.#store.createDoor();
+      const endpoint = this.#store.createEndpoint();
       this.#storeEndpointOf.set(name, endpoint);
       const daemon = new GatewayProcess({
         name,
@@ -263,7 +263,7 @@
 
 function endName(end: CallEnd | undefined): string {
   if (end === undefined) return 'open';
-  if (end.kind === 'answered') return end.isWhole ? `${end.status}` : `${end.status} cut`;
+  if (end.kind === 'answered') return end.isComplete ? `${end.status}` : `${end.status} cut`;
   if (end.kind === 'left') return end.isEarly ? 'left early' : 'deadline';
   return end.kind;
 }
--- a/soak/server-pool.ts
+++ b/soak/server-pool.ts
@@ -6,7 +6,7 @@
 import { MODEL, WEB_SERVICES } from './configuration.js';
 import { LinkProxy } from './link-proxy.js';
 import { ModelServer, type ServerObserver, type Stage } from './model-server.js';
-import { PLAIN_SLOTS, type ServerTraits } from './plan.js';
+import { DEFAULT_SLOTS, type ServerTraits } from './plan.js';
 import type { PlatformStore } from './platform-store.js';
 
 export const ZONES = ['a', 'b', 'c'] as const;
@@ -120,7 +120,7 @@
    * The writes that follow the restore of the store from an older copy: the current entries, and the removal of
    * entries that were removed before.
    */
-  writers(): readonly (() => void)[] {
+  rewriteSteps(): readonly (() => void)[] {
     const listed = this.servers.filter(({ server }) => this.#listedIds.has(server.id));
     const removedIds = [...this.#unlistedIds];
     return [
@@ -143,11 +143,11 @@
     handles: Map<string, string>,
   ): Promise<void> {
     const { random, observer, traits } = this.#options;
-    const noteStage = () => this.list(pooled);
+    const onStageChange = () => this.list(pooled);
     const pace = traits.paces[this.servers.length] ?? 1;
-    const slots = stage === undefined ? traits.webSlots : PLAIN_SLOTS;
+    const slots = stage === undefined ? traits.webSlots : DEFAULT_SLOTS;
     const made = { service, stage, slots, pace };
-    const server = new ModelServer({ ...made, handles, random, observer, noteStage });
+    const server = new ModelServer({ ...made, handles, random, observer, onStageChange });
     const link = new LinkProxy(() => server.port);
     const zone = ZONES[this.servers.length % ZONES.length] ?? ZONES[0];
     const pooled: PooledServer = { server, link, zone, isDraining: false, isLeaving: false };
--- a/src/lab/commands/compare-command.ts
+++ b/src/lab/commands/compare-command.ts
@@ -32,7 +32,7 @@
   stretch = Option.String('--stretch', '1', { description: 'factor on the durations of phases' });
   json = Option.Boolean('--json', false, { description: 'print one JSON line' });
 
-  protected override async carryOut(): Promise<number> {
+  protected override async runCommand(): Promise<number> {
     const scenario = scenarioOption(this.scenario);
     const stretch = numberOption('--stretch', this.stretch, MIN_STRETCH, MAX_STRETCH);
     const count = numberOption('--seeds', this.seeds, 1, MAX_SEEDS);
--- a/src/lab/commands/demo-command.ts
+++ b/src/lab/commands/demo-command.ts
@@ -11,9 +11,9 @@
   type ShiftReport,
   violations,
 } from '../fleet/index.js';
-import { stretched } from '../workload/index.js';
+import { withScaledDurations } from '../workload/index.js';
 import { EXIT_DONE, EXIT_FAILED } from './exit-codes.js';
-import { aborted, fleetPath, interruption } from './fleet-options.js';
+import { aborted, createInterruptSignal, fleetPath } from './fleet-options.js';
 import { LabCommand } from './lab-command.js';
 import { numberOption } from './options.js';
 import { ProgressWriter } from './progress.js';
@@ -48,10 +48,10 @@
   });
   logs = Option.String('--logs', { description: 'folder for the logs of all processes' });
 
-  private readonly interrupted = interruption();
+  private readonly interrupted = createInterruptSignal();
   private brokenOff = false;
 
-  protected override async carryOut(): Promise<number> {
+  protected override async runCommand(): Promise<number> {
     const stretch = numberOption('--stretch', this.stretch, 0.01, MAX_STRETCH);
     const maxRetries = numberOption('--retries', this.retries, 0, MAX_RETRIES);
     const definition = loadFleet(fleetPath(this.fleet));
@@ -66,11 +66,11 @@
       await fleet.start();
       progress.line(addressesText(fleet));
       report = await runShift(fleet, {
-        workload: stretched(definition.workload, stretch),
+        workload: withScaledDurations(definition.workload, stretch),
         maxRetries,
         signal: this.interrupted,
         onProgress: (state) => progress.update(progressLine(state)),
-        progressEveryMs: progress.everyMs,
+        progressEveryMs: progress.intervalMs,
       });
       this.brokenOff = this.interrupted.aborted;
       this.print(fleet, report);
--- a/src/lab/commands/engine-command.ts
+++ b/src/lab/commands/engine-command.ts
@@ -4,9 +4,9 @@
 import { ACCELERATORS, type AcceleratorName, createEngineServer } from '../engine/index.js';
 import { EXIT_DONE } from './exit-codes.js';
 import { LabCommand } from './lab-command.js';
-import { machineList } from './machine-list-option.js';
+import { DEFAULT_LEAVE_NOTICE_MS, runListedMachine } from './listed-machine.js';
+import { machineListOption } from './machine-list-option.js';
 import { choiceOption, endpointOption, numberOption } from './options.js';
-import { DEFAULT_LEAVE_NOTICE_MS, runListed } from './part.js';
 
 const ROLES = ['prefill', 'decode', 'mixed'] as const;
 const ACCELERATOR_NAMES = Object.keys(ACCELERATORS) as AcceleratorName[];
@@ -63,7 +63,7 @@
     description: 'how long requests are still accepted after SIGTERM',
   });
 
-  protected override async carryOut(): Promise<number> {
+  protected override async runCommand(): Promise<number> {
     const server = await createEngineServer({
       listen: endpointOption('--listen', this.listen),
       name: this.engineName,
@@ -85,9 +85,9 @@
       ...(this.pool === undefined ? {} : { pool: this.pool }),
       ...server.endpoint,
     };
-    await runListed(this.context.stdout, {
+    await runListedMachine(this.context.stdout, {
       machine,
-      list: machineList(this.platform),
+      list: machineListOption(this.platform),
       leaveNoticeMs: numberOption('--leave-notice-ms', this.leaveNoticeMs, 0, MAX_NOTICE_MS),
       markLeaving: () => server.model.setLeaving(true),
       active: () => server.model.report(performance.now()).activeRequests,
--- a/src/lab/commands/fleet-command.ts
+++ b/src/lab/commands/fleet-command.ts
@@ -2,7 +2,7 @@
 import { Command, Option } from 'clipanion';
 import { addressesText, loadFleet, RunningFleet } from '../fleet/index.js';
 import { EXIT_DONE, EXIT_FAILED } from './exit-codes.js';
-import { aborted, fleetPath, interruption } from './fleet-options.js';
+import { aborted, createInterruptSignal, fleetPath } from './fleet-options.js';
 import { LabCommand } from './lab-command.js';
 import { ProgressWriter } from './progress.js';
 
@@ -16,8 +16,8 @@
 
   fleet = Option.String('--fleet', 'scanhuis', { description: 'scanhuis, roasting or a file' });
 
-  protected override async carryOut(): Promise<number> {
-    const interrupted = interruption();
+  protected override async runCommand(): Promise<number> {
+    const interrupted = createInterruptSignal();
     const progress = new ProgressWriter(process.stderr);
     const fleet = new RunningFleet(loadFleet(fleetPath(this.fleet)), {
       logFolder: null,
--- a/src/lab/commands/fleet-options.ts
+++ b/src/lab/commands/fleet-options.ts
@@ -16,7 +16,7 @@
 }
 
 /** A signal that aborts at the first SIGINT or SIGTERM; a second one exits the process at once. */
-export function interruption(): AbortSignal {
+export function createInterruptSignal(): AbortSignal {
   const controller = new AbortController();
   const onSignal = (): void => {
     if (controller.signal.aborted) process.exit(1);
--- a/src/lab/commands/hollow-command.ts
+++ b/src/lab/commands/hollow-command.ts
@@ -5,8 +5,8 @@
 import { startHollowEngines } from '../hollow/hollow-engines.js';
 import { EXIT_DONE } from './exit-codes.js';
 import { LabCommand } from './lab-command.js';
+import { waitForStopSignal } from './listed-machine.js';
 import { choiceOption, endpointOption, numberOption } from './options.js';
-import { stopSignal } from './part.js';
 
 const KINDS = ['daemons', 'engines'] as const;
 const MAX_COUNT = 1_000;
@@ -33,7 +33,7 @@
   zones = Option.String('--zones', '5', { description: 'number of zones they are spread over' });
   models = Option.String('--models', '4', { description: 'number of models of the engines' });
 
-  protected override async carryOut(): Promise<number> {
+  protected override async runCommand(): Promise<number> {
     const shared = {
       platform: endpointOption('--platform', this.platform),
       first: numberOption('--first', this.first, 0, MAX_COUNT),
@@ -44,7 +44,7 @@
       const models = numberOption('--models', this.models, 1, MAX_COUNT);
       const servers = await startHollowEngines({ ...shared, models });
       this.printReady({ engines: servers.map((server) => server.endpoint) });
-      await stopSignal();
+      await waitForStopSignal();
       await Promise.all(servers.map((server) => server.close()));
       return EXIT_DONE;
     }
@@ -54,7 +54,7 @@
       operators: hollow.daemons.map((daemon) => daemon.operators),
       callers: hollow.daemons.map((daemon) => daemon.callers),
     });
-    await stopSignal();
+    await waitForStopSignal();
     hollow.close();
     return EXIT_DONE;
   }
--- a/src/lab/commands/part.ts
+++ b/src/lab/commands/listed-machine.ts
@@ -21,7 +21,7 @@
 }
 
 /** Resolves at the first stop signal. A second one ends the process at once, by the default action. */
-export function stopSignal(): Promise<StopSignal> {
+export function waitForStopSignal(): Promise<StopSignal> {
   return new Promise((resolve) => {
     const stop = (name: NodeJS.Signals): void => {
       for (const signal of STOP_SIGNALS) process.off(signal, stop);
@@ -45,11 +45,11 @@
 }
 
 /** Runs a listed machine until a stop signal; on SIGTERM it drains before it returns. */
-export async function runListed(stdout: Writable, listed: ListedMachine): Promise<void> {
+export async function runListedMachine(stdout: Writable, listed: ListedMachine): Promise<void> {
   const { machine, list } = listed;
   await list?.put(machine);
   printReady(stdout, machine);
-  if ((await stopSignal()) === 'SIGTERM') {
+  if ((await waitForStopSignal()) === 'SIGTERM') {
     listed.markLeaving();
     await list?.put({ ...machine, state: 'leaving' }).catch(() => undefined);
     await wait(listed.leaveNoticeMs);
--- a/src/lab/commands/load-command.ts
+++ b/src/lab/commands/load-command.ts
@@ -2,9 +2,9 @@
 import { Command, Option, UsageError } from 'clipanion';
 import { loadWorkload, progressLine } from '../fleet/index.js';
 import { Load, OUTCOME_KINDS } from '../load/index.js';
-import { stretched } from '../workload/index.js';
+import { withScaledDurations } from '../workload/index.js';
 import { EXIT_DONE, EXIT_FAILED, EXIT_UNREACHABLE } from './exit-codes.js';
-import { interruption } from './fleet-options.js';
+import { createInterruptSignal } from './fleet-options.js';
 import { LabCommand } from './lab-command.js';
 import { endpointOption, numberOption } from './options.js';
 import { ProgressWriter } from './progress.js';
@@ -40,18 +40,18 @@
     description: 'retries per request after a refusal with Retry-After',
   });
 
-  protected override async carryOut(): Promise<number> {
+  protected override async runCommand(): Promise<number> {
     if (this.targets.length === 0) throw new UsageError('--target: give at least one daemon.');
     const progress = new ProgressWriter(process.stderr);
     const load = new Load({
       workload: this.readWorkload(),
       targets: this.targets.map((target) => endpointOption('--target', target)),
       maxRetries: numberOption('--retries', this.retries, 0, MAX_RETRIES),
-      patienceMs: MAX_FINAL_WAIT_MS,
-      signal: interruption(),
+      finalTimeoutMs: MAX_FINAL_WAIT_MS,
+      signal: createInterruptSignal(),
     });
     const show = (): void => progress.update(progressLine(load.progress()));
-    const ticker = setInterval(show, progress.everyMs);
+    const ticker = setInterval(show, progress.intervalMs);
     const report = await load.run();
     clearInterval(ticker);
     this.context.stdout.write(`${JSON.stringify(report)}\n`);
@@ -64,7 +64,7 @@
 
   private readWorkload() {
     const stretch = numberOption('--stretch', this.stretch, 0.01, MAX_STRETCH);
-    const workload = stretched(loadWorkload(this.workload), stretch);
+    const workload = withScaledDurations(loadWorkload(this.workload), stretch);
     if (this.seed === undefined) return workload;
     return { ...workload, seed: numberOption('--seed', this.seed, 0, 0x7fffffff) };
   }
--- a/src/lab/commands/machine-list-option.ts
+++ b/src/lab/commands/machine-list-option.ts
@@ -3,7 +3,7 @@
 import { endpointOption } from './options.js';
 
 /** Access to the machine list of the platform given by `--platform`; null without the flag. */
-export function machineList(platform: string | undefined): MachineRegistration | null {
+export function machineListOption(platform: string | undefined): MachineRegistration | null {
   if (platform === undefined) return null;
   return new MachineRegistration(endpointOption('--platform', platform));
 }
--- a/src/lab/commands/platform-command.ts
+++ b/src/lab/commands/platform-command.ts
@@ -3,8 +3,8 @@
 import { createPlatformServer, DEFAULT_PLATFORM_OPTIONS } from '../platform/index.js';
 import { EXIT_DONE } from './exit-codes.js';
 import { LabCommand } from './lab-command.js';
+import { printReady, waitForStopSignal } from './listed-machine.js';
 import { endpointOption, numberOption } from './options.js';
-import { printReady, stopSignal } from './part.js';
 
 const MAX_RATE = 1_000_000;
 const MAX_LAG_MS = 600_000;
@@ -34,14 +34,14 @@
     description: 'delay of changes to the machine list',
   });
 
-  protected override async carryOut(): Promise<number> {
+  protected override async runCommand(): Promise<number> {
     const listen = endpointOption('--listen', this.listen);
     const server = await createPlatformServer(listen, {
       limits: { ...DEFAULT_PLATFORM_OPTIONS.limits, table: this.tableLimit() },
       machineLagMs: this.lag(),
     });
     printReady(this.context.stdout, server);
-    await stopSignal();
+    await waitForStopSignal();
     await server.close();
     return EXIT_DONE;
   }
--- a/src/lab/commands/progress.ts
+++ b/src/lab/commands/progress.ts
@@ -15,7 +15,7 @@
   }
 
   /** The interval at which to write progress. */
-  get everyMs(): number {
+  get intervalMs(): number {
     return this.isTerminal ? TERMINAL_INTERVAL_MS : DEFAULT_INTERVAL_MS;
   }
 
--- a/src/lab/commands/run-command.ts
+++ b/src/lab/commands/run-command.ts
@@ -35,7 +35,7 @@
     description: 'print one JSON line, time series included',
   });
 
-  protected override async carryOut(): Promise<number> {
+  protected override async runCommand(): Promise<number> {
     const seed = numberOption('--seed', this.seed, 0, MAX_SEED);
     const stretch = numberOption('--stretch', this.stretch, MIN_STRETCH, MAX_STRETCH);
     const scenario = scenarioOption(this.scenario);
--- a/src/lab/commands/scale-command.ts
+++ b/src/lab/commands/scale-command.ts
@@ -50,7 +50,7 @@
   measureSeconds = Option.String('--measure', '20', { description: 'seconds of measuring' });
   json = Option.Boolean('--json', false, { description: 'print JSON' });
 
-  protected override async carryOut(): Promise<number> {
+  protected override async runCommand(): Promise<number> {
     const daemons = sizes('--daemons', this.daemons, MAX_DAEMONS);
     const engines = sizes('--engines', this.engines, MAX_ENGINES);
     if (daemons.length !== engines.length) {
--- a/src/lab/commands/web-command.ts
+++ b/src/lab/commands/web-command.ts
@@ -4,9 +4,9 @@
 import { createWebBackendServer } from '../web/index.js';
 import { EXIT_DONE } from './exit-codes.js';
 import { LabCommand } from './lab-command.js';
-import { machineList } from './machine-list-option.js';
+import { DEFAULT_LEAVE_NOTICE_MS, runListedMachine } from './listed-machine.js';
+import { machineListOption } from './machine-list-option.js';
 import { endpointOption, numberOption } from './options.js';
-import { DEFAULT_LEAVE_NOTICE_MS, runListed } from './part.js';
 
 const MAX_SERVICE_MS = 3_000;
 
@@ -44,7 +44,7 @@
     description: 'how long requests are still accepted after SIGTERM',
   });
 
-  protected override async carryOut(): Promise<number> {
+  protected override async runCommand(): Promise<number> {
     const server = await createWebBackendServer({
       listen: endpointOption('--listen', this.listen),
       name: this.machineName,
@@ -58,9 +58,9 @@
       service: this.service,
       ...server.endpoint,
     };
-    await runListed(this.context.stdout, {
+    await runListedMachine(this.context.stdout, {
       machine,
-      list: machineList(this.platform),
+      list: machineListOption(this.platform),
       leaveNoticeMs: numberOption('--leave-notice-ms', this.leaveNoticeMs, 0, MAX_NOTICE_MS),
       markLeaving: () => server.leave(),
       // The default notice exceeds the maximum service time, so no request runs when the notice ends.
--- a/src/lab/common/span-histogram.ts
+++ b/src/lab/common/duration-histogram.ts
@@ -13,7 +13,7 @@
 }
 
 /** A histogram of durations. */
-export class SpanHistogram {
+export class DurationHistogram {
   readonly #histogram: Histogram = build({
     lowestDiscernibleValue: 1,
     numberOfSignificantValueDigits: 3,
--- a/src/lab/engine/batch-executor.ts
+++ b/src/lab/engine/batch-executor.ts
@@ -21,9 +21,9 @@
 
 /** Receives the executor's outputs and load changes. */
 export interface ExecutorListener {
-  readonly emit: (output: EngineOutput) => void;
+  readonly onOutput: (output: EngineOutput) => void;
   /** Called after a change of the load, with the time of the change. */
-  readonly changed: (at: number) => void;
+  readonly onLoadChange: (at: number) => void;
 }
 
 /** Executes requests that `EngineModel` has admitted; does no admission checks of its own. */
@@ -45,7 +45,7 @@
     this.#listener = listener;
     this.#kvCapacity = settings.kvCapacityTokens ?? settings.profile.kvCapacityTokens;
     this.#chunkTokens = settings.prefillChunkTokens;
-    this.#handles = new KvHandles(settings.boot, settings.kvHandleLifeMs);
+    this.#handles = new KvHandles(settings.boot, settings.kvHandleTtlMs);
     this.#cache = new PrefixCache(settings.prefixCacheBlocks);
     this.#batch = new Batch(settings.maxBatch, {
       available: () => this.#kvCapacity - this.#handles.tokens,
@@ -63,7 +63,7 @@
   }
 
   /** Whether the waiting queue has a free slot. */
-  get hasQueueRoom(): boolean {
+  get hasQueueCapacity(): boolean {
     return this.#batch.waiting.length < this.#settings.maxQueue;
   }
 
@@ -89,7 +89,7 @@
 
   /** Estimated time to prefill all queued tokens, for `Retry-After`. */
   get retryAfterSeconds(): number {
-    return this.#steps.secondsToRead(this.#batch.queuedPrefillTokens());
+    return this.#steps.prefillSeconds(this.#batch.queuedPrefillTokens());
   }
 
   /** Queues a request. A completion with no output tokens left finishes immediately. */
@@ -100,7 +100,7 @@
     }
     this.#batch.add(sequence);
     this.#beginStep(now);
-    this.#listener.changed(now);
+    this.#listener.onLoadChange(now);
   }
 
   /** Removes a request; returns false if it is not active. */
@@ -108,7 +108,7 @@
     const sequence = this.#batch.find(attempt);
     if (sequence === undefined) return false;
     this.#batch.remove(sequence);
-    this.#listener.changed(now);
+    this.#listener.onLoadChange(now);
     return true;
   }
 
@@ -123,11 +123,11 @@
   /** Cuts all active requests and frees their KV memory and all KV handles. */
   cutAll(now: number): void {
     for (const { attempt } of this.#batch.clear()) {
-      this.#listener.emit({ kind: 'cut', at: now, attempt });
+      this.#listener.onOutput({ kind: 'cut', at: now, attempt });
     }
     this.#step = null;
     this.#handles.clear();
-    this.#listener.changed(now);
+    this.#listener.onLoadChange(now);
   }
 
   /** Clears the prefix cache. */
@@ -143,7 +143,7 @@
     this.#steps.observe(step.plan, step.durationMs);
     for (const work of step.plan.work) this.#endWork(step.endsAt, work);
     this.#beginStep(step.endsAt);
-    this.#listener.changed(step.endsAt);
+    this.#listener.onLoadChange(step.endsAt);
   }
 
   /** Published cache events after number `after`. */
@@ -168,7 +168,7 @@
     while (freeTokens() < held.prompt.tokens && this.#handles.releaseOldest());
     if (freeTokens() < held.prompt.tokens) return null;
     const handle = this.#handles.hold(now, held);
-    this.#listener.changed(now);
+    this.#listener.onLoadChange(now);
     return handle;
   }
 
@@ -223,7 +223,7 @@
   #write(at: number, sequence: Sequence): void {
     if (sequence.streamed) {
       const { attempt, offset, prompt } = sequence;
-      this.#listener.emit({ kind: 'token', at, attempt, offset, digest: prompt.digest });
+      this.#listener.onOutput({ kind: 'token', at, attempt, offset, digest: prompt.digest });
     }
     sequence.offset += 1;
     if (sequence.offset === sequence.endOffset) this.#finish(at, sequence);
@@ -233,7 +233,7 @@
     this.#batch.remove(sequence);
     const { attempt, prompt, endOffset: completionTokens } = sequence;
     const promptTokens = prompt.tokens;
-    this.#listener.emit({ kind: 'finished', at, attempt, promptTokens, completionTokens });
+    this.#listener.onOutput({ kind: 'finished', at, attempt, promptTokens, completionTokens });
   }
 
   #finishPrefill(at: number, sequence: Sequence): void {
@@ -242,7 +242,7 @@
     const kvHandle = this.#handles.hold(at, { prompt, version, name });
     const kvBytes = prompt.tokens * KV_BYTES_PER_TOKEN;
     const promptTokens = prompt.tokens;
-    this.#listener.emit({ kind: 'prefilled', at, attempt, kvHandle, promptTokens, kvBytes });
+    this.#listener.onOutput({ kind: 'prefilled', at, attempt, kvHandle, promptTokens, kvBytes });
   }
 }
 
--- a/src/lab/engine/engine-model.ts
+++ b/src/lab/engine/engine-model.ts
@@ -46,8 +46,8 @@
     this.#inventory = new Inventory(settings.role, settings.models);
     this.#orders = new OrderBook(settings.boot);
     this.#executor = new BatchExecutor(settings, () => uniformFloat64(random), {
-      emit: (output) => this.#outputs.push(output),
-      changed: (at) => this.#history.record(at, this.#executor.sample()),
+      onOutput: (output) => this.#outputs.push(output),
+      onLoadChange: (at) => this.#history.record(at, this.#executor.sample()),
     });
     this.#history = new LoadHistory(settings.reportLagMs, startedAt, this.#executor.sample());
     this.#adoptRole();
@@ -201,7 +201,7 @@
     request: EngineRequest,
     resolved: ResolvedModel,
   ): EngineAcceptance | EngineRefusal {
-    if (!this.#executor.hasQueueRoom) return refuseFull(this.#executor.retryAfterSeconds);
+    if (!this.#executor.hasQueueCapacity) return refuseFull(this.#executor.retryAfterSeconds);
     const handle = request.work.kind === 'completion' ? request.work.kvHandle : null;
     const held = handle === null ? null : this.#executor.readHandle(now, handle);
     if (handle !== null && !isHandleOf(held, request.name, resolved)) {
--- a/src/lab/engine/http/answers.ts
+++ b/src/lab/engine/http/answers.ts
@@ -74,7 +74,7 @@
 }
 
 /** The body of a non-streamed answer. */
-export function wholeAnswer(identity: AnswerIdentity, text: string, usage: Usage): unknown {
+export function nonStreamedBody(identity: AnswerIdentity, text: string, usage: Usage): unknown {
   const choice = identity.chat
     ? { message: { role: 'assistant', content: text } }
     : { text, logprobs: null };
--- a/src/lab/engine/http/completions.ts
+++ b/src/lab/engine/http/completions.ts
@@ -4,12 +4,12 @@
 import { describePrompt, tokenAt } from '../tokens.js';
 import {
   type AnswerIdentity,
+  nonStreamedBody,
   sendInvalid,
   sendJson,
   sendRefusal,
   sendWrongLength,
   type Usage,
-  wholeAnswer,
 } from './answers.js';
 import {
   type CompletionBody,
@@ -108,8 +108,13 @@
   fault: AnswerFault | null,
 ): StreamWriter {
   const setPaused = (paused: boolean): void => host.setPaused(identity.attempt, paused);
-  const giveBack = (unusedFault: AnswerFault): void => host.faults.giveBack(unusedFault);
-  return new StreamWriter(response, identity, { setPaused, crash: host.crash, giveBack }, fault);
+  const giveBack = (unusedFault: AnswerFault): void => host.faults.rearm(unusedFault);
+  return new StreamWriter(
+    response,
+    identity,
+    { setPaused, crash: host.crash, rearm: giveBack },
+    fault,
+  );
 }
 
 function workOf({ kind, headers, body }: CheckedRequest): EngineWork {
@@ -154,7 +159,7 @@
     tokenAt(acceptance.prompt.digest, resumeOffset + index),
   ).join('');
   const headers = { 'x-threadfork-attempt': identity.attempt };
-  const body = wholeAnswer(identity, text, usage);
+  const body = nonStreamedBody(identity, text, usage);
   if (fault?.kind === 'wrong-length') sendWrongLength(response, body, headers, fault.byBytes);
   else sendJson(response, 200, body, headers);
 }
--- a/src/lab/engine/http/engine-host.ts
+++ b/src/lab/engine/http/engine-host.ts
@@ -5,7 +5,7 @@
 import { EngineModel } from '../engine-model.js';
 import type { EngineModelOptions } from '../options.js';
 import type { EngineAcceptance, EngineOutput, EngineRefusal, EngineRequest } from '../outputs.js';
-import { FaultBoard } from './faults.js';
+import { ArmedFaults } from './faults.js';
 import { Ledger } from './ledger.js';
 
 /** Options of the engine without its boot id, which each start generates. */
@@ -17,7 +17,7 @@
 /** One emulated engine process: a restart replaces the model and keeps ledger and armed faults. */
 export class EngineHost {
   readonly ledger = new Ledger();
-  readonly faults = new FaultBoard();
+  readonly faults = new ArmedFaults();
   /** Crashes the process, which restarts after `downMs`. */
   readonly crash: (downMs: number) => void;
   readonly #options: EngineHostOptions;
@@ -59,7 +59,7 @@
   submit(request: EngineRequest, listener: OutputListener): EngineAcceptance | EngineRefusal {
     const answer = this.#model.submit(this.advance(), request);
     if (answer.kind === 'accepted') {
-      this.ledger.accepted(request.attempt, this.#model.boot);
+      this.ledger.recordAccepted(request.attempt, this.#model.boot);
       this.#listeners.set(request.attempt, listener);
     }
     // Schedules delivery instead of delivering here: the caller must see the acceptance first.
@@ -72,7 +72,7 @@
     if (!this.#listeners.has(attempt)) return false;
     const cancelled = this.#model.cancel(this.advance(), attempt);
     if (cancelled) {
-      this.ledger.ended(attempt, 'cancelled');
+      this.ledger.recordEnded(attempt, 'cancelled');
       this.#listeners.delete(attempt);
     }
     this.#schedule();
@@ -118,7 +118,7 @@
     if (this.#crashTimer !== null) clearTimeout(this.#crashTimer);
     this.#timer = null;
     this.#crashTimer = null;
-    for (const attempt of this.#listeners.keys()) this.ledger.ended(attempt, 'lost');
+    for (const attempt of this.#listeners.keys()) this.ledger.recordEnded(attempt, 'lost');
     this.#listeners.clear();
   }
 
@@ -154,7 +154,7 @@
     if (listener === undefined) return;
     if (output.kind !== 'token') {
       this.#listeners.delete(output.attempt);
-      this.ledger.ended(output.attempt, output.kind === 'cut' ? 'cut' : 'finished');
+      this.ledger.recordEnded(output.attempt, output.kind === 'cut' ? 'cut' : 'finished');
     }
     listener(output);
   }
--- a/src/lab/engine/http/faults.ts
+++ b/src/lab/engine/http/faults.ts
@@ -44,7 +44,7 @@
 export type EngineFault = AnswerFault | OrderFault;
 
 /** The armed faults, oldest first. */
-export class FaultBoard {
+export class ArmedFaults {
   #answers: AnswerFault[] = [];
   #orders: OrderFault[] = [];
 
@@ -57,7 +57,7 @@
   }
 
   /** Puts a fault back at the front because its answer ended before the fault was injected. */
-  giveBack(fault: AnswerFault): void {
+  rearm(fault: AnswerFault): void {
     this.#answers.unshift(fault);
   }
 
--- a/src/lab/engine/http/ledger.ts
+++ b/src/lab/engine/http/ledger.ts
@@ -24,7 +24,7 @@
   readonly #counts = { active: 0, finished: 0, cancelled: 0, cut: 0, lost: 0 };
 
   /** Records an accepted request. */
-  accepted(attempt: string, boot: string): void {
+  recordAccepted(attempt: string, boot: string): void {
     this.#counts.active += 1;
     this.#entries.delete(attempt);
     this.#entries.set(attempt, { attempt, boot, outcome: 'active' });
@@ -34,7 +34,7 @@
   }
 
   /** Records how a request ended. */
-  ended(attempt: string, outcome: Exclude<LedgerOutcome, 'active'>): void {
+  recordEnded(attempt: string, outcome: Exclude<LedgerOutcome, 'active'>): void {
     this.#counts.active -= 1;
     this.#counts[outcome] += 1;
     const entry = this.#entries.get(attempt);
--- a/src/lab/engine/http/stream-writer.ts
+++ b/src/lab/engine/http/stream-writer.ts
@@ -10,7 +10,7 @@
   /** Crashes the engine, which restarts after `downMs`. */
   readonly crash: (downMs: number) => void;
   /** Rearms a fault that was not injected. */
-  readonly giveBack: (fault: AnswerFault) => void;
+  readonly rearm: (fault: AnswerFault) => void;
 }
 
 /** One answer in server-sent events. */
@@ -67,7 +67,7 @@
     this.#sendLate();
     this.#ended = true;
     // A resumed stream may be too short to reach `afterTokens`; the test that armed the fault waits for its injection.
-    if (this.#fault !== null && !this.#wasInjected) this.#engine.giveBack(this.#fault);
+    if (this.#fault !== null && !this.#wasInjected) this.#engine.rearm(this.#fault);
     this.#send(endFrames(this.#identity, usage));
     if (this.#held === null) this.#response.end();
   }
--- a/src/lab/engine/options.ts
+++ b/src/lab/engine/options.ts
@@ -26,7 +26,7 @@
   readonly cacheEventLoss: number;
   readonly roleChangeMs: number;
   readonly loadMs: number;
-  readonly kvHandleLifeMs: number;
+  readonly kvHandleTtlMs: number;
   /** Maximum relative deviation of a step's duration; drawn from the seeded generator. */
   readonly stepJitter: number;
 }
@@ -64,7 +64,7 @@
   cacheEventLoss: 0.02,
   roleChangeMs: 4_000,
   loadMs: 6_000,
-  kvHandleLifeMs: 30_000,
+  kvHandleTtlMs: 30_000,
   stepJitter: 0.05,
 };
 
--- a/src/lab/engine/step-clock.ts
+++ b/src/lab/engine/step-clock.ts
@@ -49,7 +49,7 @@
   }
 
   /** Estimated time to prefill the tokens, in whole seconds, at least 1. */
-  secondsToRead(tokens: number): number {
+  prefillSeconds(tokens: number): number {
     const { profile, speedFactor } = this.#settings;
     const readMs = (tokens * profile.prefillMsPerToken) / speedFactor;
     return Math.max(1, Math.ceil(readMs / MS_PER_SECOND));
--- a/src/lab/experiment/measurements.ts
+++ b/src/lab/experiment/measurements.ts
@@ -3,7 +3,7 @@
 import type { Milliseconds } from '../../core/common/time.js';
 import type { ChangeOutcome } from '../../core/configuration/index.js';
 import type { Order, OrderAnswer } from '../../core/orders/index.js';
-import { SpanHistogram } from '../common/span-histogram.js';
+import { DurationHistogram } from '../common/duration-histogram.js';
 import type {
   BrokenPromise,
   CallerOutcome,
@@ -32,10 +32,10 @@
 
 /** The measurements of one run, in virtual time. Forwards every event to the oracle. */
 export class Measurements implements FleetObserver {
-  readonly firstTokens = new SpanHistogram();
-  readonly tokenGaps = new SpanHistogram();
-  readonly intervalFirstTokens = new SpanHistogram();
-  readonly intervalTokenGaps = new SpanHistogram();
+  readonly firstTokens = new DurationHistogram();
+  readonly tokenGaps = new DurationHistogram();
+  readonly intervalFirstTokens = new DurationHistogram();
+  readonly intervalTokenGaps = new DurationHistogram();
   readonly codes: Record<string, number> = {};
   readonly endings: Record<Ending, number> = {
     finished: 0,
--- a/src/lab/experiment/policies.ts
+++ b/src/lab/experiment/policies.ts
@@ -1,6 +1,7 @@
 /** The policies of experiments, by their names on the command line. */
-import { bestFixedSplit, oraclePolicy, thresholdPolicy } from './bounds.js';
+
 import { fixedSplit, PLANNER, type RolePolicy } from './policy.js';
+import { bestFixedSplit, oraclePolicy, thresholdPolicy } from './reference-policies.js';
 import type { Scenario } from './scenario-file.js';
 
 const FIXED_SPLIT = /^fixed:(\d{1,4})p(\d{1,4})d$/;
--- a/src/lab/experiment/result.ts
+++ b/src/lab/experiment/result.ts
@@ -1,6 +1,6 @@
 /** The measurements of one run of a scenario. */
 import type { Milliseconds } from '../../core/common/time.js';
-import type { Percentiles } from '../common/span-histogram.js';
+import type { Percentiles } from '../common/duration-histogram.js';
 
 /** The number of engines in each role at one time. `away`: busy with an order, or down. */
 export interface RoleCounts {
--- a/src/lab/experiment/run.ts
+++ b/src/lab/experiment/run.ts
@@ -6,14 +6,20 @@
 import { type IntentRow, intentKey } from '../../core/orders/index.js';
 import { DEFAULT_POOL, type EngineReport } from '../../core/registry/backend.js';
 import { Oracle, SimulatedFleet } from '../simulation/index.js';
-import { type Arrival, arrivals, Random, stretched, type Workload } from '../workload/index.js';
-import { Course } from './course.js';
+import {
+  type Arrival,
+  arrivals,
+  Random,
+  type Workload,
+  withScaledDurations,
+} from '../workload/index.js';
 import { engineModels, fleetEngines } from './engines.js';
 import { Measurements } from './measurements.js';
 import type { PolicyEngine, RolePolicy, Roles } from './policy.js';
 import { RequestFactory } from './requests.js';
 import type { ExperimentResult } from './result.js';
 import type { Scenario } from './scenario-file.js';
+import { RunTimeSeries } from './time-series.js';
 
 /** The options of a run. */
 export interface ExperimentOptions {
@@ -45,7 +51,7 @@
   readonly #engines: readonly PolicyEngine[];
   readonly #fleet: SimulatedFleet;
   readonly #measurements: Measurements;
-  readonly #timeSeries: Course;
+  readonly #timeSeries: RunTimeSeries;
   readonly #requests: RequestFactory;
   readonly #document: ConfigurationDocument;
   readonly #callerRandom: Random;
@@ -58,7 +64,10 @@
     const { scenario, seed, policy } = options;
     const { definition, configuration } = scenario.fleet;
     this.#options = options;
-    this.#workload = stretched({ ...scenario.definition.workload, seed }, options.stretch ?? 1);
+    this.#workload = withScaledDurations(
+      { ...scenario.definition.workload, seed },
+      options.stretch ?? 1,
+    );
     this.#engines = definition.engines;
     const initial = policy.initialRoles(this.#engines);
     this.#roles = initial ?? new Map();
@@ -71,10 +80,10 @@
       { seed, daemons: definition.daemons, engines: fleetEngines(scenario, this.#roles) },
       this.#measurements,
     );
-    this.#timeSeries = new Course(this.#fleet, this.#measurements);
-    oracle.watch({
+    this.#timeSeries = new RunTimeSeries(this.#fleet, this.#measurements);
+    oracle.attach({
       now: () => this.#fleet.clock.now,
-      epochInTable: () => this.#epoch(),
+      storedEpoch: () => this.#epoch(),
       intendedOrder: (engine) => this.#intendedOrder(engine),
     });
   }
@@ -109,7 +118,7 @@
     const scheduleNext = (): void => {
       const next = pending.next();
       if (next.done === true) return;
-      this.#fleet.clock.at(this.#startedAt + next.value.atMs, () => {
+      this.#fleet.clock.scheduleAt(this.#startedAt + next.value.atMs, () => {
         this.#send(next.value);
         scheduleNext();
       });
@@ -128,7 +137,10 @@
 
   #decide(atMs: Milliseconds): void {
     const reports = this.#reports();
-    const { arrivedPromptTokens, arrivedOutputTokens } = this.#timeSeries.take(atMs, reports);
+    const { arrivedPromptTokens, arrivedOutputTokens } = this.#timeSeries.recordPoint(
+      atMs,
+      reports,
+    );
     const { policy } = this.#options;
     const observation = { atMs, reports, arrivedPromptTokens, arrivedOutputTokens };
     const wanted = policy.decide?.(this.#engines, observation);
--- a/src/lab/experiment/course.ts
+++ b/src/lab/experiment/time-series.ts
@@ -9,7 +9,7 @@
 const SHOWN_PERCENTILE = 95;
 
 /** Collects the points of a run. */
-export class Course {
+export class RunTimeSeries {
   readonly points: CoursePoint[] = [];
   #lastAtMs = 0;
 
@@ -19,7 +19,7 @@
   ) {}
 
   /** Records the point at `atMs` after the run's start; returns the counts since the last point. */
-  take(atMs: Milliseconds, reports: readonly EngineReport[]): IntervalCounts {
+  recordPoint(atMs: Milliseconds, reports: readonly EngineReport[]): IntervalCounts {
     const { measurements } = this;
     const firstTokenMs = measurements.intervalFirstTokens.at(SHOWN_PERCENTILE);
     const betweenTokensMs = measurements.intervalTokenGaps.at(SHOWN_PERCENTILE);
--- a/src/lab/fleet/order-check.ts
+++ b/src/lab/fleet/order-check.ts
@@ -27,7 +27,7 @@
   private readonly outcomes = new Map<string, Outcome>();
 
   /** Records the final outcome of a request if it is an order. */
-  note({ request }: Arrival, outcome: Outcome): void {
+  recordOutcome({ request }: Arrival, outcome: Outcome): void {
     if (request.kind === 'web-order') this.outcomes.set(request.requestKey, outcome);
   }
 
--- a/src/lab/fleet/until.ts
+++ b/src/lab/fleet/poll-until.ts
@@ -13,7 +13,7 @@
 }
 
 /** Polls until the result is not null; rejects on a time-out or an abort. A failed poll is retried. */
-export async function until<T>(
+export async function pollUntil<T>(
   poll: () => Promise<T | null>,
   { what, timeoutMs, signal }: UntilOptions,
 ): Promise<T> {
--- a/src/lab/fleet/report-text.ts
+++ b/src/lab/fleet/report-text.ts
@@ -1,6 +1,6 @@
 /** The progress line and the result table of a shift, as text for the terminal. */
 import { formatEndpoint } from '../../shell/settings/index.js';
-import type { Percentiles } from '../common/span-histogram.js';
+import type { Percentiles } from '../common/duration-histogram.js';
 import { type LoadProgress, OUTCOME_KINDS } from '../load/index.js';
 import type { RunningFleet } from './running-fleet.js';
 import type { ShiftReport } from './shift.js';
--- a/src/lab/fleet/role-watch.ts
+++ b/src/lab/fleet/role-change-watcher.ts
@@ -29,10 +29,10 @@
 }
 
 /** Polls the report of each engine until it is stopped. */
-export class RoleWatch {
+export class RoleChangeWatcher {
   readonly changes: RoleChange[] = [];
   /** Resolves when each engine has been polled once; changes are recorded from then on. */
-  readonly asked: Promise<unknown>;
+  readonly firstPoll: Promise<unknown>;
   private readonly seen = new Map<string, z.infer<typeof reportSchema>>();
   private readonly startedAt = performance.now();
   private readonly stopped = new AbortController();
@@ -41,8 +41,10 @@
   constructor(engines: readonly WatchedEngine[]) {
     // One timer per engine listens to this signal; the limit avoids the leak warning.
     setMaxListeners(engines.length, this.stopped.signal);
-    this.asked = Promise.all(engines.map((engine) => this.poll(engine)));
-    this.running = this.asked.then(() => Promise.all(engines.map((engine) => this.watch(engine))));
+    this.firstPoll = Promise.all(engines.map((engine) => this.poll(engine)));
+    this.running = this.firstPoll.then(() =>
+      Promise.all(engines.map((engine) => this.watch(engine))),
+    );
   }
 
   /** Polls each engine a last time and stops. */
--- a/src/lab/fleet/running-fleet.ts
+++ b/src/lab/fleet/running-fleet.ts
@@ -15,7 +15,7 @@
 import type { Fleet } from './definition.js';
 import { getJson, postJson } from './http-json.js';
 import { type PartExit, PartProcess } from './part-process.js';
-import { until } from './until.js';
+import { pollUntil } from './poll-until.js';
 
 const CONFIGURATION_TIMEOUT_MS: Milliseconds = 20_000;
 const READY_TIMEOUT_MS: Milliseconds = 20_000;
@@ -205,7 +205,7 @@
       return appliedSchema.safeParse(json).data ?? null;
     };
     const what = 'the configuration to be applied';
-    return this.until(poll, what, CONFIGURATION_TIMEOUT_MS).catch((error: Error) => {
+    return this.pollUntil(poll, what, CONFIGURATION_TIMEOUT_MS).catch((error: Error) => {
       throw new Error(`${error.message}; last answer: ${lastAnswer}`);
     });
   }
@@ -221,17 +221,17 @@
       if (readiness.status !== 200 || status === undefined) return null;
       return status.enginesGranted > 0 && status.configurationVersion >= version ? true : null;
     };
-    await this.until(poll, `${name} to be ready`, READY_TIMEOUT_MS).catch((error: Error) => {
+    await this.pollUntil(poll, `${name} to be ready`, READY_TIMEOUT_MS).catch((error: Error) => {
       throw new Error(`${error.message}; last answer: ${lastAnswer}`);
     });
   }
 
-  private until<T>(
+  private pollUntil<T>(
     poll: () => Promise<T | null>,
     what: string,
     timeoutMs: Milliseconds,
   ): Promise<T> {
-    return until(poll, { what, timeoutMs, signal: this.options.signal });
+    return pollUntil(poll, { what, timeoutMs, signal: this.options.signal });
   }
 
   private spawn(
--- a/src/lab/fleet/shift.ts
+++ b/src/lab/fleet/shift.ts
@@ -2,7 +2,7 @@
 import { Load, type LoadProgress, type LoadReport } from '../load/index.js';
 import type { Workload } from '../workload/index.js';
 import { OrderCheck, type OrderFindings } from './order-check.js';
-import { type RoleChange, RoleWatch } from './role-watch.js';
+import { type RoleChange, RoleChangeWatcher } from './role-change-watcher.js';
 import type { RunningFleet } from './running-fleet.js';
 
 const FINAL_TIMEOUT_MS = 30_000;
@@ -27,15 +27,15 @@
 /** Sends the workload to a running fleet's daemons. */
 export async function runShift(fleet: RunningFleet, options: ShiftOptions): Promise<ShiftReport> {
   const orderCheck = new OrderCheck();
-  const roleWatch = new RoleWatch(fleet.engines);
-  await roleWatch.asked;
+  const roleWatch = new RoleChangeWatcher(fleet.engines);
+  await roleWatch.firstPoll;
   const load = new Load({
     workload: options.workload,
     targets: fleet.daemons.map((daemon) => daemon.callers),
     maxRetries: options.maxRetries,
-    patienceMs: FINAL_TIMEOUT_MS,
+    finalTimeoutMs: FINAL_TIMEOUT_MS,
     signal: options.signal,
-    onOutcome: (arrival, outcome) => orderCheck.note(arrival, outcome),
+    onOutcome: (arrival, outcome) => orderCheck.recordOutcome(arrival, outcome),
   });
   const ticker = setInterval(() => options.onProgress(load.progress()), options.progressEveryMs);
   const report = await load.run();
--- a/src/lab/hollow/scale-run.ts
+++ b/src/lab/hollow/scale-run.ts
@@ -12,7 +12,7 @@
 import { FLEET_KEY_VARIABLE } from '../fleet/commands.js';
 import { getJson, postJson } from '../fleet/http-json.js';
 import { PartProcess } from '../fleet/part-process.js';
-import { until } from '../fleet/until.js';
+import { pollUntil } from '../fleet/poll-until.js';
 import { type ProcessSample, sampleProcess } from './process-sample.js';
 
 const DAEMONS_PER_PROCESS = 20;
@@ -181,7 +181,7 @@
   hosts: readonly DaemonHost[],
 ): Promise<void> {
   for (const operator of hosts.flatMap((host) => host.operators)) {
-    await until(
+    await pollUntil(
       async () => {
         const status = (await getJson(operator, '/v1/status')).json as { daemonsAlive: number };
         return status.daemonsAlive === options.daemons ? true : null;
@@ -207,7 +207,7 @@
   const answer = await postJson(first, '/v1/commands', { text });
   const { kind } = answer.json as { readonly kind: string };
   for (const operator of operators) {
-    await until(
+    await pollUntil(
       async () => {
         const status = (await getJson(operator, '/v1/status')).json as {
           configurationVersion: number;
--- a/src/lab/load/call.ts
+++ b/src/lab/load/call.ts
@@ -11,9 +11,9 @@
 /** Receives the progress of a call; times are from the monotonic clock. */
 export interface CallObserver {
   /** Called for each received frame of a streamed answer that contains text. */
-  token(at: Milliseconds): void;
+  onToken(at: Milliseconds): void;
   /** Called when the status and headers of an answer arrive. */
-  head?(status: number, headers: Dispatcher.ResponseData['headers']): void;
+  onHead?(status: number, headers: Dispatcher.ResponseData['headers']): void;
 }
 
 /** Options of a call. */
@@ -56,7 +56,7 @@
     if (options.signal.aborted) return { kind: 'unknown', code: CALLER_GAVE_UP };
     return outcomeOfFailedRequest(error);
   }
-  options.observer.head?.(response.statusCode, response.headers);
+  options.observer.onHead?.(response.statusCode, response.headers);
   try {
     return await checkResponse(arrival, prompt, response, options.observer);
   } catch (error) {
@@ -148,7 +148,7 @@
       const part = readAnswerPart(event.data);
       if (part === null) return outcomeOfUnreadableFrame(event.data);
       parts.push(part);
-      if (part.text !== '') observer.token(performance.now());
+      if (part.text !== '') observer.onToken(performance.now());
     }
   }
   if (!done) return { kind: 'cut', detail: 'the stream ended without [DONE]' };
--- a/src/lab/load/load.ts
+++ b/src/lab/load/load.ts
@@ -21,7 +21,7 @@
   /** Maximum retries of a request after refusals with `Retry-After`. */
   readonly maxRetries: number;
   /** Time after the last request was sent at which requests in flight are aborted. */
-  readonly patienceMs: Milliseconds;
+  readonly finalTimeoutMs: Milliseconds;
   /** Ends the load early and aborts the requests in flight. */
   readonly signal?: AbortSignal;
   /** Called with the final outcome of each request. */
@@ -81,7 +81,7 @@
 
   private start(arrival: Arrival): void {
     this.phase = arrival.phase;
-    this.tally.sent();
+    this.tally.recordSent();
     const running = this.callWithRetries(arrival).finally(() => this.inFlight.delete(running));
     this.inFlight.add(running);
   }
@@ -93,12 +93,12 @@
       const outcome = await this.callOnce(arrival, attempt);
       const mayRetry = outcome.kind === 'refused' && attempt < this.options.maxRetries;
       if (!mayRetry || outcome.retryAfterMs === null || this.abortController.signal.aborted) {
-        this.tally.ended(arrival, outcome, performance.now() - startedAt);
+        this.tally.recordOutcome(arrival, outcome, performance.now() - startedAt);
         this.options.onOutcome?.(arrival, outcome);
         return;
       }
       await this.waitUntil(performance.now() + outcome.retryAfterMs);
-      this.tally.retried();
+      this.tally.recordRetry();
     }
   }
 
@@ -108,9 +108,9 @@
     const sentAt = performance.now();
     let lastTokenAt: Milliseconds | null = null;
     const observer = {
-      token: (at: Milliseconds) => {
-        if (lastTokenAt === null) this.tally.firstToken(at - sentAt);
-        else this.tally.tokenGap(at - lastTokenAt);
+      onToken: (at: Milliseconds) => {
+        if (lastTokenAt === null) this.tally.recordFirstToken(at - sentAt);
+        else this.tally.recordTokenGap(at - lastTokenAt);
         lastTokenAt = at;
       },
     };
@@ -124,7 +124,10 @@
   }
 
   private async finish(): Promise<void> {
-    const finalTimeout = setTimeout(() => this.abortController.abort(), this.options.patienceMs);
+    const finalTimeout = setTimeout(
+      () => this.abortController.abort(),
+      this.options.finalTimeoutMs,
+    );
     await Promise.all(this.inFlight);
     clearTimeout(finalTimeout);
     await this.agent.destroy();
--- a/src/lab/load/tally.ts
+++ b/src/lab/load/tally.ts
@@ -1,6 +1,6 @@
 /** Counts the outcomes of a load and records its durations in HDR histograms. */
 import type { Milliseconds } from '../../core/common/time.js';
-import { type Percentiles, SpanHistogram } from '../common/span-histogram.js';
+import { DurationHistogram, type Percentiles } from '../common/duration-histogram.js';
 import type { Arrival } from '../workload/index.js';
 import type { Outcome, OutcomeKind } from './outcome.js';
 
@@ -45,35 +45,35 @@
   private readonly phases = new Map<string, Record<OutcomeKind, number>>();
   private readonly codes = new Map<string, number>();
   private readonly details: string[] = [];
-  private readonly firstTokens = new SpanHistogram();
-  private readonly tokenGaps = new SpanHistogram();
-  private readonly wholeAnswers = new SpanHistogram();
+  private readonly firstTokens = new DurationHistogram();
+  private readonly tokenGaps = new DurationHistogram();
+  private readonly wholeAnswers = new DurationHistogram();
   private outputTokens = 0;
   private sentCount = 0;
   private retryCount = 0;
 
   /** Records the first sending of a request. */
-  sent(): void {
+  recordSent(): void {
     this.sentCount += 1;
   }
 
   /** Records a retry. */
-  retried(): void {
+  recordRetry(): void {
     this.retryCount += 1;
   }
 
   /** Records the first token of a streamed answer. */
-  firstToken(afterMs: Milliseconds): void {
+  recordFirstToken(afterMs: Milliseconds): void {
     this.firstTokens.record(afterMs);
   }
 
   /** Records a later token of a streamed answer. */
-  tokenGap(gapMs: Milliseconds): void {
+  recordTokenGap(gapMs: Milliseconds): void {
     this.tokenGaps.record(gapMs);
   }
 
   /** Records the final outcome of a request. */
-  ended(arrival: Arrival, outcome: Outcome, tookMs: Milliseconds): void {
+  recordOutcome(arrival: Arrival, outcome: Outcome, tookMs: Milliseconds): void {
     this.total[outcome.kind] += 1;
     countsIn(this.sources, arrival.source.name)[outcome.kind] += 1;
     countsIn(this.phases, arrival.phase)[outcome.kind] += 1;
--- a/src/lab/model/catalogue.ts
+++ b/src/lab/model/catalogue.ts
@@ -195,7 +195,7 @@
     name: 'leave-ignored',
     description: 'the router ignores that an engine is leaving',
     property: LEAVING_PROPERTY,
-    check: checkOf(leavingModel('leaving', { leavesHeeded: false })),
+    check: checkOf(leavingModel('leaving', { respectsLeaving: false })),
   },
   {
     name: 'stop-without-drain',
--- a/src/lab/model/claims/draft.ts
+++ b/src/lab/model/claims/draft.ts
@@ -20,7 +20,7 @@
   type ClaimsRequest,
   type ClaimsWorld,
   daemonName,
-  type Told,
+  type ReportedOutcome,
 } from './world.js';
 
 /** The names of the claims model's properties. */
@@ -104,16 +104,16 @@
       const detail = `${attempt.id} begins, run number ${this.world.runs}`;
       this.violations.push({ property: CLAIMS_PROPERTIES.once, detail });
     }
-    if (this.request(attempt.request).told === 'not run') {
+    if (this.request(attempt.request).reportedOutcome === 'not run') {
       const detail = `${attempt.id} begins after its caller got "not run"`;
       this.violations.push({ property: CLAIMS_PROPERTIES.outcome, detail });
     }
   }
 
   /** The complete answer has arrived; the caller gets it unless it has had another outcome. */
-  answered(attempt: Attempt): void {
-    const { told } = this.request(attempt.request);
-    if (told === null) this.setRequest(attempt.request, { told: 'answered' });
+  recordAnswer(attempt: Attempt): void {
+    const { reportedOutcome } = this.request(attempt.request);
+    if (reportedOutcome === null) this.setRequest(attempt.request, { reportedOutcome: 'answered' });
   }
 
   #context(index: number, now: number): RequestContext {
@@ -127,7 +127,7 @@
       choose: () => ({ kind: 'dispatch', backend: 'orders-1', address: '127.0.0.1', port: 1 }),
       priorityOf: () => 1,
       retryAfterMs: () => 1_000,
-      hasIncarnationEnded: (name) => name === 'a' && this.world.isFirstKnownGone,
+      hasIncarnationEnded: (name) => name === 'a' && this.world.isFirstKnownDead,
       isTracked: (id) => this.#isInHand(daemon, id),
     };
   }
@@ -171,9 +171,9 @@
     this.setAttempt(id, { phase, isAwaited: false });
   }
 
-  #reportToCaller(index: number, told: Told): void {
-    this.setRequest(index, { told });
-    if (told !== 'not run') return;
+  #reportToCaller(index: number, reportedOutcome: ReportedOutcome): void {
+    this.setRequest(index, { reportedOutcome });
+    if (reportedOutcome !== 'not run') return;
     const attempt = this.world.attempts.find((each) => each.request === index);
     if (attempt === undefined || attempt.phase === 'ended') return;
     const detail = `the caller of ${attempt.id} gets "not run" while the attempt is ${attempt.phase}`;
@@ -207,6 +207,6 @@
   }
 }
 
-function reportedBy(outcome: FailureOutcome): Told {
+function reportedBy(outcome: FailureOutcome): ReportedOutcome {
   return outcome === 'refused-not-run' ? 'not run' : 'unknown';
 }
--- a/src/lab/model/claims/index.ts
+++ b/src/lab/model/claims/index.ts
@@ -61,7 +61,10 @@
   const { budget } = world;
   const withFaults = <T extends object>(step: T) =>
     faultsOf(budget).map((fault) => ({ ...step, fault }));
-  for (const [request, { daemon, state, hasArrived, told }] of world.requests.entries()) {
+  for (const [
+    request,
+    { daemon, state, hasArrived, reportedOutcome },
+  ] of world.requests.entries()) {
     const isAlive = daemon !== 0 || world.isFirstAlive;
     if (!hasArrived && isAlive) steps.push(...withFaults({ kind: 'arrive' as const, request }));
     if (state === null || state.phase.kind === 'ended') continue;
@@ -70,7 +73,7 @@
       if (isDue) steps.push(...withFaults({ kind: 'retry-settling' as const, request }));
       continue;
     }
-    if (told !== null) continue;
+    if (reportedOutcome !== null) continue;
     if (budget.deadlines > 0) steps.push(...withFaults({ kind: 'deadline' as const, request }));
     if (budget.callersGone > 0)
       steps.push(...withFaults({ kind: 'caller-gone' as const, request }));
@@ -81,7 +84,7 @@
     else steps.push(...withFaults({ kind: 'deliver' as const, message }));
   }
   if (world.isFirstAlive && budget.kills > 0) steps.push({ kind: 'kill' });
-  if (!world.isFirstAlive && !world.isFirstKnownGone) steps.push({ kind: 'learn-of-kill' });
+  if (!world.isFirstAlive && !world.isFirstKnownDead) steps.push({ kind: 'learn-of-kill' });
   return steps;
 }
 
@@ -161,7 +164,7 @@
       kill(draft);
       break;
     case 'learn-of-kill':
-      draft.world.isFirstKnownGone = true;
+      draft.world.isFirstKnownDead = true;
       break;
   }
 }
@@ -180,7 +183,7 @@
   }
   if (kind === 'complete') {
     draft.setAttempt(id, { phase: 'ended' });
-    if (attempt.isAwaited) draft.answered(attempt);
+    if (attempt.isAwaited) draft.recordAnswer(attempt);
     draft.report(attempt, { kind: 'completed', attempt: id, promptTokens: 0, outputTokens: 0 });
     return;
   }
@@ -221,18 +224,18 @@
 }
 
 function keyOf(world: ClaimsWorld): string {
-  const requests = world.requests.map(({ state, hasArrived, told }) => {
-    if (state === null) return [hasArrived, told];
+  const requests = world.requests.map(({ state, hasArrived, reportedOutcome }) => {
+    if (state === null) return [hasArrived, reportedOutcome];
     const { description, ...rest } = state;
-    return [{ ...rest, phase: withoutTimes(state.phase) }, told];
+    return [{ ...rest, phase: withoutTimes(state.phase) }, reportedOutcome];
   });
-  const { table, isFirstAlive, isFirstKnownGone, attempts, messages, budget, runs } = world;
+  const { table, isFirstAlive, isFirstKnownDead, attempts, messages, budget, runs } = world;
   const late = messages.map((message) => JSON.stringify(message)).sort();
   return JSON.stringify([
     requests,
     table,
     isFirstAlive,
-    isFirstKnownGone,
+    isFirstKnownDead,
     attempts,
     late,
     budget,
@@ -245,7 +248,9 @@
 }
 
 function goalsOf(world: ClaimsWorld): string[] {
-  const goals = world.requests.flatMap(({ told }) => (told === null ? [] : [`told ${told}`]));
+  const goals = world.requests.flatMap(({ reportedOutcome }) =>
+    reportedOutcome === null ? [] : [`told ${reportedOutcome}`],
+  );
   if (world.runs > 0) goals.push('work ran');
   return goals;
 }
--- a/src/lab/model/claims/world.ts
+++ b/src/lab/model/claims/world.ts
@@ -50,7 +50,7 @@
 }
 
 /** The outcome that was reported to a caller. */
-export type Told = 'answered' | 'not run' | 'unknown' | 'replayed';
+export type ReportedOutcome = 'answered' | 'not run' | 'unknown' | 'replayed';
 
 /** A request at one of the daemons. */
 export interface ClaimsRequest {
@@ -58,7 +58,7 @@
   /** Null before it arrives and after its daemon died. */
   readonly state: RequestState | null;
   readonly hasArrived: boolean;
-  readonly told: Told | null;
+  readonly reportedOutcome: ReportedOutcome | null;
 }
 
 /** An attempt in flight to the backend, or at the backend. */
@@ -82,7 +82,7 @@
   /** Whether the first daemon runs. */
   readonly isFirstAlive: boolean;
   /** Whether the second daemon knows that the first is dead. */
-  readonly isFirstKnownGone: boolean;
+  readonly isFirstKnownDead: boolean;
   readonly requests: readonly ClaimsRequest[];
   readonly attempts: readonly Attempt[];
   readonly messages: readonly LateMessage[];
@@ -122,9 +122,9 @@
   return {
     table: EMPTY_TABLE,
     isFirstAlive: true,
-    isFirstKnownGone: false,
+    isFirstKnownDead: false,
     requests: DAEMON_OF_REQUEST.map((daemon) => {
-      return { daemon, state: null, hasArrived: false, told: null };
+      return { daemon, state: null, hasArrived: false, reportedOutcome: null };
     }),
     attempts: [],
     messages: [],
--- a/src/lab/model/command.ts
+++ b/src/lab/model/command.ts
@@ -50,7 +50,7 @@
       'graph (xstate/graph) or plain, which needs less memory; default graph, with --deep plain',
   });
 
-  protected override async carryOut(): Promise<number> {
+  protected override async runCommand(): Promise<number> {
     const result = combine(
       this.mutate === undefined ? this.checkAll() : this.checkMutation(this.mutate),
     );
--- a/src/lab/model/configuration/index.ts
+++ b/src/lab/model/configuration/index.ts
@@ -1,6 +1,6 @@
 /** The configuration model: versions spread between daemons and are never reverted. */
 import type { Model, Outcome } from '../explorer.js';
-import { intern, internAs } from '../intern.js';
+import { intern, internProjection } from '../intern.js';
 import { ConfigurationDraft, type ConfigurationProtections } from './draft.js';
 import { type ConfigurationStep, describeStep, stepsOf } from './steps.js';
 import {
@@ -86,7 +86,7 @@
 function keyOf(world: ConfigurationWorld): string {
   const { table, daemons, messages, budget, applied, answers } = world;
   const late = messages.map(intern).sort();
-  const alive = daemons.map((daemon) => internAs(daemon, daemonKey));
+  const alive = daemons.map((daemon) => internProjection(daemon, daemonKey));
   return [intern(table), alive, late, intern(budget), applied, answers].join('|');
 }
 
--- a/src/lab/model/control/apply.ts
+++ b/src/lab/model/control/apply.ts
@@ -4,15 +4,15 @@
 import type { OrderAnswer } from '../../../core/orders/index.js';
 import {
   finishOrder,
+  handleOrder,
   orderState,
   reportOf,
   runningOrder,
   startedEngine,
-  takeOrder,
 } from '../engine.js';
 import type { Outcome } from '../explorer.js';
 import { Draft } from './draft.js';
-import { checkDispatch, checkOrderTaken, checkWorld } from './properties.js';
+import { checkAcceptedOrder, checkDispatch, checkWorld } from './properties.js';
 import type { ControlStep } from './steps.js';
 import {
   type ControlWorld,
@@ -89,14 +89,14 @@
       return;
     case 'poll': {
       const { dispatcher } = world;
-      const askedAt = clockOf(world, dispatcher);
-      world.dispatcher = { ...dispatcher, report: reportOf(world.engine), askedAt };
+      const requestedAt = clockOf(world, dispatcher);
+      world.dispatcher = { ...dispatcher, report: reportOf(world.engine), requestedAt };
       return;
     }
     case 'dispatch':
       draft.spend('requests');
       checkDispatch(draft);
-      draft.put({ kind: 'request', late: false });
+      draft.addMessage({ kind: 'request', late: false });
       return;
     case 'finish-request':
       world.engine = { ...world.engine, active: world.engine.active - 1 };
@@ -130,8 +130,8 @@
 }
 
 function pollFor(draft: Draft, index: number): void {
-  const askedAt = clockOf(draft.world, draft.daemon(index));
-  draft.setDaemon(index, { report: reportOf(draft.world.engine), askedAt });
+  const requestedAt = clockOf(draft.world, draft.daemon(index));
+  draft.setDaemon(index, { report: reportOf(draft.world.engine), requestedAt });
 }
 
 /**
@@ -151,9 +151,9 @@
 /** The sender times out on a message; an order or a request may still arrive. */
 function giveUp(draft: Draft, message: Message): void {
   draft.spend('lateMessages');
-  draft.take(message);
+  draft.removeMessage(message);
   if (message.kind === 'order') {
-    draft.put({ ...message, late: true });
+    draft.addMessage({ ...message, late: true });
     answerOrder(draft, message, { kind: 'lost', reason: 'timeout' });
     return;
   }
@@ -164,7 +164,7 @@
   if (message.kind === 'query' || message.kind === 'query-answer') {
     answerQuery(draft, message, 'lost');
   }
-  if (message.kind === 'request') draft.put({ ...message, late: true });
+  if (message.kind === 'request') draft.addMessage({ ...message, late: true });
 }
 
 function deliver(
@@ -173,7 +173,7 @@
   mode: 'once' | 'and-keep-a-copy',
   protections: Protections,
 ): void {
-  draft.take(message);
+  draft.removeMessage(message);
   switch (message.kind) {
     case 'table-call':
       draft.callTable(message.call);
@@ -184,7 +184,7 @@
     case 'order':
       if (mode === 'and-keep-a-copy') {
         draft.spend('duplicates');
-        draft.put({ ...message, late: true });
+        draft.addMessage({ ...message, late: true });
       }
       deliverOrder(draft, message, protections);
       return;
@@ -193,7 +193,7 @@
       return;
     case 'query': {
       const state = orderState(draft.world.engine, message.orderId);
-      if (isAwaited(draft, message)) draft.put({ ...message, kind: 'query-answer', state });
+      if (isAwaited(draft, message)) draft.addMessage({ ...message, kind: 'query-answer', state });
       return;
     }
     case 'query-answer':
@@ -211,12 +211,12 @@
   protections: Protections,
 ): void {
   const before = draft.world.engine;
-  const { engine, answer } = takeOrder(before, message.order, { fences: protections.fences });
+  const { engine, answer } = handleOrder(before, message.order, { fences: protections.fences });
   draft.world.engine = engine;
-  if (answer.kind === 'accepted') checkOrderTaken(draft, before, message.order);
+  if (answer.kind === 'accepted') checkAcceptedOrder(draft, before, message.order);
   if (!isAwaited(draft, message)) return;
   const { from, order } = message;
-  draft.put({ kind: 'order-answer', from, order, answer, late: false });
+  draft.addMessage({ kind: 'order-answer', from, order, answer, late: false });
 }
 
 /** Whether the sender still waits for the answer. */
--- a/src/lab/model/control/draft.ts
+++ b/src/lab/model/control/draft.ts
@@ -74,11 +74,11 @@
     });
   }
 
-  put(message: Message): void {
+  addMessage(message: Message): void {
     this.world.messages = [...this.world.messages, message];
   }
 
-  take(message: Message): void {
+  removeMessage(message: Message): void {
     this.world.messages = this.world.messages.filter((each) => each !== message);
   }
 
@@ -133,7 +133,7 @@
       if (effect.kind === 'send-order') this.#sendOrder(index, effect.order);
       if (effect.kind === 'query-order') {
         const from = { daemon: index, incarnation: this.daemon(index).incarnation };
-        this.put({ kind: 'query', from, orderId: effect.orderId, late: false });
+        this.addMessage({ kind: 'query', from, orderId: effect.orderId, late: false });
       }
     }
   }
@@ -149,13 +149,13 @@
     const fault = this.#fault;
     this.#fault = 'none';
     if (fault === 'late-call') {
-      this.put({ kind: 'table-call', from, token, call, late: true });
+      this.addMessage({ kind: 'table-call', from, token, call, late: true });
       this.answerTable(index, token, { kind: 'lost', reason: 'timeout' });
       return;
     }
     const result = this.callTable(call);
     if (fault === 'slow-answer') {
-      this.put({ kind: 'table-answer', from, token, result, late: true });
+      this.addMessage({ kind: 'table-answer', from, token, result, late: true });
       return;
     }
     this.answerTable(index, token, result);
@@ -178,7 +178,7 @@
     const keepsFlag = this.protections.barrier && this.protections.onlyIfIdle;
     const from = { daemon: index, incarnation: daemon.incarnation };
     const onlyIfIdle = order.onlyIfIdle && keepsFlag;
-    this.put({ kind: 'order', from, order: { ...order, onlyIfIdle }, late: false });
+    this.addMessage({ kind: 'order', from, order: { ...order, onlyIfIdle }, late: false });
   }
 
   /** The controller's view of the engine. Without the barrier the engine always appears idle. */
@@ -191,15 +191,15 @@
 
 /** A daemon's view of the engine, from the last report that it requested. */
 export function viewOf(
-  daemon: { readonly report: EngineReport | null; readonly askedAt: number },
+  daemon: { readonly report: EngineReport | null; readonly requestedAt: number },
   protections: Protections,
 ): EngineView {
   const margin = protections.margins ? TICKS.grantMargin : 0;
   return {
     machine: MACHINE,
     report: daemon.report,
-    reportedAt: daemon.askedAt,
-    grantedUntil: daemon.askedAt + (TICKS.grant - margin) * TICK_MS,
+    reportedAt: daemon.requestedAt,
+    grantedUntil: daemon.requestedAt + (TICKS.grant - margin) * TICK_MS,
     watcher: null,
   };
 }
--- a/src/lab/model/control/key.ts
+++ b/src/lab/model/control/key.ts
@@ -5,7 +5,7 @@
 import type { ControllerState, EngineControl } from '../../../core/controller/index.js';
 import { type LeaseRow, type LeaseState, leaseKey } from '../../../core/lease/index.js';
 import type { TableCall, TableResult, TableRow } from '../../../core/platform/table.js';
-import { intern, internAs } from '../intern.js';
+import { intern, internProjection } from '../intern.js';
 import { rowOf } from '../table.js';
 import {
   type ControlDaemon,
@@ -75,7 +75,12 @@
 /** The key of a lease row without its renewals, which serve only to change the row's version. */
 function leaseRowKey(row: LeaseRow | null): number | string {
   if (row === null) return '';
-  return internAs(row, ({ holder, incarnation, epoch }) => ['lease', holder, incarnation, epoch]);
+  return internProjection(row, ({ holder, incarnation, epoch }) => [
+    'lease',
+    holder,
+    incarnation,
+    epoch,
+  ]);
 }
 
 interface CachedKey {
@@ -131,7 +136,7 @@
     until(state.tableRetryAt, now),
     Math.min(state.tableFailures, 7),
     daemon.report === null ? '' : intern(daemon.report),
-    Number(daemon.askedAt >= now),
+    Number(daemon.requestedAt >= now),
   ];
   if (authority !== null) {
     parts.push(authority.epoch, authority.epochRowVersion, until(authority.until, now));
@@ -139,7 +144,7 @@
   for (const view of state.views.values()) {
     parts.push('v', view.report === null ? '' : intern(view.report));
     for (const control of state.engines.values()) {
-      parts.push(controlKey(control, now, daemon.askedAt, view.reportedAt, state));
+      parts.push(controlKey(control, now, daemon.requestedAt, view.reportedAt, state));
     }
   }
   return parts.join();
@@ -148,25 +153,25 @@
 function controlKey(
   control: EngineControl,
   now: number,
-  askedAt: number,
+  requestedAt: number,
   viewAt: number,
   state: ControllerState,
 ): string {
   const { intent, closedAt, busyAt, drainStartedAt } = control;
   const parts: (number | string)[] = [
-    internAs(control, withoutTimes),
+    internProjection(control, withoutTimes),
     until(control.retryAt, now),
     until(control.nextChangeAt, now),
   ];
   if (intent !== null) {
-    parts.push('i', Number(askedAt > intent.knownAt), Number(viewAt > intent.knownAt));
+    parts.push('i', Number(requestedAt > intent.knownAt), Number(viewAt > intent.knownAt));
   }
   if (closedAt !== null) {
     const lapseAt = closedAt + GRANT_LAPSE_MS;
-    const isAfter = [Number(askedAt >= lapseAt), Number(viewAt >= lapseAt)];
+    const isAfter = [Number(requestedAt >= lapseAt), Number(viewAt >= lapseAt)];
     parts.push('c', until(lapseAt, now), ...isAfter);
   }
-  if (busyAt !== null) parts.push('b', Number(askedAt > busyAt), Number(viewAt > busyAt));
+  if (busyAt !== null) parts.push('b', Number(requestedAt > busyAt), Number(viewAt > busyAt));
   if (drainStartedAt !== null) {
     parts.push('d', until(drainStartedAt + state.settings.drainTimeoutMs, now));
   }
@@ -189,7 +194,7 @@
 }
 
 function dispatcherKey(dispatcher: Dispatcher, now: number): string {
-  const granted = until(dispatcher.askedAt + GRANT_MS, now);
+  const granted = until(dispatcher.requestedAt + GRANT_MS, now);
   if (granted === 0 || dispatcher.report === null) return `${dispatcher.lag}`;
   return `${dispatcher.lag},${intern(dispatcher.report)},${granted}`;
 }
--- a/src/lab/model/control/properties.ts
+++ b/src/lab/model/control/properties.ts
@@ -23,14 +23,14 @@
  * Checks an accepted order: its epoch must not be older than one accepted before, and an order that
  * starts must be the one in the engine's intent row.
  */
-export function checkOrderTaken(draft: Draft, before: ModelEngine, order: Order): void {
+export function checkAcceptedOrder(draft: Draft, before: ModelEngine, order: Order): void {
   const { world } = draft;
   if (order.fence.epoch < world.highestEpoch) {
     const detail = `${order.id} of epoch ${order.fence.epoch} accepted after epoch ${world.highestEpoch}`;
     draft.violate(CONTROL_PROPERTIES.deposed, detail);
   }
   world.highestEpoch = Math.max(world.highestEpoch, order.fence.epoch);
-  const isNew = before.taken.every((taken) => taken.order.id !== order.id);
+  const isNew = before.acceptedOrders.every((taken) => taken.order.id !== order.id);
   if (order.action.kind === 'hold' || !isNew) return;
   checkStart(draft, before, order);
 }
@@ -72,7 +72,7 @@
     draft.violate(CONTROL_PROPERTIES.conflicting, detail);
   }
   if (row === null || row.phase !== 'settled' || row.boot !== bootId(world.engine)) return;
-  const taken = world.engine.taken.find((each) => each.order.id === row.orderId);
+  const taken = world.engine.acceptedOrders.find((each) => each.order.id === row.orderId);
   const isTrue = row.outcome === 'done' ? taken?.state === 'done' : taken?.state !== 'done';
   if (!isTrue) {
     const detail = `${row.orderId} settled as ${row.outcome}, the engine reports ${taken?.state}`;
--- a/src/lab/model/control/world.ts
+++ b/src/lab/model/control/world.ts
@@ -110,14 +110,14 @@
   readonly controller: ControllerState;
   readonly report: EngineReport | null;
   /** When the report was requested, by the daemon's own clock. */
-  readonly askedAt: number;
+  readonly requestedAt: number;
 }
 
 /** The daemon that sends requests to the engine. */
 export interface Dispatcher {
   readonly lag: number;
   readonly report: EngineReport | null;
-  readonly askedAt: number;
+  readonly requestedAt: number;
 }
 
 /** The daemon that sent a message, and its incarnation. */
@@ -210,7 +210,7 @@
       drainTimeoutMs: TICKS.drainLimit * TICK_MS,
     }),
     report: null,
-    askedAt: 0,
+    requestedAt: 0,
   };
 }
 
@@ -221,7 +221,7 @@
     table: EMPTY_TABLE,
     daemons: ['a', 'b'].map((name) => startedDaemon(name, 1, 0, protections)),
     engine: startedEngine(ENGINE, 1, [{ model: 'labels', version: '1', adapters: [] }]),
-    dispatcher: { lag: 0, report: null, askedAt: 0 },
+    dispatcher: { lag: 0, report: null, requestedAt: 0 },
     messages: [],
     desiredRole: 'decode',
     budget,
--- a/src/lab/model/engine.ts
+++ b/src/lab/model/engine.ts
@@ -25,11 +25,11 @@
   readonly boot: number;
   readonly fence: Fence | null;
   /** The id of the order that set the fence; an equal fence under another id is refused. */
-  readonly fencedBy: string | null;
+  readonly fenceOrderId: string | null;
   readonly intake: Intake;
   readonly role: EngineRole;
   readonly models: readonly LoadedModel[];
-  readonly taken: readonly TakenOrder[];
+  readonly acceptedOrders: readonly TakenOrder[];
   readonly active: number;
 }
 
@@ -43,11 +43,11 @@
     name,
     boot,
     fence: null,
-    fencedBy: null,
+    fenceOrderId: null,
     intake: 'open',
     role: 'mixed',
     models,
-    taken: [],
+    acceptedOrders: [],
     active: 0,
   };
 }
@@ -59,7 +59,7 @@
 
 /** The order that the engine is carrying out, if any; it serves no requests meanwhile. */
 export function runningOrder(engine: ModelEngine): Order | null {
-  return engine.taken.find((taken) => taken.state === 'running')?.order ?? null;
+  return engine.acceptedOrders.find((taken) => taken.state === 'running')?.order ?? null;
 }
 
 /** The engine's protections; a mutation sets one to false. */
@@ -68,13 +68,13 @@
 }
 
 /** Accepts or refuses an order as docs/ENGINE-API.md specifies. */
-export function takeOrder(
+export function handleOrder(
   engine: ModelEngine,
   order: Order,
   protections: EngineProtections = { fences: true },
 ): { readonly engine: ModelEngine; readonly answer: OrderAnswer } {
   if (order.boot !== bootId(engine)) return { engine, answer: refusal(engine, 'wrong-boot') };
-  const known = engine.taken.find((taken) => taken.order.id === order.id);
+  const known = engine.acceptedOrders.find((taken) => taken.order.id === order.id);
   const stale = isStaleFor(engine, order) && protections.fences;
   if (stale) return { engine, answer: refusal(engine, 'stale-fence') };
   const fenced = raiseFence(engine, order);
@@ -90,18 +90,21 @@
     return { engine: fenced, answer: refusal(fenced, 'other-order') };
   if (order.onlyIfIdle && engine.active > 0)
     return { engine: fenced, answer: refusal(fenced, 'busy') };
-  const taken = [...engine.taken, { order, state: 'running' as const }];
-  return { engine: { ...fenced, taken }, answer: { kind: 'accepted', state: 'running' } };
+  const taken = [...engine.acceptedOrders, { order, state: 'running' as const }];
+  return {
+    engine: { ...fenced, acceptedOrders: taken },
+    answer: { kind: 'accepted', state: 'running' },
+  };
 }
 
 function isStaleFor(engine: ModelEngine, order: Order): boolean {
   if (engine.fence === null) return false;
   const comparison = compareFences(order.fence, engine.fence);
-  return comparison < 0 || (comparison === 0 && engine.fencedBy !== order.id);
+  return comparison < 0 || (comparison === 0 && engine.fenceOrderId !== order.id);
 }
 
 function raiseFence(engine: ModelEngine, order: Order): ModelEngine {
-  return { ...engine, fence: order.fence, fencedBy: order.id };
+  return { ...engine, fence: order.fence, fenceOrderId: order.id };
 }
 
 function refusal(
@@ -115,11 +118,11 @@
 export function finishOrder(engine: ModelEngine, state: 'done' | 'failed'): ModelEngine {
   const running = runningOrder(engine);
   if (running === null) return engine;
-  const taken = engine.taken.map((each) =>
+  const taken = engine.acceptedOrders.map((each) =>
     each.order.id === running.id ? { ...each, state } : each,
   );
   const changed = state === 'done' ? withEffect(engine, running) : engine;
-  return { ...changed, taken };
+  return { ...changed, acceptedOrders: taken };
 }
 
 function withEffect(engine: ModelEngine, order: Order): ModelEngine {
@@ -141,7 +144,7 @@
 
 /** The state of an order as the engine reports it. */
 export function orderState(engine: ModelEngine, orderId: string): EngineOrderState | 'unknown' {
-  return engine.taken.find((taken) => taken.order.id === orderId)?.state ?? 'unknown';
+  return engine.acceptedOrders.find((taken) => taken.order.id === orderId)?.state ?? 'unknown';
 }
 
 const reports = new WeakMap<ModelEngine, EngineReport>();
@@ -156,7 +159,7 @@
 }
 
 function buildReport(engine: ModelEngine): EngineReport {
-  const last = engine.taken.at(-1);
+  const last = engine.acceptedOrders.at(-1);
   return {
     engine: engine.name,
     boot: bootId(engine),
--- a/src/lab/model/intern.ts
+++ b/src/lab/model/intern.ts
@@ -14,7 +14,10 @@
 }
 
 /** The number of the projection of an object, computed once for each object. */
-export function internAs<T extends object>(object: T, project: (object: T) => unknown): number {
+export function internProjection<T extends object>(
+  object: T,
+  project: (object: T) => unknown,
+): number {
   const known = numbersByObject.get(object);
   if (known !== undefined) return known;
   return remember(object, JSON.stringify(project(object)));
--- a/src/lab/model/leaving/index.ts
+++ b/src/lab/model/leaving/index.ts
@@ -23,7 +23,7 @@
 /** Protections that a mutation removes. */
 export interface LeavingProtections {
   /** The daemon takes into account that an engine is leaving. */
-  readonly leavesHeeded: boolean;
+  readonly respectsLeaving: boolean;
 }
 
 /** How long after an engine has reported that it leaves new work may still be sent to it. */
@@ -50,7 +50,7 @@
   readonly drained: boolean;
   /** The last report that the daemon received, and below the time at which it was requested. */
   readonly report: EngineReport | null;
-  readonly askedAt: number;
+  readonly requestedAt: number;
   readonly dispatched: boolean;
 }
 
@@ -61,7 +61,7 @@
 /** Builds the leaving model. */
 export function leavingModel(
   name: string,
-  protections: LeavingProtections = { leavesHeeded: true },
+  protections: LeavingProtections = { respectsLeaving: true },
 ): Model<LeavingWorld, LeavingStep> {
   return {
     name,
@@ -71,7 +71,7 @@
       listed: 'live',
       drained: false,
       report: null,
-      askedAt: 0,
+      requestedAt: 0,
       dispatched: false,
     },
     steps: (world) => stepsOf(world, protections),
@@ -107,7 +107,7 @@
       return { world: { ...world, drained: true }, violations: [] };
     case 'poll': {
       const report = { ...reportOf(ENGINE), leaving: world.leftAt !== null };
-      return { world: { ...world, report, askedAt: world.now }, violations: [] };
+      return { world: { ...world, report, requestedAt: world.now }, violations: [] };
     }
     case 'dispatch':
       return { world: { ...world, dispatched: true }, violations: violationsOf(world) };
@@ -118,21 +118,21 @@
 
 /** Whether the production router would send a request to the engine now. */
 function routesToEngine(world: LeavingWorld, protections: LeavingProtections): boolean {
-  const { leavesHeeded } = protections;
-  const state = leavesHeeded ? world.listed : 'live';
+  const { respectsLeaving } = protections;
+  const state = respectsLeaving ? world.listed : 'live';
   const machine = { ...MACHINE, state };
   const index = new FleetIndex();
-  const backends = world.drained && leavesHeeded ? { [MACHINE.name]: { drained: true } } : {};
+  const backends = world.drained && respectsLeaving ? { [MACHINE.name]: { drained: true } } : {};
   const document = configurationSchema.parse({ models: { labels: { version: '1' } }, backends });
   index.setConfiguration({ version: 1, document });
   index.setMachines([machine]);
   if (world.report !== null) {
-    const leaving = world.report.leaving && leavesHeeded;
+    const leaving = world.report.leaving && respectsLeaving;
     index.setView({
       machine,
       report: { ...world.report, leaving },
-      reportedAt: world.askedAt,
-      grantedUntil: grantEnd(world.askedAt),
+      reportedAt: world.requestedAt,
+      grantedUntil: grantEnd(world.requestedAt),
       watcher: null,
     });
   }
--- a/src/lab/platform/faults.ts
+++ b/src/lab/platform/faults.ts
@@ -80,7 +80,7 @@
   }
 
   /** Counts one call and returns whether it is lost. */
-  next(): boolean {
+  isNextLost(): boolean {
     this.calls += 1;
     switch (this.loss.kind) {
       case 'none':
--- a/src/lab/platform/model.ts
+++ b/src/lab/platform/model.ts
@@ -73,14 +73,14 @@
   setFaults(request: FaultsRequest): void {
     for (const service of SERVICES) {
       const change = request[service];
-      if (change !== undefined) this.gate(service).set(change);
+      if (change !== undefined) this.gate(service).setFaults(change);
     }
     if (request.machineLagMs !== undefined) this.machines.setLag(request.machineLagMs);
   }
 
   /** The current faults, by service. */
   faults(): Readonly<Record<Service, ServiceFaults>> {
-    return this.byService((gate) => gate.current());
+    return this.byService((gate) => gate.currentFaults());
   }
 
   /** The counts of calls since the start, by service. */
--- a/src/lab/platform/service-gate.ts
+++ b/src/lab/platform/service-gate.ts
@@ -40,7 +40,9 @@
   }
 
   /** Sets the given faults. A given loss restarts its count. */
-  set(change: { readonly [Key in keyof ServiceFaults]?: ServiceFaults[Key] | undefined }): void {
+  setFaults(
+    change: { readonly [Key in keyof ServiceFaults]?: ServiceFaults[Key] | undefined },
+  ): void {
     const given = Object.entries(change).filter(([, value]) => value !== undefined);
     this.faults = { ...this.faults, ...Object.fromEntries(given) };
     if (change.loseCalls !== undefined) this.callLoss = new LossSource(change.loseCalls);
@@ -48,7 +50,7 @@
   }
 
   /** The current faults. */
-  current(): ServiceFaults {
+  currentFaults(): ServiceFaults {
     return this.faults;
   }
 
@@ -77,8 +79,8 @@
 
   private drawLoss(writes: boolean): 'nothing' | 'call' | 'answer' {
     if (this.faults.writesOnly && !writes) return 'nothing';
-    if (this.callLoss.next()) return 'call';
-    return this.answerLoss.next() ? 'answer' : 'nothing';
+    if (this.callLoss.isNextLost()) return 'call';
+    return this.answerLoss.isNextLost() ? 'answer' : 'nothing';
   }
 
   private count(name: keyof ServiceCounts): void {
--- a/src/lab/scale/fleet-options.ts
+++ b/src/lab/scale/fleet-options.ts
@@ -23,7 +23,7 @@
 }
 
 /** A daemon's slot in the fleet, which persists across restarts of the daemon. */
-export interface Place {
+export interface DaemonSlot {
   readonly name: string;
   readonly zone: string;
   readonly port: number;
@@ -31,7 +31,7 @@
   /** Null while it is down. */
   daemon: SimulatedDaemon | null;
   /** Incremented at each start and kill, so that events for an earlier incarnation are dropped. */
-  life: number;
+  generation: number;
   clockOffset: Milliseconds;
   pausedUntil: Milliseconds;
 }
--- a/src/lab/scale/fleet-simulation.ts
+++ b/src/lab/scale/fleet-simulation.ts
@@ -10,7 +10,7 @@
 import { DEFAULT_PLATFORM_OPTIONS, PlatformModel } from '../platform/index.js';
 import { Random } from '../workload/random.js';
 import { reportOf } from './engine-report.js';
-import type { FleetOptions, LoggedLine, Place } from './fleet-options.js';
+import type { DaemonSlot, FleetOptions, LoggedLine } from './fleet-options.js';
 import { SimulatedDaemon } from './simulated-daemon.js';
 import { type NetworkFaults, SimulatedNetwork } from './simulated-network.js';
 import { SimulatedStore } from './simulated-store.js';
@@ -37,7 +37,7 @@
   readonly time = new VirtualTime();
   readonly network: SimulatedNetwork;
   readonly store: SimulatedStore;
-  readonly places: readonly Place[];
+  readonly slots: readonly DaemonSlot[];
   readonly answers = new Map<string, ChangeOutcome>();
   /** The daemons' log lines, in order. */
   readonly logged: LoggedLine[] = [];
@@ -46,7 +46,7 @@
   /** Processor time spent in steps, encoding and decoding, in milliseconds of real time. */
   processorMs = 0;
   private readonly random: Random;
-  private readonly slotsByPort = new Map<number, Place>();
+  private readonly slotsByPort = new Map<number, DaemonSlot>();
   private readonly engines: readonly Machine[];
   private readonly authenticator = createAuthenticator('a fleet key for simulations');
   private incarnations = 1_000;
@@ -60,7 +60,7 @@
     const machineLagMs = options.machineLagMs ?? DEFAULT_PLATFORM_OPTIONS.machineLagMs;
     const platform = new PlatformModel({ ...DEFAULT_PLATFORM_OPTIONS, machineLagMs });
     this.store = new SimulatedStore(this.time, platform);
-    this.places = Array.from({ length: options.daemons }, (_, index) => this.createSlot(index));
+    this.slots = Array.from({ length: options.daemons }, (_, index) => this.createSlot(index));
     this.engines = Array.from({ length: options.engines ?? 0 }, (_, index) => ({
       kind: 'engine' as const,
       name: `engine-${index}`,
@@ -77,40 +77,40 @@
 
   /** Starts every daemon that is down. */
   startAll(): void {
-    for (const slot of this.places) {
+    for (const slot of this.slots) {
       if (slot.daemon === null) this.start(slot);
     }
   }
 
   /** Starts a new incarnation of a daemon and adds it to the machine list. */
-  start(slot: Place): void {
-    slot.life += 1;
+  start(slot: DaemonSlot): void {
+    slot.generation += 1;
     slot.pausedUntil = 0;
     slot.clockOffset = this.random.integer(0, MAX_CLOCK_OFFSET_MS);
     this.incarnations += 1;
     const endpoint = { address: '10.0.0.1', port: slot.port };
     const { name, zone } = slot;
     const identity = { name, zone, endpoint, incarnation: this.incarnations };
-    slot.daemon = new SimulatedDaemon(identity, this.environment(slot, slot.life));
+    slot.daemon = new SimulatedDaemon(identity, this.environment(slot, slot.generation));
     const machine = { kind: 'daemon', name, zone, state: 'live', ...endpoint } as const;
     this.store.platform.machines.put(machine, this.time.now);
     this.every(slot, TICK_MS, (daemon) => daemon.tick());
-    this.every(slot, LIST_INTERVAL_MS, (daemon) => daemon.list(this.listedMachines()));
+    this.every(slot, LIST_INTERVAL_MS, (daemon) => daemon.applyMachineList(this.listedMachines()));
   }
 
   /** Kills a daemon at once; it stays on the machine list. */
-  kill(slot: Place): void {
+  kill(slot: DaemonSlot): void {
     slot.daemon = null;
-    slot.life += 1;
+    slot.generation += 1;
   }
 
   /** Removes a daemon from the machine list. */
-  delist(slot: Place): void {
+  delist(slot: DaemonSlot): void {
     this.store.platform.machines.remove(slot.name, this.time.now);
   }
 
   /** Suspends a daemon's process; events that arrive are delivered after the pause. */
-  pause(slot: Place, milliseconds: Milliseconds): void {
+  pause(slot: DaemonSlot, milliseconds: Milliseconds): void {
     slot.pausedUntil = this.time.now + milliseconds;
   }
 
@@ -127,23 +127,23 @@
   }
 
   /** Submits a change to a daemon; its outcome appears in `answers` under the token. */
-  change(slot: Place, request: ChangeRequest): void {
+  change(slot: DaemonSlot, request: ChangeRequest): void {
     slot.daemon?.change(request);
   }
 
   /** The daemons that are running. */
   get running(): readonly SimulatedDaemon[] {
-    return this.places.flatMap((slot) => (slot.daemon === null ? [] : [slot.daemon]));
+    return this.slots.flatMap((slot) => (slot.daemon === null ? [] : [slot.daemon]));
   }
 
-  private createSlot(index: number): Place {
-    const slot: Place = {
+  private createSlot(index: number): DaemonSlot {
+    const slot: DaemonSlot = {
       name: `daemon-${index}`,
       zone: `zone-${index % this.options.zones}`,
       port: 7_000 + index,
       sent: { messages: 0, bytes: 0 },
       daemon: null,
-      life: 0,
+      generation: 0,
       clockOffset: 0,
       pausedUntil: 0,
     };
@@ -160,11 +160,15 @@
     return this.list;
   }
 
-  private every(slot: Place, interval: Milliseconds, run: (daemon: SimulatedDaemon) => void): void {
-    const { life } = slot;
+  private every(
+    slot: DaemonSlot,
+    interval: Milliseconds,
+    run: (daemon: SimulatedDaemon) => void,
+  ): void {
+    const { generation } = slot;
     const repeat = (): void => {
-      if (slot.life === life) {
-        this.deliver(slot, life, run);
+      if (slot.generation === generation) {
+        this.deliver(slot, generation, run);
         this.time.schedule(Math.max(interval, slot.pausedUntil - this.time.now), repeat);
       }
     };
@@ -175,18 +179,22 @@
    * Runs an event on a daemon, after its pause if it is paused; dropped when the incarnation that the
    * event is for has ended.
    */
-  private deliver(slot: Place, life: number, run: (daemon: SimulatedDaemon) => void): void {
+  private deliver(
+    slot: DaemonSlot,
+    generation: number,
+    run: (daemon: SimulatedDaemon) => void,
+  ): void {
     const pause = slot.pausedUntil - this.time.now;
     if (pause > 0) {
-      this.time.schedule(pause, () => this.deliver(slot, life, run));
-    } else if (slot.daemon !== null && slot.life === life) {
+      this.time.schedule(pause, () => this.deliver(slot, generation, run));
+    } else if (slot.daemon !== null && slot.generation === generation) {
       const start = performance.now();
       run(slot.daemon);
       this.processorMs += performance.now() - start;
     }
   }
 
-  private environment(slot: Place, life: number) {
+  private environment(slot: DaemonSlot, generation: number) {
     return {
       context: (): StepContext => ({
         now: this.time.now + slot.clockOffset,
@@ -196,14 +204,14 @@
       callTable: (effect: { token: string; call: Parameters<SimulatedStore['callTable']>[0] }) =>
         this.store.callTable(effect.call, (result) => {
           const event = { kind: 'table-result', token: effect.token, result } as const;
-          this.deliver(slot, life, (daemon) => daemon.receiveResult(event));
+          this.deliver(slot, generation, (daemon) => daemon.receiveResult(event));
         }),
       callObject: (effect: { token: string; call: Parameters<SimulatedStore['callObject']>[0] }) =>
         this.store.callObject(effect.call, (result) => {
           const event = { kind: 'object-result', token: effect.token, result } as const;
-          this.deliver(slot, life, (daemon) => daemon.receiveResult(event));
+          this.deliver(slot, generation, (daemon) => daemon.receiveResult(event));
         }),
-      pollEngine: (engine: string) => this.pollEngine(slot, life, engine),
+      pollEngine: (engine: string) => this.pollEngine(slot, generation, engine),
       answer: (token: string, outcome: ChangeOutcome) => {
         this.answers.set(token, outcome);
       },
@@ -218,7 +226,7 @@
     };
   }
 
-  private pollEngine(slot: Place, life: number, engine: string): void {
+  private pollEngine(slot: DaemonSlot, generation: number, engine: string): void {
     const askedAt = this.time.now + slot.clockOffset;
     const report = reportOf(engine, this.time.now);
     this.polls.set(
@@ -227,11 +235,11 @@
     );
     this.time.schedule(ENGINE_DELAY_MS, () => {
       const event = { kind: 'engine-report', report, askedAt } as const;
-      this.deliver(slot, life, (daemon) => daemon.receivePoll(event));
+      this.deliver(slot, generation, (daemon) => daemon.receivePoll(event));
     });
   }
 
-  private send(from: Place, effect: PeerEffect, header: PeerHeader): void {
+  private send(from: DaemonSlot, effect: PeerEffect, header: PeerHeader): void {
     const to = this.slotsByPort.get(effect.to.port);
     from.sent.messages += 1;
     const wire = this.options.wire === true ? this.encode(effect, header) : null;
@@ -244,7 +252,7 @@
     }
     const source = { address: '10.0.0.1', port: from.port };
     this.network.carry(from, to, effect.channel, () => {
-      this.deliver(to, to.life, (daemon) => {
+      this.deliver(to, to.generation, (daemon) => {
         const envelope = wire === null ? { header, message: effect.message } : this.decode(wire);
         daemon.receive({ kind: 'peer-received', from: source, ...envelope });
       });
--- a/src/lab/scale/simulated-daemon.ts
+++ b/src/lab/scale/simulated-daemon.ts
@@ -34,7 +34,7 @@
 import type { Machine } from '../../core/registry/backend.js';
 
 /** What a simulated daemon uses of the simulation. */
-export interface DaemonSurroundings {
+export interface DaemonEnvironment {
   context(): StepContext;
   send(effect: PeerEffect, header: PeerHeader): void;
   callTable(effect: TableEffect): void;
@@ -55,7 +55,7 @@
 
   constructor(
     readonly identity: MembershipIdentity,
-    private readonly environment: DaemonSurroundings,
+    private readonly environment: DaemonEnvironment,
   ) {
     this.membership = createMembership(identity);
     this.configuration = createConfiguration(identity);
@@ -82,7 +82,7 @@
   }
 
   /** Applies a read of the machine list. */
-  list(machines: readonly Machine[]): void {
+  applyMachineList(machines: readonly Machine[]): void {
     const daemons = machines.filter((machine) => machine.kind === 'daemon');
     const engines = machines.filter((machine) => machine.kind === 'engine');
     this.stepMembership({ kind: 'daemons-listed', daemons });
--- a/src/lab/scale/spread.ts
+++ b/src/lab/scale/spread.ts
@@ -114,16 +114,16 @@
 }
 
 function measureSteady(fleet: FleetSimulation) {
-  const before = fleet.places.map(({ sent }) => ({ ...sent }));
+  const before = fleet.slots.map(({ sent }) => ({ ...sent }));
   const processorBefore = fleet.processorMs;
   const callsBefore = storeCalls(fleet);
   fleet.run(STEADY_MS);
   const seconds = STEADY_MS / 1_000;
-  const messages = fleet.places.map(
+  const messages = fleet.slots.map(
     ({ sent }, index) => sent.messages - (before[index]?.messages ?? 0),
   );
-  const bytes = fleet.places.map(({ sent }, index) => sent.bytes - (before[index]?.bytes ?? 0));
-  const daemons = fleet.places.length;
+  const bytes = fleet.slots.map(({ sent }, index) => sent.bytes - (before[index]?.bytes ?? 0));
+  const daemons = fleet.slots.length;
   return {
     spent: {
       messagesPerSecond: sum(messages) / daemons / seconds,
@@ -140,7 +140,7 @@
   const applied: Milliseconds[] = [];
   let notApplied = 0;
   for (let number = 1; number <= changes; number += 1) {
-    const slot = fleet.places[(number * 7) % fleet.places.length];
+    const slot = fleet.slots[(number * 7) % fleet.slots.length];
     if (slot === undefined) continue;
     const request = createChange(number);
     const start = fleet.time.now;
@@ -175,7 +175,7 @@
   const detected: Milliseconds[] = [];
   let misjudged = 0;
   for (let number = 0; number < kills; number += 1) {
-    const slot = fleet.places[(number * 11) % fleet.places.length];
+    const slot = fleet.slots[(number * 11) % fleet.slots.length];
     const victim = slot?.daemon?.identity;
     if (slot === undefined || victim === undefined) continue;
     fleet.kill(slot);
@@ -223,7 +223,7 @@
 }
 
 function reportAges(fleet: FleetSimulation): readonly Milliseconds[] {
-  return fleet.places.flatMap(({ daemon, clockOffset }) => {
+  return fleet.slots.flatMap(({ daemon, clockOffset }) => {
     const used = daemon?.digest.used ?? new Set<string>();
     return [...(daemon?.digest.views.values() ?? [])]
       .filter((view) => used.has(view.machine.name))
--- a/src/lab/simulation/oracle.ts
+++ b/src/lab/simulation/oracle.ts
@@ -28,10 +28,10 @@
 }
 
 /** What an oracle reads from the fleet that it observes. */
-export interface OracleSurroundings {
+export interface OracleEnvironment {
   now(): number;
   /** The epoch that the table holds for the lease behind an engine's orders. */
-  epochInTable(engine: BackendName): number;
+  storedEpoch(engine: BackendName): number;
   /** The order that the engine's intent row names; null when there is none. */
   intendedOrder(engine: BackendName): OrderId | null;
 }
@@ -83,14 +83,14 @@
   readonly #leavingSince = new Map<BackendName, number>();
   readonly #known: KnownVersions;
   #promisedVersion = 0;
-  #environment: OracleSurroundings | null = null;
+  #environment: OracleEnvironment | null = null;
 
   constructor(known: KnownVersions = FUZZED_VERSIONS) {
     this.#known = known;
   }
 
   /** Connects the oracle to the fleet; call it before the simulation runs. */
-  watch(environment: OracleSurroundings): void {
+  attach(environment: OracleEnvironment): void {
     this.#environment = environment;
   }
 
@@ -197,7 +197,7 @@
   }
 
   /** Checks that every request has its final answer; call it after all faults have healed and settled. */
-  conclude(): void {
+  checkAllAnswered(): void {
     for (const { issued, outcome } of this.#requests.values()) {
       if (outcome === null) {
         this.#report('no-final-answer', `${issued.description.id} was never answered`);
@@ -268,7 +268,7 @@
       return;
     }
     const intended = environment.intendedOrder(order.engine);
-    const epoch = environment.epochInTable(order.engine);
+    const epoch = environment.storedEpoch(order.engine);
     if (order.fence.epoch < epoch && intended !== order.id) {
       this.#report(
         'deposed-order',
--- a/src/lab/simulation/simulated-caller.ts
+++ b/src/lab/simulation/simulated-caller.ts
@@ -30,7 +30,7 @@
     const sendBack = (run: () => void): void =>
       this.network.sendReliably(daemon.name, CALLER_NODE, run);
     this.network.sendReliably(CALLER_NODE, daemon.name, () => {
-      const accepted = daemon.takeRequest({
+      const accepted = daemon.acceptRequest({
         issued,
         deliver: (token) =>
           sendBack(() => {
@@ -45,11 +45,11 @@
       }
     });
     if (giveUpAfterMs !== null) {
-      this.clock.at(this.clock.now + giveUpAfterMs, () => {
+      this.clock.scheduleAt(this.clock.now + giveUpAfterMs, () => {
         if (!ended) {
           end({ kind: 'disconnected', tokens });
           this.network.sendReliably(CALLER_NODE, daemon.name, () =>
-            daemon.callerGone(issued.description.id),
+            daemon.handleCallerDisconnect(issued.description.id),
           );
         }
       });
--- a/src/lab/simulation/simulated-daemon.ts
+++ b/src/lab/simulation/simulated-daemon.ts
@@ -19,7 +19,7 @@
 import type { FleetObserver } from './observer.js';
 import type { SimulatedEngine } from './simulated-engine.js';
 import { SimulatedEngineCalls } from './simulated-engine-calls.js';
-import { type HeldRequest, SimulatedHttp } from './simulated-http.js';
+import { type PendingRequest, SimulatedHttp } from './simulated-http.js';
 import type { SimulatedNetwork } from './simulated-network.js';
 import type { SimulatedPlatform } from './simulated-platform.js';
 import type { VirtualClock } from './virtual-clock.js';
@@ -37,7 +37,7 @@
 }
 
 /** The parts of the simulation that a daemon uses. */
-export interface SimulatedSurroundings {
+export interface SimulatedEnvironment {
   readonly clock: VirtualClock;
   readonly random: Random;
   readonly network: SimulatedNetwork;
@@ -65,7 +65,7 @@
 
   constructor(
     readonly identity: SimulatedDaemonIdentity,
-    private readonly environment: SimulatedSurroundings,
+    private readonly environment: SimulatedEnvironment,
   ) {
     this.start();
   }
@@ -125,7 +125,7 @@
 
   /** Kills the daemon at once. */
   kill(): void {
-    this.#running?.http.die();
+    this.#running?.http.closeAll();
     this.#running = null;
     this.#inbox = [];
     this.#pausedUntil = 0;
@@ -135,7 +135,7 @@
   pause(durationMs: number): void {
     const { clock } = this.environment;
     this.#pausedUntil = clock.now + durationMs;
-    clock.at(this.#pausedUntil, () => this.#wake());
+    clock.scheduleAt(this.#pausedUntil, () => this.#wake());
   }
 
   /** Begins a planned stop. */
@@ -144,12 +144,12 @@
   }
 
   /** Accepts a caller's request; false when the daemon is down or stopping. */
-  takeRequest(request: HeldRequest): boolean {
+  acceptRequest(request: PendingRequest): boolean {
     const running = this.#running;
     if (running === null || running.state.stopping) {
       return false;
     }
-    running.http.hold(request);
+    running.http.accept(request);
     const local = this.localNow();
     const { issued } = request;
     const remaining = issued.description.deadline - issued.description.arrivedAt;
@@ -159,8 +159,8 @@
   }
 
   /** The caller has closed its connection. */
-  callerGone(request: string): void {
-    this.#running?.http.callerGone(request);
+  handleCallerDisconnect(request: string): void {
+    this.#running?.http.handleCallerDisconnect(request);
     this.receive({ kind: 'caller-gone', request });
   }
 
@@ -222,7 +222,7 @@
       this.#step(running, { kind: 'tick' });
     }
     const next = isPaused ? this.#pausedUntil : clock.now + TICK_MS / this.identity.clockRate;
-    clock.at(next, () => this.#tick(running));
+    clock.scheduleAt(next, () => this.#tick(running));
   }
 
   #step(running: RunningDaemon, event: DaemonEvent): void {
@@ -267,13 +267,13 @@
         this.#sendToPeer(running, effect);
         break;
       case 'ask-report':
-        running.engines.askReport(effect.engine);
+        running.engines.requestReport(effect.engine);
         break;
       case 'send-order':
         running.engines.sendOrder(effect, this.#maySend(running, effect.order));
         break;
       case 'query-order':
-        running.engines.askOrder(effect);
+        running.engines.queryOrder(effect);
         break;
       case 'change-answer':
         this.environment.observer.changeAnswered(this.name, effect.outcome);
--- a/src/lab/simulation/simulated-engine-calls.ts
+++ b/src/lab/simulation/simulated-engine-calls.ts
@@ -31,7 +31,7 @@
   }
 
   /** Requests an engine's report. */
-  askReport(name: string): void {
+  requestReport(name: string): void {
     const { localNow, emit } = this.#options;
     const engine = this.#options.engine(name);
     const askedAt = localNow();
@@ -65,7 +65,7 @@
   }
 
   /** Queries the state of an order. */
-  askOrder({ engine: name, orderId }: AskOrder): void {
+  queryOrder({ engine: name, orderId }: AskOrder): void {
     const engine = this.#options.engine(name);
     this.#call(
       name,
--- a/src/lab/simulation/simulated-engine.ts
+++ b/src/lab/simulation/simulated-engine.ts
@@ -103,7 +103,7 @@
     for (const listener of listeners) {
       listener.reset();
     }
-    this.clock.at(this.clock.now + downMs, () => {
+    this.clock.scheduleAt(this.clock.now + downMs, () => {
       this.#boots += 1;
       this.#model = this.#boot();
     });
@@ -127,7 +127,7 @@
       return;
     }
     this.#scheduledFor = due;
-    this.clock.at(due, () => {
+    this.clock.scheduleAt(due, () => {
       if (this.#model === model) {
         this.#scheduledFor = null;
         this.#collect();
--- a/src/lab/simulation/simulated-fleet.ts
+++ b/src/lab/simulation/simulated-fleet.ts
@@ -11,7 +11,7 @@
 import { Random } from '../workload/index.js';
 import type { FleetObserver } from './observer.js';
 import { SimulatedCallers } from './simulated-caller.js';
-import { SimulatedDaemon, type SimulatedSurroundings } from './simulated-daemon.js';
+import { SimulatedDaemon, type SimulatedEnvironment } from './simulated-daemon.js';
 import { SimulatedEngine } from './simulated-engine.js';
 import { DEFAULT_NETWORK, type NetworkOptions, SimulatedNetwork } from './simulated-network.js';
 import { PLATFORM_NODE, SimulatedPlatform } from './simulated-platform.js';
@@ -146,7 +146,7 @@
     };
     this.network.place(daemon.name, daemon.zone);
     this.platform.model.machines.put(machine, this.clock.now);
-    const environment: SimulatedSurroundings = {
+    const environment: SimulatedEnvironment = {
       clock: this.clock,
       random: new Random(seed, 100 + index),
       network: this.network,
--- a/src/lab/simulation/simulated-http.ts
+++ b/src/lab/simulation/simulated-http.ts
@@ -24,7 +24,7 @@
 const HTTP_OK = 200;
 
 /** A caller's open request, with the callbacks to its connection. */
-export interface HeldRequest {
+export interface PendingRequest {
   readonly issued: IssuedRequest;
   /** Delivers a token to the caller. */
   deliver(token: string): void;
@@ -56,7 +56,7 @@
   }): void;
 }
 
-interface OpenRequest extends HeldRequest {
+interface OpenRequest extends PendingRequest {
   attempt: AttemptId | null;
   nextOffset: number;
   headersForwarded: boolean;
@@ -86,7 +86,7 @@
   }
 
   /** Registers a caller's request. */
-  hold(request: HeldRequest): void {
+  accept(request: PendingRequest): void {
     const now = this.#options.clock.now;
     this.#requests.set(request.issued.description.id, {
       ...request,
@@ -123,12 +123,12 @@
   }
 
   /** The caller has disconnected: nothing more is delivered. */
-  callerGone(id: RequestId): void {
+  handleCallerDisconnect(id: RequestId): void {
     this.#requests.delete(id);
   }
 
   /** The daemon died: its connections to engines close, which cancels their work. */
-  die(): void {
+  closeAll(): void {
     for (const [attempt, engine] of this.#dispatched) {
       this.#options.network.sendReliably(this.#options.node, engine.name, () =>
         engine.cancel(attempt),
@@ -349,9 +349,9 @@
         this.#break(request, effect, 'stall');
         return;
       }
-      clock.at(stalledAt, check);
+      clock.scheduleAt(stalledAt, check);
     };
-    clock.at(clock.now + STALL_TIMEOUT_MS, check);
+    clock.scheduleAt(clock.now + STALL_TIMEOUT_MS, check);
   }
 
   #report(effect: DispatchEffect, event: AttemptEvent): void {
--- a/src/lab/simulation/simulated-network.ts
+++ b/src/lab/simulation/simulated-network.ts
@@ -97,9 +97,9 @@
     if (lost || !this.passes(from, to)) {
       return;
     }
-    this.clock.at(this.clock.now + this.delay(from, to), deliver);
+    this.clock.scheduleAt(this.clock.now + this.delay(from, to), deliver);
     if (this.random.unit() < this.options.datagramDuplication) {
-      this.clock.at(this.clock.now + this.delay(from, to), deliver);
+      this.clock.scheduleAt(this.clock.now + this.delay(from, to), deliver);
     }
   }
 
@@ -121,7 +121,7 @@
     connection.sentAt = now;
     connection.pending = messages;
     connection.lastArrival = Math.max(connection.lastArrival, now + this.delay(from, to));
-    this.clock.at(connection.lastArrival, () => {
+    this.clock.scheduleAt(connection.lastArrival, () => {
       if (connection.pending === messages) connection.pending = null;
       for (const message of messages) message();
     });
@@ -141,9 +141,11 @@
         done(result);
       }
     };
-    this.clock.at(this.clock.now + this.options.callTimeoutMs, () => finish({ kind: 'lost' }));
+    this.clock.scheduleAt(this.clock.now + this.options.callTimeoutMs, () =>
+      finish({ kind: 'lost' }),
+    );
     if (!this.passes(from, to)) {
-      this.clock.at(this.clock.now + this.options.callTimeoutMs / 2, () =>
+      this.clock.scheduleAt(this.clock.now + this.options.callTimeoutMs / 2, () =>
         finish({ kind: 'not-sent' }),
       );
       return;
--- a/src/lab/simulation/simulated-platform.ts
+++ b/src/lab/simulation/simulated-platform.ts
@@ -99,7 +99,7 @@
     apply: () => Answer,
     answer: (served: Served<Answer>) => void,
   ): void {
-    this.clock.at(this.clock.now + admission.delayMs, () => {
+    this.clock.scheduleAt(this.clock.now + admission.delayMs, () => {
       if (admission.lost === 'call') {
         answer({ kind: 'lost' });
         return;
@@ -107,7 +107,7 @@
       const value = apply();
       const served: Served<Answer> =
         admission.lost === 'answer' ? { kind: 'lost' } : { kind: 'answer', value };
-      this.clock.at(this.clock.now + admission.answerDelayMs, () => answer(served));
+      this.clock.scheduleAt(this.clock.now + admission.answerDelayMs, () => answer(served));
     });
   }
 }
--- a/src/lab/simulation/virtual-clock.ts
+++ b/src/lab/simulation/virtual-clock.ts
@@ -17,7 +17,7 @@
   #eventsNow = 0;
 
   /** Schedules an event; an event in the past runs at the current time. */
-  at(time: number, run: () => void): void {
+  scheduleAt(time: number, run: () => void): void {
     this.#scheduled += 1;
     this.#heap.push({ at: Math.max(time, this.now), order: this.#scheduled, run });
     this.#rise(this.#heap.length - 1);
--- a/src/lab/web/order-ledger.ts
+++ b/src/lab/web/order-ledger.ts
@@ -15,7 +15,7 @@
   #total = 0;
 
   /** Records a run and returns the number of runs of the key so far. */
-  run(key: string, path: string): number {
+  recordRun(key: string, path: string): number {
     const runs = (this.#runs.get(key)?.runs ?? 0) + 1;
     this.#runs.set(key, { key, path, runs });
     this.#total += 1;
--- a/src/lab/web/server.ts
+++ b/src/lab/web/server.ts
@@ -123,7 +123,7 @@
       return this.#sendJson(response, 400, { error: 'no x-request-key' });
     const fault = this.#faults.shift() ?? null;
     if (fault?.kind === 'break-before-run') return this.#resetConnection(response);
-    const runs = this.ledger.run(key, path);
+    const runs = this.ledger.recordRun(key, path);
     if (fault?.kind === 'break-after-run') return this.#resetConnection(response);
     if (fault?.kind === 'stall') await delay(fault.forMs);
     await this.#waitServiceTime();
--- a/src/lab/workload/definition.ts
+++ b/src/lab/workload/definition.ts
@@ -110,7 +110,7 @@
 export type Workload = z.infer<typeof workloadSchema>;
 
 /** The workload with all phase durations multiplied by a factor and unchanged rates. */
-export function stretched(workload: Workload, factor: number): Workload {
+export function withScaledDurations(workload: Workload, factor: number): Workload {
   const phases = workload.phases.map((phase) => ({
     ...phase,
     durationMs: Math.max(1, Math.round(phase.durationMs * factor)),
--- a/src/lab/workload/index.ts
+++ b/src/lab/workload/index.ts
@@ -4,6 +4,6 @@
   arrivals,
   type ModelArrivalRequest,
 } from './arrivals.js';
-export { type Phase, stretched, type Workload, workloadSchema } from './definition.js';
+export { type Phase, type Workload, withScaledDurations, workloadSchema } from './definition.js';
 export { promptText } from './prompt.js';
 export { Random } from './random.js';
--- a/test/admission/overload.test.ts
+++ b/test/admission/overload.test.ts
@@ -27,7 +27,7 @@
     const inTime = clock.now <= request.deadline;
     result.inTime += inTime ? 1 : 0;
     result.late += inTime ? 0 : 1;
-    clock.at(clock.now + SERVICE_MS * (0.5 + random.unit()), () => {
+    clock.scheduleAt(clock.now + SERVICE_MS * (0.5 + random.unit()), () => {
       running -= 1;
       queue.recordFinished(request.id, { promptTokens: 100, outputTokens: 0 });
       result.expired += queue.expired(clock.now).length;
@@ -42,9 +42,9 @@
     if (answer.kind === 'dispatch-now') begin(request);
     if (answer.kind === 'refused') result.refusedOnArrival += 1;
     result.maxWaiting = Math.max(result.maxWaiting, queue.waiting);
-    clock.at(clock.now + random.exponential(CAPACITY * load), arrive);
+    clock.scheduleAt(clock.now + random.exponential(CAPACITY * load), arrive);
   };
-  clock.at(0, arrive);
+  clock.scheduleAt(0, arrive);
   clock.runUntil(DURATION_MS);
   return { ...result, arrived };
 }
--- a/test/configuration/distribution.test.ts
+++ b/test/configuration/distribution.test.ts
@@ -12,7 +12,7 @@
 }
 
 function restartAll(fleet: FleetSimulation): void {
-  for (const place of fleet.places) fleet.kill(place);
+  for (const place of fleet.slots) fleet.kill(place);
   fleet.startAll();
 }
 
@@ -112,10 +112,10 @@
     let accepted = 0;
     let changes = 0;
     const watch = (): boolean => {
-      for (const place of fleet.places) {
+      for (const place of fleet.slots) {
         const { daemon } = place;
         if (daemon === null) continue;
-        const incarnation = `${place.name} ${place.life}`;
+        const incarnation = `${place.name} ${place.generation}`;
         assert.ok(
           daemon.version >= (highest.get(incarnation) ?? -1),
           `the version of ${incarnation} decreased, seed ${seed}`,
--- a/test/configuration/support.ts
+++ b/test/configuration/support.ts
@@ -2,7 +2,7 @@
 import { err, ok } from 'neverthrow';
 import type { ChangeOutcome, ChangeRequest } from '../../src/core/configuration/index.js';
 import { refusedNotRun } from '../../src/core/errors/fault.js';
-import type { Place } from '../../src/lab/scale/fleet-options.js';
+import type { DaemonSlot } from '../../src/lab/scale/fleet-options.js';
 import type { FleetSimulation } from '../../src/lab/scale/fleet-simulation.js';
 
 let tokens = 0;
@@ -40,7 +40,7 @@
 /** Sends a change to a daemon and runs the simulation until it is answered. */
 export function outcomeOf(
   fleet: FleetSimulation,
-  place: Place,
+  place: DaemonSlot,
   request: ChangeRequest,
 ): ChangeOutcome {
   fleet.change(place, request);
--- a/test/controller/step-controller.test.ts
+++ b/test/controller/step-controller.test.ts
@@ -15,11 +15,11 @@
 import {
   bootId,
   finishOrder,
+  handleOrder,
   type ModelEngine,
   orderState,
   reportOf,
   startedEngine,
-  takeOrder,
 } from '../../src/lab/model/engine.js';
 import { applyCall, EMPTY_TABLE, type ModelTable, rowOf } from '../../src/lab/model/table.js';
 
@@ -106,13 +106,13 @@
     let answer: OrderAnswer = { kind: 'lost', reason: 'cut' };
     if (loss === null || loss.after) {
       if (this.requestBeforeOrder && !isHold) this.admitRequest(order.engine);
-      const taken = takeOrder(this.engine(order.engine), order);
+      const taken = handleOrder(this.engine(order.engine), order);
       const isStarted = taken.answer.kind === 'accepted' && !isHold;
       if (isStarted)
         assert.equal(this.engine(order.engine).active, 0, 'an order interrupted an active request');
       this.engines.set(order.engine, taken.engine);
       if (this.finishAtOnce) this.finish(order.engine);
-      if (loss === null) answer = takeOrder(this.engine(order.engine), order).answer;
+      if (loss === null) answer = handleOrder(this.engine(order.engine), order).answer;
       if (!isHold) this.log.push(`${order.engine} ${order.action.kind}`);
     }
     if (!isHold) this.loseAnswer = null;
--- a/test/digest/digest.test.ts
+++ b/test/digest/digest.test.ts
@@ -23,7 +23,7 @@
  */
 function assertGrantsAreSafe(fleet: FleetSimulation): number {
   let granted = 0;
-  for (const { daemon, clockOffset, name } of fleet.places) {
+  for (const { daemon, clockOffset, name } of fleet.slots) {
     for (const view of daemon?.digest.views.values() ?? []) {
       if (view.report !== null) {
         const trulyAskedAt = view.report.load.ageMs;
@@ -153,7 +153,7 @@
   assert.equal(fleet.polls.size, 8);
   assert.ok(watchers().every((names) => names.size === 1));
   const [victim] = watchers()[0] ?? [];
-  const place = fleet.places.find(({ name }) => name === victim);
+  const place = fleet.slots.find(({ name }) => name === victim);
   assert.ok(place !== undefined);
   fleet.kill(place);
   fleet.run(30_000);
@@ -168,7 +168,7 @@
   const fleet = startFleet({ daemons: 4, zones: 1, engines: 4 });
   fleet.run(15_000);
   const [victim] = fleet.polls.get('engine-0') ?? [];
-  const place = fleet.places.find(({ name }) => name === victim);
+  const place = fleet.slots.find(({ name }) => name === victim);
   assert.ok(place !== undefined);
   fleet.kill(place);
   for (let part = 0; part < 30; part += 1) {
--- a/test/faults/daemon-death.test.ts
+++ b/test/faults/daemon-death.test.ts
@@ -3,7 +3,7 @@
 import { after, before, test } from 'node:test';
 import type { IntentRow } from '../../src/core/orders/index.js';
 import type { RunningDaemonPart } from '../../src/lab/fleet/running-fleet.js';
-import { askModel, sendOrder, Traffic } from './support/caller.js';
+import { sendModelRequest, sendOrder, Traffic } from './support/caller.js';
 import { eventually, eventuallyTrue } from './support/eventually.js';
 import { FaultFleet } from './support/fault-fleet.js';
 import { SMALL_FLEET } from './support/fleet-definition.js';
@@ -42,7 +42,7 @@
   const stall = { kind: 'stall', afterTokens: TOKENS_BEFORE_STALL, forMs: STALL_MS };
   for (const engine of [a1, a2]) await fleet.backendFaults(engine, { faults: [stall] });
   // This request keeps a1 from completing its drain, so that the order stays pending.
-  const holding = askModel(
+  const holding = sendModelRequest(
     { callers: a1.endpoint },
     { streamed: true, outputTokens: ANSWER_TOKENS },
   );
@@ -52,7 +52,7 @@
   assert.equal(pending.epoch, epoch);
   await eventuallyTrue('a1 to be closed', async () => (await fleet.report(a1)).intake === 'closed');
 
-  const stream = askModel(killed, { streamed: true, outputTokens: ANSWER_TOKENS });
+  const stream = sendModelRequest(killed, { streamed: true, outputTokens: ANSWER_TOKENS });
   const request = await stream.received(TOKENS_BEFORE_STALL);
   const running = await fleet.engineRunning(request);
   killed.process.signal('SIGKILL');
@@ -151,12 +151,12 @@
       return (await fleet.status(daemon)).store === 'unreachable';
     });
     assert.equal(await fleet.isReady(daemon), false);
-    const outcome = await askModel(daemon, { streamed: false, outputTokens: 1 }).outcome;
+    const outcome = await sendModelRequest(daemon, { streamed: false, outputTokens: 1 }).outcome;
     assert.equal(outcome.kind, 'refused', JSON.stringify(outcome));
   }
   await fleet.platformFaults({ table: { down: false } });
   await Promise.all(fleet.parts.daemons.map((daemon) => readyWith(daemon, version)));
   const load = new Traffic(() => fleet.parts.daemons, CALLERS);
-  await load.finishedMore(CALLERS);
+  await load.waitForFinished(CALLERS);
   await load.stop();
 });
--- a/test/faults/engine-faults.test.ts
+++ b/test/faults/engine-faults.test.ts
@@ -2,7 +2,7 @@
 import assert from 'node:assert/strict';
 import { after, before, test } from 'node:test';
 import type { RunningBackend } from '../../src/lab/fleet/running-fleet.js';
-import { AT_MOST_ONCE, askModel, type RunningCall } from './support/caller.js';
+import { AT_MOST_ONCE, type RunningCall, sendModelRequest } from './support/caller.js';
 import { eventually, eventuallyTrue } from './support/eventually.js';
 import { FaultFleet } from './support/fault-fleet.js';
 
@@ -36,7 +36,7 @@
   const stall = { kind: 'stall', afterTokens: TOKENS_BEFORE_FAULT, forMs: STALL_MS };
   await fleet.backendFaults(engine, { faults: [stall, stall] });
   const ask = (streamed: boolean, headers = {}) =>
-    askModel(daemon, { streamed, outputTokens: LONG_ANSWER_TOKENS, headers });
+    sendModelRequest(daemon, { streamed, outputTokens: LONG_ANSWER_TOKENS, headers });
   const streamed = ask(true);
   const streamedOnce = ask(true, AT_MOST_ONCE);
   await Promise.all([streamed, streamedOnce].map((call) => call.received(TOKENS_BEFORE_FAULT)));
@@ -77,7 +77,7 @@
     await fleet.backendFaults(engine, { faults: [fault, fault] });
   }
   const calls = Array.from({ length: 2 * ENGINES.length }, (_, place) =>
-    askModel(place % 2 === 0 ? fleet.daemon('d1') : fleet.daemon('d2'), {
+    sendModelRequest(place % 2 === 0 ? fleet.daemon('d1') : fleet.daemon('d2'), {
       streamed,
       outputTokens: 6 * TOKENS_BEFORE_FAULT,
     }),
@@ -124,7 +124,10 @@
   }
   await eventuallyTrue('a stream to be lost in a crash of a1', async () => {
     const calls = Array.from({ length: ENGINES.length }, () =>
-      askModel(fleet.daemon('d1'), { streamed: true, outputTokens: 3 * TOKENS_BEFORE_FAULT }),
+      sendModelRequest(fleet.daemon('d1'), {
+        streamed: true,
+        outputTokens: 3 * TOKENS_BEFORE_FAULT,
+      }),
     );
     const outcomes = await Promise.all(calls.map((call) => call.outcome));
     for (const outcome of outcomes) {
--- a/test/faults/paused-holder.test.ts
+++ b/test/faults/paused-holder.test.ts
@@ -4,7 +4,7 @@
 import type { IntentRow, Order, OrderAnswer } from '../../src/core/orders/index.js';
 import { postJson } from '../../src/lab/fleet/http-json.js';
 import type { RunningBackend } from '../../src/lab/fleet/running-fleet.js';
-import { askModel, Traffic } from './support/caller.js';
+import { sendModelRequest, Traffic } from './support/caller.js';
 import { eventually, eventuallyTrue } from './support/eventually.js';
 import { FaultFleet } from './support/fault-fleet.js';
 import { SMALL_FLEET } from './support/fleet-definition.js';
@@ -44,7 +44,7 @@
   const [a1, a2] = [fleet.engine('a1'), fleet.engine('a2')];
   // The stalled request keeps a drain in progress while the holder is paused.
   await fleet.backendFaults(a1, { faults: [{ kind: 'stall', afterTokens: 1, forMs: STALL_MS }] });
-  const holding = askModel({ callers: a1.endpoint }, { streamed: true, outputTokens: 50 });
+  const holding = sendModelRequest({ callers: a1.endpoint }, { streamed: true, outputTokens: 50 });
   await holding.received(1);
   await fleet.apply(paused, 'ask role decode for a1');
   await eventuallyTrue('a1 to be closed', async () => (await fleet.report(a1)).intake === 'closed');
@@ -57,7 +57,7 @@
     return lease.holder === paused.name || lease.holder === null ? null : lease;
   });
   assert.ok(next.epoch > epoch);
-  for (const engine of [a1, a2]) await fleet.fenced(engine, next.epoch);
+  for (const engine of [a1, a2]) await fleet.waitUntilFenced(engine, next.epoch);
   const recorded = await change;
   assert.ok(recorded.kind === 'unknown', JSON.stringify(recorded));
   assert.deepEqual(recorded.waitingFor, [paused.name]);
@@ -102,7 +102,7 @@
     assert.equal((await fleet.status(daemon)).configurationVersion, again.version, daemon.name);
   }
   const load = new Traffic(() => fleet.parts.daemons, CALLERS);
-  await load.finishedMore(5 * CALLERS);
+  await load.waitForFinished(5 * CALLERS);
   await load.stop();
   assert.deepEqual(load.others, []);
 });
--- a/test/faults/planned-changes.test.ts
+++ b/test/faults/planned-changes.test.ts
@@ -6,7 +6,7 @@
 import { getJson, postJson } from '../../src/lab/fleet/http-json.js';
 import type { RunningBackend } from '../../src/lab/fleet/running-fleet.js';
 import { MachineRegistration } from '../../src/lab/platform/index.js';
-import { askModel, type RunningCall, Traffic } from './support/caller.js';
+import { type RunningCall, sendModelRequest, Traffic } from './support/caller.js';
 import { eventuallyTrue } from './support/eventually.js';
 import { FaultFleet } from './support/fault-fleet.js';
 import { MODEL, SECOND_VERSION } from './support/fleet-definition.js';
@@ -47,7 +47,7 @@
 
 test('a role change cuts no request and takes effect', async () => {
   const load = traffic();
-  await load.finishedMore(CALLERS);
+  await load.waitForFinished(CALLERS);
   await fleet.apply(
     fleet.daemon('d1'),
     'begin; ask role decode for a1; ask role decode for b1; commit',
@@ -55,19 +55,19 @@
   await eventuallyTrue('both engines to change role', async () => {
     return (await hasRole('a1', 'decode')) && (await hasRole('b1', 'decode'));
   });
-  await load.finishedMore(CALLERS);
+  await load.waitForFinished(CALLERS);
   await endUncut(load);
 });
 
 test('a model roll cuts no request and takes effect on every engine', async () => {
   const load = traffic();
-  await load.finishedMore(CALLERS);
+  await load.waitForFinished(CALLERS);
   await fleet.apply(fleet.daemon('d2'), `roll model ${MODEL} to ${SECOND_VERSION}`);
   await eventuallyTrue('every engine to hold the new version alone', async () => {
     const held = await Promise.all(ENGINES.map((engine) => holdsOnly(engine, SECOND_VERSION)));
     return held.every((isHeld) => isHeld);
   });
-  await load.finishedMore(CALLERS);
+  await load.waitForFinished(CALLERS);
   await endUncut(load);
 });
 
@@ -104,7 +104,7 @@
   while (!engines.every((engine) => reached.has(engine))) {
     const daemon = fleet.parts.daemons[streams.length % fleet.parts.daemons.length];
     assert.ok(daemon !== undefined && streams.length < 40, '40 streams did not reach every engine');
-    const stream = askModel(daemon, { streamed: true, outputTokens: LONG_ANSWER_TOKENS });
+    const stream = sendModelRequest(daemon, { streamed: true, outputTokens: LONG_ANSWER_TOKENS });
     streams.push(stream);
     reached.add((await fleet.engineRunning(await stream.received(1))).name);
   }
@@ -141,7 +141,7 @@
   const leaving = [byReport, byList, byCommand];
   const before = await Promise.all(leaving.map(attemptsTaken));
   const ordersBefore = await fleet.ordersTaken(web);
-  await load.finishedMore(10 * CALLERS);
+  await load.waitForFinished(10 * CALLERS);
   assert.deepEqual(await Promise.all(leaving.map(attemptsTaken)), before);
   assert.equal(await fleet.ordersTaken(web), ordersBefore);
   const outcomes = await Promise.all(streams.map((stream) => stream.outcome));
--- a/test/faults/planned-stop.test.ts
+++ b/test/faults/planned-stop.test.ts
@@ -4,9 +4,9 @@
 import type { RunningDaemonPart } from '../../src/lab/fleet/running-fleet.js';
 import type { Outcome } from '../../src/lab/load/index.js';
 import {
-  askModel,
   KeptConnection,
   type RunningCall,
+  sendModelRequest,
   sendOrder,
   Traffic,
 } from './support/caller.js';
@@ -35,7 +35,7 @@
 async function callWhileReady(daemon: RunningDaemonPart): Promise<Outcome[]> {
   const calls: RunningCall[] = [];
   while (await fleet.isReady(daemon).catch(() => false)) {
-    calls.push(askModel(daemon, { streamed: calls.length % 2 === 0, outputTokens: 20 }));
+    calls.push(sendModelRequest(daemon, { streamed: calls.length % 2 === 0, outputTokens: 20 }));
   }
   return outcomesOf(calls);
 }
@@ -49,7 +49,7 @@
   const { epoch } = await fleet.lease('a');
   const load = new Traffic(() => fleet.otherDaemons(stopping.name), CALLERS);
   const running = [true, false, true, false].map((streamed) =>
-    askModel(stopping, { streamed, outputTokens: LONG_ANSWER_TOKENS }),
+    sendModelRequest(stopping, { streamed, outputTokens: LONG_ANSWER_TOKENS }),
   );
   const orders = ['stop-1', 'stop-2'].map((key, place) => sendOrder(stopping, key, place === 0));
   await eventuallyTrue('all requests to run', async () => {
@@ -66,7 +66,7 @@
     return lease.holder === null ? null : lease;
   });
   assert.ok(next.epoch > epoch);
-  await load.finishedMore(CALLERS);
+  await load.waitForFinished(CALLERS);
   await load.stop();
   assert.deepEqual(load.others, []);
   await fleet.parts.restartDaemon(stopping.name);
@@ -76,7 +76,9 @@
   const stopping = fleet.daemon('d2');
   await eventuallyTrue('d2 to be ready', () => fleet.isReady(stopping));
   const connections = Array.from({ length: 6 }, () => new KeptConnection(stopping));
-  const opened = connections.map((each) => each.askModel({ streamed: false, outputTokens: 1 }));
+  const opened = connections.map((each) =>
+    each.sendModelRequest({ streamed: false, outputTokens: 1 }),
+  );
   assert.deepEqual(others(await outcomesOf(opened)), []);
   stopping.process.signal('SIGTERM');
   await eventuallyTrue(
@@ -87,7 +89,7 @@
   // long request that follows.
   for (const [place, connection] of connections.entries()) {
     const outputTokens = place + 1 < connections.length ? 1 : LONG_ANSWER_TOKENS;
-    const call = connection.askModel({ streamed: true, outputTokens });
+    const call = connection.sendModelRequest({ streamed: true, outputTokens });
     assert.deepEqual(others([await call.outcome]), []);
   }
   await assertStopped(stopping);
--- a/test/faults/store-outage.test.ts
+++ b/test/faults/store-outage.test.ts
@@ -95,10 +95,10 @@
     );
     return held.every((epoch) => epoch === null);
   });
-  await load.finishedMore(10 * CALLERS);
+  await load.waitForFinished(10 * CALLERS);
   const finalOutcome = await lost;
   assert.equal(finalOutcome?.kind, 'unknown', JSON.stringify(finalOutcome));
-  await load.finishedMore(CALLERS);
+  await load.waitForFinished(CALLERS);
   await load.stop();
   // Only orders with an Idempotency-Key need the store; all other calls must have finished.
   for (const outcome of load.others) assertRefused(outcome);
@@ -120,7 +120,7 @@
     return role === 'decode' && intake === 'open';
   });
   const load = new Traffic(() => fleet.parts.daemons, CALLERS);
-  await load.finishedMore(5 * CALLERS);
+  await load.waitForFinished(5 * CALLERS);
   await load.stop();
   assert.deepEqual(load.others, []);
 }
--- a/test/faults/support/caller.ts
+++ b/test/faults/support/caller.ts
@@ -58,10 +58,10 @@
       signal: this.cancellation.signal,
       headers,
       observer: {
-        token: () => {
+        onToken: () => {
           this.tokens += 1;
         },
-        head: (status, answerHeaders) => {
+        onHead: (status, answerHeaders) => {
           this.status = status;
           this.requestId = String(answerHeaders['x-request-id']);
         },
@@ -98,13 +98,17 @@
   constructor(private readonly target: Target) {}
 
   /** Sends a request to a model over the connection, or over a new one if it has been closed. */
-  askModel(request: ModelRequest): RunningCall {
-    return askModel(this.target, request, this.agent);
+  sendModelRequest(request: ModelRequest): RunningCall {
+    return sendModelRequest(this.target, request, this.agent);
   }
 }
 
 /** Sends a request to a model. */
-export function askModel(target: Target, request: ModelRequest, agent?: Agent): RunningCall {
+export function sendModelRequest(
+  target: Target,
+  request: ModelRequest,
+  agent?: Agent,
+): RunningCall {
   const { streamed, outputTokens, headers = {} } = request;
   const seed = sentCalls + 1;
   const prompt = { tokens: PROMPT_TOKENS, prefixSeed: null, prefixTokens: 0, seed };
@@ -139,7 +143,7 @@
   }
 
   /** Waits until `count` more calls have finished. */
-  async finishedMore(count: number): Promise<void> {
+  async waitForFinished(count: number): Promise<void> {
     const wanted = this.finished + count;
     await eventuallyTrue(`${count} more finished calls`, () => this.finished >= wanted);
   }
@@ -153,7 +157,7 @@
 
   private async callRepeatedly(): Promise<void> {
     const never = new AbortController().signal;
-    const observer = { token: () => undefined };
+    const observer = { onToken: () => undefined };
     while (!this.isStopping && this.others.length < MAX_OTHERS) {
       const arrival = this.requests.next().value as Arrival;
       const targets = this.targets();
--- a/test/faults/support/eventually.ts
+++ b/test/faults/support/eventually.ts
@@ -1,6 +1,6 @@
 /** Waits for conditions in fault tests; the time-out is far above what a slow machine needs. */
 import { AssertionError } from 'node:assert';
-import { until } from '../../../src/lab/fleet/until.js';
+import { pollUntil } from '../../../src/lab/fleet/poll-until.js';
 
 const TIMEOUT_MS = 45_000;
 const never = new AbortController().signal;
@@ -10,7 +10,11 @@
  * poll fails the test at once.
  */
 export async function eventually<T>(what: string, poll: () => Promise<T | null>): Promise<T> {
-  const result = await until(() => settle(poll), { what, timeoutMs: TIMEOUT_MS, signal: never });
+  const result = await pollUntil(() => settle(poll), {
+    what,
+    timeoutMs: TIMEOUT_MS,
+    signal: never,
+  });
   if ('failure' in result) throw result.failure;
   return result.answer;
 }
--- a/test/faults/support/fault-fleet.ts
+++ b/test/faults/support/fault-fleet.ts
@@ -195,7 +195,7 @@
   }
 
   /** Waits until an engine has accepted a fence of the epoch or a later one. */
-  async fenced(engine: RunningBackend, epoch: number): Promise<void> {
+  async waitUntilFenced(engine: RunningBackend, epoch: number): Promise<void> {
     await eventuallyTrue(`${engine.name} to be fenced by epoch ${epoch}`, async () => {
       const { fence } = await this.report(engine);
       return fence !== null && fence.epoch >= epoch;
--- a/test/gateway/overload-replay.test.ts
+++ b/test/gateway/overload-replay.test.ts
@@ -82,7 +82,7 @@
     // The caller has left: the engine is notified and continues with the next prompt.
     const hasCallerLeft = this.clock.now > next.job.arrivedAtMs + CALLER_TIMEOUT_MS;
     this.#isBusy = true;
-    this.clock.at(this.clock.now + (hasCallerLeft ? 0 : next.job.kind.readMs), () => {
+    this.clock.scheduleAt(this.clock.now + (hasCallerLeft ? 0 : next.job.kind.readMs), () => {
       this.#isBusy = false;
       if (!this.isLost && !hasCallerLeft) next.onRead();
       this.#next();
@@ -196,7 +196,9 @@
         })
       : roomInMs;
     const waitMs = Math.min(retryAfterMs, CALLER_TIMEOUT_MS / 3);
-    clock.at(clock.now + waitMs, () => arrive({ ...job, arrivedAtMs: clock.now, isRetry: true }));
+    clock.scheduleAt(clock.now + waitMs, () =>
+      arrive({ ...job, arrivedAtMs: clock.now, isRetry: true }),
+    );
   };
 
   const admitWaiting = (daemon: FakeDaemon) => {
@@ -284,7 +286,7 @@
       daemon.peers.applySums(message, works[index] ?? [], clock.now);
       admitWaiting(daemon);
     }
-    clock.at(clock.now + SUMS_EVERY_MS, broadcastSums);
+    clock.scheduleAt(clock.now + SUMS_EVERY_MS, broadcastSums);
   };
 
   const next = () => {
@@ -294,11 +296,11 @@
       if (clock.now >= WARM_UP_MS) arrived[kind.rank] = (arrived[kind.rank] ?? 0) + 1;
       arrive({ id: `j${count}`, kind, arrivedAtMs: clock.now, isRetry: false });
     }
-    clock.at(clock.now + random.exponential((load * ENGINES) / MEAN_READ_MS), next);
+    clock.scheduleAt(clock.now + random.exponential((load * ENGINES) / MEAN_READ_MS), next);
   };
-  clock.at(0, broadcastSums);
-  clock.at(0, next);
-  clock.at(lostAtMs, () => {
+  clock.scheduleAt(0, broadcastSums);
+  clock.scheduleAt(0, next);
+  clock.scheduleAt(lostAtMs, () => {
     for (const engine of engines.slice(0, ENGINES / 3)) engine.isLost = true;
   });
   clock.runUntil(END_MS + CALLER_TIMEOUT_MS);
--- a/test/gateway/support/spread-replay.ts
+++ b/test/gateway/support/spread-replay.ts
@@ -139,9 +139,9 @@
 
   run(): SpreadOutcome {
     for (const relay of this.#relays) {
-      this.#clock.at(this.#random.unit() * RELAY_INTERVAL_MS, () => this.#sendSums(relay));
+      this.#clock.scheduleAt(this.#random.unit() * RELAY_INTERVAL_MS, () => this.#sendSums(relay));
     }
-    this.#clock.at(TRAFFIC_FROM_MS, () => this.#arrive());
+    this.#clock.scheduleAt(TRAFFIC_FROM_MS, () => this.#arrive());
     this.#clock.runUntil(TRAFFIC_FROM_MS + this.#scenario.durationMs);
     return {
       arrivals: this.#arrivals,
@@ -171,7 +171,7 @@
     const daemon = this.#daemons[this.#random.integer(0, daemons - 1)];
     if (daemon !== undefined) this.#plan(daemon, this.#prompt());
     const waitMs = this.#random.exponential(requestsPerSecond / 1_000);
-    this.#clock.at(this.#clock.now + waitMs, () => this.#arrive());
+    this.#clock.scheduleAt(this.#clock.now + waitMs, () => this.#arrive());
   }
 
   #prompt(): readonly PromptPart[] {
@@ -205,9 +205,9 @@
     const read = isPrefill ? load.begin(plan.read, sentMs) : undefined;
     if (!isPrefill) load.running += 1;
     this.#scheduleReport(daemon);
-    this.#clock.at(sentMs + LINK_MS, () => {
+    this.#clock.scheduleAt(sentMs + LINK_MS, () => {
       const doneMs = this.#read(server, promptParts, fetchFrom) + LINK_MS;
-      this.#clock.at(doneMs, () => {
+      this.#clock.scheduleAt(doneMs, () => {
         const nowMs = this.#clock.now;
         fleet.prefixIndex.assume(server.id, promptParts, nowMs);
         if (read === undefined) {
@@ -237,7 +237,7 @@
     daemon.fleet.loadOf(target.id).running += 1;
     this.#scheduleReport(daemon);
     this.#arrivals.push({ atMs: this.#trafficMs, engineId: target.id, stage: 'decode' });
-    this.#clock.at(this.#clock.now + HAND_OVER_MS, () => {
+    this.#clock.scheduleAt(this.#clock.now + HAND_OVER_MS, () => {
       daemon.fleet.speedOf(SERVICE).learnHandOver(HAND_OVER_MS);
       this.#run(daemon, target, sentMs);
     });
@@ -246,7 +246,7 @@
   #run(daemon: Daemon, server: ServerRecord, sentMs: number): void {
     this.#firstTokens.push({ atMs: sentMs - TRAFFIC_FROM_MS, tookMs: this.#clock.now - sentMs });
     const runMs = this.#random.integer(20, 180) * TOKEN_MS;
-    this.#clock.at(this.#clock.now + runMs, () => {
+    this.#clock.scheduleAt(this.#clock.now + runMs, () => {
       daemon.fleet.loadOf(server.id).running -= 1;
       daemon.fleet.speedOf(SERVICE).learnRun(100, runMs);
       this.#scheduleReport(daemon);
@@ -325,7 +325,7 @@
   #scheduleReport(daemon: Daemon): void {
     if (daemon.isReportScheduled) return;
     daemon.isReportScheduled = true;
-    this.#clock.at(this.#clock.now + REPORT_DELAY_MS, () => {
+    this.#clock.scheduleAt(this.#clock.now + REPORT_DELAY_MS, () => {
       daemon.isReportScheduled = false;
       const reads = daemon.reads.splice(0);
       const relay = this.#relays[daemon.zone];
@@ -345,7 +345,7 @@
       work: fleet.ownWork(nowMs),
       demand: fleet.demand.own(nowMs),
     };
-    this.#clock.at(nowMs + LINK_MS, () => {
+    this.#clock.scheduleAt(nowMs + LINK_MS, () => {
       relay.daemon.fleet.peerLoads.applyReport(report, this.#clock.now);
       relay.zoneReads.push(...reads);
       this.#applyReads(relay.daemon, reads);
@@ -365,7 +365,7 @@
     const demand = fleet.peerLoads.totalDemand(ownDemand, nowMs);
     const ofZone = relay.zoneSums.next(fleet.peerLoads.zoneTotals(own, nowMs), nowMs);
     const zoneDemand = fleet.peerLoads.zoneDemand(ownDemand, nowMs);
-    this.#clock.at(nowMs + LINK_MS, () => {
+    this.#clock.scheduleAt(nowMs + LINK_MS, () => {
       const atMs = this.#clock.now;
       for (const daemon of this.#daemons) {
         if (daemon.zone !== zone || daemon === relay.daemon) continue;
@@ -381,7 +381,7 @@
         this.#applyReads(other.daemon, zoneReads);
       }
     });
-    this.#clock.at(nowMs + RELAY_INTERVAL_MS, () => this.#sendSums(relay));
+    this.#clock.scheduleAt(nowMs + RELAY_INTERVAL_MS, () => this.#sendSums(relay));
   }
 
   #applyReads(daemon: Daemon, reads: readonly ReadNotice[]): void {
--- a/test/lab/load.test.ts
+++ b/test/lab/load.test.ts
@@ -30,7 +30,7 @@
 function run(target: Endpoint, source: object, maxRetries = 0): Promise<LoadReport> {
   const phases = [{ name: 'only', durationMs: 40, rates: { labels: 1_000 } }];
   const workload = workloadSchema.parse({ name: 'test', sources: [source], phases });
-  return new Load({ workload, targets: [target], maxRetries, patienceMs: 5_000 }).run();
+  return new Load({ workload, targets: [target], maxRetries, finalTimeoutMs: 5_000 }).run();
 }
 
 type Handler = (request: IncomingMessage, body: string, response: ServerResponse) => void;
@@ -161,7 +161,7 @@
   });
   const phases = [{ name: 'only', durationMs: 40, rates: { labels: 1_000 } }];
   const workload = workloadSchema.parse({ name: 'test', sources: [STREAMED], phases });
-  const options = { workload, targets: [hanging], maxRetries: 0, patienceMs: 50 };
+  const options = { workload, targets: [hanging], maxRetries: 0, finalTimeoutMs: 50 };
   const report = await new Load(options).run();
   assert.deepEqual(report.codes, { 'caller-gave-up': report.sent });
   assert.equal(report.outcomes.cut, 0);
--- a/test/lab/tiny-fleet.test.ts
+++ b/test/lab/tiny-fleet.test.ts
@@ -7,8 +7,8 @@
 import { createEngineServer } from '../../src/lab/engine/index.js';
 import { postJson } from '../../src/lab/fleet/http-json.js';
 import { loadFleet, RunningFleet, runShift, violations } from '../../src/lab/fleet/index.js';
-import { RoleWatch } from '../../src/lab/fleet/role-watch.js';
-import { stretched } from '../../src/lab/workload/index.js';
+import { RoleChangeWatcher } from '../../src/lab/fleet/role-change-watcher.js';
+import { withScaledDurations } from '../../src/lab/workload/index.js';
 
 const FLEET = `
 name: tiny
@@ -35,7 +35,7 @@
   const running = new RunningFleet(fleet, { logFolder: null, signal, onStep: () => undefined });
   try {
     await running.start();
-    const workload = stretched(fleet.workload, DURATION_FACTOR);
+    const workload = withScaledDurations(fleet.workload, DURATION_FACTOR);
     const progress = { onProgress: () => undefined, progressEveryMs: 1_000 };
     const report = await runShift(running, { workload, maxRetries: 0, signal, ...progress });
     assert.ok(report.load.sent > 5);
@@ -58,8 +58,8 @@
     roleChangeMs: 0,
   });
   const { endpoint, model } = engine;
-  const watch = new RoleWatch([{ name: 'e1', endpoint }]);
-  await watch.asked;
+  const watch = new RoleChangeWatcher([{ name: 'e1', endpoint }]);
+  await watch.firstPoll;
   const order = {
     id: 'o1',
     engine: 'e1',
--- a/test/lab/workload.test.ts
+++ b/test/lab/workload.test.ts
@@ -5,8 +5,8 @@
   type Arrival,
   arrivals,
   promptText,
-  stretched,
   type Workload,
+  withScaledDurations,
   workloadSchema,
 } from '../../src/lab/workload/index.js';
 
@@ -85,7 +85,7 @@
 test('a rate for an unknown source is rejected; scaling the durations keeps the rates', () => {
   const bad = { ...workload(1), phases: [{ name: 'x', durationMs: 1, rates: { lables: 1 } }] };
   assert.match(workloadSchema.safeParse(bad).error?.message ?? '', /lables, which is no source/);
-  const half = stretched(workload(1), 0.5);
+  const half = withScaledDurations(workload(1), 0.5);
   assert.deepEqual(
     half.phases.map(({ durationMs }) => durationMs),
     [10_000, 10_000],
--- a/test/membership/fleets.ts
+++ b/test/membership/fleets.ts
@@ -1,7 +1,7 @@
 /** Simulated fleets for tests of membership, configuration and digests. */
 import assert from 'node:assert/strict';
 import { aliveMembers } from '../../src/core/membership/index.js';
-import type { FleetOptions, Place } from '../../src/lab/scale/fleet-options.js';
+import type { DaemonSlot, FleetOptions } from '../../src/lab/scale/fleet-options.js';
 import { FleetSimulation } from '../../src/lab/scale/fleet-simulation.js';
 import type { SimulatedDaemon } from '../../src/lab/scale/simulated-daemon.js';
 
@@ -23,8 +23,8 @@
 }
 
 /** The place with this index; fails if there is none. */
-export function placeAt(fleet: FleetSimulation, index: number): Place {
-  const place = fleet.places[index];
+export function placeAt(fleet: FleetSimulation, index: number): DaemonSlot {
+  const place = fleet.slots[index];
   assert.ok(place !== undefined);
   return place;
 }
--- a/test/membership/zones.test.ts
+++ b/test/membership/zones.test.ts
@@ -21,7 +21,7 @@
     2 * DETECTION_LIMIT_MS,
   );
   assert.notEqual(noticed, null);
-  for (const place of fleet.places.filter((place) => place.zone === 'zone-1')) {
+  for (const place of fleet.slots.filter((place) => place.zone === 'zone-1')) {
     fleet.kill(place);
   }
   const reported = fleet.runUntil(
