--- a/test/soak/oracle.test.ts
+++ b/test/soak/oracle.test.ts
@@ -1,7 +1,6 @@
 /** The soak's oracle reports each promise that is broken in a record, and no other. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
-import { CRASHING_MARK, eventText, wholeBody } from '../../soak/answers.js';
 import { judge, type PromiseName, repeatsOf } from '../../soak/oracle.js';
 import type {
   Arrival,
@@ -13,6 +12,7 @@
   RouteProbe,
   RunRecord,
 } from '../../soak/record.js';
+import { CRASHING_MARK, completeBody, eventText } from '../../soak/response-bodies.js';
 
 const BOUNDS = {
   contactMs: 3_000,
@@ -62,14 +62,14 @@
     serverId: 's1',
     service: 'one',
     step: 'run',
-    isTaken: true,
+    isStarted: true,
     problem: '',
     endedMs: 30_020,
-    isServersFault: false,
-    hasEndedServer: false,
-    saidLeaving: false,
-    restAskedMs: undefined,
-    namedLimit: false,
+    isServerFault: false,
+    hasCrashedServer: false,
+    reportedLeaving: false,
+    requestedBackOffMs: undefined,
+    reportedLimit: false,
     isMisdirected: false,
     stamp: STAMP,
     ...fields,
@@ -81,8 +81,8 @@
     kind: 'answered',
     status: 200,
     stamp: STAMP,
-    body: wholeBody('r1', STAMP),
-    isWhole: true,
+    body: completeBody('r1', STAMP),
+    isComplete: true,
     retryAfterMs: undefined,
     ...fields,
   };
@@ -93,7 +93,7 @@
     id: 'r1',
     requestClass: classOf('non-idempotent'),
     daemon: 'd1',
-    life: 1,
+    incarnation: 1,
     tenant: 'tenant',
     apiKey: 'key',
     body: '',
@@ -142,7 +142,7 @@
 
 test('TWICE: a non-idempotent request ran at two servers; a server that refused it does not count', () => {
   assertBroken('TWICE', run([call({ arrivals: [arrival(), arrival({ serverId: 's2' })] })]));
-  const turnedAway = arrival({ serverId: 's2', isTaken: false });
+  const turnedAway = arrival({ serverId: 's2', isStarted: false });
   assert.deepEqual(broken(run([call({ arrivals: [turnedAway, arrival()] })])), []);
 });
 
@@ -202,7 +202,7 @@
 });
 
 test('DRAIN: a daemon forwarded a response that reports that its server leaves, and goes on sending there', () => {
-  const leaving = call({ arrivals: [arrival({ saidLeaving: true })] });
+  const leaving = call({ arrivals: [arrival({ reportedLeaving: true })] });
   const later = (sentMs: number, fields: Partial<CallRecord> = {}) => {
     const late = arrival({ atMs: sentMs + 10, stamp: 's1.2' });
     return call({ id: 'r2', sentMs, end: undefined, arrivals: [late], ...fields });
@@ -210,18 +210,18 @@
   assertBroken('DRAIN', run([leaving, later(32_100)]));
   assert.deepEqual(broken(run([leaving, later(31_900)])), []);
   assert.deepEqual(broken(run([leaving, later(32_100, { daemon: 'd2' })])), []);
-  assert.deepEqual(broken(run([leaving, later(32_100, { life: 2 })])), []);
+  assert.deepEqual(broken(run([leaving, later(32_100, { incarnation: 2 })])), []);
   const own = { name: 'd1', fromMs: 31_000, toMs: 31_500, isPlanned: false };
   const frozen = run([leaving, later(32_100)], { disturbances: [{ ...own, scope: 'frozen' }] });
   assert.deepEqual(broken(frozen), []);
   const cut = run([leaving, later(32_100)], { disturbances: [{ ...own, scope: 'daemon' }] });
   assertBroken('DRAIN', cut);
-  const notPassedOn = call({ arrivals: [arrival({ saidLeaving: true })], end: undefined });
+  const notPassedOn = call({ arrivals: [arrival({ reportedLeaving: true })], end: undefined });
   assert.deepEqual(broken(run([notPassedOn, later(32_100)])), []);
 });
 
 test('BUDGET: a server gets more than two requests from a daemon within the back-off period that it requested from it', () => {
-  const refusedArrival = arrival({ isTaken: false, restAskedMs: 3_000, stamp: undefined });
+  const refusedArrival = arrival({ isStarted: false, requestedBackOffMs: 3_000, stamp: undefined });
   const refused = call({
     end: answered({ status: 503, stamp: undefined }),
     arrivals: [refusedArrival],
@@ -230,7 +230,7 @@
     Array.from({ length: count }, (_, index) => {
       const id = `r${index + 2}`;
       const stamp = `s1.${index + 2}`;
-      const end = answered({ stamp, body: wholeBody(id, stamp) });
+      const end = answered({ stamp, body: completeBody(id, stamp) });
       const arrivals = [arrival({ atMs: 31_000 + 100 * index, stamp })];
       return call({ id, sentMs: 30_990, end, arrivals, ...fields });
     });
@@ -258,13 +258,13 @@
   assert.deepEqual(broken(run(lost, { disturbances: [{ ...stop, isPlanned: false }] })), []);
   const outOfTime = lost.map((made) => ({ ...made, endedMs: made.sentMs + 990 }));
   assert.deepEqual(broken(run(outOfTime)), []);
-  const faulty = lost.map((made) => ({ ...made, arrivals: [arrival({ isServersFault: true })] }));
+  const faulty = lost.map((made) => ({ ...made, arrivals: [arrival({ isServerFault: true })] }));
   assert.deepEqual(broken(run(faulty)), []);
 });
 
 test('BUDGET: the repeats within a window exceed the ratio and the slack', () => {
   const turnedAway = (count: number) => {
-    const arrivals = Array.from({ length: count }, () => arrival({ isTaken: false }));
+    const arrivals = Array.from({ length: count }, () => arrival({ isStarted: false }));
     return run([call({ arrivals: [...arrivals, arrival()] })]);
   };
   assert.deepEqual(broken(turnedAway(4)), [], '4 repeats of 4.2');
@@ -276,7 +276,7 @@
 test('the first prefill that an engine starts is no repeat, every other arrival beyond the first is', () => {
   const reading = arrival({ step: 'prefill', atMs: 1 });
   const second = arrival({ step: 'prefill', atMs: 2 });
-  const refused = arrival({ step: 'prefill', isTaken: false, atMs: 0 });
+  const refused = arrival({ step: 'prefill', isStarted: false, atMs: 0 });
   const runs = arrival({ atMs: 3 });
   assert.equal(repeatsOf({ arrivals: [reading, runs] }).length, 0);
   assert.equal(repeatsOf({ arrivals: [reading, second, runs] }).length, 1);
@@ -346,7 +346,7 @@
       sentMs: atMs - 5,
       endedMs: atMs + 70,
       end: { kind: 'closed', reason: 'closed' },
-      arrivals: [arrival({ ...own, isServersFault: true, hasEndedServer: index < ending })],
+      arrivals: [arrival({ ...own, isServerFault: true, hasCrashedServer: index < ending })],
     });
   });
 }
@@ -378,7 +378,7 @@
 function callsBetween(fromMs: number, toMs: number, count: number): readonly CallRecord[] {
   return Array.from({ length: count }, (_, place) => {
     const atMs = fromMs + (place * (toMs - fromMs)) / count;
-    const arrivals = [arrival({ atMs, endedMs: atMs + 10, namedLimit: true })];
+    const arrivals = [arrival({ atMs, endedMs: atMs + 10, reportedLimit: true })];
     return call({ sentMs: atMs - 5, endedMs: atMs + 15, deadlineMs: atMs + 900, arrivals });
   });
 }
@@ -402,7 +402,7 @@
   const many = callsBetween(40_000, 43_900, 12);
   const silent = many.map((made) => ({
     ...made,
-    arrivals: made.arrivals.map((at) => ({ ...at, namedLimit: false })),
+    arrivals: made.arrivals.map((at) => ({ ...at, reportedLimit: false })),
   }));
   assert.deepEqual(broken(run(silent, { limits: LIMITS })), []);
   const frozen = {
@@ -418,7 +418,7 @@
   );
   const misdirected = many.map((made) => ({
     ...made,
-    arrivals: made.arrivals.map((at) => ({ ...at, isMisdirected: true, isTaken: false })),
+    arrivals: made.arrivals.map((at) => ({ ...at, isMisdirected: true, isStarted: false })),
   }));
   const misdirectedRun = run([...first, ...misdirected], { limits: LIMITS });
   assert.ok(!broken(misdirectedRun).includes('LIMIT'));
@@ -446,8 +446,8 @@
 };
 const WITHOUT_AGAIN: ConfigurationVersion = { ...FIRST, version: 3, ackMs: 40_000 };
 
-function probe(sentMs: number, isThere: boolean, life = 1): RouteProbe {
-  return { daemon: 'd1', life, path: '/added-1/', sentMs, endedMs: sentMs + 5, isThere };
+function probe(sentMs: number, hasRoute: boolean, incarnation = 1): RouteProbe {
+  return { daemon: 'd1', incarnation, path: '/added-1/', sentMs, endedMs: sentMs + 5, hasRoute };
 }
 
 test('CONFIG: a daemon in contact with the store lacks an added route, or has a dropped one, after the time to apply the change', () => {
@@ -481,10 +481,10 @@
     toMs: 60_000,
     isPlanned: false,
   } as const;
-  const judged = (life: number) =>
+  const judged = (incarnation: number) =>
     run([], {
       configurations: [FIRST, WITH_ROUTE],
-      probes: [probe(21_000, true), probe(22_000, false, life)],
+      probes: [probe(21_000, true), probe(22_000, false, incarnation)],
       disturbances: [disturbance],
     });
   assertBroken('CONFIG', judged(1));
