--- a/src/core/admission/wait-queue.ts
+++ b/src/core/admission/wait-queue.ts
@@ -43,7 +43,7 @@
 /** The gateway's configuration gives tenants no weights. */
 const EQUAL_WEIGHT = 1;
 
-const ROOM_RULES: AdmissionRules<WaitQueueRequest> = {
+const QUEUE_RULES: AdmissionRules<WaitQueueRequest> = {
   minClassShare: 0,
   laneOf: ({ lane }) => lane,
   costOf: ({ costMs }) => Math.max(MIN_COST_MS, costMs),
@@ -57,7 +57,7 @@
   readonly #waitingByLane = new Map<string, number>();
 
   constructor(limits: Partial<AdmissionLimits> = {}) {
-    this.#scheduler = new AdmissionScheduler(ROOM_RULES, limits);
+    this.#scheduler = new AdmissionScheduler(QUEUE_RULES, limits);
   }
 
   /** The number of waiting requests. */
@@ -92,10 +92,10 @@
   }
 
   /** Removes and returns the next request for which there is capacity. */
-  next(now: MonotonicMs, hasRoom: (id: RequestId) => boolean): WaitQueueRequest | null {
-    const next = this.#scheduler.next(now, ({ id }) => hasRoom(id));
+  next(now: MonotonicMs, hasCapacity: (id: RequestId) => boolean): WaitQueueRequest | null {
+    const next = this.#scheduler.next(now, ({ id }) => hasCapacity(id));
     if (next === null) return null;
-    this.#scheduler.settle(next.id, ROOM_RULES.costOf(next));
+    this.#scheduler.settle(next.id, QUEUE_RULES.costOf(next));
     this.#adjustCount(next.lane, -1);
     return next;
   }
--- a/src/shell/gateway/admission-gate.ts
+++ b/src/shell/gateway/admission-gate.ts
@@ -44,7 +44,7 @@
 /** Admits, holds or refuses the requests of a daemon. */
 export class AdmissionGate {
   readonly #options: AdmissionGateOptions;
-  readonly #waitingRoom = new WaitQueue();
+  readonly #waitQueue = new WaitQueue();
   readonly #waiters = new Map<string, Waiter>();
   readonly #refusals: AdmissionRefusals;
   #lastEntryId = 0;
@@ -64,12 +64,12 @@
 
   /** The number of requests that are held. */
   get waiting(): number {
-    return this.#waitingRoom.waiting;
+    return this.#waitQueue.waiting;
   }
 
   /** The number of requests of a lane that are held. */
   waitingInLane(lane: string): number {
-    return this.#waitingRoom.waitingInLane(lane);
+    return this.#waitQueue.waitingInLane(lane);
   }
 
   /** Admits a request, at once or after a wait; undefined when it was refused or its caller's signal was aborted. */
@@ -112,7 +112,7 @@
     const nowMs = this.#nowMs();
     const place = this.#placeOf(exchange, check, nowMs + slackMs);
     const hasCapacity = placement.kind === 'go';
-    const answer = this.#waitingRoom.offer(place, { now: nowMs, hasCapacity });
+    const answer = this.#waitQueue.offer(place, { now: nowMs, hasCapacity });
     switch (answer.kind) {
       case 'dispatch-now':
         return Promise.resolve(check.reserve());
@@ -125,7 +125,7 @@
         break;
     }
     if (this.#isStopping) {
-      this.#waitingRoom.remove(place, nowMs);
+      this.#waitQueue.remove(place, nowMs);
       this.#refusals.refuseStopping(exchange, check);
       return Promise.resolve(undefined);
     }
@@ -142,7 +142,7 @@
     const roomInMs = placement.kind === 'wait' ? placement.roomInMs : 0;
     this.#options.log.write(GATEWAY_EVENTS.requestWaits, {
       ...admissionLogFields(exchange, check),
-      behind: this.#waitingRoom.waitingInLane(check.lane) - 1,
+      behind: this.#waitQueue.waitingInLane(check.lane) - 1,
       roomInMs: Math.round(roomInMs),
       mostMs: Math.round(place.latestStartMs - waitingSinceMs),
     });
@@ -165,7 +165,7 @@
 
   /** Ends the hold of requests whose latest start has passed: admits or refuses them. */
   #endExpiredHolds(): void {
-    for (const { description, fault } of this.#waitingRoom.expired(this.#nowMs())) {
+    for (const { description, fault } of this.#waitQueue.expired(this.#nowMs())) {
       const waiter = this.#waiters.get(description.id);
       if (waiter === undefined) continue;
       this.#waiters.delete(description.id);
@@ -183,7 +183,7 @@
 
   #admitReady(): void {
     for (;;) {
-      const next = this.#waitingRoom.next(this.#nowMs(), (id) => this.#isDecided(id));
+      const next = this.#waitQueue.next(this.#nowMs(), (id) => this.#isDecided(id));
       if (next === null) return;
       const waiter = this.#waiters.get(next.id);
       if (waiter === undefined) continue;
@@ -231,13 +231,13 @@
     roomInMs: number,
     waitedMs: number,
   ): void {
-    const behind = this.#waitingRoom.waitingInLane(check.lane);
+    const behind = this.#waitQueue.waitingInLane(check.lane);
     this.#refusals.refuse(exchange, check, { reason, roomInMs, waitedMs, behind });
   }
 
   #remove({ place }: Waiter): void {
     this.#waiters.delete(place.id);
-    this.#waitingRoom.remove(place, this.#nowMs());
+    this.#waitQueue.remove(place, this.#nowMs());
   }
 
   #placeOf(exchange: Exchange, check: AdmissionCheck, latestStartMs: number): WaitQueueEntry {
@@ -264,7 +264,7 @@
       return;
     }
     const nowMs = this.#nowMs();
-    const latestMs = this.#waitingRoom.nextStartDeadline ?? Number.POSITIVE_INFINITY;
+    const latestMs = this.#waitQueue.nextStartDeadline ?? Number.POSITIVE_INFINITY;
     const wantedMs = Math.min(MAX_RECHECK_MS, inMs, latestMs - nowMs);
     const atMs = nowMs + Math.max(MIN_RECHECK_MS, wantedMs);
     if (this.#recheckAtMs > nowMs && this.#recheckAtMs <= atMs) return;
--- a/src/shell/gateway/attempt.ts
+++ b/src/shell/gateway/attempt.ts
@@ -147,8 +147,8 @@
   if (!wasSent) exchange.sends.end(send, 'not-sent', budget);
   if (result.kind !== 'answered') return result;
   const { attempt } = result;
-  const noteRead = () => exchange.sends.end(send, 'read', budget);
-  return { kind: 'answered', attempt: { ...attempt, recordPrefilled: noteRead } };
+  const recordPrefilled = () => exchange.sends.end(send, 'read', budget);
+  return { kind: 'answered', attempt: { ...attempt, recordPrefilled } };
 }
 
 async function callServer(
--- a/src/shell/gateway/prefill.ts
+++ b/src/shell/gateway/prefill.ts
@@ -130,7 +130,7 @@
   });
   if (result.kind === 'held-back') return 'held-back';
   if (result.kind !== 'answered') return undefined;
-  const { answer, end, recordPrefilled: noteRead } = result.attempt;
+  const { answer, end, recordPrefilled } = result.attempt;
   const body = await answer.collect(MAX_ANSWER_BYTES);
   const hasSucceeded = body !== undefined && answer.status === 200;
   const prefill = hasSucceeded ? context.codec.readPrefillAnswer(body) : undefined;
@@ -139,7 +139,7 @@
     return undefined;
   }
   end({ kind: 'good' });
-  noteRead();
+  recordPrefilled();
   return { address: server.address, handle: prefill.handle };
 }
 
