--- a/src/core/gateway/named-limits.ts
+++ b/src/core/gateway/named-limits.ts
@@ -23,7 +23,7 @@
 /** What an answer shows of its server's limit. */
 export type LimitReading =
   | { readonly kind: 'named'; readonly perSecond: number }
-  /** It names none. `attemptId` is the attempt that it answers. */
+  /** The answer names no limit. `attemptId` is the attempt that the answer belongs to. */
   | { readonly kind: 'none'; readonly attemptId: string | undefined }
   /** The text is malformed: it neither sets a limit nor ends one. */
   | { readonly kind: 'unreadable'; readonly text: string }
--- a/src/core/gateway/send-meter.ts
+++ b/src/core/gateway/send-meter.ts
@@ -13,7 +13,7 @@
 /** A send in progress. */
 export interface MeteredSend {
   readonly step: SendStep;
-  /** Whether it reserved a repeat from the budget. */
+  /** Whether the send reserved a repeat from the retry budget. */
   readonly isReserved: boolean;
 }
 
@@ -23,7 +23,7 @@
   | 'not-sent'
   /** The prompt was read. */
   | 'read'
-  /** It reached the server, with any other outcome. */
+  /** The request reached the server, with any other outcome. */
   | 'arrived';
 
 /** The arrivals of one request. */
--- a/src/core/gateway/server-availability.ts
+++ b/src/core/gateway/server-availability.ts
@@ -33,9 +33,9 @@
 
 /** A server's report in an answer of whether it accepts work. */
 export interface ReportedAvailability {
-  /** It accepts no new work from any daemon. */
+  /** The server accepts no new work from any daemon. */
   readonly isLeaving: boolean;
-  /** Time for which it wants no requests from this daemon; undefined if it requests no back-off. */
+  /** Time for which the server wants no requests from this daemon; undefined if it requests no back-off. */
   readonly backOffMs: number | undefined;
 }
 
--- a/src/core/gateway/server-health.ts
+++ b/src/core/gateway/server-health.ts
@@ -46,7 +46,7 @@
   /** The one call that tests whether a server that did not answer is reachable again. */
   #trial: OpenCall | undefined;
   #unreachableUntilMs = 0;
-  /** Daemons that found it unreachable, with the time of their last notice. */
+  /** Daemons that found the server unreachable, with the time of their last notice. */
   readonly #witnesses = new Map<string, number>();
   #responseMs: number | undefined;
 
@@ -112,7 +112,7 @@
     if (witnesses >= MIN_UNREACHABLE_REPORTS) this.#unreachableUntilMs = nowMs + NOTICE_VALID_MS;
   }
 
-  /** Whether it answers no connection, as far as is known; one call at a time tries it. */
+  /** Whether the server is believed to answer no connection; one call at a time still tests it. */
   isUnreachable(nowMs: number): boolean {
     if (nowMs < this.#unreachableUntilMs) return true;
     return this.#isConnectUnanswered && (this.isEjected(nowMs) || this.#trial !== undefined);
@@ -162,12 +162,12 @@
     this.#consecutiveFailures += 1;
   }
 
-  /** Whether it is skipped if there is another server. */
+  /** Whether the server is skipped while there is another one. */
   isSuspect(nowMs: number): boolean {
     return this.isEjected(nowMs) || nowMs < this.#refusalSkipUntilMs || this.#hasOverdueCall(nowMs);
   }
 
-  /** Whether it failed recently; a server that is only slow has not. */
+  /** Whether the server failed recently; a server that is only slow is not ejected. */
   isEjected(nowMs: number): boolean {
     return nowMs < this.#ejectedUntilMs;
   }
--- a/src/core/gateway/web-server-load.ts
+++ b/src/core/gateway/web-server-load.ts
@@ -19,7 +19,7 @@
   readonly waiting: number;
   /** Requests that it runs at the same time. */
   readonly slots: number;
-  /** Current processing time relative to the usual one; undefined if the server does not report it. */
+  /** Current processing time relative to the usual one, which is 1; undefined if the server does not report it. */
   readonly slowness: number | undefined;
 }
 
@@ -29,7 +29,7 @@
   readonly calls: number;
   /** Standard deviation of `calls`; 0 if this daemon knows of its own calls only. */
   readonly stdDev: number;
-  /** Current processing time relative to the usual one. */
+  /** Current processing time relative to the usual one, which is 1. */
   readonly slowness: number;
 }
 
--- a/src/lab/hollow/linear-fit.ts
+++ b/src/lab/hollow/linear-fit.ts
@@ -10,7 +10,7 @@
 export interface LinearFit {
   readonly slope: number;
   readonly intercept: number;
-  /** The share of the variance that the line explains; null if all y are equal. */
+  /** The share of the variance that the line explains, 1 for points on the line; null if all y are equal. */
   readonly rSquared: number | null;
 }
 
--- a/src/lab/simulation/simulated-daemon.ts
+++ b/src/lab/simulation/simulated-daemon.ts
@@ -32,7 +32,7 @@
   readonly name: DaemonName;
   readonly zone: ZoneName;
   readonly endpoint: Endpoint;
-  /** The rate of its clock relative to virtual time. */
+  /** The rate of the daemon's clock relative to virtual time; 1 is true time. */
   readonly clockRate: number;
 }
 
